--- /dev/null
+++ b/tests/test_published_names.py
@@ -0,0 +1,320 @@
+"""What people's dashboards, scripts and files hang on: these names are compared with a fixture, exactly."""
+
+from __future__ import annotations
+
+import json
+import re
+import subprocess
+import sys
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+import anyio
+import click
+import msgspec
+import msgspec.inspect
+import pytest
+import yaml
+from click.testing import CliRunner
+
+from tests.conftest import FLEET, settings
+from tests.support.golden import assert_matches
+from zincladder import interface as api
+from zincladder.admission.gate import Gate
+from zincladder.admission.interface import Bounds
+from zincladder.admission.ledger import PLAIN, SHARED, Ledger
+from zincladder.admission.model import Act, Lane, Limits, Why
+from zincladder.admission.plain import Plain
+from zincladder.agreement.host import Keeper
+from zincladder.agreement.model import Members
+from zincladder.agreement.store import Store
+from zincladder.agreement.terms import Terms
+from zincladder.cli import main
+from zincladder.config import Config, DutiesConfig, PolicyConfig, config_of
+from zincladder.config.keeper import KeeperTable, LeaseTable, keeper_of
+from zincladder.config.operator import TABLES, RemoteWriteTable
+from zincladder.control.calls import Calls
+from zincladder.control.figures import figures
+from zincladder.control.readiness import Readiness
+from zincladder.core.attempt import Hold
+from zincladder.core.classes import Classes
+from zincladder.core.ends import How
+from zincladder.core.engine import Core
+from zincladder.metrics import keeper as replica_metrics
+from zincladder.metrics import registry as front_metrics
+from zincladder.metrics.keeper import KeeperRegistry
+from zincladder.metrics.registry import Registry, Sample
+from zincladder.ownership.host import Stewarding
+from zincladder.ownership.worker import Worker
+from zincladder.policy.front import FleetPolicy, Parts
+from zincladder.policy.host import Conducting
+
+ROOT = Path(__file__).resolve().parent.parent
+REPLICAS = {"r1": "127.0.0.1:1"}
+pytestmark = pytest.mark.anyio
+
+
+def fleet_policy() -> FleetPolicy:
+    return FleetPolicy(PolicyConfig("g", REPLICAS), "n0", Parts(lambda _: (), lambda _: ""))
+
+
+def worker() -> Worker:
+    return Worker(DutiesConfig("g", REPLICAS, ()), "n0", {}, dict)
+
+
+def counting_core() -> Core:
+    """A core in which everything that it counts has happened once."""
+    core = Core(settings(), 1, None, classes=Classes(("video", "page"), settings().classes))  # type: ignore[arg-type]
+    core.listed(api.ListKind.FULL, 1, FLEET)
+    core.figures.keep_classes(("video", "page"), ())
+    member = FLEET[0].id
+    for end in How:
+        core.counts["attempts", end.name.lower()] += 1
+        core.counts["probes", end.name.lower()] += 1
+        core.counts["client_ends", end.name.lower()] += 1
+        core.figures.ended(member, end)
+        core.figures.probed(member, end, 0.5, (1.0,), 1.0)
+    for reason in Hold:
+        core.counts["held_back", reason.name.lower()] += 1
+    for group in sorted(front_metrics.COUNTERS):
+        core.counts[group, "one"] += 1
+    for kind in ("served", "refused", "failed"):
+        core.figures.answered("page", kind)
+    core.figures.asked(member, 2.0, "page")
+    return core
+
+
+def series(samples: Iterator[Sample]) -> list[str]:
+    """The samples' names with their labels, without values."""
+    return [s.name + "{" + ",".join(f"{k}={v}" for k, v in s.labels) + "}" for s in samples]
+
+
+def test_names_and_labels_of_a_fronts_metrics() -> None:
+    core = counting_core()
+    policy, tasks = fleet_policy(), worker()
+    found: dict[str, Any] = {}
+    for name, admission in (
+        ("by source", Gate(Limits(), Bounds(8, 8), Ledger(64, SHARED), 1)),
+        ("by connection", Plain(Bounds(8, 8), Ledger(64, PLAIN, own=0))),
+    ):
+        for reason in Why:
+            admission.tallies.turned[reason.value] = admission.tallies.refused[reason.value] = 1
+        registry = Registry(
+            core, "n0", lambda: True, admission, lambda: 2, lambda: policy.figures(), lambda: tasks.figures()
+        )
+        found[name] = series(registry.samples())
+        found[f"{name}, types and help"] = [line for line in registry.text().splitlines() if line[0] == "#"]
+    found["names"] = sorted(front_metrics.NAMES)
+    assert_matches("published/front_metrics.json", found)
+
+
+async def test_names_and_labels_of_a_replicas_metrics(tmp_path: Path) -> None:
+    table = {"group": "g", "name": "r1", "listen": "127.0.0.1:0", "directory": str(tmp_path / "r1")}
+    timing = {"heartbeat_ms": 12, "election_ms": 50}
+    config = keeper_of({"keeper": table | timing | {"members": {"r1": "127.0.0.1:1"}}})
+    store = Store(config.directory, config.group, config.name, Members(config.founders))
+    replica = Keeper(config, store)
+    lease = config.lease
+    terms = Terms(lease.seconds, lease.renew_s, lease.drift, lease.check_s, lease.clear_s, lease.least,
+                  lease.patient_s, lease.act_s)  # fmt: skip
+    coordinating, assigning = Conducting(replica, terms), Stewarding(replica, terms)
+    registry = KeeperRegistry(replica, coordinating, assigning)
+    found = {"follows": series(registry.samples())}
+    async with anyio.create_task_group() as tasks:
+        await tasks.start(replica.run)
+        tasks.start_soon(coordinating.run)
+        tasks.start_soon(assigning.run)
+        with anyio.fail_after(10):
+            while len(leads := series(registry.samples())) == len(found["follows"]):
+                await anyio.sleep(0.01)
+        found["leads"] = leads
+        found["types and help"] = [line for line in registry.text().splitlines() if line[0] == "#"]
+        tasks.cancel_scope.cancel()
+    store.close()
+    found["names"] = sorted(replica_metrics.NAMES)
+    assert_matches("published/replica_metrics.json", found)
+
+
+def test_alert_rules() -> None:
+    groups = yaml.safe_load((ROOT / "deploy/alerts.yml").read_text())["groups"]
+    rules = [
+        [rule["alert"], " ".join(rule["expr"].split()), rule.get("for")]
+        for g in groups
+        for rule in g["rules"]
+    ]
+    assert_matches("published/alerts.json", rules)
+
+
+def test_answers_of_the_operators_address() -> None:
+    core = counting_core()
+    ready, settled, stopping = [0], [False], [True]
+    readiness = Readiness(lambda: ready[0], lambda: settled[0], lambda: stopping[0])
+    calls = Calls(readiness.lacks, lambda: figures(core, policy=fleet_policy(), duty=worker()))
+    found = {"stopping": calls.answer(b"READY")}
+    stopping[0] = False
+    found["no member"] = calls.answer(b"READY")
+    ready[0] = 1
+    found["not settled"] = calls.answer(b"READY")
+    settled[0] = True
+    found["ready"] = calls.answer(b"READY")
+    readiness.more = fleet_policy().lacks
+    found["no policy"] = calls.answer(b"READY\r")
+    found["unknown"] = calls.answer(b"NO SUCH CALL AS THIS ONE IS")
+    found["statistics"] = re.sub(rb"=\d+\n", b"=\n", calls.answer(b"STATS"))
+    found["statistics of a front alone"] = re.sub(
+        rb"=\d+\n", b"=\n", Calls(str, lambda: figures(core)).answer(b"STATS")
+    )
+    assert_matches("published/operators_address.json", {k: v.decode().split("\n") for k, v in found.items()})
+
+
+def test_lanes_reasons_and_descriptors_by_their_published_names() -> None:
+    found = {
+        "lanes": [[lane.name.lower(), int(lane)] for lane in Lane],
+        "reasons": [reason.value for reason in Why],
+        "offenses": [offense.name.lower() for offense in Act],
+        "uses": [use.value for use in SHARED],
+    }
+    assert_matches("published/admission.json", found)
+
+
+PARAMETER = ("param_type_name", "opts", "secondary_opts", "type", "required", "nargs", "multiple", "default",
+             "is_flag", "count", "hidden")  # fmt: skip
+
+# The command line ---------------------------------------------------------------------------------
+
+
+def described(command: click.Command) -> dict[str, Any]:
+    """A command's options and arguments, and its commands."""
+    found: dict[str, Any] = {"parameters": []}
+    for parameter in command.params:
+        assert parameter.name is not None
+        info = parameter.to_info_dict()
+        shown = {key: info[key] for key in PARAMETER if info.get(key)}
+        if "default" in shown:
+            shown["default"] = getattr(shown["default"], "__name__", repr(shown["default"]))
+        found["parameters"].append(shown)
+    if isinstance(command, click.Group):
+        found["commands"] = {name: described(inner) for name, inner in sorted(command.commands.items())}
+    return found
+
+
+def test_commands_with_their_options() -> None:
+    assert_matches("published/commands.json", described(main))
+
+
+COMMAND_LINES = (
+    "", "--help", "--version", "unheard-of", "run x", "check", "check /nowhere", "check example/config.json",
+    "check deploy/operator.toml example/config.json", "check pyproject.toml", "ready", "ready nowhere",
+    "ready 127.0.0.1:1", "ready 127.0.0.1:1 --wait soon", "stats", "stats nowhere", "stats 127.0.0.1:1",
+    "admission", "admission top", "admission --socket /nowhere top",
+    "admission --socket /nowhere top --most 0",
+    "admission --socket /nowhere show x", "admission --socket /nowhere block x", "admission block",
+    "admission --socket /nowhere unblock x", "admission --socket /nowhere trust x", "keep",
+    "keepers", "keepers status", "duties", "duties status", "policy", "policy status", "policy show",
+    "policy set /nowhere",
+)  # fmt: skip
+
+
+def test_exit_codes_of_commands(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.chdir(ROOT)
+    monkeypatch.delenv("ZINCLADDER_OPERATOR", raising=False)
+    found = {line: CliRunner().invoke(main, line.split()).exit_code for line in COMMAND_LINES}
+    assert_matches("published/exit_codes.json", found)
+
+
+def test_exit_code_of_a_front_that_cannot_be_configured(tmp_path: Path) -> None:
+    found = []
+    for environ in ({}, {"RELAY_CONFIG": "/nowhere"}):
+        ended = subprocess.run(
+            [sys.executable, "-m", "zincladder"], env=environ, cwd=ROOT, capture_output=True, text=True
+        )
+        line = json.loads(ended.stderr)
+        found.append([ended.returncode, line["level"], ended.stdout])
+    assert found == [[2, "error", ""]] * 2
+
+
+def test_exit_code_of_a_replica_without_its_file() -> None:
+    # in a process of its own: it sets up the logging of the whole process
+    ended = subprocess.run(
+        [sys.executable, "-m", "zincladder", "keep", "/nowhere"], cwd=ROOT, capture_output=True
+    )
+    assert ended.returncode == 1
+
+
+# Files --------------------------------------------------------------------------------------------
+
+
+def fields_of(kind: msgspec.inspect.Type) -> Any:
+    """What a field of a file may hold: for a table its keys, else a line on its type and bounds."""
+    if isinstance(kind, msgspec.inspect.Metadata):
+        return fields_of(kind.type)
+    if isinstance(kind, msgspec.inspect.StructType):
+        assert kind.forbid_unknown_fields
+        return {f.encode_name: [f.required, _default(f), fields_of(f.type)] for f in kind.fields}
+    if isinstance(kind, msgspec.inspect.ListType):
+        return ["list", kind.min_length, kind.max_length, fields_of(kind.item_type)]
+    if isinstance(kind, msgspec.inspect.DictType):
+        return ["map", fields_of(kind.key_type), fields_of(kind.value_type)]
+    if isinstance(kind, msgspec.inspect.UnionType):
+        return ["one of", *map(fields_of, kind.types)]
+    return repr(kind)
+
+
+def _default(field: msgspec.inspect.Field) -> str:
+    if field.default_factory is not msgspec.NODEFAULT:
+        return repr(field.default_factory())
+    return "" if field.default is msgspec.NODEFAULT else repr(field.default)
+
+
+def test_keys_of_the_operators_file() -> None:
+    found = {name: fields_of(msgspec.inspect.type_info(kind)) for name, kind in TABLES.items()}
+    assert fields_of(msgspec.inspect.type_info(RemoteWriteTable)) == found["remote_write"]
+    assert_matches("published/operators_file.json", found)
+
+
+def test_keys_of_a_replicas_file() -> None:
+    tables = {"keeper": KeeperTable, "lease": LeaseTable}
+    found = {name: fields_of(msgspec.inspect.type_info(kind)) for name, kind in tables.items()}
+    assert_matches("published/replicas_file.json", found)
+
+
+class Recorder(dict[str, Any]):
+    """An object of the configuration that notes the paths of the keys that are asked for."""
+
+    def __init__(self, data: dict[str, Any], seen: dict[str, None], path: str = "") -> None:
+        super().__init__(
+            {key: self._wrapped(value, seen, f"{path}.{key}" if path else key) for key, value in data.items()}
+        )
+        self._seen, self._path = seen, path
+
+    @classmethod
+    def _wrapped(cls, value: Any, seen: dict[str, None], path: str) -> Any:
+        if isinstance(value, dict):
+            return cls(value, seen, path)
+        if isinstance(value, list):
+            return [cls._wrapped(item, seen, f"{path}[]") for item in value]
+        return value
+
+    def _note(self, key: str) -> None:
+        self._seen[f"{self._path}.{key}" if self._path else key] = None
+
+    def get(self, key: str, default: Any = None) -> Any:
+        self._note(key)
+        return super().get(key, default)
+
+    def __getitem__(self, key: str) -> Any:
+        self._note(key)
+        return super().__getitem__(key)
+
+    def __contains__(self, key: object) -> bool:
+        self._note(str(key))
+        return super().__contains__(key)
+
+
+def test_keys_of_the_fronts_configuration() -> None:
+    from tests.test_configuration_reading import FULL
+
+    seen: dict[str, None] = {}
+    assert isinstance(config_of(Recorder(FULL, seen)), Config)
+    assert_matches("published/configuration.json", sorted(seen))
