--- a/zincladder/__main__.py
+++ b/zincladder/__main__.py
@@ -23,7 +23,6 @@
 from anyio.abc import TaskStatus
 
 from zincladder import config as configuration
-from zincladder import interface as api
 from zincladder.admission.gate import Gate
 from zincladder.admission.interface import Admission, Bounds
 from zincladder.admission.ledger import PLAIN, SHARED, Ledger
@@ -38,6 +37,7 @@
 from zincladder.net.clients import Clients
 from zincladder.net.events import Listed, News, known_news
 from zincladder.net.feed import Feed
+from zincladder.routing import interface as api
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 if TYPE_CHECKING:
@@ -56,10 +56,12 @@
 def log_change(news: Listed, lines: RateLimitedLog) -> None:
     """Logs which members a change to the list concerns, as far as one line names them."""
     named = {
-        state.name.lower(): [m.id.decode("latin-1") for m, _ in news.members if m.state is state][:MOST_NAMED]
-        for state in api.State
+        state.name.lower(): [m.id.decode("latin-1") for m, _ in news.endpoints if m.state is state][
+            :MOST_NAMED
+        ]
+        for state in api.EndpointState
     }
-    lines.info("list changed", version=news.version, entries=len(news.members), **named)
+    lines.info("list changed", version=news.version, entries=len(news.endpoints), **named)
 
 
 def tell(core: Core, caches: Caches, news: News) -> None:
@@ -68,14 +70,14 @@
         core.purge(news.object, news.group, news.made)
         return
     if news.whole:
-        caches.keep_only({member.id for member, _ in news.members})
-    for member, where in news.members:
-        if member.state is api.State.GONE:
-            caches.forget(member.id)
+        caches.keep_only({endpoint.id for endpoint, _ in news.endpoints})
+    for endpoint, where in news.endpoints:
+        if endpoint.state is api.EndpointState.GONE:
+            caches.forget(endpoint.id)
         else:
-            caches.know(member.id, where)
-    kind = api.ListKind.FULL if news.whole else api.ListKind.DELTA
-    core.listed(kind, news.version, tuple(member for member, _ in news.members))
+            caches.know(endpoint.id, where)
+    kind = api.UpdateKind.FULL if news.whole else api.UpdateKind.DELTA
+    core.listed(kind, news.version, tuple(endpoint for endpoint, _ in news.endpoints))
 
 
 async def run(config: configuration.Config, operator: configuration.Operator) -> None:
@@ -202,7 +204,7 @@
             from zincladder.control.figures import figures
             from zincladder.control.readiness import Readiness
 
-            readiness = Readiness(core.ready, core.is_settled, lambda: clients.stopping)
+            readiness = Readiness(core.ready, core.has_synced, lambda: clients.stopping)
             readiness.more = policy.lacks if policy else readiness.more
             calls = Calls(
                 readiness.lacks,
@@ -219,7 +221,7 @@
             from zincladder.dns.server import DnsServer
 
             answers = Answers(operator.dns, core, caches.where)
-            server = DnsServer(operator.dns.listen, answers, clock, admission, core.settled)
+            server = DnsServer(operator.dns.listen, answers, clock, admission, core.wait_until_synced)
             where_dns = server.address
             tasks.start_soon(server.run)
         if operator.control:
@@ -231,7 +233,7 @@
             control = ControlServer(operator.control, table, admission.ledger, upgrade)
             tasks.start_soon(control.run)
         if operator.metrics or operator.remote_write:
-            from zincladder.metrics.endpoint import Endpoint
+            from zincladder.metrics.exporter import MetricsExporter
             from zincladder.metrics.registry import Registry
 
             registry = Registry(
@@ -244,7 +246,7 @@
                 worker.figures if worker else dict,
             )
             if operator.metrics:
-                where_metrics = await tasks.start(Endpoint(operator.metrics, registry, admission).run)
+                where_metrics = await tasks.start(MetricsExporter(operator.metrics, registry, admission).run)
             if operator.remote_write:
                 from zincladder.export.sender import RemoteWrite
 
@@ -260,7 +262,7 @@
             name=config.name,
             startup_s=round(time.monotonic() - BEGAN, 3),
             known=last,
-            members=len(core.members),
+            endpoints=len(core.endpoints),
             memory_mb=config.memory_mb,
             sockets=config.sockets,
             most_open=config.most_open,
--- a/zincladder/capacity.py
+++ b/zincladder/capacity.py
@@ -44,9 +44,9 @@
         self.mean = self.mean + (work - self.mean) * RECENT if self.mean else work
         return work
 
-    def unsized(self, aim: float) -> float:
+    def unsized(self, latency_objective: float) -> float:
         """The sending time of a request whose size is not told; the base aim stands until hits were timed."""
-        self.mean = self.mean or aim
+        self.mean = self.mean or latency_objective
         return self.mean
 
     def timed(self, latency: float) -> None:
--- a/zincladder/cli/day.py
+++ b/zincladder/cli/day.py
@@ -73,8 +73,8 @@
 
     kinds = ("succeeded", "declined", "aborted")
     table = Table("class", *kinds)
-    for klass in [name.partition(".")[2] for name in figures if name.startswith("succeeded.")]:
-        table.add_row(klass, *(str(figures.get(f"{kind}.{klass}", 0)) for kind in kinds))
+    for request_class in [name.partition(".")[2] for name in figures if name.startswith("succeeded.")]:
+        table.add_row(request_class, *(str(figures.get(f"{kind}.{request_class}", 0)) for kind in kinds))
     console = Console()
     console.print(table)
     for name in [name for name in figures if "." not in name]:
--- a/zincladder/cli/keep.py
+++ b/zincladder/cli/keep.py
@@ -100,10 +100,12 @@
                 tasks.start_soon(conducting.run)
                 tasks.start_soon(stewarding.run)
                 if config.metrics:
-                    from zincladder.metrics.endpoint import Endpoint
+                    from zincladder.metrics.exporter import MetricsExporter
                     from zincladder.metrics.keeper import Few, KeeperRegistry
 
-                    told = Endpoint(config.metrics, KeeperRegistry(keeper, conducting, stewarding), Few())
+                    told = MetricsExporter(
+                        config.metrics, KeeperRegistry(keeper, conducting, stewarding), Few()
+                    )
                     where = await tasks.start(told.run)
                     structlog.get_logger().info("metrics", listen=where)
                 async for _ in signals:
--- a/zincladder/config/__init__.py
+++ b/zincladder/config/__init__.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from zincladder import interface as api
 from zincladder.admission.model import Limits
+from zincladder.routing import interface as api
 
 T = TypeVar("T")
 Address = tuple[str, int]
@@ -142,9 +142,9 @@
 # The settings of the decisions --------------------------------------------------------------------
 
 _EFFECTS = {
-    "idempotent": api.Effect.SAFE,
-    "deduplicated": api.Effect.KEYED,
-    "at_most_once": api.Effect.UNSAFE,
+    "idempotent": api.Idempotency.IDEMPOTENT,
+    "deduplicated": api.Idempotency.WITH_KEY,
+    "at_most_once": api.Idempotency.NONE,
 }
 _SCOPES = {scope.value: scope for scope in api.Scope}
 _FAULTS_TOLD = {"all": True, "hit": False, "off": False}
@@ -166,20 +166,20 @@
         c = Node(raw, f"{conf.at('categories')}[{i}]")
         found.append(
             api.RequestClass(
-                aim=c.num("onTime"),
-                deadline=c.get("deadline", _seconds, "a number above 0, a day at most", None),
-                effect=c.choice("effect", _EFFECTS),
-                aim_stretch=c.num("aimStretch", 0.0),
-                worth=c.num("value", 1.0),
-                late_worth=c.num("lateWorth", 0.0),
+                latency_objective=c.num("onTime"),
+                timeout=c.get("deadline", _seconds, "a number above 0, a day at most", None),
+                idempotency=c.choice("effect", _EFFECTS),
+                objective_per_transfer=c.num("aimStretch", 0.0),
+                priority_weight=c.num("value", 1.0),
+                late_weight=c.num("lateWorth", 0.0),
                 scope=c.choice("keyScope", _SCOPES, api.Scope.ALL),
-                window=c.num("window", 0.0),
+                deduplication_window=c.num("window", 0.0),
                 streamed=c.flag("stream"),
-                fresh_for=of(fresh, i, 0.0),
-                usable_after=of(usable, i, 0.0),
-                stale_worth=of(stale, i, 0.0),
-                never_kept=of(kept, i, False),
-                in_parts=of(parts, i, False),
+                fresh_seconds=of(fresh, i, 0.0),
+                stale_if_error_seconds=of(usable, i, 0.0),
+                stale_weight=of(stale, i, 0.0),
+                uncacheable=of(kept, i, False),
+                partitioned=of(parts, i, False),
             )
         )
     return tuple(found)
@@ -188,7 +188,7 @@
 def settings_of(conf: Node) -> api.Settings:
     """The settings of a Router; unknown keys are skipped."""
     domain, limits, rules = conf.sub("domain"), conf.sub("ceilings"), conf.sub("invariants")
-    report, fall_after = conf.sub("report"), rules.num("overloadFor", 1.0)
+    report, overload_seconds = conf.sub("report"), rules.num("overloadFor", 1.0)
     return api.Settings(
         classes=_classes(conf, domain),
         zone=conf.whole("az", 0),
@@ -200,14 +200,17 @@
         hub_of_zone=tuple(map(int, domain.numbers("attachedTo"))),
         link_kb_per_s=domain.numbers("pipeKbPerS"),
         client_kb_per_s=domain.num("clientKbPerS", 0.0),
-        cold_cache=api.ColdRule(
-            rules.num("coldFrom", 1.0), rules.num("warmUp", 0.0), rules.num("fallMultiple", 0.0), fall_after
+        cache_slow_start=api.SlowStart(
+            rules.num("coldFrom", 1.0),
+            rules.num("warmUp", 0.0),
+            rules.num("fallMultiple", 0.0),
+            overload_seconds,
         ),
-        cold_parent=api.ColdRule(
+        parent_slow_start=api.SlowStart(
             domain.num("parentStartsAt", 1.0),
             domain.num("parentRamp", 0.0),
             domain.num("upperFallMultiple", 0.0),
-            fall_after,
+            overload_seconds,
         ),
         drain_grace=rules.num("drainGrace", 0.0),
         answer_slack=rules.num("answerSlack", 0.0),
@@ -216,21 +219,21 @@
         max_attempts=int(limits.get("attemptsCap", _at_least_1, "a whole number above 0", 1.0)),
         connect_timeout=limits.num("connectTimeout", 0.0),
         may_cancel=limits.flag("mayCancel"),
-        second_copies=limits.flag("secondCopies"),
+        hedged_requests=limits.flag("secondCopies"),
         probes=limits.flag("probes"),
         retry_after=limits.flag("retryAfter"),
         max_retry_after=limits.num("maxRetryAfter", 0.0),
-        bypass=domain.flag("mayPassBy"),
-        joins_fills=domain.flag("mergesFills"),
-        faults_told=domain.choice("detail", _FAULTS_TOLD, True),
+        may_bypass_caches=domain.flag("mayPassBy"),
+        coalesces_fills=domain.flag("mergesFills"),
+        fill_faults_reported=domain.choice("detail", _FAULTS_TOLD, True),
         peer_fill=domain.choice("peersFill", _PEER_FILLS, api.PeerFill.OFF),
-        origin_stops_at=domain.num("originStopsAt", 0.0),
-        origin_stops_after=domain.num("rootFall", 0.0),
-        weights_listed=conf.text("weightSource", "off") in ("nominal", "rough"),
+        origin_overload_factor=domain.num("originStopsAt", 0.0),
+        origin_overload_seconds=domain.num("rootFall", 0.0),
+        weights_known=conf.text("weightSource", "off") in ("nominal", "rough"),
         must_subscribe=conf.text("registryMode", "automatic") == "subscribe",
         subscribe_within=rules.num("mustAskIn", 0.0),
         report_names=tuple(REPORTS.get(n, n) for n in report.many("names", _text, "texts", [])),
-        load_by_probe=report.text("how", "off") == "on_probe",
+        load_by_health_check=report.text("how", "off") == "on_probe",
         clients_mark_retries=conf.sub("clients").flag("marksRetry"),
     )
 
@@ -285,7 +288,7 @@
     """A host name of the DNS front and what it stands for."""
 
     name: str
-    klass: int
+    request_class: int
     object: int
     group: int
 
@@ -411,10 +414,10 @@
     "parent_kind",
     "origin_kind",
     "peer_fill",
-    "weights_listed",
+    "weights_known",
     "must_subscribe",
     "report_names",
-    "load_by_probe",
+    "load_by_health_check",
     "probes",
 )  # of the settings: where a front stands and what it can learn, until the next start too
 
--- a/zincladder/config/operator.py
+++ b/zincladder/config/operator.py
@@ -39,7 +39,7 @@
     """[[dns.host]]"""
 
     name: str
-    klass: str = msgspec.field(name="class")
+    request_class: str = msgspec.field(name="class")
     object: str = "0"
     group: Annotated[int, Meta(ge=0, le=255)] = 0
 
@@ -182,7 +182,7 @@
 def _dns(dns: DnsTable, names: Names | None) -> DnsConfig:
     zone = dns.zone.rstrip(".").lower()
     listen = _address(dns.listen, "dns.listen")
-    known = names.classes if names else dict.fromkeys(host.klass for host in dns.host)
+    known = names.classes if names else dict.fromkeys(host.request_class for host in dns.host)
     classes = {name: i for i, name in enumerate(known)}
     hosts = []
     for i, host in enumerate(dns.host):
@@ -190,13 +190,15 @@
         name = host.name.rstrip(".").lower()
         if not name.endswith("." + zone):
             raise ConfigError(f"'{key}.name' must end in '.{zone}', not be {name!r}")
-        if host.klass not in classes:
-            raise ConfigError(f"'{key}.class' must be {' or '.join(classes)}, not {host.klass[:40]!r}")
+        if host.request_class not in classes:
+            raise ConfigError(
+                f"'{key}.class' must be {' or '.join(classes)}, not {host.request_class[:40]!r}"
+            )
         try:
             number = int(host.object, 16)
         except ValueError:
             raise ConfigError(f"'{key}.object' must be hex digits, not {host.object[:40]!r}") from None
-        hosts.append(Host(name, classes[host.klass], number, host.group))
+        hosts.append(Host(name, classes[host.request_class], number, host.group))
     return DnsConfig(listen, zone, dns.deadline_ms / 1000, tuple(hosts))
 
 
--- a/zincladder/control/figures.py
+++ b/zincladder/control/figures.py
@@ -19,14 +19,14 @@
 
 def figures(core: Core, **parts: Counts | None) -> Iterator[tuple[str, int]]:
     """Each name and its value; all classes are there from the start, whether or not they have counted yet."""
-    counted = core.figures
-    for klass in counted.classes:
+    counted = core.statistics
+    for request_class in counted.classes:
         for name, kind in KINDS.items():
-            yield f"{name}.{klass}", counted.answers[klass, kind]
+            yield f"{name}.{request_class}", counted.answers[request_class, kind]
     beside = (core.settings.parent_kind, core.settings.origin_kind)
     yield "forwards", counted.forwards
     yield "outstanding", len(core.open_requests)
-    yield "discovered", sum(m.kind not in beside for m in core.members.values())
+    yield "discovered", sum(m.kind not in beside for m in core.endpoints.values())
     yield "ejected", core.avoided()
     yield "sighup_applied", core.counts["reloads", "applied"]
     yield "sighup_rejected", core.counts["reloads", "rejected"]
--- a/zincladder/core/attempt.py
+++ b/zincladder/core/attempt.py
@@ -8,19 +8,19 @@
 from enum import Enum
 from typing import Protocol
 
-from zincladder import interface as api
+from zincladder.routing import interface as api
 
 
 @dataclass(slots=True)
-class Ask:
+class ClientRequest:
     """A request as a front hands it over; `due` is a time on the core's clock."""
 
     trace: str
-    klass: int
+    request_class: int
     object: int
     part: int | None
     group: int
-    due: float
+    deadline: float
     repeat: bool = False
     write: bool = False
     tag: str = ""  # of a copy that the client holds
@@ -30,7 +30,7 @@
     wanted: Callable[[], bool] = lambda: True  # whether its client still waits for it, as of that moment
 
 
-class Hold(Enum):
+class AbortReason(Enum):
     """Why an attempt may not begin any more; the first that holds is told."""
 
     CALLED_OFF = "it was called off"
@@ -42,61 +42,61 @@
     SOURCE_DRAINS = "the source of its fill is no longer ready"
 
 
-class Guard(Protocol):
+class AttemptGuard(Protocol):
     """What can change between the decision for an attempt and its first byte."""
 
-    def hold(self, order: Order) -> Hold | None:
+    def hold(self, order: AttemptRequest) -> AbortReason | None:
         """Why the attempt may not begin at this moment; `None` where it may."""
 
-    def held_back(self, order: Order, hold: Hold) -> None:
+    def aborted_before_send(self, order: AttemptRequest, hold: AbortReason) -> None:
         """Counts an attempt that was not sent for this cause."""
 
-    def oldest_copy(self, order: Order) -> float:
+    def oldest_copy(self, order: AttemptRequest) -> float:
         """The age in seconds of the oldest copy that will do at this moment; 0: any that is fresh."""
 
     def written(self) -> None:
         """Counts an attempt whose last byte has gone out."""
 
 
-class NoGuard:
+class NoAttemptGuard:
     """The guard of an attempt whose decision nothing can change."""
 
-    def hold(self, order: Order) -> Hold | None:
+    def hold(self, order: AttemptRequest) -> AbortReason | None:
         return None
 
-    def held_back(self, order: Order, hold: Hold) -> None:
+    def aborted_before_send(self, order: AttemptRequest, hold: AbortReason) -> None:
         """Counts nothing."""
 
-    def oldest_copy(self, order: Order) -> float:
+    def oldest_copy(self, order: AttemptRequest) -> float:
         return order.max_age
 
     def written(self) -> None:
         """Counts nothing."""
 
 
-NO_GUARD = NoGuard()
+NO_ATTEMPT_GUARD = NoAttemptGuard()
 
 
 @dataclass(slots=True)
-class Order:
+class AttemptRequest:
     """One attempt, as the carrier is to make it."""
 
-    ask: Ask
-    member: api.MemberId
-    source: api.MemberId | None = None  # None: no fill
-    keep: int = 0
+    ask: ClientRequest
+    endpoint: api.EndpointId
+    source: api.EndpointId | None = None  # None: no fill
+    cache_rank: int = 0
     max_age: float = 0.0
-    join: bool = False
-    held_only: bool = False
-    parent_passes: bool = False
+    coalesce: bool = False
+    cached_only: bool = False
+    parent_proxies: bool = False
     renew: bool = False
     until: float = 0.0  # when the wait for it ends
     begin_by: float = math.inf  # its first byte goes before this: repeats are dropped for that long only
-    called_off: bool = False  # its cancellation may still wait for its turn of the event loop
-    halted_before: float = 0.0  # seconds in which the process had stood still when it was ordered
-    guard: Guard = NO_GUARD
+    cancelled: bool = False  # its cancellation may still wait for its turn of the event loop
+    stalled_before: float = 0.0  # seconds in which the process had stood still when it was ordered
+    guard: AttemptGuard = NO_ATTEMPT_GUARD
 
-    def hold(self) -> Hold | None:
+    def hold(self) -> AbortReason | None:
         """Why it may not begin at this moment; asked again just before its first byte."""
         return self.guard.hold(self)
 
--- a/zincladder/core/classes.py
+++ b/zincladder/core/classes.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Sequence, Set
 
-from zincladder import interface as api
+from zincladder.routing import interface as api
 
 # Seconds for which a class that was dropped is still taken, and a number not given to another: clients hear
 # of new settings 1.2 s after the front.
--- a/zincladder/core/ends.py
+++ b/zincladder/core/ends.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from zincladder import interface as api
+from zincladder.routing import interface as api
 
 
-class How(Enum):
+class EndReason(Enum):
     """Every way in which a connection, or an attempt on one, can end."""
 
     SERVED = auto()  # a whole answer
@@ -32,38 +32,38 @@
 
 # The one place where an end becomes the module's outcome. Claims that a request never ran (REFUSED,
 # UNREACHABLE, UNSENT, MISS) stand only where that is proved: no byte written, or the member's own word.
-RESULTS: dict[How, api.Result] = {
-    How.SERVED: api.Result.OK,
-    How.SAME: api.Result.OK,
-    How.LACKING: api.Result.MISS,
-    How.FULL: api.Result.REFUSED,
-    How.FAULTED: api.Result.ERROR,
-    How.TOO_LATE: api.Result.UNSENT,
-    How.SILENT: api.Result.TIMED_OUT,
-    How.NO_CONNECTION: api.Result.UNREACHABLE,
-    How.NOT_WRITTEN: api.Result.UNREACHABLE,
-    How.TURNED: api.Result.REFUSED,
-    How.CUT: api.Result.RESET,
-    How.GARBLED: api.Result.RESET,
-    How.CALLED_OFF: api.Result.CANCELLED,
-    How.CLOSED: api.Result.RESET,
-    How.IDLE: api.Result.RESET,
-    How.STALLED: api.Result.RESET,
+RESULTS: dict[EndReason, api.AttemptOutcome] = {
+    EndReason.SERVED: api.AttemptOutcome.OK,
+    EndReason.SAME: api.AttemptOutcome.OK,
+    EndReason.LACKING: api.AttemptOutcome.MISS,
+    EndReason.FULL: api.AttemptOutcome.REJECTED,
+    EndReason.FAULTED: api.AttemptOutcome.ERROR,
+    EndReason.TOO_LATE: api.AttemptOutcome.NOT_SENT,
+    EndReason.SILENT: api.AttemptOutcome.TIMED_OUT,
+    EndReason.NO_CONNECTION: api.AttemptOutcome.UNREACHABLE,
+    EndReason.NOT_WRITTEN: api.AttemptOutcome.UNREACHABLE,
+    EndReason.TURNED: api.AttemptOutcome.REJECTED,
+    EndReason.CUT: api.AttemptOutcome.RESET,
+    EndReason.GARBLED: api.AttemptOutcome.RESET,
+    EndReason.CALLED_OFF: api.AttemptOutcome.CANCELLED,
+    EndReason.CLOSED: api.AttemptOutcome.RESET,
+    EndReason.IDLE: api.AttemptOutcome.RESET,
+    EndReason.STALLED: api.AttemptOutcome.RESET,
 }
 
 
 @dataclass(slots=True)
-class End:
+class AttemptEnd:
     """One end: how, and what came with it."""
 
-    how: How
+    how: EndReason
     body: bytes | bytearray = b""
-    note: api.Note = api.Note.NONE
+    fill_outcome: api.FillOutcome = api.FillOutcome.NONE
     fill_wait: float = 0.0  # seconds that the member waited for its source
     report: tuple[float, ...] = ()
     fields: Mapping[str, str] = field(default_factory=dict)
     why: str = ""
 
     @property
-    def result(self) -> api.Result:
+    def outcome(self) -> api.AttemptOutcome:
         return RESULTS[self.how]
