--- a/benchmarks/difference.py
+++ b/benchmarks/difference.py
@@ -29,8 +29,8 @@
 from zincladder.config import config_of
 from zincladder.core import engine
 from zincladder.core.arrival import ArrivalBound
-from zincladder.decide import Router
 from zincladder.routing import interface as api
+from zincladder.routing.router import Router
 
 PATIENCE = 5.0  # seconds that a client waits: longer than any wait here
 LIMIT = 3.0  # seconds of real time for an event to arrive
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,8 +8,8 @@
 import pytest
 import structlog
 
-from zincladder.decide import Router
 from zincladder.routing import interface as api
+from zincladder.routing.router import Router
 
 CACHE, PARENT, ORIGIN = 0, 1, 2
 SAFE = api.RequestClass(latency_objective=0.5, timeout=5.0, objective_per_transfer=2.0, priority_weight=2.0)
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -13,8 +13,8 @@
 import pytest
 
 from tests.conftest import FLEET, Driver, cache, finals, get, parent, sends
-from zincladder.decide import point
 from zincladder.routing import interface as api
+from zincladder.routing.router import point
 
 R, N = api.AttemptOutcome, api.FillOutcome
 HIT = api.FillOutcome.HIT
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -20,9 +20,9 @@
 from zincladder.__main__ import Listening, front
 from zincladder.config import Config, Operator, config_of
 from zincladder.core.attempt import AttemptRequest, ClientRequest
-from zincladder.decide import Router
 from zincladder.net import protocol
 from zincladder.routing import interface as api
+from zincladder.routing.router import Router
 
 pytestmark = pytest.mark.anyio
 SECOND_REPORT = {"how": "inline", "names": ["busy", "rif", "x1", "x0"]}
--- a/tests/test_late_attempts.py
+++ b/tests/test_late_attempts.py
@@ -34,13 +34,13 @@
 from zincladder.admission.plain import Plain
 from zincladder.core.arrival import NOTICED, ArrivalBound, LoopTurns
 from zincladder.core.engine import LEAST_TIME, Core
-from zincladder.decide import Router
 from zincladder.net import caches as cache_side
 from zincladder.net import client_connection, clients, stream, thrift
 from zincladder.net.client_listener import ClientListener
 from zincladder.net.clients import Clients
 from zincladder.net.stream import unsent
 from zincladder.routing import interface as api
+from zincladder.routing.router import Router
 
 pytestmark = pytest.mark.anyio
 PATIENCE = 1.0  # seconds of the request that is not to be sent
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -30,23 +30,31 @@
     return found
 
 
-DECISIONS = ("decide.py", "capacity.py", "overload.py", "purges.py", "throttle.py")
+DECISIONS = ("capacity.py", "overload.py", "purges.py", "retry.py", "router.py", "throttle.py")
 
 
 def test_the_module_and_its_limits_import_the_standard_library_and_the_interface_only() -> None:
     inputs = {"time", "os", "io", "socket", "sys", "datetime", "threading", "asyncio", "pathlib", "random"}
     interface = {"zincladder.routing.interface"}
-    limits = {f"zincladder.{name}" for name in ("capacity", "overload", "purges", "throttle")}
-    for name, theirs in (
-        ("decide.py", interface | limits),
-        ("capacity.py", set()),
-        ("overload.py", interface),
-        ("purges.py", set()),
-        ("throttle.py", interface),
-    ):
-        ours = {n for n in imported(name) if n.split(".")[0] not in sys.stdlib_module_names}
+    limits = {
+        f"zincladder.routing.{name}" for name in ("capacity", "overload", "purges", "retry", "throttle")
+    }
+    allowed = {
+        "router.py": interface | limits,
+        "capacity.py": set(),
+        "overload.py": interface,
+        "purges.py": set(),
+        "retry.py": interface,
+        "throttle.py": interface,
+    }
+    assert sorted(allowed) == sorted(DECISIONS)
+    present = {path.name for path in (PACKAGE / "routing").glob("*.py")}
+    assert present == {*DECISIONS, "__init__.py", "interface.py"}
+    for name, theirs in allowed.items():
+        modules = imported(f"routing/{name}")
+        ours = {n for n in modules if n.split(".")[0] not in sys.stdlib_module_names}
         assert ours == theirs
-        assert not (inputs - ({"random"} if name == "decide.py" else set())) & imported(name)
+        assert not (inputs - ({"random"} if name == "router.py" else set())) & modules
 
 
 def test_the_interface_holds_no_logic() -> None:
@@ -56,14 +64,19 @@
 
 
 def test_the_adapter_does_not_reach_into_a_router() -> None:
-    for name in ("drill.py", "wire.py"):
+    for name in ("simulator/adapter.py", "simulator/wire.py"):
         tree = ast.parse((PACKAGE / name).read_text())
         calls = {n.attr for n in ast.walk(tree) if isinstance(n, ast.Attribute)}
         assert not calls & {"seen", "jobs", "caches", "parents", "purges"}
 
 
 def test_the_decisions_and_the_adapter_need_the_standard_library_only() -> None:
-    for name in (*DECISIONS, "routing/interface.py", "wire.py", "drill.py", "config/__init__.py"):
+    for name in (
+        *(f"routing/{module}" for module in (*DECISIONS, "interface.py")),
+        "simulator/wire.py",
+        "simulator/adapter.py",
+        "config/__init__.py",
+    ):
         roots = {n.split(".")[0] for n in imported(name)}
         assert roots <= set(sys.stdlib_module_names) | {"zincladder"}
 
@@ -73,8 +86,9 @@
         ours = {n for n in imported(f"core/{path.name}") if n.startswith("zincladder")}
         assert ours <= {
             "zincladder.routing.interface",
-            "zincladder.decide",
-            "zincladder.purges",
+            "zincladder.routing.router",
+            "zincladder.routing.retry",
+            "zincladder.routing.purges",
             "zincladder.core.arrival",
             "zincladder.core.attempt",
             "zincladder.core.classes",
@@ -85,7 +99,7 @@
         }
         assert not {"socket", "struct", "h11", "dns"} & imported(f"core/{path.name}")
     for file in (
-        "purges.py",
+        "routing/purges.py",
         "discovery/freshness.py",
         "support/rate_limited_log.py",
     ):  # what it may use knows none either
--- a/tests/test_member_links.py
+++ b/tests/test_member_links.py
@@ -22,11 +22,11 @@
 from zincladder.config import REPORTS, Config, config_of
 from zincladder.core.attempt import AbortReason, AttemptRequest, ClientRequest, NoAttemptGuard
 from zincladder.core.ends import AttemptEnd, EndReason
-from zincladder.decide import NEVER_RAN
 from zincladder.net import caches as cache_side
 from zincladder.net.caches import Caches, _Link
 from zincladder.net.stream import Outbox, connect
 from zincladder.routing import interface as api
+from zincladder.routing.retry import NEVER_RAN
 from zincladder.support.lingering import LINGER
 
 pytestmark = pytest.mark.anyio
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -11,9 +11,9 @@
 import pytest
 
 from tests.conftest import FLEET, ORIGIN_MEMBER, Driver, cache, finals, get, sends, settings
-from zincladder import overload, throttle
-from zincladder.decide import Router, point
 from zincladder.routing import interface as api
+from zincladder.routing import overload, throttle
+from zincladder.routing.router import Router, point
 
 R = api.AttemptOutcome
 ROUTERS = 40
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from tests.conftest import FLEET, ORIGIN_MEMBER, Driver, cache, parent
-from zincladder.decide import Ring, point
+from zincladder.routing.router import Ring, point
 
 KEYS = range(3000)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,8 +10,8 @@
 import pytest
 
 from tests.conftest import FLEET, ORIGIN_MEMBER, Driver, cache, finals, get, parent, sends
-from zincladder.decide import point
 from zincladder.routing import interface as api
+from zincladder.routing.router import point
 
 R = api.AttemptOutcome
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from zincladder import wire
-from zincladder.drill import Host, run
 from zincladder.routing import interface as api
+from zincladder.simulator import wire
+from zincladder.simulator.adapter import Host, run
 
 STORE = bytes.fromhex("0a124a075b1b")
 CONF: dict[str, Any] = {
@@ -184,7 +184,7 @@
 
 def test_the_process_ends_with_a_plain_message_and_a_status() -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "zincladder.drill"],
+        [sys.executable, "-m", "zincladder.simulator.adapter"],
         input=frame(1, record(77, b"")),
         capture_output=True,
         check=False,
@@ -192,7 +192,7 @@
     assert done.returncode == 2 and done.stdout == b""
     assert done.stderr.decode().splitlines() == ["zincladder: malformed input: unknown event code 77"]
     clean = subprocess.run(
-        [sys.executable, "-m", "zincladder.drill"], input=b"", capture_output=True, check=False
+        [sys.executable, "-m", "zincladder.simulator.adapter"], input=b"", capture_output=True, check=False
     )
     assert clean.returncode == 0 and clean.stderr == b""
 
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -21,7 +21,6 @@
 
 from tests.conftest import FLEET, settings
 from tests.support.golden import DATA, assert_matches, positional
-from zincladder import wire
 from zincladder.config import DnsConfig, Host
 from zincladder.core.attempt import AttemptRequest, ClientRequest
 from zincladder.core.engine import Core
@@ -34,6 +33,7 @@
 from zincladder.net.events import FrameReader, read_frame
 from zincladder.net.stream import Ended
 from zincladder.routing import interface as api
+from zincladder.simulator import wire
 
 CALL_FIELDS = {
     "route": "page", "trace": "00000000000000a1", "patience": "1500", "redo": "1", "nonce": "k-1_Z",
--- a/zincladder/__init__.py
+++ b/zincladder/__init__.py
@@ -1,5 +1,5 @@
 """zincladder: the decisions of a caching router, as a library without I/O."""
 
-from zincladder.decide import Router
+from zincladder.routing.router import Router
 
 __all__ = ["Router"]
--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -25,10 +25,11 @@
 from zincladder.core.classes import Classes
 from zincladder.core.ends import AttemptEnd, EndReason
 from zincladder.core.statistics import Statistics
-from zincladder.decide import NEVER_RAN, Router
 from zincladder.discovery.freshness import Freshness
-from zincladder.purges import Purges
 from zincladder.routing import interface as api
+from zincladder.routing.purges import Purges
+from zincladder.routing.retry import NEVER_RAN
+from zincladder.routing.router import Router
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 DUE_MARGIN = 0.02  # seconds before the client's own deadline: time to write the answer that ends it
@@ -386,7 +387,7 @@
 
     def avoided(self) -> int:
         """Caches on the list that the module has set aside."""
-        return sum(self.router.seen[i].off for i in self.router.caches.ids)
+        return self.router.ejected_count()
 
     def listed(self, kind: api.UpdateKind, version: int, endpoints: tuple[api.Endpoint, ...]) -> None:
         """The list, or changes to it."""
--- a/zincladder/decide.py
+++ b/zincladder/routing/router.py
@@ -1,4 +1,4 @@
-"""The decisions of zincladder. Its types, events and actions stand in `zincladder/interface.py`.
+"""The decisions of zincladder. Its types, events and actions stand in `zincladder/routing/interface.py`.
 
 The ordinary path: MD5 picks a part's edge cache on a ring over the location's caches, and its object's fill
 source on one over all listed parents; copies have one rank. All else acts only on what this router has seen.
@@ -13,9 +13,10 @@
 from random import Random
 from statistics import median_low
 
-from zincladder import capacity, overload, throttle
-from zincladder.purges import Purges
+from zincladder.routing import capacity, overload, throttle
 from zincladder.routing import interface as api
+from zincladder.routing.purges import Purges
+from zincladder.routing.retry import NEVER_RAN
 
 POINTS = 16  # virtual nodes for each transfer that a member's link fits: shares follow links within a tenth
 POINTS_EVEN = 128  # where no weights are listed; the paper's 4 leave some members twice the share of others
@@ -48,12 +49,6 @@
     api.AttemptOutcome.ERROR,
     api.AttemptOutcome.RESET,
 )  # the request's, or its connection's: not the member's
-NEVER_RAN = (
-    api.AttemptOutcome.REJECTED,
-    api.AttemptOutcome.UNREACHABLE,
-    api.AttemptOutcome.NOT_SENT,
-    api.AttemptOutcome.MISS,
-)
 
 
 def point(data: bytes) -> int:
@@ -177,6 +172,10 @@
                 self._retune(event)
         return self.out
 
+    def ejected_count(self) -> int:
+        """The number of caches of this location that are ejected at present."""
+        return sum(self.seen[i].off for i in self.caches.ids)
+
     def _retune(self, event: api.SettingsChanged) -> None:
         """Open requests hold their class and attempts; what was learned of a class that stays is kept."""
         self.settings = s = event.settings
--- a/zincladder/drill.py
+++ b/zincladder/simulator/adapter.py
@@ -5,8 +5,8 @@
 import sys
 from typing import BinaryIO
 
-from zincladder import wire
-from zincladder.decide import Router
+from zincladder.routing.router import Router
+from zincladder.simulator import wire
 
 
 def _fault(error: Exception) -> str:
