--- a/benchmarks/difference.py
+++ b/benchmarks/difference.py
@@ -136,7 +136,7 @@
                 self.parts = config.settings
                 assert self.recorder.router is not None
                 self.alone = Router(self.parts, 0)
-                self.alone.random.setstate(self.recorder.router.random.getstate())
+                self.alone.state.random.setstate(self.recorder.router.state.random.getstate())
                 self.names = config.names.classes
                 first, _ = await self.recorder.next("the list")
                 self.act(self.alone.handle(first, self.recorder.now))
@@ -233,7 +233,7 @@
                     heapq.heappush(self.timers, (self.recorder.now + delay, token))
                 case api.Fetch() | api.Lookup():
                     trace = f"{action.request:016x}"
-                    attempt = self.alone.jobs[action.request].sends - 1
+                    attempt = self.alone.pending[action.request].attempts_sent - 1
                     self.sent[trace] = (action.request, attempt, self.recorder.now, action.endpoint)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,9 @@
 import structlog
 
 from zincladder.routing import interface as api
+from zincladder.routing.endpoints import EndpointTable
 from zincladder.routing.router import Router
+from zincladder.routing.state import RouterState
 
 CACHE, PARENT, ORIGIN = 0, 1, 2
 SAFE = api.RequestClass(latency_objective=0.5, timeout=5.0, objective_per_transfer=2.0, priority_weight=2.0)
@@ -85,6 +87,14 @@
         self.now = 100.0
         self.listed(*endpoints)
 
+    @property
+    def state(self) -> RouterState:
+        return self.router.state
+
+    @property
+    def endpoints(self) -> EndpointTable:
+        return self.router.state.endpoints
+
     def give(self, event: api.Event) -> list[api.Action]:
         return self.router.handle(event, self.now)
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -124,8 +124,8 @@
     async with case() as (c, scope):
         assert c.core.router.attempts
         scope.cancel()
-    assert not c.core.router.attempts and not c.core.router.jobs and not c.core.open_requests
-    assert not any(seen.out for seen in c.core.router.seen.values())
+    assert not c.core.router.attempts and not c.core.router.pending and not c.core.open_requests
+    assert not any(stats.in_flight for stats in c.core.router.state.endpoints.stats.values())
     assert c.core.counts["answers", "withdrawn"] == 1
 
 
@@ -213,8 +213,10 @@
     for n in range(50):
         deadline = c.core.clock.now() + 1.0
         assert c.core.route_only(ClientRequest("", 0, n, None, 3, deadline)) in {m.id for m in FLEET}
-    assert not c.core.router.attempts and not c.core.router.jobs and not c.carrier.orders
-    assert all(seen.failing == seen.out == 0 for seen in c.core.router.seen.values())
+    assert not c.core.router.attempts and not c.core.router.pending and not c.carrier.orders
+    assert all(
+        stats.failure_rate == stats.in_flight == 0 for stats in c.core.router.state.endpoints.stats.values()
+    )
 
 
 async def test_a_message_that_waits_is_asked_again_and_one_that_began_is_written_whole() -> None:
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -14,7 +14,7 @@
 
 from tests.conftest import FLEET, Driver, cache, finals, get, parent, sends
 from zincladder.routing import interface as api
-from zincladder.routing.router import point
+from zincladder.routing.ring import ring_position
 
 R, N = api.AttemptOutcome, api.FillOutcome
 HIT = api.FillOutcome.HIT
@@ -30,19 +30,19 @@
             failures += 1
             sent, attempt = get(d.end(n, attempt, endpoint, result)), attempt + 1
         d.end(n, attempt, sent.endpoint, R.OK, True, fill_outcome=HIT)
-        if d.router.seen[endpoint].off:
+        if d.endpoints.stats[endpoint].is_ejected:
             return failures
     raise AssertionError("never set aside")
 
 
 def walk_of(d: Driver, key: int) -> list[bytes]:
-    return list(d.router.caches.walk(point(key.to_bytes(8, "big"))))
+    return list(d.endpoints.caches.walk(ring_position(key.to_bytes(8, "big"))))
 
 
 def load(d: Driver, out: int) -> None:
     """As if so many attempts of this router were out at each cache."""
-    for i in d.router.caches.ids:
-        d.router._count(d.router.seen[i], out - d.router.seen[i].out)
+    for i in d.endpoints.caches.ids:
+        d.endpoints.track_in_flight(d.endpoints.stats[i], out - d.endpoints.stats[i].in_flight)
 
 
 def homes_of(d: Driver, start: int = 5000, count: int = 300) -> set[bytes]:
@@ -61,7 +61,7 @@
         while not finals(actions := d.end(n, attempt, sent.endpoint, result)):
             sent, attempt = get(actions), attempt + 1
         assert attempt + 1 == (2 if result is R.ERROR else 4)
-    assert not any(seen.off for seen in d.router.seen.values()) and homes_of(d) == homes
+    assert not any(stats.is_ejected for stats in d.endpoints.stats.values()) and homes_of(d) == homes
 
 
 def test_a_request_that_was_cut_off_goes_to_its_own_cache_once_more() -> None:
@@ -111,7 +111,7 @@
         while sends(actions):
             actions = d.end(n, attempt, sends(actions)[0].endpoint, R.UNREACHABLE)
             attempt += 1
-    assert sum(d.router.seen[i].off for i in d.router.caches.ids) == 2  # half of four
+    assert sum(d.endpoints.stats[i].is_ejected for i in d.endpoints.caches.ids) == 2  # half of four
     assert len(homes_of(d)) >= 2
 
 
@@ -126,7 +126,7 @@
             d.end(n, 0, first.endpoint, R.REJECTED, fill_outcome=N.SOURCE_FAILED)
             asked += 1
     assert asked == 3
-    assert d.router.seen[first.source].off and not d.router.seen[first.endpoint].off
+    assert d.endpoints.stats[first.source].is_ejected and not d.endpoints.stats[first.endpoint].is_ejected
 
 
 def patience_over(report: tuple[float, ...], heard: str) -> tuple[Driver, api.Fetch, list[api.Action]]:
@@ -153,7 +153,7 @@
     # with few fills at each router healthy parents looked silent, all were set aside and the origin fell
     d, sent, actions = patience_over((0.0,), "cache")
     assert [type(a) for a in actions] == [api.SetTimer]
-    assert d.router.seen[sent.source].failing == 0.0
+    assert d.endpoints.stats[sent.source].failure_rate == 0.0
 
 
 def test_a_stale_or_unknown_timer_changes_nothing() -> None:
@@ -238,9 +238,9 @@
     sent = get(d.ask(1))
     d.end(1, 0, sent.endpoint, R.OK, True, report=(9.0, 9.0))
     d.give(api.ProbeEnded(b"paren0", R.OK, 0.1, (9.0,)))
-    assert d.router.link == 0.0
+    assert d.state.location_link_load == 0.0
     d.give(api.ProbeEnded(b"cache0", R.OK, 0.1, (9.0,)))
-    assert d.router.link == 9.0
+    assert d.state.location_link_load == 9.0
 
 
 def test_load_told_by_probes_only_is_probed_for_and_otherwise_never() -> None:
@@ -257,7 +257,7 @@
 @pytest.mark.parametrize("off", [{"probes": False}, {"load_by_health_check": False}])
 def test_new_settings_begin_and_end_the_probes(off: dict[str, Any]) -> None:
     d = Driver(report_names=("link",), load_by_health_check=True, probes=True)
-    probed = d.router.settings
+    probed = d.state.settings
     same = tuple(range(len(probed.classes)))
     d.give(api.SettingsChanged(replace(probed, **off), same))
     (token,) = d.router.timers
@@ -288,7 +288,7 @@
     d.change(cache(77, state=api.EndpointState.GONE))
     assert len(sends(d.ask(2))) == 1
     d.end(2, 5, b"nobody", R.ERROR)
-    assert len(d.router.jobs) == 1
+    assert len(d.router.pending) == 1
 
 
 def test_a_cached_list_is_enough_to_start_and_a_subscription_is_asked_for_where_needed() -> None:
@@ -319,10 +319,10 @@
     # all were 0 before: nothing was refused, and cold members were sent whatever came
     d = Driver(**UNTOLD)
     d.ask(1, kb=0.0)
-    assert d.router.jobs[1].work == 0.5  # the class's aim, until a hit was timed
+    assert d.router.pending[1].transfer_seconds == 0.5  # the class's aim, until a hit was timed
     d = untold()
     d.ask(1, kb=0.0)
-    assert abs(d.router.jobs[1].work - 0.1) < 0.01
+    assert abs(d.router.pending[1].transfer_seconds - 0.1) < 0.01
 
 
 def test_a_hot_object_spills_where_weights_are_untold() -> None:
@@ -406,7 +406,7 @@
                 attempt + 1,
             )
         d.end(n, attempt, b"cache0", R.OK, True, fill_outcome=N.FILLED)
-    assert d.router.seen[b"paren0"].off
+    assert d.endpoints.stats[b"paren0"].is_ejected
     assert {d.serve(n, key=n).source for n in range(100, 150)} == {b"paren1"}
     d.now += 2.01
     for n in range(200, 250):
@@ -481,14 +481,14 @@
 
     for n in range(1, 60):  # hits at all caches, then fills
         end(n, get(d.ask(n, key=n, kb=100.0)), HIT if n < 30 else N.FILLED)
-    assert d.router.seen[b"cache0"].slow > 5
-    assert d.router.seen[b"paren0"].slow < 1.5
+    assert d.endpoints.stats[b"cache0"].slowdown > 5
+    assert d.endpoints.stats[b"paren0"].slowdown < 1.5
     for n in range(
         60, 90
     ):  # where all caches crawl alike it is the link behind the parent: its fills are slow
         sent = get(d.ask(n, key=n, kb=100.0))
         d.give(api.AttemptEnded(n, 0, sent.endpoint, R.OK, 2.0, True, N.FILLED if n % 2 else HIT, 0.0))
-    assert d.router.seen[b"paren0"].slow > 5
+    assert d.endpoints.stats[b"paren0"].slowdown > 5
 
 
 def test_what_a_crawling_cache_would_make_late_goes_on_until_it_is_quick_again() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -33,8 +33,8 @@
     tries = refuse_all_of(b"paren1", d, range(1, 31))
     assert max(tries) == 2  # before: one at each cache of the location, all through the same source
     assert tries.count(2) <= 4  # then the source is known
-    assert not any(d.router.seen[b"cache%d" % n].off for n in range(4))
-    assert d.router.seen[b"paren1"].off
+    assert not any(d.endpoints.stats[b"cache%d" % n].is_ejected for n in range(4))
+    assert d.endpoints.stats[b"paren1"].is_ejected
 
 
 def test_a_cache_that_refuses_unsaid_is_known_and_no_source_loses_its_place() -> None:
@@ -49,8 +49,8 @@
             attempt += 1
             assert attempt <= 3
         d.now += 0.05
-    assert d.router.seen[b"cache1"].off
-    assert not any(d.router.seen[b"paren%d" % n].off for n in range(3))
+    assert d.endpoints.stats[b"cache1"].is_ejected
+    assert not any(d.endpoints.stats[b"paren%d" % n].is_ejected for n in range(3))
 
 
 def test_where_faults_are_told_a_refusal_without_a_note_is_the_caches_own() -> None:
@@ -103,10 +103,10 @@
 def test_judgement_sets_aside_at_most_half_of_the_parents() -> None:
     d = Driver()
     ask_while_parents_refuse(d, range(1, 60))
-    assert sum(d.router.seen[b"paren%d" % n].off for n in range(3)) <= 2
+    assert sum(d.endpoints.stats[b"paren%d" % n].is_ejected for n in range(3)) <= 2
     two = Driver([m for m in FLEET if m.id != b"paren2"])
     ask_while_parents_refuse(two, range(1, 60))
-    assert sum(two.router.seen[b"paren%d" % n].off for n in range(2)) == 1
+    assert sum(two.endpoints.stats[b"paren%d" % n].is_ejected for n in range(2)) == 1
 
 
 def test_what_a_cache_holds_is_served_though_no_source_is_left() -> None:
@@ -133,7 +133,7 @@
             asked.append(beside)
         if beside and not held:
             sent, attempt = get(d.end(n, 0, sent.endpoint, R.MISS)), 1
-            assert b"cache1" not in d.router.jobs[n].tried
+            assert b"cache1" not in d.router.pending[n].failed_endpoints
         d.end(n, attempt, sent.endpoint, R.OK, True, fill_outcome=api.FillOutcome.FILLED)
         d.now += 0.001
     return asked
@@ -168,12 +168,12 @@
     d = Driver(fill_faults_reported=False)
     d.change(cache(1, started_at=d.now - 5))
     sent = neighbour_asked(d, 1)
-    new, neighbour = d.router.seen[b"cache1"], d.router.seen[sent.source]
-    new.off, neighbour.failing = True, 0.5
-    (request,) = [n for n, job in d.router.jobs.items() if job.out]
+    new, neighbour = d.endpoints.stats[b"cache1"], d.endpoints.stats[sent.source]
+    new.is_ejected, neighbour.failure_rate = True, 0.5
+    (request,) = [n for n, pending in d.router.pending.items() if pending.in_flight]
     d.end(request, 0, sent.endpoint, R.MISS)
-    assert not new.off  # it answered
-    assert neighbour.failing == 0.5  # of the neighbour this proves nothing
+    assert not new.is_ejected  # it answered
+    assert neighbour.failure_rate == 0.5  # of the neighbour this proves nothing
 
 
 def test_only_answers_tell_what_a_neighbour_holds() -> None:
@@ -181,6 +181,6 @@
         d = Driver(fill_faults_reported=False)
         d.change(cache(1, started_at=d.now - 5))
         sent = neighbour_asked(d, 1)
-        (request,) = [n for n, job in d.router.jobs.items() if job.out]
+        (request,) = [n for n, pending in d.router.pending.items() if pending.in_flight]
         d.end(request, 0, sent.endpoint, result)
-        assert round(d.router.near, 2) == near
+        assert round(d.state.sibling_hit_share, 2) == near
--- a/tests/test_late_attempts.py
+++ b/tests/test_late_attempts.py
@@ -367,7 +367,7 @@
         await c.ask(patience=str(round(1000 * patience)))
         assert (await c.reply()).kind == kind
         assert len([fetch for stub in w.caches for fetch in stub.fetches]) == 1
-        assert {seen.failing for seen in cores[0].router.seen.values()} == {0.0}
+        assert {stats.failure_rate for stats in cores[0].router.state.endpoints.stats.values()} == {0.0}
 
 
 async def test_a_halt_of_the_process_is_no_part_of_what_a_member_took(
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -158,7 +158,7 @@
         if not referee.out:
             break
         referee.finish(min(referee.out))
-    assert not referee.open and not referee.driver.router.jobs and not referee.driver.router.attempts
+    assert not referee.open and not referee.driver.router.pending and not referee.driver.router.attempts
     again = Referee(seed)
     for _ in range(1500):
         again.step()
--- a/tests/test_operating_day.py
+++ b/tests/test_operating_day.py
@@ -199,11 +199,13 @@
     d = Driver(max_attempts=4)
     for n in range(1, 20):
         d.serve(n, key=n, request_class=1, kb=50.0)
-    learned = d.router.works[1].mean
+    learned = d.state.transfer_times[1].mean_seconds
     sent = get(d.ask(100, request_class=0))
-    fewer = settings(max_attempts=1, classes=(*d.router.settings.classes[:3], READ, WRITE))
+    fewer = settings(max_attempts=1, classes=(*d.state.settings.classes[:3], READ, WRITE))
     d.give(api.SettingsChanged(fewer, (0, 1, 2, -1, -1)))
-    assert d.router.works[1].mean == learned > 0 and d.router.works[3].mean == 0
+    assert (
+        d.state.transfer_times[1].mean_seconds == learned > 0 and d.state.transfer_times[3].mean_seconds == 0
+    )
     again = sends(d.end(100, 0, sent.endpoint, api.AttemptOutcome.UNREACHABLE))
     assert len(again) == 1  # it was taken when four were allowed
     first = get(d.ask(101, request_class=0))
@@ -216,7 +218,7 @@
 def test_a_process_more_at_this_front_halves_what_a_cold_cache_is_sent() -> None:
     def sent(processes: int) -> int:
         d = Driver([cache(0, started_at=99.0), ORIGIN_MEMBER], may_bypass_caches=False)
-        s = d.router.settings
+        s = d.state.settings
         seats = (0, s.routers_by_zone[1] + 2 * (processes - 1), 2)
         d.give(api.SettingsChanged(settings(may_bypass_caches=False, routers_by_zone=seats), tuple(range(4))))
         count = 0
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -11,9 +11,10 @@
 import pytest
 
 from tests.conftest import FLEET, ORIGIN_MEMBER, Driver, cache, finals, get, sends, settings
+from zincladder.routing import budgets, fill_throttle, load_shedding
 from zincladder.routing import interface as api
-from zincladder.routing import overload, throttle
-from zincladder.routing.router import Router, point
+from zincladder.routing.ring import ring_position
+from zincladder.routing.router import Router
 
 R = api.AttemptOutcome
 ROUTERS = 40
@@ -130,8 +131,8 @@
 def test_without_the_limits_the_same_routers_hold_the_overload_up(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    monkeypatch.setattr(overload.RetryBudget, "spend", lambda self, last: True)
-    monkeypatch.setattr(throttle.FillThrottle, "admitted", lambda self, now: 1.0)
+    monkeypatch.setattr(budgets.RetryBudget, "charge", lambda self, last: True)
+    monkeypatch.setattr(fill_throttle.FillThrottle, "admitted_share", lambda self, now: 1.0)
     fleet = play(load=1.6, seconds=20.0, seed=seed)
     assert fleet.attempts > 1.5 * fleet.asked
     assert fleet.in_time < 0.15 * 20.0 * ORIGIN_RATE
@@ -151,7 +152,7 @@
 
     def answer(self, action: api.Fetch | api.Lookup) -> tuple[float, api.AttemptOutcome, api.FillOutcome]:
         assert isinstance(action, api.Fetch)
-        if action.source not in self.routers[0].parents.ids:
+        if action.source not in self.routers[0].state.endpoints.parents.ids:
             return WAY, R.MISS, api.FillOutcome.NONE
         free_at = max(self.now, self.link_free_at.get(action.source, 0.0)) + 1 / self.LINK_RATE
         self.link_free_at[action.source] = free_at
@@ -163,8 +164,8 @@
     fleet = UnevenFleet([Router(settings(), seed * 1000 + n) for n in range(ROUTERS)])
     for n in range(ROUTERS):
         fleet.give(n, api.EndpointUpdate(api.UpdateKind.FULL, 1, FLEET))
-    random, parents = Random(seed), fleet.routers[0].parents
-    homes = {i: next(parents.walk(point(i.to_bytes(8, "big")))) for i in range(300)}
+    random, parents = Random(seed), fleet.routers[0].state.endpoints.parents
+    homes = {i: next(parents.walk(ring_position(i.to_bytes(8, "big")))) for i in range(300)}
     popular = [i for i, home in homes.items() if home == homes[0]]
     others = [i for i, home in homes.items() if home != homes[0]]
     end = fleet.now + 20.0
@@ -181,7 +182,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_what_one_parent_cannot_send_goes_to_the_others(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
     fleet = play_uneven(seed)
-    monkeypatch.setattr(throttle.SourceThrottles, "keeps", lambda self, source, now, lot: True)
+    monkeypatch.setattr(fill_throttle.FillThrottles, "stays_at", lambda self, source, now, random: True)
     kept = play_uneven(seed)
     assert fleet.in_time > 0.9 * fleet.asked
     assert kept.in_time < 0.5 * kept.asked
@@ -191,36 +192,36 @@
 
 
 def test_retries_after_refusals_are_a_share_of_good_answers() -> None:
-    budget = overload.RetryBudget()
-    assert [budget.spend(R.REJECTED) for _ in range(12)] == [True] * 10 + [False] * 2
+    budget = budgets.RetryBudget()
+    assert [budget.charge(R.REJECTED) for _ in range(12)] == [True] * 10 + [False] * 2
     for _ in range(5):
-        budget.ended(R.OK)
-        budget.ended(R.TIMED_OUT)
-    assert [budget.spend(R.TIMED_OUT) for _ in range(2)] == [True, False]
+        budget.record_outcome(R.OK)
+        budget.record_outcome(R.TIMED_OUT)
+    assert [budget.charge(R.TIMED_OUT) for _ in range(2)] == [True, False]
     free: Any = (None, R.MISS, R.RESET, R.UNREACHABLE, R.NOT_SENT, R.ERROR)
-    assert all(budget.spend(last) for last in free)
+    assert all(budget.charge(last) for last in free)
 
 
 def test_strained_fills_in_a_row_cut_what_is_admitted_and_good_ones_and_time_give_it_back() -> None:
-    limit = throttle.FillThrottle(recovery=2.0)
+    limit = fill_throttle.FillThrottle(recovery_seconds=2.0)
     admitted = []
     for _ in range(4):
-        limit.ended(True, 10.0)
-        admitted.append(limit.admitted(10.0))
-    assert admitted == pytest.approx([0.25, 0.0625, 0.05, 0.05]) and limit.is_strained(10.0)
-    assert limit.admitted(11.0) < 0.5 < 0.9 < limit.admitted(20.0)
+        limit.record_fill(True, 10.0)
+        admitted.append(limit.admitted_share(10.0))
+    assert admitted == pytest.approx([0.25, 0.0625, 0.05, 0.05]) and limit.is_overloaded(10.0)
+    assert limit.admitted_share(11.0) < 0.5 < 0.9 < limit.admitted_share(20.0)
     for _ in range(9):
-        limit.ended(False, 10.0)
-    assert limit.admitted(10.0) == 1.0
+        limit.record_fill(False, 10.0)
+    assert limit.admitted_share(10.0) == 1.0
 
 
 def test_a_share_of_strained_fills_as_on_any_day_is_borne_and_a_larger_one_is_not() -> None:
     def shares(strained_every: int, fills_per_s: float) -> list[float]:
-        limit = throttle.FillThrottle(recovery=2.5)
+        limit = fill_throttle.FillThrottle(recovery_seconds=2.5)
         found = []
         for n in range(600):
-            limit.ended(n % strained_every == strained_every - 1, n / fills_per_s)
-            found.append(limit.admitted(n / fills_per_s))
+            limit.record_fill(n % strained_every == strained_every - 1, n / fills_per_s)
+            found.append(limit.admitted_share(n / fills_per_s))
         return found[250:]
 
     assert min(shares(10, 50.0)) > 0.75  # where fills are many, one alone takes little
@@ -230,41 +231,41 @@
 
 
 def test_one_strained_source_is_passed_by_and_two_throttle_what_asks_the_origin() -> None:
-    limits = throttle.SourceThrottles(recovery=6.0)
+    limits = fill_throttle.FillThrottles(recovery_seconds=6.0)
     for _ in range(3):
-        limits.ended(b"a", True, 10.0)
+        limits.record_fill(b"a", True, 10.0)
         for _ in range(4):
-            limits.ended(b"b", False, 10.0)
-    assert limits.admitted(10.0) == 1.0
-    assert not limits.keeps(b"a", 10.0, lambda: 0.1) and limits.keeps(b"a", 10.0, lambda: 0.01)
-    assert limits.keeps(b"b", 10.0, lambda: 0.99) and limits.keeps(b"new", 10.0, lambda: 0.99)
-    assert limits.is_strained(b"a", 10.0) and not limits.is_strained(b"b", 10.0)
+            limits.record_fill(b"b", False, 10.0)
+    assert limits.admitted_share(10.0) == 1.0
+    assert not limits.stays_at(b"a", 10.0, lambda: 0.1) and limits.stays_at(b"a", 10.0, lambda: 0.01)
+    assert limits.stays_at(b"b", 10.0, lambda: 0.99) and limits.stays_at(b"new", 10.0, lambda: 0.99)
+    assert limits.is_overloaded(b"a", 10.0) and not limits.is_overloaded(b"b", 10.0)
     for _ in range(3):
-        limits.ended(b"b", True, 10.0)
-    assert limits.admitted(10.0) < 0.1 and limits.is_strained(b"new", 10.0)
-    assert limits.keeps(b"a", 10.0, lambda: 0.99)  # no other source is better off
+        limits.record_fill(b"b", True, 10.0)
+    assert limits.admitted_share(10.0) < 0.1 and limits.is_overloaded(b"new", 10.0)
+    assert limits.stays_at(b"a", 10.0, lambda: 0.99)  # no other source is better off
     limits.keep_only({b"b"})
-    assert limits._sources.keys() == {b"b"}
+    assert limits._by_source.keys() == {b"b"}
 
 
 def test_what_one_source_shows_counts_by_half_and_what_the_origin_shows_in_full() -> None:
-    alone, confirmed, origin = (throttle.SourceThrottles(recovery=6.0) for _ in range(3))
-    alone.ended(b"a", True, 10.0)
-    assert alone.admitted(10.0) == pytest.approx(0.5)
-    confirmed.ended(b"a", True, 10.0)
-    confirmed.ended(b"b", True, 10.0)
-    assert confirmed.admitted(10.0) == pytest.approx(0.125)
-    origin.ended(None, True, 10.0)
-    assert origin.admitted(10.0) == pytest.approx(0.25)
+    alone, confirmed, origin = (fill_throttle.FillThrottles(recovery_seconds=6.0) for _ in range(3))
+    alone.record_fill(b"a", True, 10.0)
+    assert alone.admitted_share(10.0) == pytest.approx(0.5)
+    confirmed.record_fill(b"a", True, 10.0)
+    confirmed.record_fill(b"b", True, 10.0)
+    assert confirmed.admitted_share(10.0) == pytest.approx(0.125)
+    origin.record_fill(None, True, 10.0)
+    assert origin.admitted_share(10.0) == pytest.approx(0.25)
 
 
 def test_where_fills_are_few_a_strain_is_told_earlier() -> None:
-    limits = throttle.SourceThrottles(recovery=6.0)
-    assert limits.spare_share(10.0) == throttle.SPARE_OF_FEW
+    limits = fill_throttle.FillThrottles(recovery_seconds=6.0)
+    assert limits.slack_share(10.0) == fill_throttle.SLACK_SHARE_FEW_FILLS
     for _ in range(30):
-        limits.ended(b"a", False, 10.0)
-    assert limits.spare_share(10.0) == throttle.SPARE_OF_MANY
-    assert limits.spare_share(20.0) == throttle.SPARE_OF_FEW
+        limits.record_fill(b"a", False, 10.0)
+    assert limits.slack_share(10.0) == fill_throttle.SLACK_SHARE_MANY_FILLS
+    assert limits.slack_share(20.0) == fill_throttle.SLACK_SHARE_FEW_FILLS
 
 
 @pytest.mark.parametrize(
@@ -295,23 +296,26 @@
 ) -> None:
     request_class = api.RequestClass(latency_objective=0.5, timeout=3.0, objective_per_transfer=2.0)
     event = api.AttemptEnded(1, 0, b"cache0", result, latency, fill_outcome=fill_outcome)
-    assert throttle.fill_strained(event, request_class, 0.1, own_fault=False, spare_share=0.5) is strained
+    assert (
+        fill_throttle.is_overloaded_fill(event, request_class, 0.1, caches_own_fault=False, slack_share=0.5)
+        is strained
+    )
 
 
 def test_a_refusal_of_the_caches_own_tells_nothing_of_its_source() -> None:
     event = api.AttemptEnded(1, 0, b"cache0", R.REJECTED, 0.01)
-    assert throttle.fill_strained(event, api.RequestClass(0.5, 3.0), 0.1, True, 0.5) is None
+    assert fill_throttle.is_overloaded_fill(event, api.RequestClass(0.5, 3.0), 0.1, True, 0.5) is None
 
 
 def test_what_the_origin_answers_itself_tells_of_it_in_full_and_a_fill_from_it_by_half() -> None:
     writes, fills = Driver(), Driver((cache(0), ORIGIN_MEMBER), peer_fill=api.PeerFill.OFF)
     sent = sends(writes.ask(1, request_class=3))[0]
     writes.end(1, 0, sent.endpoint, R.REJECTED, fill_outcome=api.FillOutcome.SOURCE_REJECTED)
-    assert writes.router.throttle.admitted(writes.now) == pytest.approx(0.25)
+    assert writes.state.fill_throttles.admitted_share(writes.now) == pytest.approx(0.25)
     filled = get(fills.ask(1))
     assert filled.source == ORIGIN_MEMBER.id
     fills.end(1, 0, filled.endpoint, R.REJECTED, fill_outcome=api.FillOutcome.SOURCE_REJECTED)
-    assert fills.router.throttle.admitted(fills.now) == pytest.approx(0.5)
+    assert fills.state.fill_throttles.admitted_share(fills.now) == pytest.approx(0.5)
 
 
 def test_a_fill_that_is_slow_at_a_cache_that_answers_others_tells_of_its_source_at_once() -> None:
@@ -319,18 +323,18 @@
     sent = get(d.ask(1))
     (token,) = d.router.timers
     d.now += 0.5
-    d.router.seen[sent.endpoint].heard_at = d.now
+    d.endpoints.stats[sent.endpoint].last_answer_at = d.now
     d.now += 0.5
     d.give(api.TimerFired(token))
-    assert d.router.throttle.is_strained(sent.source, d.now)
-    before = d.router.throttle.admitted(d.now)
+    assert d.state.fill_throttles.is_overloaded(sent.source, d.now)
+    before = d.state.fill_throttles.admitted_share(d.now)
     d.end(1, 0, sent.endpoint, R.TIMED_OUT)
-    assert d.router.throttle.admitted(d.now) == before  # it was counted
+    assert d.state.fill_throttles.admitted_share(d.now) == before  # it was counted
 
 
 def test_a_throttled_request_takes_what_the_parent_holds_and_is_refused_where_it_lacks_it() -> None:
     d = Driver()
-    d.router.random.seed(2)
+    d.state.random.seed(2)
     for n in range(1, 4):
         sent = get(d.ask(n, key=n))
         d.end(n, 0, sent.endpoint, R.REJECTED, fill_outcome=api.FillOutcome.SOURCE_REJECTED)
@@ -355,17 +359,17 @@
 
 
 def test_half_of_a_deadline_is_never_too_short_whatever_a_class_takes() -> None:
-    assert not overload.hopeless(left=1.5, work=9.0, timeout=3.0)
-    assert overload.hopeless(left=1.4, work=9.0, timeout=3.0)
+    assert not load_shedding.is_hopeless(seconds_left=1.5, transfer_seconds=9.0, timeout=3.0)
+    assert load_shedding.is_hopeless(seconds_left=1.4, transfer_seconds=9.0, timeout=3.0)
 
 
 def test_slow_fills_are_not_taken_for_silent_caches() -> None:
     d = Driver()
     sent = get(d.ask(1))
     for _ in range(3):
-        d.router.throttle.ended(sent.source, True, d.now)
+        d.state.fill_throttles.record_fill(sent.source, True, d.now)
     (token,) = d.router.timers
     d.now += 1.0
     again = d.give(api.TimerFired(token))
     assert not [a for a in again if isinstance(a, api.Cancel)]
-    assert not d.router.seen[sent.endpoint].failing
+    assert not d.endpoints.stats[sent.endpoint].failure_rate
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from tests.conftest import FLEET, ORIGIN_MEMBER, Driver, cache, parent
-from zincladder.routing.router import Ring, point
+from zincladder.routing.ring import Ring, ring_position
 
 KEYS = range(3000)
 
@@ -82,17 +82,17 @@
 def test_an_object_belongs_to_the_first_point_going_down() -> None:
     ring = Ring({b"a": 4, b"b": 4})
     for key in range(200):
-        place = point(key.to_bytes(8, "big"))
-        below = [p for p in ring.places if p <= place]
-        owner = ring.owners[ring.places.index(max(below or ring.places))]
+        place = ring_position(key.to_bytes(8, "big"))
+        below = [p for p in ring.positions if p <= place]
+        owner = ring.endpoint_ids[ring.positions.index(max(below or ring.positions))]
         assert next(ring.walk(place)) == owner
 
 
 def test_a_ring_is_kept_while_its_membership_stays() -> None:
     d = Driver()
-    ring = d.router.caches
+    ring = d.endpoints.caches
     d.change(cache(1, weight=9.0), cache(7, zone=2))
-    assert d.router.caches is ring
+    assert d.endpoints.caches is ring
 
 
 def test_with_no_parent_up_the_source_is_the_origin() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
 
 from tests.conftest import FLEET, ORIGIN_MEMBER, Driver, cache, finals, get, parent, sends
 from zincladder.routing import interface as api
-from zincladder.routing.router import point
+from zincladder.routing.ring import ring_position
 
 R = api.AttemptOutcome
 
@@ -41,7 +41,7 @@
 def test_a_closing_outcome_needs_no_answer() -> None:
     d = Driver()
     assert d.end(1, 0, get(d.ask(1)).endpoint, R.OK, closed=True) == []
-    assert d.router.jobs == {} and d.router.attempts == {}
+    assert d.router.pending == {} and d.router.attempts == {}
 
 
 def test_a_client_that_left_gets_nothing_and_its_attempt_is_ended() -> None:
@@ -180,8 +180,8 @@
     kb, cold = 400.0, parent(9, started_at=100.0)
     changes: dict[str, Any] = {"routers": routers, "routers_by_zone": (0, routers)}
     drivers = [Driver((*FLEET, cold), seed=n, **changes) for n in range(routers)]
-    parents = drivers[0].router.parents
-    keys = [k for k in range(2000) if next(parents.walk(point(k.to_bytes(8, "big")))) == cold.id]
+    parents = drivers[0].router.state.endpoints.parents
+    keys = [k for k in range(2000) if next(parents.walk(ring_position(k.to_bytes(8, "big")))) == cold.id]
     random, times, starts, now = Random(routers), list[float](), routers, 100.0
     for request in itertools.count(1):
         now += random.expovariate(3 * 2 * cold.weight / (kb / 1000))
--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -404,7 +404,7 @@
     def purge(self, obj: int | None, group: int, made: float) -> None:
         """A purge of one object, or of a whole group, at a Unix time."""
         now = self.clock.now()
-        self.purges.told(obj, group, made, now, self.settings.purge_done)
+        self.purges.record(obj, group, made, now, self.settings.purge_done)
         self._notify(api.Purged(obj, group, max(0.0, now - made)))
 
     def ready(self) -> int:
--- a/zincladder/routing/capacity.py
+++ b/zincladder/routing/capacity.py
@@ -1,55 +1,60 @@
-"""What is judged where it is not told: the cores of a cache and the sending times of classes. No I/O."""
+"""Estimates of what is not announced: the cores of a cache and the transfer times of classes. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-BUSY_BOUNDS = (0.25, 0.8)  # how busy a cache must be for its report to tell its cores
-REPORTS_LEAST = 3  # before they are gone by: one alone is noise
-STEP_UP, STEP_DOWN = 0.02, 0.1  # weight of a report that tells of more cores, and of fewer: rather too few
-RECENT = 0.02  # weight of the newest request in running means of sending times
+MIN_BUSY, MAX_BUSY = 0.25, 0.8  # how busy a cache must be for its load report to tell its cores
+MIN_REPORTS = 3  # before the estimate is used: a single report is noise
+# Weights of a report that tells of more cores, and of fewer: the estimate is rather too low than too high.
+INCREASE_EWMA_WEIGHT, DECREASE_EWMA_WEIGHT = 0.02, 0.1
+TRANSFER_TIME_EWMA_WEIGHT = 0.02
 
 
 class CoresEstimate:
-    """The transfers that one cache of the location sends at full pace: a running mean over all its caches."""
+    """The transfers that a cache of the location sends at full pace: a moving average over all its caches."""
 
     def __init__(self) -> None:
-        self.value = 1.0
+        self.cores = 1.0
         self._reports = 0
 
-    def told(self, busy: float, held: float) -> None:
-        """Counts one report: `busy` is the share of the cores in use, `held` the requests that it holds."""
-        if not BUSY_BOUNDS[0] <= busy <= BUSY_BOUNDS[1]:
+    def record_report(self, busy: float, in_flight: float) -> None:
+        """Counts one load report: the share of the cores in use, and the requests that the cache works on."""
+        if not MIN_BUSY <= busy <= MAX_BUSY:
             return
         self._reports += 1
-        cores = held / busy
-        step = STEP_DOWN if cores < self.value else STEP_UP
-        step = max(step, 1 / self._reports)  # the first weigh alike: a slow start refused much of a calm day
-        self.value = max(1.0, self.value + step * (cores - self.value))
+        cores = in_flight / busy
+        weight = DECREASE_EWMA_WEIGHT if cores < self.cores else INCREASE_EWMA_WEIGHT
+        weight = max(weight, 1 / self._reports)  # the first reports count alike
+        self.cores = max(1.0, self.cores + weight * (cores - self.cores))
 
     def is_known(self) -> bool:
-        """Whether enough has been told."""
-        return self._reports >= REPORTS_LEAST
+        """Whether there were enough reports to go by."""
+        return self._reports >= MIN_REPORTS
 
 
 @dataclass(slots=True)
-class WorkEstimate:
-    """The mean sending time of one class, in seconds; 0 until something tells of it."""
-
-    mean: float = 0.0
-    _timed: int = 0
-
-    def sized(self, work: float) -> float:
-        """Counts a request whose size tells its sending time; gives that time."""
-        self.mean = self.mean + (work - self.mean) * RECENT if self.mean else work
-        return work
-
-    def unsized(self, latency_objective: float) -> float:
-        """The sending time of a request whose size is not told; the base aim stands until hits were timed."""
-        self.mean = self.mean or latency_objective
-        return self.mean
-
-    def timed(self, latency: float) -> None:
-        """Counts a hit of unknown size. Without it no link would be spared where sizes are not told."""
-        self._timed += 1
-        self.mean += (latency - self.mean) * max(RECENT, 1 / self._timed)
+class TransferTimeEstimate:
+    """The mean transfer time of one class, in seconds; 0 until something tells of it."""
+
+    mean_seconds: float = 0.0
+    _hits_timed: int = 0
+
+    def record_sized(self, seconds: float) -> None:
+        """Counts a request whose size tells its transfer time."""
+        mean = self.mean_seconds
+        self.mean_seconds = mean + (seconds - mean) * TRANSFER_TIME_EWMA_WEIGHT if mean else seconds
+
+    def expect_unsized(self, latency_objective: float) -> float:
+        """The transfer time of a request of unknown size: the objective in seconds, until hits were timed."""
+        self.mean_seconds = self.mean_seconds or latency_objective
+        return self.mean_seconds
+
+    def record_hit(self, latency: float) -> None:
+        """Counts a hit of unknown size, in seconds.
+
+        Without it no link would be spared where sizes are not announced.
+        """
+        self._hits_timed += 1
+        weight = max(TRANSFER_TIME_EWMA_WEIGHT, 1 / self._hits_timed)
+        self.mean_seconds += (latency - self.mean_seconds) * weight
--- a/zincladder/routing/purges.py
+++ b/zincladder/routing/purges.py
@@ -1,4 +1,4 @@
-"""The purges that a front was told of lately. No I/O."""
+"""Recent purges. No I/O."""
 
 from __future__ import annotations
 
@@ -6,20 +6,24 @@
 
 
 class Purges:
-    """When objects, and groups of objects, were last purged; kept until no member holds older copies."""
+    """When objects, and groups of objects, were last purged; kept until no endpoint has older copies."""
 
     def __init__(self) -> None:
-        self._made: dict[tuple[int | None, int], float] = {}
+        self._purged_at: dict[tuple[int | None, int], float] = {}
 
-    def told(self, target: int | None, group: int, made: float, now: float, done: float) -> None:
-        """A purge of one object, or (`None`) of a whole group, made at a time in seconds.
+    def record(
+        self, target: int | None, group: int, purged_at: float, now: float, done_seconds: float
+    ) -> None:
+        """A purge of one object, or (`None`) of a whole group.
 
-        `done` is the time in seconds after which all members have dropped the older copies.
+        `done_seconds` is the time after which all endpoints have dropped the older copies.
         """
-        self._made = {key: at for key, at in self._made.items() if now - at <= done}
+        self._purged_at = {key: at for key, at in self._purged_at.items() if now - at <= done_seconds}
         key = (None, group) if target is None else (target, -1)
-        self._made[key] = max(made, self._made.get(key, now - done))
+        self._purged_at[key] = max(purged_at, self._purged_at.get(key, now - done_seconds))
 
     def age(self, target: int, group: int, now: float) -> float:
         """Seconds since an object was last purged, by itself or with its group; else infinite."""
-        return now - max(self._made.get((target, -1), NEVER), self._made.get((None, group), NEVER))
+        by_itself = self._purged_at.get((target, -1), NEVER)
+        with_group = self._purged_at.get((None, group), NEVER)
+        return now - max(by_itself, with_group)
