--- a/zincladder/routing/__init__.py
+++ b/zincladder/routing/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions of the router: rules without I/O, each in a module of its own."""
