--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -449,10 +449,6 @@
                 heapq.heappush(self._timers, (self.clock.now() + delay, token))
             case api.Probe(endpoint):
                 self._probes.append(endpoint)
-            case api.CloseIdle(endpoint):
-                self.transport.close_idle(endpoint)
-            case api.Log(text):
-                log.info("router", text=text)
             case _:  # the list comes unasked, and routers have no way to talk to each other
                 log.warning("action not possible here", action=type(action).__name__)
 
@@ -468,7 +464,7 @@
         context = self.open_requests[action.request]
         n, context.sends = context.sends, context.sends + 1
         ask, now = context.ask, self.clock.now()
-        until = min(ask.deadline, now + (action.time_out or math.inf))
+        until = ask.deadline
         order = AttemptRequest(ask, action.endpoint, until=until, begin_by=context.repeat_by, guard=self)
         order.stalled_before = self.stalled_seconds
         if isinstance(action, api.Fetch):
--- a/zincladder/routing/interface.py
+++ b/zincladder/routing/interface.py
@@ -196,16 +196,6 @@
     tenant: int = 0
 
 
-@dataclass(frozen=True, slots=True)
-class AnswerStarted:
-    """A streamed answer has begun; the attempt now belongs to the client."""
-
-    request: int
-    attempt: int
-    endpoint: EndpointId
-    latency: float
-
-
 @dataclass(slots=True)  # made for each request: a frozen one takes three times as long
 class AttemptEnded:
     """The one outcome of an attempt; `closed` says that the request is over."""
@@ -254,14 +244,6 @@
     report: tuple[float, ...] = ()
 
 
-@dataclass(frozen=True, slots=True)
-class PeerMessage:
-    """Bytes from a fellow router."""
-
-    sender: int
-    data: bytes
-
-
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
     """Other settings from now on. `learned` gives for each class whose figures it goes on with, or -1."""
@@ -273,13 +255,11 @@
 Event = (
     EndpointUpdate
     | Request
-    | AnswerStarted
     | AttemptEnded
     | ClientDisconnected
     | Purged
     | TimerFired
     | ProbeEnded
-    | PeerMessage
     | SettingsChanged
 )
 
@@ -293,7 +273,6 @@
 
     request: int
     endpoint: EndpointId
-    time_out: float = 0.0
 
 
 @dataclass(slots=True)  # made for each request: a frozen one takes three times as long
@@ -309,7 +288,6 @@
     cached_only: bool = False
     parent_proxies: bool = False
     renew: bool = False
-    time_out: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -350,21 +328,6 @@
     endpoint: EndpointId
 
 
-@dataclass(frozen=True, slots=True)
-class CloseIdle:
-    """Closes idle connections to a member."""
-
-    endpoint: EndpointId
-
-
-@dataclass(frozen=True, slots=True)
-class Tell:
-    """Bytes for one fellow router, or for all where `receiver` is None."""
-
-    receiver: int | None
-    data: bytes
-
-
 @dataclass(frozen=True, slots=True)
 class Subscribe:
     """Asks for changes of the list from now on, or stops them."""
@@ -372,18 +335,4 @@
     enable: bool = True
 
 
-@dataclass(frozen=True, slots=True)
-class ReadList:
-    """Asks for the whole list once."""
-
-
-@dataclass(frozen=True, slots=True)
-class Log:
-    """A line for the operators."""
-
-    text: str
-
-
-Action = (
-    Lookup | Fetch | Cancel | Reject | Fail | SetTimer | Probe | CloseIdle | Tell | Subscribe | ReadList | Log
-)
+Action = Lookup | Fetch | Cancel | Reject | Fail | SetTimer | Probe | Subscribe
