--- a/zincladder/routing/router.py
+++ b/zincladder/routing/router.py
@@ -33,7 +33,7 @@
     record_end,
 )
 from zincladder.routing.ring import ring_position
-from zincladder.routing.selection import has_other_limit, select_route
+from zincladder.routing.selection import Route, has_other_limit, select_route
 from zincladder.routing.slow_start import charge_slow_start
 from zincladder.routing.state import RouterState
 
@@ -124,25 +124,35 @@
             self._dispatch(pending, now)
 
     def _dispatch(self, pending: PendingRequest, now: float) -> None:
-        """Sends the next attempt of a request, or gives its final answer.
+        """Sends the next attempt of a request, or gives its final answer."""
+        route = self._plan_attempt(pending, now)
+        if route is None:
+            self._give_up(pending)
+        else:
+            self._send(pending, route.target, route.source, now)
+
+    def _plan_attempt(self, pending: PendingRequest, now: float) -> Route | None:
+        """The route of the next attempt; `None` gives the request up.
 
-        It is given up if, in this order: its attempts or its time have run out; no route is fit, or its
-        answer would come too late; it might take effect twice; the retry budget is empty.
+        The reasons, in the order in which they are asked for: its attempts or its time have run out; no route
+        is fit, or the answer would come too late; it might take effect twice; the retry budget is empty.
         """
         state = self.state
         if not has_attempts_left(pending, now):
-            return self._give_up(pending)
+            return None
         route = select_route(state, pending, now)
         if route is None or not may_run_again(pending, now):
-            return self._give_up(pending)
-        other_limit = has_other_limit(state, route)
-        if not other_limit and not state.retry_budget.charge(pending.last_outcome):
-            return self._give_up(pending)
-        throttled = not other_limit and not pending.request_class.uncacheable
-        pending.cached_only = throttled and state.random.random() > state.fill_throttles.admitted_share(now)
+            return None
+        pending.cached_only = False
+        if has_other_limit(state, route):
+            return route
+        if not state.retry_budget.charge(pending.last_outcome):
+            return None
+        if not pending.request_class.uncacheable:
+            pending.cached_only = state.random.random() > state.fill_throttles.admitted_share(now)
         if pending.cached_only and route.source.endpoint.id == state.endpoints.origin_id:
             route.source = route.target
-        self._send(pending, route.target, route.source, now)
+        return route
 
     def _send(
         self, pending: PendingRequest, target: EndpointStats, source: EndpointStats, now: float
@@ -223,7 +233,8 @@
         if attempt:
             record_end(pending, event, attempt, blamed)
             if not plan_retry(pending, event, attempt, blamed, state.endpoints.origin_id):
-                return self._give_up(pending)
+                self._give_up(pending)
+                return
         if pending.in_flight:
             return
         if event.outcome is api.AttemptOutcome.NOT_SENT:
