--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -20,8 +20,8 @@
 from tests.stands import Resolver, client, configuration, serve, world
 from zincladder.cli import main
 from zincladder.config import ConfigError
+from zincladder.control.command_server import bind
 from zincladder.control.commands import answer
-from zincladder.control.server import bind
 
 pytestmark = pytest.mark.anyio
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_operating_day.py
+++ b/tests/test_operating_day.py
@@ -41,12 +41,12 @@
 from zincladder import interface as api
 from zincladder.admission.seats import SETTLED
 from zincladder.config import ConfigError, config_of, renewed, shared
-from zincladder.control.calls import MOST_LINE, Calls, Line
 from zincladder.control.readiness import Readiness
+from zincladder.control.status_calls import MAX_LINE_BYTES, LineReader, StatusCalls
 from zincladder.core.classes import LEAVING, Classes
 from zincladder.core.figures import MOST_CLASSES, Figures
 from zincladder.discovery.freshness import START_LIMIT, Freshness
-from zincladder.handover.model import MOST_COMPANIONS, Companions, Foreign, Hello, decode
+from zincladder.handover.model import MAX_OTHER_PROCESSES, Hello, HelloError, ProcessGenerations, decode
 from zincladder.net.feed import Feed
 
 pytestmark = pytest.mark.anyio
@@ -58,7 +58,7 @@
 
 def test_ready_says_what_is_missing_and_stats_ends_with_eot() -> None:
     why = ""
-    calls = Calls(lambda: why, lambda: [("succeeded.page", 812), ("outstanding", 14)])
+    calls = StatusCalls(lambda: why, lambda: [("succeeded.page", 812), ("outstanding", 14)])
     assert calls.answer(b"READY\r") == b"SUCCESS\n"
     why = "this process is ending"
     assert calls.answer(b"READY") == b"FAILURE this process is ending\n"
@@ -67,15 +67,15 @@
 
 @pytest.mark.parametrize("line", [b"", b"ready", b"STATS now", b"\xff\xfe\x00", b"x" * 200])
 def test_a_call_that_is_not_known_gets_one_line_that_says_so(line: bytes) -> None:
-    said = Calls(str, list).answer(line)
+    said = StatusCalls(str, list).answer(line)
     assert said.startswith(b"FAILURE ") and said.count(b"\n") == 1 and said.isascii() and len(said) < 200
 
 
 def test_a_line_comes_in_pieces_and_is_bounded() -> None:
-    line = Line()
-    assert [line.take(b) for b in (b"RE", b"A", b"DY\nmore")] == [None, None, b"READY"]
+    line = LineReader()
+    assert [line.feed(b) for b in (b"RE", b"A", b"DY\nmore")] == [None, None, b"READY"]
     with pytest.raises(ValueError, match="over"):
-        Line().take(b"x" * (MOST_LINE + 1))
+        LineReader().feed(b"x" * (MAX_LINE_BYTES + 1))
 
 
 async def call(w: World, line: bytes = b"STATS\n") -> bytes:
@@ -157,19 +157,19 @@
     readiness = Readiness(
         lambda: state["ready"], lambda: fresh.settled(state["now"]), lambda: state["stopping"]
     )
-    assert "no member" in readiness.lacks()
+    assert "no member" in readiness.missing()
     state["ready"] = 1
-    assert "coordinator" in readiness.lacks()
+    assert "coordinator" in readiness.missing()
     state["now"] = 10.0 + START_LIMIT - 0.01
-    assert "coordinator" in readiness.lacks()
+    assert "coordinator" in readiness.missing()
     state["now"] = 10.0 + START_LIMIT  # one that stalls keeps no front out of service
-    assert not readiness.lacks()
+    assert not readiness.missing()
     heard = Freshness(grace=0.5)
     heard.trying(10.0)
     heard.spoke(10.1)
-    assert not Readiness(lambda: 1, lambda: heard.settled(10.1), lambda: False).lacks()
+    assert not Readiness(lambda: 1, lambda: heard.settled(10.1), lambda: False).missing()
     state["stopping"] = True
-    assert "ending" in readiness.lacks()
+    assert "ending" in readiness.missing()
 
 
 # New settings -------------------------------------------------------------------------------------
@@ -575,8 +575,10 @@
             assert b"taken over" in (tmp_path / f"log{len(fronts) - 1}").read_bytes()
             fronts[-1].process.kill()
             log = tmp_path / "log0"
-            gone = len(fronts) - 1
-            await fronts[0].until(lambda log=log, gone=gone: log.read_bytes().count(b"has gone") == gone)  # type: ignore[misc]
+            ended = len(fronts) - 1
+            await fronts[0].until(
+                lambda log=log, ended=ended: log.read_bytes().count(b"other process ended") == ended  # type: ignore[misc]
+            )
             path = tmp_path / f"zincladder-{where.replace(':', '-')}.sock"
             inode = path.stat().st_ino  # of the one that died: the old one takes the path back
             await fronts[0].until(lambda path=path, inode=inode: path.stat().st_ino != inode)  # type: ignore[misc]
@@ -628,22 +630,22 @@
     assert decode(good, "127.0.0.1:80").pid == 7
     bad = (good[:-3], b"[]\n", b"\xff\n", good.replace(b": 1,", b": 2,"), good.replace(b"7", b'"x"'))
     for data in bad:
-        with pytest.raises(Foreign):
+        with pytest.raises(HelloError):
             decode(data, "127.0.0.1:80")
-    with pytest.raises(Foreign):
+    with pytest.raises(HelloError):
         decode(good, "127.0.0.1:81")
 
 
-def test_companions_are_counted_until_they_leave_and_bounded() -> None:
-    companions = Companions()
-    old = companions.came(newer=False)
-    assert old and companions.processes == 2 and not companions.succeeded
-    new = companions.came(newer=True)
-    assert new and companions.succeeded
-    companions.left(old)
-    companions.left(new)
-    assert companions.processes == 1 and not companions.succeeded
-    assert [companions.came(True) is None for _ in range(MOST_COMPANIONS + 1)].count(True) == 1
+def test_processes_are_counted_until_they_end_and_bounded() -> None:
+    generations = ProcessGenerations()
+    old = generations.add(newer=False)
+    assert old and generations.process_count == 2 and not generations.has_successor
+    new = generations.add(newer=True)
+    assert new and generations.has_successor
+    generations.remove(old)
+    generations.remove(new)
+    assert generations.process_count == 1 and not generations.has_successor
+    assert [generations.add(True) is None for _ in range(MAX_OTHER_PROCESSES + 1)].count(True) == 1
 
 
 async def test_fronts_that_lose_the_coordinator_come_back_at_moments_of_their_own(
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -34,9 +34,9 @@
 from zincladder.config import Config, DutiesConfig, PolicyConfig, config_of
 from zincladder.config.keeper import KeeperTable, LeaseTable, keeper_of
 from zincladder.config.operator import TABLES, RemoteWriteTable
-from zincladder.control.calls import Calls
-from zincladder.control.figures import figures
 from zincladder.control.readiness import Readiness
+from zincladder.control.statistics import front_statistics
+from zincladder.control.status_calls import StatusCalls
 from zincladder.core.attempt import Hold
 from zincladder.core.classes import Classes
 from zincladder.core.ends import How
@@ -149,8 +149,12 @@
 def test_answers_of_the_operators_address() -> None:
     core = counting_core()
     ready, settled, stopping = [0], [False], [True]
-    readiness = Readiness(lambda: ready[0], lambda: settled[0], lambda: stopping[0])
-    calls = Calls(readiness.lacks, lambda: figures(core, policy=fleet_policy(), duty=worker()))
+    missing = [""]
+    readiness = Readiness(
+        lambda: ready[0], lambda: settled[0], lambda: stopping[0], policy_missing=lambda: missing[0]
+    )
+    sections = {"policy": fleet_policy().figures, "duty": worker().figures}
+    calls = StatusCalls(readiness.missing, lambda: front_statistics(core, sections))
     found = {"stopping": calls.answer(b"READY")}
     stopping[0] = False
     found["no member"] = calls.answer(b"READY")
@@ -158,12 +162,12 @@
     found["not settled"] = calls.answer(b"READY")
     settled[0] = True
     found["ready"] = calls.answer(b"READY")
-    readiness.more = fleet_policy().lacks
+    missing[0] = fleet_policy().lacks()
     found["no policy"] = calls.answer(b"READY\r")
     found["unknown"] = calls.answer(b"NO SUCH CALL AS THIS ONE IS")
     found["statistics"] = re.sub(rb"=\d+\n", b"=\n", calls.answer(b"STATS"))
     found["statistics of a front alone"] = re.sub(
-        rb"=\d+\n", b"=\n", Calls(str, lambda: figures(core)).answer(b"STATS")
+        rb"=\d+\n", b"=\n", StatusCalls(str, lambda: front_statistics(core, {})).answer(b"STATS")
     )
     assert_matches("published/operators_address.json", {k: v.decode().split("\n") for k, v in found.items()})
 
--- a/zincladder/__main__.py
+++ b/zincladder/__main__.py
@@ -147,7 +147,7 @@
     """Runs all parts until the client side has ended. In `folder` it meets the next process at an upgrade."""
     clock, reload = Clock(), reload or Reload(config)
     handover = Handover(folder, config.listen, reload.share) if folder and config.listen[1] else None
-    listening_socket = handover.ask() if handover else None
+    listening_socket = handover.take_over() if handover else None
     admission = admission_of(config, operator)
     classes = Classes(config.names.classes, config.settings.classes)
     caches = Caches(config, clock.now, admission.ledger, classes.names)
@@ -184,7 +184,7 @@
         if feed:
             reload.parts.append(partial(follow, feed))
         if handover:
-            clients.succeeded = lambda: handover.companions.succeeded
+            clients.succeeded = lambda: handover.generations.has_successor
             tasks.start_soon(handover.run, clients.listener)
         if operator.policy:
             from zincladder.policy.wiring import follow_policy
@@ -197,18 +197,19 @@
             worker = work_for_fleet(operator.duties, config.name, core)
             tasks.start_soon(worker.run, stopping)
         if config.control:
-            from zincladder.control.address import OperatorAddress
-            from zincladder.control.calls import Calls
-            from zincladder.control.figures import figures
             from zincladder.control.readiness import Readiness
+            from zincladder.control.statistics import front_statistics
+            from zincladder.control.status_calls import StatusCalls
+            from zincladder.control.status_server import StatusServer
 
-            readiness = Readiness(core.ready, core.is_settled, lambda: clients.stopping)
-            readiness.more = policy.lacks if policy else readiness.more
-            calls = Calls(
-                readiness.lacks,
-                lambda: figures(core, policy=policy, duty=worker),
+            readiness = Readiness(
+                core.ready, core.is_settled, lambda: clients.stopping, policy.lacks if policy else str
             )
-            operators = OperatorAddress(
+            sections = ({"policy": policy.figures} if policy else {}) | (
+                {"duty": worker.figures} if worker else {}
+            )
+            calls = StatusCalls(readiness.missing, lambda: front_statistics(core, sections))
+            operators = StatusServer(
                 listener(config.control), calls, admission.ledger, RateLimitedLog().warning
             )
             where_control = operators.address
@@ -223,12 +224,12 @@
             where_dns = server.address
             tasks.start_soon(server.run)
         if operator.control:
+            from zincladder.control.command_server import CommandServer
             from zincladder.control.commands import AdmissionCommands
-            from zincladder.control.server import ControlServer
 
             table = AdmissionCommands(admission).table
             upgrade = listening_socket is not None
-            control = ControlServer(operator.control, table, admission.ledger, upgrade)
+            control = CommandServer(operator.control, table, admission.ledger, upgrade)
             tasks.start_soon(control.run)
         if operator.metrics or operator.remote_write:
             from zincladder.metrics.endpoint import Endpoint
--- a/zincladder/cli/__init__.py
+++ b/zincladder/cli/__init__.py
@@ -6,15 +6,14 @@
 import os
 import sys
 from pathlib import Path
-from typing import Any
 
 import click
 
 from zincladder.cli.admission import admission
-from zincladder.cli.day import ready, stats
 from zincladder.cli.duties import duties
 from zincladder.cli.keep import keep, keepers
 from zincladder.cli.policy import policy
+from zincladder.cli.status import ready, stats
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -29,7 +28,7 @@
 
     RELAY_CONFIG names its configuration and ZINCLADDER_OPERATOR the operator's file.
     """
-    # In this process's place: the front then holds nothing of what the commands import.
+    # Replaces this process, so that the front's memory holds nothing that only the commands import.
     os.execv(sys.executable, [sys.executable, "-m", "zincladder"])
 
 
@@ -41,26 +40,32 @@
     FILES ending in .toml are operator's files, all others a front's configuration. Names of classes in an
     operator's file are checked against the configuration given beside it. Exits with 1 if there is a fault.
     """
-    from zincladder.config import ConfigError, read_operator
+    sys.exit(0 if _all_valid(files) else 1)
+
+
+def _all_valid(files: tuple[Path, ...]) -> bool:
+    """Print the faults of each file, the operator's files last, as they refer to the others' classes."""
+    from zincladder.config import ConfigError, Names, read_operator
     from zincladder.config.check import faults_of_config
     from zincladder.config.operator import faults_of
 
-    names, found, good = None, [], True
-    for path in sorted(files, key=lambda p: p.suffix == ".toml"):
+    all_valid = True
+    names: Names | None = None
+    faults: list[str]
+    for path in sorted(files, key=lambda path: path.suffix == ".toml"):
         try:
             if path.suffix == ".toml":
-                found = faults_of(read_operator(path), names)
+                faults = faults_of(read_operator(path), names)
             else:
-                data: Any = json.loads(path.read_bytes())
-                found, names = faults_of_config(data)
-        except (OSError, ValueError, ConfigError) as fault:
-            found = [str(fault)]
-        for text in found:
-            click.echo(f"{path}: {text}", err=True)
-        if not found:
+                faults, names = faults_of_config(json.loads(path.read_bytes()))
+        except (OSError, ValueError, ConfigError) as error:
+            faults = [str(error)]
+        for fault in faults:
+            click.echo(f"{path}: {fault}", err=True)
+        if not faults:
             click.echo(f"{path}: good")
-        good = good and not found
-    sys.exit(0 if good else 1)
+        all_valid = all_valid and not faults
+    return all_valid
 
 
 for command in (admission, duties, keep, keepers, policy, ready, stats):
--- a/zincladder/cli/admission.py
+++ b/zincladder/cli/admission.py
@@ -1,20 +1,25 @@
-"""`zincladder admission`: who calls, and who may."""
+"""`zincladder admission`: the sources of connections, and which are blocked or trusted."""
 
 from __future__ import annotations
 
 import json
 import re
 import time
+from collections.abc import Callable
 from typing import Any
 
 import click
 
-from zincladder.cli.client import ask, socket_path
+from zincladder.cli.client import send_command, socket_path
 
-UNITS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
+SECONDS_PER_UNIT = {"s": 1, "m": 60, "h": 3600, "d": 86400}
+DURATION = re.compile(r"(\d+(?:\.\d+)?)([smhd])")
 COLUMNS = ("source", "lane", "connections", "open", "loop_percent", "penalty_s")
-MORE = ("unread_bytes", "served", "standing", "strikes")  # where there is room
-WIDE = 110
+WIDE_COLUMNS = (*COLUMNS, "unread_bytes", "served", "standing", "strikes")
+WIDE_TERMINAL = 110  # characters
+TEXT_COLUMNS = ("source", "lane")
+LANE_STYLES = {"limited": "red", "new": "", "known": "green", "listed": "cyan"}
+BLOCKED_STYLE = "red"
 
 
 class Duration(click.ParamType[float]):
@@ -25,10 +30,10 @@
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> float:
         if isinstance(value, float):
             return value
-        found = re.fullmatch(r"(\d+(?:\.\d+)?)([smhd])", str(value))
-        if not found or float(found[1]) <= 0:
+        match = DURATION.fullmatch(str(value))
+        if not match or float(match[1]) <= 0:
             self.fail(f"{value!r} is no time like 90s, 10m, 2h or 1d", param, ctx)
-        return float(found[1]) * UNITS[found[2]]
+        return float(match[1]) * SECONDS_PER_UNIT[match[2]]
 
 
 @click.group()
@@ -46,23 +51,32 @@
 @click.pass_obj
 def top(path: str | None, most: int, as_json: bool, watch: float | None) -> None:
     """Show the sources by what they use."""
-    where = socket_path(path)
+    control_socket = socket_path(path)
 
     def fetch() -> dict[str, Any]:
-        found: dict[str, Any] = ask(where, "admission.top", most=most)
-        return found
+        report: dict[str, Any] = send_command(control_socket, "admission.top", most=most)
+        return report
 
     if as_json:
-        while True:
-            click.echo(json.dumps(fetch()))
-            if watch is None:
-                return
-            time.sleep(watch)
+        _print_json(fetch, watch)
+    else:
+        _print_table(fetch, watch)
+
+
+def _print_json(fetch: Callable[[], dict[str, Any]], watch: float | None) -> None:
+    while True:
+        click.echo(json.dumps(fetch()))
+        if watch is None:
+            return
+        time.sleep(watch)
+
+
+def _print_table(fetch: Callable[[], dict[str, Any]], watch: float | None) -> None:
     from rich.console import Console
     from rich.live import Live
 
     console = Console()
-    columns = COLUMNS + MORE if console.width >= WIDE else COLUMNS
+    columns = WIDE_COLUMNS if console.width >= WIDE_TERMINAL else COLUMNS
     if watch is None:
         console.print(_table(fetch(), columns))
         return
@@ -72,21 +86,23 @@
             live.update(_table(fetch(), columns), refresh=True)
 
 
-def _table(found: dict[str, Any], columns: tuple[str, ...]) -> Any:
+def _table(report: dict[str, Any], columns: tuple[str, ...]) -> Any:
     from rich.table import Table
 
-    held = ", ".join(f"{use} {n}" for use, n in found["descriptors"].items() if n)
-    turned = ", ".join(f"{why} {n}" for why, n in found["turned_away"].items()) or "none"
+    descriptors = (
+        ", ".join(f"{use} {count}" for use, count in report["descriptors"].items() if count) or "none"
+    )
+    rejected = ", ".join(f"{reason} {count}" for reason, count in report["turned_away"].items()) or "none"
     table = Table(
-        title=f"{found['recorded']} sources on record, {found['waiting']} messages waiting",
-        caption=f"descriptors of {found['limit']}: {held or 'none'}\nturned away: {turned}",
+        title=f"{report['recorded']} sources on record, {report['waiting']} messages waiting",
+        caption=f"descriptors of {report['limit']}: {descriptors}\nturned away: {rejected}",
     )
     for name in columns:
-        left = name in ("source", "lane")
-        table.add_column(name.replace("_", " "), justify="left" if left else "right", no_wrap=left)
-    for row in found["sources"]:
-        style = {"limited": "red", "new": "", "known": "green", "listed": "cyan"}[row["lane"]]
-        table.add_row(*(str(row[name]) for name in columns), style="red" if row["blocked"] else style)
+        is_text = name in TEXT_COLUMNS
+        table.add_column(name.replace("_", " "), justify="left" if is_text else "right", no_wrap=is_text)
+    for row in report["sources"]:
+        style = BLOCKED_STYLE if row["blocked"] else LANE_STYLES[row["lane"]]
+        table.add_row(*(str(row[name]) for name in columns), style=style)
     return table
 
 
@@ -95,7 +111,7 @@
 @click.pass_obj
 def show(path: str | None, address: str) -> None:
     """Print all that is on record of one ADDRESS, as JSON."""
-    click.echo(json.dumps(ask(socket_path(path), "admission.show", address=address), indent=2))
+    click.echo(json.dumps(send_command(socket_path(path), "admission.show", address=address), indent=2))
 
 
 @admission.command()
@@ -104,9 +120,9 @@
 @click.pass_obj
 def block(path: str | None, network: str, seconds: float | None) -> None:
     """Turn a NETWORK away and end its connections; what it has open is answered first."""
-    more = {} if seconds is None else {"seconds": seconds}
-    found = ask(socket_path(path), "admission.block", network=network, **more)
-    click.echo(f"{network} is blocked, {found['ended']} idle connections ended")
+    fields = {} if seconds is None else {"seconds": seconds}
+    result = send_command(socket_path(path), "admission.block", network=network, **fields)
+    click.echo(f"{network} is blocked, {result['ended']} idle connections ended")
 
 
 @admission.command()
@@ -114,7 +130,7 @@
 @click.pass_obj
 def unblock(path: str | None, network: str) -> None:
     """Let a NETWORK in again that `block` named."""
-    ask(socket_path(path), "admission.unblock", network=network)
+    send_command(socket_path(path), "admission.unblock", network=network)
     click.echo(f"{network} is let in")
 
 
@@ -123,5 +139,5 @@
 @click.pass_obj
 def trust(path: str | None, network: str) -> None:
     """List a NETWORK as known until the front ends."""
-    ask(socket_path(path), "admission.trust", network=network)
+    send_command(socket_path(path), "admission.trust", network=network)
     click.echo(f"{network} is trusted")
--- a/zincladder/cli/client.py
+++ b/zincladder/cli/client.py
@@ -1,4 +1,4 @@
-"""Asks a running front over its control socket."""
+"""Sends commands to a running front over its control socket."""
 
 from __future__ import annotations
 
@@ -9,42 +9,55 @@
 
 import click
 
-LIMIT = 5.0  # seconds
+TIMEOUT_SECONDS = 5.0
 
 
 def socket_path(given: str | None) -> str:
-    """The socket's path: as given, or as the operator's file that ZINCLADDER_OPERATOR names has it."""
-    if given:
-        return given
+    """The control socket's path: as given, or as the file that ZINCLADDER_OPERATOR names has it.
+
+    Raises a ClickException where neither names one.
+    """
+    path = given or _path_in_operators_file()
+    if path is None:
+        raise click.ClickException(
+            "no socket: give --socket, or name a file with [control] in ZINCLADDER_OPERATOR"
+        )
+    return path
+
+
+def _path_in_operators_file() -> str | None:
     file = os.environ.get("ZINCLADDER_OPERATOR")
-    if file:
-        from zincladder.config import ConfigError, read_operator
-
-        try:
-            table = read_operator(file).get("control")
-        except ConfigError as fault:
-            raise click.ClickException(str(fault)) from None
-        if isinstance(table, dict) and isinstance(table.get("socket"), str):
-            return str(table["socket"])
-    raise click.ClickException(
-        "no socket: give --socket, or name a file with [control] in ZINCLADDER_OPERATOR"
-    )
-
-
-def ask(path: str, do: str, **more: Any) -> Any:
-    """One command's answer; a ClickException says what went wrong."""
+    if not file:
+        return None
+    from zincladder.config import ConfigError, read_operator
+
+    try:
+        table = read_operator(file).get("control")
+    except ConfigError as error:
+        raise click.ClickException(str(error)) from None
+    if isinstance(table, dict) and isinstance(table.get("socket"), str):
+        return str(table["socket"])
+    return None
+
+
+def send_command(path: str, name: str, **fields: Any) -> Any:
+    """The result of one command; a ClickException says what went wrong."""
     try:
-        with socket.socket(socket.AF_UNIX) as sock:
-            sock.settimeout(LIMIT)
-            sock.connect(path)
-            sock.sendall(json.dumps({"do": do, **more}).encode() + b"\n")
-            with sock.makefile("rb") as lines:
-                line = lines.readline()
-    except OSError as fault:
-        raise click.ClickException(f"{path}: {fault.strerror or fault}") from None
+        line = _exchange(path, json.dumps({"do": name, **fields}).encode() + b"\n")
+    except OSError as error:
+        raise click.ClickException(f"{path}: {error.strerror or error}") from None
     if not line:
         raise click.ClickException(f"{path}: the front closed the connection")
-    found = json.loads(line)
-    if "error" in found:
-        raise click.ClickException(found["error"])
-    return found["ok"]
+    reply = json.loads(line)
+    if "error" in reply:
+        raise click.ClickException(reply["error"])
+    return reply["ok"]
+
+
+def _exchange(path: str, request: bytes) -> bytes:
+    with socket.socket(socket.AF_UNIX) as sock:
+        sock.settimeout(TIMEOUT_SECONDS)
+        sock.connect(path)
+        sock.sendall(request)
+        with sock.makefile("rb") as lines:
+            return lines.readline()
--- /dev/null
+++ b/zincladder/cli/status.py
@@ -0,0 +1,96 @@
+"""`zincladder ready` and `zincladder stats`: a front's status, asked at its `control` address."""
+
+from __future__ import annotations
+
+import json
+import socket
+import sys
+import time
+
+import click
+
+from zincladder.cli.admission import Duration
+from zincladder.config import address as parse_address
+
+TIMEOUT_SECONDS = 2.0  # an answer is owed within one
+POLL_SECONDS = 0.1  # between two calls of `--wait`
+ANSWER_KINDS = ("succeeded", "declined", "aborted")
+
+
+def call(address: str, line: str) -> str:
+    """The whole answer to one call; a ClickException says what went wrong."""
+    try:
+        host, port = parse_address(address)
+    except ValueError:
+        raise click.BadParameter(f"{address!r} is no address like 127.0.0.1:7070") from None
+    try:
+        with socket.create_connection((host, port), TIMEOUT_SECONDS) as sock:
+            sock.sendall(line.encode() + b"\n")
+            with sock.makefile("rb") as lines:
+                return lines.read().decode("ascii", "replace")
+    except OSError as error:
+        raise click.ClickException(f"{address}: {error.strerror or error}") from None
+
+
+@click.command()
+@click.argument("address", metavar="ADDRESS")
+@click.option(
+    "--wait", type=Duration(), default=0.0, help="Ask again until it is ready, for so long (10s, 1m)."
+)
+def ready(address: str, wait: float) -> None:
+    """Say whether the front at ADDRESS can serve; exits with 1 if it cannot."""
+    deadline = time.monotonic() + wait
+    while True:
+        answer, is_ready = _ready(address)
+        if is_ready or time.monotonic() >= deadline:
+            click.echo(answer, err=not is_ready)
+            sys.exit(0 if is_ready else 1)
+        time.sleep(POLL_SECONDS)
+
+
+def _ready(address: str) -> tuple[str, bool]:
+    """The answer to READY or the fault of the call, and whether the front is ready."""
+    try:
+        answer = call(address, "READY").strip()
+    except click.BadParameter:
+        raise
+    except click.ClickException as error:
+        return error.format_message(), False
+    return answer, answer.startswith("SUCCESS")
+
+
+@click.command()
+@click.argument("address", metavar="ADDRESS")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object instead of a table.")
+def stats(address: str, as_json: bool) -> None:
+    """Show the figures of the front at ADDRESS, by class where they have one."""
+    statistics = _statistics(address)
+    if as_json:
+        click.echo(json.dumps(statistics))
+    else:
+        _print_table(statistics)
+
+
+def _statistics(address: str) -> dict[str, int]:
+    lines = call(address, "STATS").splitlines()
+    if not lines or lines[-1] != "EOT":
+        raise click.ClickException(f"{address}: the figures broke off")
+    pairs = (line.partition("=") for line in lines[:-1])
+    return {name.removeprefix("app."): int(value) for name, _, value in pairs}
+
+
+def _print_table(statistics: dict[str, int]) -> None:
+    from rich.console import Console
+    from rich.table import Table
+
+    table = Table("class", *ANSWER_KINDS)
+    for name in statistics:
+        if name.startswith("succeeded."):
+            request_class = name.removeprefix("succeeded.")
+            counts = (str(statistics.get(f"{kind}.{request_class}", 0)) for kind in ANSWER_KINDS)
+            table.add_row(request_class, *counts)
+    console = Console()
+    console.print(table)
+    for name, value in statistics.items():
+        if "." not in name:
+            console.print(f"{name}: {value}", highlight=False)
--- a/zincladder/control/__init__.py
+++ b/zincladder/control/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of a running front, over a unix socket that their file names."""
+"""What operators ask of a running front: its status over TCP, commands over a unix socket."""
--- a/zincladder/control/commands.py
+++ b/zincladder/control/commands.py
@@ -1,6 +1,6 @@
-"""The commands of the control socket: a request and a time in, an answer out. No I/O here.
+"""The commands of the control socket: a request and a time in, an answer out. No I/O.
 
-One request is a JSON object on one line with the command under 'do'; the answer is one line, {"ok": ...} or
+A request is a JSON object on one line with the command under 'do'; the answer is one line, {"ok": ...} or
 {"error": "..."}.
 """
 
@@ -13,34 +13,44 @@
 from zincladder.admission.gate import Gate
 from zincladder.admission.interface import Admission
 
-MOST_LINE = 65_536
-MOST_ROWS = 1000
+MAX_LINE_BYTES = 65_536
+MAX_ROWS = 1000
+DEFAULT_ROWS = 20
+MAX_ERROR_LENGTH = 500  # characters
+MAX_SHOWN_LENGTH = 40  # characters of an unknown command
 FOREVER = float("inf")
 
 
-class Refused(Exception):
+class CommandError(Exception):
     """A command that cannot be carried out; the text says why."""
 
 
-Command = Callable[[Mapping[str, Any], float], Any]
+class CommandRequest:
+    """The fields of one request; a field of the wrong kind raises CommandError with its name."""
 
+    def __init__(self, fields: Mapping[str, Any]) -> None:
+        self._fields = fields
 
-def _text(said: Mapping[str, Any], name: str) -> str:
-    value = said.get(name)
-    if not isinstance(value, str) or not value:
-        raise Refused(f"'{name}' must be a text")
-    return value
+    def text(self, name: str) -> str:
+        """A text that is not empty."""
+        value = self._fields.get(name)
+        if not isinstance(value, str) or not value:
+            raise CommandError(f"'{name}' must be a text")
+        return value
 
+    def number(self, name: str, default: float) -> float:
+        """A number above 0."""
+        value = self._fields.get(name, default)
+        if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
+            raise CommandError(f"'{name}' must be a number above 0")
+        return float(value)
 
-def _number(said: Mapping[str, Any], name: str, default: float | None = None) -> float:
-    value = said.get(name, default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
-        raise Refused(f"'{name}' must be a number above 0")
-    return float(value)
+
+Command = Callable[[CommandRequest, float], Any]
 
 
 class AdmissionCommands:
-    """What can be asked of admission."""
+    """The commands on admission by source. Each takes a request and the time on the monotonic clock."""
 
     def __init__(self, admission: Admission) -> None:
         self._admission = admission
@@ -53,59 +63,70 @@
         }
 
     @property
-    def _gate(self) -> Gate:
+    def _by_source(self) -> Gate:
         if not isinstance(self._admission, Gate):
-            raise Refused("admission by source is off: the operator's file has no [admission]")
+            raise CommandError("admission by source is off: the operator's file has no [admission]")
         return self._admission
 
-    def top(self, said: Mapping[str, Any], now: float) -> dict[str, Any]:
-        gate = self._gate
-        most = min(MOST_ROWS, int(_number(said, "most", 20)))
+    def top(self, request: CommandRequest, now: float) -> dict[str, Any]:
+        """The sources that use most, and the totals."""
+        admission = self._by_source
+        max_rows = min(MAX_ROWS, int(request.number("most", DEFAULT_ROWS)))
         return {
-            "sources": gate.top(now, most),
-            "recorded": len(gate.sources),
-            "rate": round(gate.shares.rate, 3),
-            "pace": round(gate.shares.pace, 2),
-            "waiting": gate.shares.waiting,
-            "descriptors": {use.value: a.used for use, a in gate.ledger.accounts.items()},
-            "limit": gate.ledger.total,
-            "turned_away": dict(gate.tallies.turned),
-            "refused": dict(gate.tallies.refused),
-            "penalties": gate.tallies.penalties,
+            "sources": admission.top(now, max_rows),
+            "recorded": len(admission.sources),
+            "rate": round(admission.shares.rate, 3),
+            "pace": round(admission.shares.pace, 2),
+            "waiting": admission.shares.waiting,
+            "descriptors": {use.value: account.used for use, account in admission.ledger.accounts.items()},
+            "limit": admission.ledger.total,
+            "turned_away": dict(admission.tallies.turned),
+            "refused": dict(admission.tallies.refused),
+            "penalties": admission.tallies.penalties,
         }
 
-    def show(self, said: Mapping[str, Any], now: float) -> dict[str, Any]:
-        address = _text(said, "address")
-        found = self._gate.show(address, now)
-        if found is None:
-            raise Refused(f"{address} is not on record: it has had no connection of late")
-        return found
-
-    def block(self, said: Mapping[str, Any], now: float) -> dict[str, Any]:
-        network, seconds = _text(said, "network"), _number(said, "seconds", FOREVER)
-        return {"ended": self._gate.block(network, now + seconds, now)}
-
-    def unblock(self, said: Mapping[str, Any], now: float) -> dict[str, Any]:
-        network = _text(said, "network")
-        if not self._gate.unblock(network):
-            raise Refused(f"{network} was not blocked by an operator while this front ran")
+    def show(self, request: CommandRequest, now: float) -> dict[str, Any]:
+        """All that is recorded of one address."""
+        address = request.text("address")
+        recorded = self._by_source.show(address, now)
+        if recorded is None:
+            raise CommandError(f"{address} is not on record: it has had no connection of late")
+        return recorded
+
+    def block(self, request: CommandRequest, now: float) -> dict[str, Any]:
+        """Reject a network's connections, for a time if one is given, and end those that are idle."""
+        network, seconds = request.text("network"), request.number("seconds", FOREVER)
+        return {"ended": self._by_source.block(network, now + seconds, now)}
+
+    def unblock(self, request: CommandRequest, now: float) -> dict[str, Any]:
+        """Take an operator's block back."""
+        network = request.text("network")
+        if not self._by_source.unblock(network):
+            raise CommandError(f"{network} was not blocked by an operator while this front ran")
         return {}
 
-    def trust(self, said: Mapping[str, Any], now: float) -> dict[str, Any]:
-        self._gate.trust(_text(said, "network"))
+    def trust(self, request: CommandRequest, now: float) -> dict[str, Any]:
+        """Treat a network as known until the front ends."""
+        self._by_source.trust(request.text("network"))
         return {}
 
 
 def answer(table: Mapping[str, Command], line: bytes, now: float) -> bytes:
-    """The answer to one line; whatever comes in, a line goes out."""
+    """The answer to one line; there is one whatever the line holds."""
     try:
-        said = json.loads(line)
-        if not isinstance(said, dict):
-            raise Refused("a request must be an object")
-        command = table.get(_text(said, "do"))
-        if command is None:
-            raise Refused(f"no command {said['do'][:40]!r}, only {', '.join(sorted(table))}")
-        found: dict[str, Any] = {"ok": command(said, now)}
-    except (Refused, ValueError, RecursionError) as fault:
-        found = {"error": str(fault)[:500]}
-    return json.dumps(found).encode() + b"\n"
+        reply: dict[str, Any] = {"ok": _execute(table, line, now)}
+    except (CommandError, ValueError, RecursionError) as error:
+        reply = {"error": str(error)[:MAX_ERROR_LENGTH]}
+    return json.dumps(reply).encode() + b"\n"
+
+
+def _execute(table: Mapping[str, Command], line: bytes, now: float) -> Any:
+    fields = json.loads(line)
+    if not isinstance(fields, dict):
+        raise CommandError("a request must be an object")
+    request = CommandRequest(fields)
+    name = request.text("do")
+    command = table.get(name)
+    if command is None:
+        raise CommandError(f"no command {name[:MAX_SHOWN_LENGTH]!r}, only {', '.join(sorted(table))}")
+    return command(request, now)
--- a/zincladder/control/readiness.py
+++ b/zincladder/control/readiness.py
@@ -1,4 +1,4 @@
-"""Whether a process is ready to serve: the one place that says so. No I/O here."""
+"""Whether a process is ready to serve; the one place that decides it. No I/O."""
 
 from __future__ import annotations
 
@@ -6,20 +6,29 @@
 
 
 class Readiness:
-    """Asks the parts; `settled` is whether requests could be decided at some moment since the start."""
+    """Asks the parts of a front.
+
+    Parameters: `ready_members` counts the members that can serve, `has_synced` is whether the list could be
+    relied on at some moment since the start, `stopping` whether the process is draining, and
+    `policy_missing` what the fleet's policy lacks, or "".
+    """
 
     def __init__(
-        self, ready: Callable[[], int], settled: Callable[[], bool], stopping: Callable[[], bool]
+        self,
+        ready_members: Callable[[], int],
+        has_synced: Callable[[], bool],
+        stopping: Callable[[], bool],
+        policy_missing: Callable[[], str] = str,
     ) -> None:
-        self._ready, self._settled, self._stopping = ready, settled, stopping
-        self.more: Callable[[], str] = str  # of a part that is not always there
+        self._ready_members, self._has_synced = ready_members, has_synced
+        self._stopping, self._policy_missing = stopping, policy_missing
 
-    def lacks(self) -> str:
-        """What is missing; nothing when it is ready."""
+    def missing(self) -> str:
+        """The first thing that is missing, as READY answers it; "" when the process is ready."""
         if self._stopping():
             return "this process is ending"
-        if not self._ready():
+        if not self._ready_members():
             return "the list names no member that is ready"
-        if not self._settled():
+        if not self._has_synced():
             return "the coordinator has not spoken yet"
-        return self.more()
+        return self._policy_missing()
--- /dev/null
+++ b/zincladder/control/status_calls.py
@@ -0,0 +1,60 @@
+"""The calls at the operators' address, READY and STATS: one line in, one answer out. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+
+MAX_LINE_BYTES = 256
+MAX_SHOWN_BYTES = 20  # of an unknown call, in the answer
+READY, STATS = b"READY", b"STATS"
+
+Statistics = Iterable[tuple[str, int]]
+
+
+class StatusCalls:
+    """Answers the calls.
+
+    Parameters: `missing` gives what this process lacks to be ready, or "" if it is ready, and `statistics`
+    the names and values that STATS lists.
+    """
+
+    def __init__(self, missing: Callable[[], str], statistics: Callable[[], Statistics]) -> None:
+        self._missing, self._statistics = missing, statistics
+
+    def answer(self, line: bytes) -> bytes:
+        """The answer to one line without its end; there is one whatever the line holds."""
+        call = line.strip()
+        if call == READY:
+            return self._answer_ready()
+        if call == STATS:
+            return self._answer_stats()
+        shown = call[:MAX_SHOWN_BYTES].decode("ascii", "backslashreplace")
+        return f"FAILURE no call {shown!r}, only READY and STATS\n".encode()
+
+    def _answer_ready(self) -> bytes:
+        missing = self._missing()
+        return f"FAILURE {missing}\n".encode() if missing else b"SUCCESS\n"
+
+    def _answer_stats(self) -> bytes:
+        lines = "".join(f"app.{name}={value}\n" for name, value in self._statistics())
+        return lines.encode() + b"EOT\n"
+
+
+class LineReader:
+    """Collects bytes until the first line is whole."""
+
+    def __init__(self) -> None:
+        self._data = bytearray()
+
+    def feed(self, data: bytes) -> bytes | None:
+        """The line without its end once it is whole, else None.
+
+        Raises ValueError for a line of more than MAX_LINE_BYTES.
+        """
+        searched = len(self._data)
+        self._data += data
+        end = self._data.find(b"\n", searched)
+        length = end if end >= 0 else len(self._data)
+        if length > MAX_LINE_BYTES:
+            raise ValueError(f"a call of over {MAX_LINE_BYTES} bytes")
+        return bytes(self._data[:end]) if end >= 0 else None
--- a/zincladder/handover/__init__.py
+++ b/zincladder/handover/__init__.py
@@ -1,1 +1,1 @@
-"""An upgrade: the old process hands its listening socket on, and the two share one front's limits."""
+"""Upgrades without a lost connection: the old process passes its listening socket to the new one."""
--- a/zincladder/handover/host.py
+++ b/zincladder/handover/host.py
@@ -1,7 +1,7 @@
-"""The unix socket in `$TMPDIR` over which the listening socket goes to the next process.
+"""The unix socket in `$TMPDIR` over which the listening socket is passed to the next process.
 
-Where it cannot be had, whatever the cause, the front starts and serves all the same: then both processes
-listen through SO_REUSEPORT. What a killed process left behind is connected to in vain, and replaced.
+A fault here never keeps a front from serving: without the socket of the old process it binds its own through
+SO_REUSEPORT. A path that a killed process left behind refuses connections, and is replaced.
 """
 
 from __future__ import annotations
@@ -13,20 +13,25 @@
 from collections.abc import Callable, Iterator
 
 import anyio
+import anyio.abc
 import structlog
 
 from zincladder.config import Address
-from zincladder.handover.model import MOST_HELLO, Companions, Foreign, Hello, decode
-
-PATIENCE = 1.0  # seconds for the other process's word
-CREDENTIALS = struct.Struct("3i")
-REFUSED = (OSError, ValueError, Foreign, TimeoutError)
+from zincladder.handover.model import MAX_HELLO_BYTES, Hello, HelloError, ProcessGenerations, decode
+
+EXCHANGE_TIMEOUT_SECONDS = 1.0  # for the other process's message
+POLL_SECONDS = 1.0  # between two looks at who holds the rendezvous path
+BACKLOG = 2
+MAX_DESCRIPTORS = 4  # received with one message
+OWNER_ONLY = 0o177  # umask
+PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid, gid
+EXCHANGE_ERRORS = (OSError, ValueError, HelloError, TimeoutError)
 log = structlog.get_logger()
 
 
 @contextlib.contextmanager
-def _short(path: str) -> Iterator[str]:
-    """The same place under a name of a few bytes: sockaddr_un holds 108, and a folder may take them all."""
+def _short_path(path: str) -> Iterator[str]:
+    """The same path in a few bytes: sockaddr_un holds 108, which the folder's name alone may exceed."""
     folder = os.open(os.path.dirname(path), os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         yield f"/proc/self/fd/{folder}/{os.path.basename(path)}"
@@ -34,161 +39,200 @@
         os.close(folder)
 
 
+def _reason(error: BaseException) -> str:
+    return str(error) or type(error).__name__
+
+
+def _close_all(sockets: list[socket.socket]) -> None:
+    for sock in sockets:
+        sock.close()
+
+
 class Handover:
-    """One process's part in an upgrade: first as the one that comes, later as the one that goes."""
-
-    def __init__(self, folder: str, where: Address, changed: Callable[[int], None]) -> None:
-        self._where = f"{where[0]}:{where[1]}"
-        self._path = os.path.join(folder, f"zincladder-{where[0].replace(':', '_')}-{where[1]}.sock")
-        self._changed = changed
-        self.companions = Companions()
-        self._old: socket.socket | None = None
-        self._inode = 0
-
-    def ask(self) -> socket.socket | None:
-        """The listening socket of the process that runs, if there is one. Only at the start: it blocks."""
+    """One process's part in upgrades: at its start as the new process, later as the old one.
+
+    Parameters: `folder` holds the rendezvous path, `listen` is the address that the front serves, and
+    `on_process_count` is called with the number of this front's processes whenever it changes.
+    """
+
+    def __init__(self, folder: str, listen: Address, on_process_count: Callable[[int], None]) -> None:
+        host, port = listen
+        self._listen = f"{host}:{port}"
+        self._path = os.path.join(folder, f"zincladder-{host.replace(':', '_')}-{port}.sock")
+        self._on_process_count = on_process_count
+        self.generations = ProcessGenerations()
+        self._predecessor: socket.socket | None = None
+        self._published_inode = 0
+
+    # As the new process ---------------------------------------------------------------------------
+
+    def take_over(self) -> socket.socket | None:
+        """The listening socket of the running process, or None if there is none that can be had.
+
+        Blocks for EXCHANGE_TIMEOUT_SECONDS at most, so it may be called before the event loop serves only.
+        """
         sock = None
         try:
             sock = socket.socket(socket.AF_UNIX)
-            sock.settimeout(PATIENCE)
-            with _short(self._path) as path:
-                sock.connect(path)
-            sock.sendall(Hello(self._where, os.getpid()).encode())
-            data, fds, _, _ = socket.recv_fds(sock, MOST_HELLO, 4)
-            listening = self._checked(data, fds)
+            sock.settimeout(EXCHANGE_TIMEOUT_SECONDS)
+            listening = self._request_listener(sock)
         except FileNotFoundError:
             sock.close() if sock else None
             return None
-        except REFUSED as fault:
-            log.info("no process to take over from", why=str(fault) or type(fault).__name__)
+        except EXCHANGE_ERRORS as error:
+            log.info("no process to take over from", reason=_reason(error))
             sock.close() if sock else None
             return None
         sock.setblocking(False)
-        self._old = sock
+        self._predecessor = sock
         return listening
 
-    def _checked(self, data: bytes, fds: list[int]) -> socket.socket:
-        found = [socket.socket(fileno=fd) for fd in fds]
+    def _request_listener(self, sock: socket.socket) -> socket.socket:
+        with _short_path(self._path) as path:
+            sock.connect(path)
+        sock.sendall(Hello(self._listen, os.getpid()).encode())
+        data, descriptors, _, _ = socket.recv_fds(sock, MAX_HELLO_BYTES, MAX_DESCRIPTORS)
+        received = [socket.socket(fileno=descriptor) for descriptor in descriptors]
         try:
-            old = decode(data, self._where)
-            if len(found) != 1:
-                raise Foreign(f"{len(found)} sockets")
-            host, port, *_ = found[0].getsockname()
-            if f"{host}:{port}" != self._where or not found[0].getsockopt(
-                socket.SOL_SOCKET, socket.SO_ACCEPTCONN
-            ):
-                raise Foreign(f"a socket at {host}:{port} that does not listen at {self._where}")
+            hello = decode(data, self._listen)
+            listening = self._checked_listener(received)
         except BaseException:
-            for sock in found:
-                sock.close()
+            _close_all(received)
             raise
-        found[0].setblocking(False)
-        log.info("listening socket taken over", process=old.pid)
-        return found[0]
+        listening.setblocking(False)
+        log.info("listening socket taken over", process=hello.pid)
+        return listening
+
+    def _checked_listener(self, received: list[socket.socket]) -> socket.socket:
+        """The one socket received; guards against one that does not listen at this front's address."""
+        if len(received) != 1:
+            raise HelloError(f"{len(received)} sockets")
+        (listening,) = received
+        host, port, *_ = listening.getsockname()
+        is_listening = listening.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+        if f"{host}:{port}" != self._listen or not is_listening:
+            raise HelloError(f"a socket at {host}:{port} that does not listen at {self._listen}")
+        return listening
+
+    # As the old process ---------------------------------------------------------------------------
 
     async def run(self, listening: socket.socket) -> None:
-        """Hands the socket to whoever comes next, and follows who is alive, until it is cancelled."""
+        """Pass the listening socket to each new process, and count those that run, until cancelled."""
         async with anyio.create_task_group() as tasks:
-            number = self.companions.came(newer=False) if self._old else None
-            if self._old and number:
-                tasks.start_soon(self._follow, self._old, number)
+            number = self.generations.add(newer=False) if self._predecessor else None
+            if self._predecessor and number:
+                tasks.start_soon(self._watch, self._predecessor, number)
             while True:
                 try:
                     server = self._publish()
-                except REFUSED as fault:
-                    log.info("no handing over of the listening socket", why=str(fault))
+                except EXCHANGE_ERRORS as error:
+                    log.info("listening socket cannot be handed over", reason=str(error))
                     return
                 try:
-                    # Until a newcomer that took the path has left again: then it is this one's once more.
+                    # Returns once a new process that took the path has ended; then it is published again.
                     await self._serve(server, listening, tasks)
                 finally:
                     server.close()
                     self._unpublish()
 
     def _publish(self) -> socket.socket:
-        server, mine = socket.socket(socket.AF_UNIX), f"{self._path}.{os.getpid()}"
+        """Bind the rendezvous path, replacing whatever is there in one step, so that it always exists."""
+        server, own_path = socket.socket(socket.AF_UNIX), f"{self._path}.{os.getpid()}"
         try:
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(mine)
-            old = os.umask(0o177)  # owner only, from the first moment
+                os.unlink(own_path)
+            previous_umask = os.umask(OWNER_ONLY)
             try:
-                with _short(mine) as path:
+                with _short_path(own_path) as path:
                     server.bind(path)
             finally:
-                os.umask(old)
-            server.listen(2)
+                os.umask(previous_umask)
+            server.listen(BACKLOG)
             server.setblocking(False)
-            self._inode = os.stat(mine).st_ino
-            os.rename(mine, self._path)  # at one moment, so that no newcomer finds none
+            self._published_inode = os.stat(own_path).st_ino
+            os.rename(own_path, self._path)
         except BaseException:
             server.close()
             raise
         return server
 
     def _unpublish(self) -> None:
-        """Guards the path of the process that has taken it over."""
+        """Remove the path; guards that of a process that has taken it over."""
         with contextlib.suppress(OSError):
-            if os.stat(self._path).st_ino == self._inode:
+            if self._is_published():
                 os.unlink(self._path)
 
-    def _published(self) -> bool:
+    def _is_published(self) -> bool:
         with contextlib.suppress(OSError):
-            return os.stat(self._path).st_ino == self._inode
+            return os.stat(self._path).st_ino == self._published_inode
         return False
 
     async def _serve(
         self, server: socket.socket, listening: socket.socket, tasks: anyio.abc.TaskGroup
     ) -> None:
         while True:
-            with anyio.move_on_after(PATIENCE):
+            with anyio.move_on_after(POLL_SECONDS):
                 await anyio.wait_readable(server)
-            # Only after a newcomer that was met: one of another version keeps the place that it took, or the
-            # two would take it from each other for ever.
-            if self.companions.bereft and self.companions.processes == 1:
-                self.companions.bereft = False
-                if not self._published():
-                    return
+            if self._must_publish_again():
+                return
             with contextlib.suppress(OSError):
                 sock, _ = server.accept()
-                tasks.start_soon(self._hand_on, sock, listening)
+                tasks.start_soon(self._hand_over, sock, listening)
+
+    def _must_publish_again(self) -> bool:
+        """Whether a newer process took the path and has ended.
+
+        Only one that this process exchanged messages with: a process of another version keeps the path that
+        it took, or the two would take it from each other for ever.
+        """
+        generations = self.generations
+        if not generations.lost_successor or generations.process_count > 1:
+            return False
+        generations.lost_successor = False
+        return not self._is_published()
 
-    async def _hand_on(self, sock: socket.socket, listening: socket.socket) -> None:
+    async def _hand_over(self, sock: socket.socket, listening: socket.socket) -> None:
         try:
-            sock.setblocking(False)
-            peer = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
-            if CREDENTIALS.unpack(peer)[1] != os.getuid():
-                raise Foreign("another user")
-            with anyio.fail_after(PATIENCE):
-                data = b""
-                while not data.endswith(b"\n") and len(data) <= MOST_HELLO:
-                    await anyio.wait_readable(sock)
-                    got = sock.recv(MOST_HELLO)
-                    if not got:
-                        break
-                    data += got
-            new = decode(data, self._where)
-            number = self.companions.came(newer=True)
+            hello = await self._receive_hello(sock)
+            number = self.generations.add(newer=True)
             if number is None:
-                raise Foreign("too many processes of this front")
-        except REFUSED as fault:
-            log.warning("listening socket not handed on", why=str(fault) or type(fault).__name__)
+                raise HelloError("too many processes of this front")
+        except EXCHANGE_ERRORS as error:
+            log.warning("listening socket not handed over", reason=_reason(error))
             sock.close()
             return
         try:
-            socket.send_fds(sock, [Hello(self._where, os.getpid()).encode()], [listening.fileno()])
-            log.info("listening socket handed on", process=new.pid)
-        except OSError as fault:  # it has left again
-            log.warning("listening socket not handed on", why=str(fault))
-        await self._follow(sock, number)
-
-    async def _follow(self, sock: socket.socket, number: int) -> None:
-        """Waits until the process at the other end is gone."""
+            socket.send_fds(sock, [Hello(self._listen, os.getpid()).encode()], [listening.fileno()])
+            log.info("listening socket handed over", process=hello.pid)
+        except OSError as error:  # the new process has ended already
+            log.warning("listening socket not handed over", reason=str(error))
+        await self._watch(sock, number)
+
+    async def _receive_hello(self, sock: socket.socket) -> Hello:
+        """The new process's message; guards against a process of another user."""
+        sock.setblocking(False)
+        credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+        _, uid, _ = PEER_CREDENTIALS.unpack(credentials)
+        if uid != os.getuid():
+            raise HelloError("another user")
+        data = b""
+        with anyio.fail_after(EXCHANGE_TIMEOUT_SECONDS):
+            while not data.endswith(b"\n") and len(data) <= MAX_HELLO_BYTES:
+                await anyio.wait_readable(sock)
+                received = sock.recv(MAX_HELLO_BYTES)
+                if not received:
+                    break
+                data += received
+        return decode(data, self._listen)
+
+    async def _watch(self, sock: socket.socket, number: int) -> None:
+        """Count the process at the other end until the connection ends, as it does with that process."""
         try:
-            self._changed(self.companions.processes)
+            self._on_process_count(self.generations.process_count)
             while True:
                 await anyio.wait_readable(sock)
                 try:
-                    if not sock.recv(MOST_HELLO):
+                    if not sock.recv(MAX_HELLO_BYTES):
                         break
                 except BlockingIOError:
                     continue
@@ -196,6 +240,6 @@
                     break
         finally:
             sock.close()
-            self.companions.left(number)
-            self._changed(self.companions.processes)
-        log.info("the other process has gone", processes=self.companions.processes)
+            self.generations.remove(number)
+            self._on_process_count(self.generations.process_count)
+        log.info("other process ended", processes=self.generations.process_count)
--- a/zincladder/handover/model.py
+++ b/zincladder/handover/model.py
@@ -1,9 +1,9 @@
-"""What the two processes of an upgrade say to each other, and what each may hold. No I/O here.
+"""The messages of an upgrade and the processes that share a front's limits. No I/O.
 
-The newcomer says hello and the old one answers in kind, with its listening socket beside the bytes. After
-that nothing is said: the end of the connection tells each that the other has gone. Later versions may add
-keys; what changes the meaning of these raises VERSION, and processes of two versions then listen each for
-itself.
+The new process sends a `Hello`; the old one answers with its own, and its listening socket goes along as
+ancillary data. Nothing else is sent: the end of the connection tells each process that the other has ended.
+Later versions may add keys to the message; a change in the meaning of these keys raises VERSION, and
+processes of two versions then each listen by themselves.
 """
 
 from __future__ import annotations
@@ -12,67 +12,75 @@
 from dataclasses import dataclass
 
 VERSION = 1
-MOST_HELLO = 1024
-MOST_COMPANIONS = 3  # upgrades that may be under way at once
+MAX_HELLO_BYTES = 1024
+MAX_OTHER_PROCESSES = 3  # upgrades that may be under way at once
 
 
-class Foreign(Exception):
-    """What came is torn, or of another program or version; the text says why."""
+class HelloError(Exception):
+    """The message is truncated, or comes from another program, version or front; the text says which."""
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Who speaks: the address that it serves, and its process."""
+    """The sender of a message: the address that it serves as HOST:PORT, and its process id."""
 
     listen: str
     pid: int
 
     def encode(self) -> bytes:
-        said = {"zincladder": VERSION, "listen": self.listen, "pid": self.pid}
-        return json.dumps(said).encode() + b"\n"
+        """The message as one line of JSON."""
+        fields = {"zincladder": VERSION, "listen": self.listen, "pid": self.pid}
+        return json.dumps(fields).encode() + b"\n"
 
 
 def decode(data: bytes, listen: str) -> Hello:
-    """The hello of another process of the front at `listen`."""
-    if not data.endswith(b"\n") or len(data) > MOST_HELLO:
-        raise Foreign(f"{len(data)} bytes that are no whole line")
+    """Decode the message of another process of the front at `listen`.
+
+    Raises HelloError for anything else.
+    """
+    if not data.endswith(b"\n") or len(data) > MAX_HELLO_BYTES:
+        raise HelloError(f"{len(data)} bytes that are no whole line")
     try:
-        said = json.loads(data)
-        version, where, pid = said["zincladder"], said["listen"], said["pid"]
-    except (ValueError, KeyError, TypeError, RecursionError) as fault:
-        raise Foreign(f"not a hello: {type(fault).__name__}") from None
+        fields = json.loads(data)
+        version, peer_listen, pid = fields["zincladder"], fields["listen"], fields["pid"]
+    except (ValueError, KeyError, TypeError, RecursionError) as error:
+        raise HelloError(f"not a hello: {type(error).__name__}") from None
     if version != VERSION:
-        raise Foreign(f"version {version!r:.20}, not {VERSION}")
-    if where != listen or not isinstance(pid, int) or isinstance(pid, bool):
-        raise Foreign(f"a front at {where!r:.40}, not at {listen}")
-    return Hello(where, pid)
+        raise HelloError(f"version {version!r:.20}, not {VERSION}")
+    if peer_listen != listen or not isinstance(pid, int) or isinstance(pid, bool):
+        raise HelloError(f"a front at {peer_listen!r:.40}, not at {listen}")
+    return Hello(peer_listen, pid)
 
 
-class Companions:
-    """The other processes of this front that are alive."""
+class ProcessGenerations:
+    """The other running processes of this front: those that started before this one, and after it."""
 
     def __init__(self) -> None:
-        self._alive: dict[int, bool] = {}  # by number; whether it came after this process
-        self._count = 0
-        self.bereft = False  # a newer process, which had the meeting place, is gone again
+        self._is_newer: dict[int, bool] = {}  # by number
+        self._last_number = 0
+        self.lost_successor = False  # a newer process, which had taken the rendezvous path, has ended
+
+    def add(self, newer: bool) -> int | None:
+        """Count one more process, started before or after this one.
 
-    def came(self, newer: bool) -> int | None:
-        """One more; its number, or None where there are too many already."""
-        if len(self._alive) >= MOST_COMPANIONS:
+        Returns its number, or None if MAX_OTHER_PROCESSES are running already.
+        """
+        if len(self._is_newer) >= MAX_OTHER_PROCESSES:
             return None
-        self._count += 1
-        self._alive[self._count] = newer
-        return self._count
+        self._last_number += 1
+        self._is_newer[self._last_number] = newer
+        return self._last_number
 
-    def left(self, number: int) -> None:
-        self.bereft |= self._alive.pop(number, False)
+    def remove(self, number: int) -> None:
+        """The process with this number has ended."""
+        self.lost_successor |= self._is_newer.pop(number, False)
 
     @property
-    def processes(self) -> int:
-        """All that share this front's limits, this one among them."""
-        return 1 + len(self._alive)
+    def process_count(self) -> int:
+        """All processes that share this front's limits, this one included."""
+        return 1 + len(self._is_newer)
 
     @property
-    def succeeded(self) -> bool:
-        """Whether a newer process holds the listening socket: what waits in its queue is not lost."""
-        return any(self._alive.values())
+    def has_successor(self) -> bool:
+        """Whether a newer process holds the listening socket too, so that its backlog is not lost."""
+        return any(self._is_newer.values())
