--- a/zincladder/control/statistics.py
+++ b/zincladder/control/statistics.py
@@ -19,7 +19,7 @@
     optional parts of a front; the name of a section goes before those of its values.
     """
     yield from _answers_by_class(core)
-    yield "forwards", core.figures.forwards
+    yield "forwards", core.statistics.forwards
     yield "outstanding", len(core.open_requests)
     yield "discovered", _cache_count(core)
     yield "ejected", core.avoided()
@@ -31,13 +31,13 @@
 
 
 def _answers_by_class(core: Core) -> Iterator[tuple[str, int]]:
-    counted = core.figures
+    counted = core.statistics
     for request_class in counted.classes:
         for name, kind in ANSWER_NAMES.items():
             yield f"{name}.{request_class}", counted.answers[request_class, kind]
 
 
 def _cache_count(core: Core) -> int:
-    """Caches on the list: all members but parents and the origin."""
+    """Caches on the list: all endpoints but parents and the origin."""
     others = (core.settings.parent_kind, core.settings.origin_kind)
-    return sum(member.kind not in others for member in core.members.values())
+    return sum(endpoint.kind not in others for endpoint in core.endpoints.values())
