--- a/tests/stands.py
+++ b/tests/stands.py
@@ -16,10 +16,10 @@
 import dns.message
 import dns.rdatatype
 
-from zincladder.__main__ import Listening, front
 from zincladder.config import config_of
 from zincladder.config.operator import operator_of
 from zincladder.net import thrift
+from zincladder.wiring.front import ListeningAddresses, run_front
 
 MODELS = ["small", "parent", "origin"]
 ZONES = ["main", "edge"]
@@ -236,7 +236,7 @@
 
     caches: list[StubCache]
     coordinator: Coordinator
-    listening: Listening
+    listening: ListeningAddresses
     tasks: anyio.abc.TaskGroup
     stopping: anyio.Event = field(default_factory=anyio.Event)  # what SIGTERM sets
 
@@ -263,7 +263,7 @@
         known = [h for h in DNS_HOSTS if h["class"] in config.names.classes]  # another site names others
         table = ({"dns": DNS | {"host": known + (hosts or [])}} if known else {}) | (operator or {})
         stopping = anyio.Event()
-        listening = await tasks.start(front, config, operator_of(table, config.names), stopping)
+        listening = await tasks.start(run_front, config, operator_of(table, config.names), stopping)
         yield World(caches, coordinator, listening, tasks, stopping)
         tasks.cancel_scope.cancel()
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -17,12 +17,12 @@
 
 from benchmarks.difference import difference
 from tests.stands import SETTINGS, ZONES, Client, Fetch, StubCache, client, configuration, serve, world
-from zincladder.__main__ import Listening, front
 from zincladder.config import Config, Operator, config_of
 from zincladder.core.attempt import AttemptRequest, ClientRequest
 from zincladder.decide import Router
 from zincladder.net import protocol
 from zincladder.routing import interface as api
+from zincladder.wiring.front import ListeningAddresses, run_front
 
 pytestmark = pytest.mark.anyio
 SECOND_REPORT = {"how": "inline", "names": ["busy", "rif", "x1", "x0"]}
@@ -490,9 +490,9 @@
     # a front that is killed, or cut off from its client, has sent the write; it comes again with its key
     core, life = Ledger(lost=0), anyio.CancelScope()
 
-    async def other(config: Config, *, task_status: anyio.abc.TaskStatus[Listening]) -> None:
+    async def other(config: Config, *, task_status: anyio.abc.TaskStatus[ListeningAddresses]) -> None:
         with life:
-            await front(config, Operator(), anyio.Event(), task_status=task_status)
+            await run_front(config, Operator(), anyio.Event(), task_status=task_status)
 
     async with world(serve, origin=core.serve, settings=second.settings) as w, client(w) as c:
         data = configuration([m.endpoint() for m in w.caches], settings=second.settings)
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -152,7 +152,7 @@
                 )
                 writer.write(rig.status(1))
                 await asyncio.wait_for(rig.reply(reader), 5)
-            assert "configuration read again" in (front.folder / "log").read_text()
+            assert "configuration reloaded" in (front.folder / "log").read_text()
             (front.folder / "operator.toml").write_text("[admission]\nper_adress = 2\n")
             front.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.3)
--- a/tests/test_policy_processes.py
+++ b/tests/test_policy_processes.py
@@ -380,13 +380,13 @@
         own["settings"]["ceilings"] |= {"attemptsCap": 7}
         path.write_text(json.dumps(own))
         process.send(signal.SIGHUP)
-        turned = "bad configuration, the old one is kept"
+        turned = "configuration rejected, the old one is kept"
         (said,) = await f.r.until("it is turned down", lambda: process.events(turned))
-        assert "'settings.ceilings.attemptsCap' is part of the fleet's policy" in said["why"]
+        assert "'settings.ceilings.attemptsCap' is part of the fleet's policy" in said["reason"]
         own["settings"]["ceilings"] |= {"attemptsCap": 8, "maxRetryAfter": 0.7}
         path.write_text(json.dumps(own))
         process.send(signal.SIGHUP)
-        await f.r.until("another key is taken", lambda: process.events("configuration read again"))
+        await f.r.until("another key is taken", lambda: process.events("configuration reloaded"))
         began = anyio.current_time()
         await f.r.until("it serves", lambda: len(traffic.since("f0", began)) > 5)
         assert {a.mark for a in traffic.since("f0", began) if a.kind == "served"} == {
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -272,10 +272,10 @@
                 await w.coordinator.followed.wait()
             drained = w.caches[0]
             await w.coordinator.tell(2, drained.record(1))
-            await until(lambda: any(line["event"] == "list changed" for line in lines))
+            await until(lambda: any(line["event"] == "endpoint list changed" for line in lines))
     (ready,) = [line for line in lines if line["event"] == "ready"]
-    assert ready["known"] == 1 and ready["startup_s"] > 0
+    assert ready["last_known_event"] == 1 and ready["startup_s"] > 0
     (followed,) = [line for line in lines if line["event"] == "coordinator followed"]
     assert followed["after"] == 1 and 0 <= followed["waited_s"] < 5
-    (changed,) = [line for line in lines if line["event"] == "list changed"]
+    (changed,) = [line for line in lines if line["event"] == "endpoint list changed"]
     assert changed["draining"] == [drained.name] and changed["ready"] == changed["gone"] == []
--- /dev/null
+++ b/tests/wiring/test_front.py
@@ -0,0 +1,78 @@
+"""A front is built of the parts that its configuration names, and of no others."""
+
+from __future__ import annotations
+
+import json
+import subprocess
+import sys
+from pathlib import Path
+from typing import Any
+
+import anyio
+import pytest
+
+from tests.stands import client, configuration, serve, world
+from zincladder.config import config_of
+from zincladder.config.operator import operator_of
+from zincladder.config.reload import Reload
+from zincladder.wiring.front import Front
+
+pytestmark = pytest.mark.anyio
+OPTIONAL_PACKAGES = ("policy", "ownership", "dns", "metrics", "export", "control", "cli")
+
+
+def imported_packages(config: dict[str, Any], tmp_path: Path) -> set[str]:
+    """The packages that a process has imported once a front is ready with this configuration."""
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(config))
+    code = """
+import sys, anyio
+import zincladder.__main__
+from zincladder import config
+from zincladder.config import Operator
+from zincladder.wiring.front import run_front
+
+async def main():
+    async with anyio.create_task_group() as tasks:
+        await tasks.start(run_front, config.load(), Operator(), anyio.Event())
+        tasks.cancel_scope.cancel()
+
+anyio.run(main)
+print(*{name.split(".")[1] for name in sys.modules if name.startswith("zincladder.")})
+"""
+    environ = {"RELAY_CONFIG": str(path)}
+    root = Path(__file__).resolve().parents[2]
+    ended = subprocess.run(
+        [sys.executable, "-c", code], env=environ, cwd=root, capture_output=True, text=True, check=True
+    )
+    return set(ended.stdout.splitlines()[-1].split())
+
+
+def test_a_front_of_the_platform_imports_no_optional_part(tmp_path: Path) -> None:
+    imported = imported_packages(configuration([]), tmp_path)
+    assert "wiring" in imported and not imported & set(OPTIONAL_PACKAGES)
+    with_status = imported_packages(configuration([]) | {"control": "127.0.0.1:0"}, tmp_path)
+    assert with_status - imported == {"control"}
+
+
+async def test_only_what_is_configured_listens() -> None:
+    async with world(serve, operator={"metrics": {"listen": "127.0.0.1:0"}}) as w, client(w) as c:
+        await c.ask()
+        assert (await c.reply()).kind == "served"
+        assert w.listening.metrics and w.listening.dns and not w.listening.operators
+    async with world(serve, control="127.0.0.1:0") as w:
+        assert w.listening.operators and not w.listening.metrics
+
+
+async def test_subscribers_to_reloads_are_told_in_the_order_of_start() -> None:
+    config = config_of(configuration([], 4222))
+    reload = Reload(config)
+    front = Front(config, operator_of({}, config.names), reload, None)
+    front.clients.listener.close()
+    async with anyio.create_task_group() as tasks:
+        front._start_watch(tasks)
+        front._subscribe_to_reloads()
+        tasks.cancel_scope.cancel()
+    names = [getattr(s, "func", s).__qualname__ for s in reload.subscribers]
+    expected = ["apply_settings", "Clients.use", "Caches.use", "apply_bounds", "follow_coordinator"]
+    assert names == expected and reload.counts is front.core.counts and reload.limits is None
--- a/zincladder/config/reload.py
+++ b/zincladder/config/reload.py
@@ -31,7 +31,7 @@
     def __init__(self, config: Config) -> None:
         self._own = self._config = config
         self.processes = 1
-        self.parts: list[Callable[[Config], None]] = []
+        self.subscribers: list[Callable[[Config], None]] = []
         self.limits: Callable[[Limits], None] | None = None  # admission's, where it takes other ones
         self.counts: Counter[tuple[str, str]] = Counter()  # the core's
         self.overlay: Overlay | None = None
@@ -53,12 +53,12 @@
             self.take(config, operator)
         except ConfigError as fault:
             self.counts["reloads", "rejected"] += 1
-            log.error("bad configuration, the old one is kept", why=str(fault))
+            log.error("configuration rejected, the old one is kept", reason=str(fault))
             return
         if waiting:
             log.warning("keys that take effect at the next start only", keys=waiting)
         self.counts["reloads", "applied"] += 1
-        log.info("configuration read again", coordinator=config.coordinator, classes=config.names.classes)
+        log.info("configuration reloaded", coordinator=config.coordinator, classes=config.names.classes)
 
     def take(self, own: Config, operator: Operator) -> None:
         """Puts in force what the files say, under the policy if there is one; or ConfigError, and nothing."""
@@ -77,5 +77,5 @@
 
     def _apply(self) -> None:
         config = configuration.shared(self._config, self.processes)
-        for apply in self.parts:
+        for apply in self.subscribers:
             apply(config)
--- a/zincladder/control/readiness.py
+++ b/zincladder/control/readiness.py
@@ -8,7 +8,7 @@
 class Readiness:
     """Asks the parts of a front.
 
-    Parameters: `ready_endpoints` counts the endpoints that can serve, `has_synced` is whether the list could be
+    Parameters: `ready_endpoints` counts those that can serve, `has_synced` is whether the list could be
     relied on at some moment since the start, `stopping` whether the process is draining, and
     `policy_missing` what the fleet's policy lacks, or "".
     """
--- /dev/null
+++ b/zincladder/wiring/__init__.py
@@ -0,0 +1,1 @@
+"""Builds a front from its configuration: one builder for each part."""
--- /dev/null
+++ b/zincladder/wiring/coordinator.py
@@ -0,0 +1,80 @@
+"""The watch on the coordinator, and what its events change in a front."""
+
+from __future__ import annotations
+
+from zincladder.config import Address, Config
+from zincladder.core.engine import Core
+from zincladder.discovery.freshness import Freshness
+from zincladder.net.caches import Caches
+from zincladder.net.events import Listed, News
+from zincladder.net.feed import Feed
+from zincladder.routing import interface as api
+from zincladder.support.rate_limited_log import RateLimitedLog
+
+LOG_INTERVAL_SECONDS = 0.1  # between two lines on changes of the endpoint list
+MAX_LOGGED_ENDPOINTS = 16  # of each state, in one line
+
+
+def apply_update(core: Core, caches: Caches, event: News) -> None:
+    """Give one event of the coordinator to the parts that it concerns."""
+    if not isinstance(event, Listed):
+        core.purge(event.object, event.group, event.made)
+        return
+    if event.whole:
+        caches.keep_only({endpoint.id for endpoint, _ in event.endpoints})
+    for endpoint, address in event.endpoints:
+        if endpoint.state is api.EndpointState.GONE:
+            caches.forget(endpoint.id)
+        else:
+            caches.know(endpoint.id, address)
+    kind = api.UpdateKind.FULL if event.whole else api.UpdateKind.DELTA
+    core.listed(kind, event.version, tuple(endpoint for endpoint, _ in event.endpoints))
+
+
+def log_update(update: Listed, lines: RateLimitedLog) -> None:
+    """Log the endpoints that an update concerns, by their state and as far as one line names them."""
+    names_by_state = {
+        state.name.lower(): [
+            endpoint.id.decode("latin-1") for endpoint, _ in update.endpoints if endpoint.state is state
+        ][:MAX_LOGGED_ENDPOINTS]
+        for state in api.EndpointState
+    }
+    lines.info(
+        "endpoint list changed", version=update.version, endpoints=len(update.endpoints), **names_by_state
+    )
+
+
+def min_grace_seconds(settings: api.Settings) -> float:
+    """The least time from an event of the fleet to the moment from which it has to be observed."""
+    return min(settings.drain_grace, settings.purge_grace)
+
+
+def build_watch(coordinator: Address, config: Config, last_event: int, core: Core, caches: Caches) -> Feed:
+    """The watch, which follows the events after `last_event`.
+
+    From now on the core decides no request before its list is current.
+    """
+    lines = RateLimitedLog(LOG_INTERVAL_SECONDS)
+
+    def on_event(event: News) -> None:
+        if isinstance(event, Listed):
+            log_update(event, lines)
+        apply_update(core, caches, event)
+
+    core.freshness = Freshness(min_grace_seconds(config.settings))
+    watch = Feed(coordinator, last_event, on_event, config.seed, core.freshness, core.news_of_fleet)
+    core.look_at_news = watch.look
+    return watch
+
+
+def apply_settings(core: Core, config: Config) -> None:
+    """Take the settings and classes of a configuration that was reloaded."""
+    core.retune(config.settings, config.names.classes)
+    if core.freshness is not None:
+        core.freshness.grace = min_grace_seconds(config.settings)
+
+
+def follow_coordinator(watch: Feed, config: Config) -> None:
+    """Follow the coordinator of a configuration that was reloaded; without one the old one is followed."""
+    if config.coordinator:
+        watch.follow(config.coordinator)
--- /dev/null
+++ b/zincladder/wiring/dns.py
@@ -0,0 +1,16 @@
+"""The DNS front. Imported only where the operator's file turns it on."""
+
+from __future__ import annotations
+
+from zincladder.admission.interface import Admission
+from zincladder.config import DnsConfig
+from zincladder.core.engine import Core
+from zincladder.dns.answers import Answers
+from zincladder.dns.server import DnsServer
+from zincladder.net.caches import Caches
+
+
+def build_dns_server(config: DnsConfig, core: Core, caches: Caches, admission: Admission) -> DnsServer:
+    """A server that listens already; its `run` answers."""
+    answers = Answers(config, core, caches.where)
+    return DnsServer(config.listen, answers, core.clock, admission, core.wait_until_synced)
--- /dev/null
+++ b/zincladder/wiring/front.py
@@ -0,0 +1,241 @@
+"""One front: builds its parts in order, runs them, and ends them in order."""
+
+from __future__ import annotations
+
+import time
+from dataclasses import asdict, dataclass
+from functools import partial
+from typing import TYPE_CHECKING
+
+import anyio
+import structlog
+from anyio.abc import TaskGroup, TaskStatus
+
+from zincladder.admission.gate import Gate
+from zincladder.config import Address, Config, Operator
+from zincladder.config.reload import Reload
+from zincladder.core.classes import Classes
+from zincladder.core.engine import Clock, Core
+from zincladder.handover.host import Handover
+from zincladder.net.caches import Caches
+from zincladder.net.clients import Clients
+from zincladder.net.events import known_news
+from zincladder.net.feed import Feed
+from zincladder.wiring.admission import apply_bounds, build_admission
+from zincladder.wiring.coordinator import apply_settings, apply_update, build_watch, follow_coordinator
+
+if TYPE_CHECKING:
+    from zincladder.export.sender import RemoteWrite
+    from zincladder.ownership.worker import Worker
+    from zincladder.policy.front import FleetPolicy
+
+STARTED_AT = time.monotonic()  # before the event loop runs; only the interpreter and the imports come earlier
+FLUSH_TIMEOUT_SECONDS = 0.5  # after the last answer, for the last samples and releases to be sent
+log = structlog.get_logger()
+
+
+@dataclass(slots=True)
+class ListeningAddresses:
+    """Where a front listens; a port of 0 in the configuration is the system's choice."""
+
+    clients: Address
+    dns: Address | None = None
+    metrics: Address | None = None
+    operators: Address | None = None
+
+
+class Front:
+    """The parts of one front.
+
+    A part that the configuration does not turn on is None, and its modules are not imported: a front on the
+    platform starts sooner and holds less memory.
+    """
+
+    def __init__(
+        self, config: Config, operator: Operator, reload: Reload, rendezvous_folder: str | None
+    ) -> None:
+        """Build what every front has; from now on it listens for clients.
+
+        In `rendezvous_folder` a process meets the next one of the same front at an upgrade.
+        """
+        self.config, self.operator, self.reload = config, operator, reload
+        clock = Clock()
+        self.handover = self._build_handover(rendezvous_folder)
+        self.inherited_listener = self.handover.take_over() if self.handover else None
+        self.admission = build_admission(config, operator)
+        classes = Classes(config.names.classes, config.settings.classes)
+        self.caches = Caches(config, clock.now, self.admission.ledger, classes.names)
+        self.core = Core(config.settings, config.seed, self.caches, clock, classes)
+        self.last_event = self._apply_known_events()
+        # Listens only now: what clients send while the list is taken in would wait unread.
+        self.clients = Clients(config, self.core, self.admission, self.inherited_listener)
+        self.listening = ListeningAddresses(self.clients.address)
+        self.watch: Feed | None = None
+        self.policy: FleetPolicy | None = None
+        self.tasks: Worker | None = None
+        self.remote_writes: list[RemoteWrite] = []
+
+    def _build_handover(self, folder: str | None) -> Handover | None:
+        _, port = self.config.listen
+        return Handover(folder, self.config.listen, self.reload.share) if folder and port else None
+
+    def _apply_known_events(self) -> int:
+        """Apply the events that the configuration holds; the number of the last one."""
+        last_event, events = known_news(self.config)
+        for event in events:
+            apply_update(self.core, self.caches, event)
+        return last_event
+
+    async def run(self, stopping: anyio.Event, task_status: TaskStatus[ListeningAddresses]) -> None:
+        """Run all parts until `stopping` is set and the last request is answered."""
+        async with anyio.create_task_group() as group:
+            group.start_soon(self.clients.stop, stopping)
+            group.start_soon(self.caches.run)
+            group.start_soon(self.core.run)
+            self._start_watch(group)
+            self._subscribe_to_reloads()
+            self._start_handover(group)
+            self._start_policy(group)
+            self._start_tasks(group, stopping)
+            self._start_status_server(group)
+            self._start_dns_server(group)
+            self._start_command_server(group)
+            await self._start_metrics(group)
+            self._log_ready()
+            task_status.started(self.listening)
+            await self.clients.run()
+            await self._flush()
+            group.cancel_scope.cancel()
+        self._log_ended()
+
+    # Starting -------------------------------------------------------------------------------------
+
+    def _start_watch(self, group: TaskGroup) -> None:
+        if self.config.coordinator:
+            self.watch = build_watch(
+                self.config.coordinator, self.config, self.last_event, self.core, self.caches
+            )
+            group.start_soon(self.watch.run)
+
+    def _subscribe_to_reloads(self) -> None:
+        self.reload.subscribers += [
+            partial(apply_settings, self.core),
+            self.clients.use,
+            self.caches.use,
+            partial(apply_bounds, self.admission),
+        ]
+        self.reload.counts = self.core.counts
+        self.reload.limits = self.admission.use if isinstance(self.admission, Gate) else None
+        if self.watch:
+            self.reload.subscribers.append(partial(follow_coordinator, self.watch))
+
+    def _start_handover(self, group: TaskGroup) -> None:
+        if self.handover:
+            generations = self.handover.generations
+            self.clients.succeeded = lambda: generations.has_successor
+            group.start_soon(self.handover.run, self.clients.listener)
+
+    def _start_policy(self, group: TaskGroup) -> None:
+        if self.operator.policy:
+            from zincladder.policy.wiring import follow_policy
+
+            self.policy = follow_policy(self.operator.policy, self.config, self.reload, self.core)
+            group.start_soon(self.policy.run)
+
+    def _start_tasks(self, group: TaskGroup, stopping: anyio.Event) -> None:
+        if self.operator.duties:
+            from zincladder.ownership.wiring import work_for_fleet
+
+            self.tasks = work_for_fleet(self.operator.duties, self.config.name, self.core)
+            group.start_soon(self.tasks.run, stopping)
+
+    def _start_status_server(self, group: TaskGroup) -> None:
+        if self.config.control:
+            from zincladder.wiring.status import build_status_server
+
+            server = build_status_server(
+                self.config.control, self.core, self.clients, self.admission, self.policy, self.tasks
+            )
+            self.listening.operators = server.address
+            group.start_soon(server.run)
+
+    def _start_dns_server(self, group: TaskGroup) -> None:
+        if self.operator.dns:
+            from zincladder.wiring.dns import build_dns_server
+
+            server = build_dns_server(self.operator.dns, self.core, self.caches, self.admission)
+            self.listening.dns = server.address
+            group.start_soon(server.run)
+
+    def _start_command_server(self, group: TaskGroup) -> None:
+        if self.operator.control:
+            from zincladder.wiring.commands import build_command_server
+
+            is_upgrade = self.inherited_listener is not None
+            server = build_command_server(self.operator.control, self.admission, replaces=is_upgrade)
+            group.start_soon(server.run)
+
+    async def _start_metrics(self, group: TaskGroup) -> None:
+        if not (self.operator.metrics or self.operator.remote_write):
+            return
+        from zincladder.wiring.metrics import build_exporter, build_registry, build_remote_writes
+
+        registry = build_registry(
+            self.config.name, self.core, self.admission, self.reload, self.watch, self.policy, self.tasks
+        )
+        if self.operator.metrics:
+            exporter = build_exporter(self.operator.metrics, registry, self.admission)
+            self.listening.metrics = await group.start(exporter.run)
+        if self.operator.remote_write:
+            self.remote_writes = build_remote_writes(self.operator.remote_write, registry, self.core)
+            for remote_write in self.remote_writes:
+                group.start_soon(remote_write.run)
+
+    # Ending ---------------------------------------------------------------------------------------
+
+    async def _flush(self) -> None:
+        """Send the last samples and give leases back, each within FLUSH_TIMEOUT_SECONDS."""
+        async with anyio.create_task_group() as group:
+            for remote_write in self.remote_writes:
+                group.start_soon(remote_write.finish, FLUSH_TIMEOUT_SECONDS)
+            if self.policy:
+                group.start_soon(self.policy.end, FLUSH_TIMEOUT_SECONDS)
+            if self.tasks:
+                group.start_soon(self.tasks.end, FLUSH_TIMEOUT_SECONDS)
+
+    # Logging --------------------------------------------------------------------------------------
+
+    def _log_ready(self) -> None:
+        log.info(
+            "ready",
+            name=self.config.name,
+            startup_s=round(time.monotonic() - STARTED_AT, 3),
+            last_known_event=self.last_event,
+            endpoints=len(self.core.endpoints),
+            memory_mb=self.config.memory_mb,
+            sockets=self.config.sockets,
+            max_open_requests=self.config.most_open,
+            **asdict(self.listening),
+        )
+
+    def _log_ended(self) -> None:
+        counts = self.core.counts.items()
+        log.info("ended", answers={kind: count for (group, kind), count in counts if group == "answers"})
+
+
+async def run_front(
+    config: Config,
+    operator: Operator,
+    stopping: anyio.Event,
+    *,
+    reload: Reload | None = None,
+    rendezvous_folder: str | None = None,
+    task_status: TaskStatus[ListeningAddresses] = anyio.TASK_STATUS_IGNORED,
+) -> None:
+    """Run a front until `stopping` is set and what was taken is answered.
+
+    Reports the addresses through `task_status` once it is ready. Raises ConfigError, in a group, where a part
+    cannot use what its configuration names.
+    """
+    front = Front(config, operator, reload or Reload(config), rendezvous_folder)
+    await front.run(stopping, task_status)
--- /dev/null
+++ b/zincladder/wiring/metrics.py
@@ -0,0 +1,64 @@
+"""Metrics and their export. Imported only where the operator's file turns one of them on."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING
+
+from zincladder.admission.interface import Admission
+from zincladder.config import Address, RemoteWriteConfig
+from zincladder.config.reload import Reload
+from zincladder.core.engine import Core
+from zincladder.metrics.registry import Registry
+from zincladder.net.feed import Feed
+
+if TYPE_CHECKING:
+    from zincladder.export.sender import RemoteWrite
+    from zincladder.metrics.exporter import MetricsExporter
+    from zincladder.ownership.worker import Worker
+    from zincladder.policy.front import FleetPolicy
+
+
+def build_registry(
+    name: str,
+    core: Core,
+    admission: Admission,
+    reload: Reload,
+    watch: Feed | None,
+    policy: FleetPolicy | None,
+    tasks: Worker | None,
+) -> Registry:
+    """The samples of the front `name`, read off its parts."""
+    return Registry(
+        core,
+        name,
+        lambda: watch is not None and watch.connected,
+        admission,
+        lambda: reload.processes,
+        policy.figures if policy else dict,
+        tasks.figures if tasks else dict,
+    )
+
+
+def build_exporter(listen: Address, registry: Registry, admission: Admission) -> MetricsExporter:
+    """The HTTP endpoint of the metrics; its `run` listens and answers."""
+    from zincladder.metrics.exporter import MetricsExporter
+
+    return MetricsExporter(listen, registry, admission)
+
+
+def build_remote_writes(
+    receivers: Iterable[RemoteWriteConfig], registry: Registry, core: Core
+) -> list[RemoteWrite]:
+    """A sender of samples for each receiver. Raises ConfigError where a spool cannot be used."""
+    from zincladder.export.sender import RemoteWrite
+
+    count = _counter(core)
+    return [RemoteWrite(receiver, registry.samples, count) for receiver in receivers]
+
+
+def _counter(core: Core) -> Callable[[str, int], None]:
+    def count(outcome: str, batches: int) -> None:
+        core.counts["remote_write", outcome] += batches
+
+    return count
--- /dev/null
+++ b/zincladder/wiring/status.py
@@ -0,0 +1,44 @@
+"""The address at which operators ask READY and STATS. Imported only where the configuration names one."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from zincladder.admission.interface import Admission
+from zincladder.config import Address
+from zincladder.control.readiness import Readiness
+from zincladder.control.statistics import Section, front_statistics
+from zincladder.control.status_calls import StatusCalls
+from zincladder.control.status_server import StatusServer
+from zincladder.core.engine import Core
+from zincladder.net.client_listener import listener
+from zincladder.net.clients import Clients
+from zincladder.support.rate_limited_log import RateLimitedLog
+
+if TYPE_CHECKING:
+    from zincladder.ownership.worker import Worker
+    from zincladder.policy.front import FleetPolicy
+
+# Sections of STATS; each goes before the names of its values.
+POLICY_SECTION, TASKS_SECTION = "policy", "duty"
+
+
+def build_status_server(
+    listen: Address,
+    core: Core,
+    clients: Clients,
+    admission: Admission,
+    policy: FleetPolicy | None,
+    tasks: Worker | None,
+) -> StatusServer:
+    """A server that listens already; its `run` answers."""
+    readiness = Readiness(
+        core.ready, core.has_synced, lambda: clients.stopping, policy.lacks if policy else str
+    )
+    sections: dict[str, Section] = {}
+    if policy:
+        sections[POLICY_SECTION] = policy.figures
+    if tasks:
+        sections[TASKS_SECTION] = tasks.figures
+    calls = StatusCalls(readiness.missing, lambda: front_statistics(core, sections))
+    return StatusServer(listener(listen), calls, admission.ledger, RateLimitedLog().warning)
