--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -19,9 +19,9 @@
 from tests.stands import SETTINGS, ZONES, Client, Fetch, StubCache, client, configuration, serve, world
 from zincladder.config import Config, Operator, config_of
 from zincladder.core.attempt import AttemptRequest, ClientRequest
-from zincladder.decide import Router
 from zincladder.net import protocol
 from zincladder.routing import interface as api
+from zincladder.routing.router import Router
 from zincladder.wiring.front import ListeningAddresses, run_front
 
 pytestmark = pytest.mark.anyio
--- a/zincladder/routing/__init__.py
+++ b/zincladder/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of the router: rules without I/O, each in a module of its own."""
+"""The decisions of one router, without I/O: a module for each rule, and the types of events and actions."""
