--- a/benchmarks/difference.py
+++ b/benchmarks/difference.py
@@ -26,7 +26,7 @@
 import anyio
 
 from tests.stands import SETTINGS, Client, Fetch, StubCache, World, client, world
-from zincladder.config import config_of
+from zincladder.config import parse_config
 from zincladder.core import engine
 from zincladder.core.arrival import ArrivalBound
 from zincladder.routing import interface as api
@@ -132,7 +132,7 @@
         endpoints += [StubCache("s-000000b0", 2, self.hold)]
         with recorded(self.recorder):
             async with world(endpoints=endpoints, settings=self.settings) as w, client(w) as c:
-                config = config_of({"listen": "127.0.0.1:0", "settings": self.settings})
+                config = parse_config({"listen": "127.0.0.1:0", "settings": self.settings})
                 self.parts = config.settings
                 assert self.recorder.router is not None
                 self.alone = Router(self.parts, 0)
--- a/tests/stands.py
+++ b/tests/stands.py
@@ -16,7 +16,7 @@
 import dns.message
 import dns.rdatatype
 
-from zincladder.config import config_of
+from zincladder.config import parse_config
 from zincladder.config.operator import operator_of
 from zincladder.net import thrift
 from zincladder.wiring.front import ListeningAddresses, run_front
@@ -259,7 +259,7 @@
         for cache in caches:
             await tasks.start(cache.run)
         await tasks.start(coordinator.run)
-        config = config_of(configuration([c.endpoint() for c in caches], coordinator.port, **more))
+        config = parse_config(configuration([c.endpoint() for c in caches], coordinator.port, **more))
         known = [h for h in DNS_HOSTS if h["class"] in config.names.classes]  # another site names others
         table = ({"dns": DNS | {"host": known + (hosts or [])}} if known else {}) | (operator or {})
         stopping = anyio.Event()
--- a/tests/test_configuration_reading.py
+++ b/tests/test_configuration_reading.py
@@ -17,12 +17,12 @@
 from zincladder.config import (
     ConfigError,
     Names,
-    config_of,
+    divide_limits,
     load,
     load_operator,
-    renewed,
-    settings_from,
-    shared,
+    merge_reloaded,
+    parse_config,
+    parse_settings,
 )
 from zincladder.config.check import faults_of_config
 from zincladder.config.keeper import keeper_of
@@ -142,13 +142,16 @@
 
 
 def test_what_becomes_of_each_key() -> None:
-    full, bare = config_of(FULL), config_of({"listen": "127.0.0.1:0", "settings": {"categories": CATEGORIES}})
+    full, bare = (
+        parse_config(FULL),
+        parse_config({"listen": "127.0.0.1:0", "settings": {"categories": CATEGORIES}}),
+    )
     cut = [replace(full, raw={}, known={}), replace(bare, raw={}, known={})]
     found = {
         "all keys": positional(cut[0]),
         "none": positional(cut[1]),
-        "one of three processes": positional(replace(shared(full, 3), raw={}, known={})),
-        "simulator": positional(settings_from(json.dumps(FULL["settings"]).encode())),
+        "one of three processes": positional(replace(divide_limits(full, 3), raw={}, known={})),
+        "simulator": positional(parse_settings(json.dumps(FULL["settings"]).encode())),
         "operator's": positional(operator_of(OPERATOR, NAMES)),
         "operator's, none": positional(operator_of({}, NAMES)),
         "replica's": [
@@ -174,9 +177,9 @@
 
 
 def test_texts_on_faults_of_a_configuration() -> None:
-    found = faults(config_of, FULL)
+    found = faults(parse_config, FULL)
     documents: list[Any] = [[], None, {}, {"settings": []}]
-    found["all"] = [said(config_of, data) for data in documents]
+    found["all"] = [said(parse_config, data) for data in documents]
     assert_matches("configuration/faults.json", found)
 
 
@@ -215,7 +218,7 @@
 
 
 def test_what_a_reload_takes_and_what_waits() -> None:
-    old = config_of(FULL)
+    old = parse_config(FULL)
     found: dict[str, Any] = {}
     for path in paths(FULL):
         value: Any = FULL
@@ -228,12 +231,12 @@
             other = value + 1
         for change in (GONE, other):
             try:
-                new = config_of(with_value(FULL, path, change))
+                new = parse_config(with_value(FULL, path, change))
             except ConfigError:
                 continue
             key = ".".join(map(str, path)) + (" gone" if change is GONE else "")
             try:
-                config, waits = renewed(old, new)
+                config, waits = merge_reloaded(old, new)
                 found[key] = [
                     waits,
                     config.settings == old.settings,
@@ -242,7 +245,7 @@
             except ConfigError as fault:
                 found[key] = [str(fault)]
     found["listen, name and zone"] = [
-        renewed(old, config_of(FULL | {"listen": "127.0.0.1:1", "name": "n2"}))[1]
+        merge_reloaded(old, parse_config(FULL | {"listen": "127.0.0.1:1", "name": "n2"}))[1]
     ]
     assert_matches("configuration/reload.json", found)
 
@@ -254,7 +257,7 @@
     named = {"RELAY_CONFIG": str(path)}
     config = load(named | {"RELAY_LISTEN": "127.0.0.9:9", "RELAY_NAME": "n9", "RELAY_CONTROL": "127.0.0.9:8"})
     assert (config.name, config.listen, config.control) == ("n9", ("127.0.0.9", 9), ("127.0.0.9", 8))
-    assert load(named) == config_of(FULL)
+    assert load(named) == parse_config(FULL)
     assert load_operator(NAMES, {}) == operator_of({}, NAMES)
     assert load_operator(NAMES, {"ZINCLADDER_OPERATOR": str(table)}).control == "/tmp/x"
     found = []
@@ -284,7 +287,7 @@
 
 
 def test_shipped_files_are_read_to_the_same_values() -> None:
-    example = config_of(json.loads((ROOT / "example/config.json").read_text()))
+    example = parse_config(json.loads((ROOT / "example/config.json").read_text()))
     shipped = {
         name: positional(operator_of(tomllib.loads((ROOT / "deploy" / name).read_text()), NAMES))
         for name in ("operator.toml", "admission.toml")
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -17,7 +17,7 @@
 
 from benchmarks.difference import difference
 from tests.stands import SETTINGS, ZONES, Client, Fetch, StubCache, client, configuration, serve, world
-from zincladder.config import Config, Operator, config_of
+from zincladder.config import Config, Operator, parse_config
 from zincladder.core.attempt import AttemptRequest, ClientRequest
 from zincladder.net import protocol
 from zincladder.routing import interface as api
@@ -496,7 +496,7 @@
 
     async with world(serve, origin=core.serve, settings=second.settings) as w, client(w) as c:
         data = configuration([m.endpoint() for m in w.caches], settings=second.settings)
-        listening = await w.tasks.start(other, config_of(data | {"name": "n1"}))
+        listening = await w.tasks.start(other, parse_config(data | {"name": "n1"}))
         async with await anyio.connect_tcp(*listening.clients) as stream:
             await Client(stream).ask(b"order", route="topup", nonce=KEY_32, trace="b" * 16)
             while not core.came:
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -15,7 +15,7 @@
 from tests.conftest import FLEET, settings
 from tests.stands import Fetch, Resolver, StubCache, World, places, serve, world
 from tests.test_core import Carrier
-from zincladder.config import DnsConfig, Host
+from zincladder.config import DnsConfig, DnsHost
 from zincladder.core.engine import Core
 from zincladder.dns.answers import Answers
 from zincladder.routing import interface as api
@@ -162,7 +162,9 @@
     carrier = Carrier()
     core = Core(settings(), 1, carrier)
     core.listed(api.UpdateKind.FULL, 1, FLEET)
-    table = DnsConfig(("127.0.0.1", 0), "main.example.org", 0.25, (Host("papers.main.example.org", 0, 7, 3),))
+    table = DnsConfig(
+        ("127.0.0.1", 0), "main.example.org", 0.25, (DnsHost("papers.main.example.org", 0, 7, 3),)
+    )
     answers = Answers(table, core, lambda endpoint: ("127.0.0.1", 80))
     query = dns.message.make_query(PAPERS, "SRV").to_wire()
     data = answers.respond(query, core.clock.now() - age)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -22,7 +22,7 @@
 from zincladder.admission.ledger import PLAIN, Ledger
 from zincladder.admission.model import Verdict
 from zincladder.admission.plain import Plain
-from zincladder.config import config_of
+from zincladder.config import parse_config
 from zincladder.core.engine import Clock, Core
 from zincladder.net import caches as cache_side
 from zincladder.net import clients as client_side
@@ -533,7 +533,7 @@
         asked = [await c.ask(route="page"), await c.ask(b"order", route="booking")]
         while sum(runs.values()) < 2:
             await anyio.sleep(0.001)
-        config = config_of(configuration([], settings=_effects(*after)))
+        config = parse_config(configuration([], settings=_effects(*after)))
         cores[0].retune(config.settings, config.names.classes)
         asked += [await c.ask(route="page"), await c.ask(b"order", route="booking")]
         while sum(runs.values()) < 4:
--- a/tests/test_member_links.py
+++ b/tests/test_member_links.py
@@ -19,7 +19,7 @@
 from tests.test_endings import cores_of
 from tests.test_front import hold
 from zincladder.admission.ledger import SHARED, Ledger, Use
-from zincladder.config import REPORTS, Config, config_of
+from zincladder.config import LOAD_REPORT_NAMES, Config, parse_config
 from zincladder.core.attempt import AbortReason, AttemptRequest, ClientRequest, NoAttemptGuard
 from zincladder.core.ends import AttemptEnd, EndReason
 from zincladder.net import caches as cache_side
@@ -122,7 +122,7 @@
 async def wire(config: Config | None = None, now: Callable[[], float] = time.time) -> AsyncIterator[Wire]:
     with pair() as (ours, theirs):
         async with anyio.create_task_group() as tasks:
-            found = Wire(config or config_of(configuration([])), ours, theirs, tasks, now)
+            found = Wire(config or parse_config(configuration([])), ours, theirs, tasks, now)
             tasks.start_soon(found.link.run)
             yield found
             tasks.cancel_scope.cancel()
@@ -211,7 +211,7 @@
     room: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with pair() as (ours, theirs):
-        caches = Caches(config_of(configuration([])), time.time, Ledger(100, SHARED), ["page"])
+        caches = Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"])
         async with anyio.create_task_group() as tasks:
             link = _Link(ours)
             caches._links[b"s-00000001"] = [link]
@@ -241,7 +241,7 @@
 
 async def test_a_connection_that_lingers_makes_room_for_one_that_is_needed() -> None:
     with pair() as (ours, theirs):
-        caches = Caches(config_of(configuration([])), time.time, Ledger(100, SHARED), ["page"])
+        caches = Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"])
         async with anyio.create_task_group() as tasks:
             link = _Link(ours)
             caches._links[b"s-00000001"] = [link]
@@ -276,7 +276,7 @@
         def hold(self, order: AttemptRequest) -> AbortReason | None:
             return hold
 
-    caches = Caches(config_of(configuration([])), time.time, Ledger(100, SHARED), ["page"])
+    caches = Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"])
     end = await caches.send(order(guard=Held()))
     assert (end.how, end.fill_outcome, end.why) == (how, fill_outcome, hold.value)
     assert end.outcome in (*NEVER_RAN, api.AttemptOutcome.CANCELLED)
@@ -423,7 +423,7 @@
     hang_after(monkeypatch, 0)
     with pair() as (ours, _):
         caches, endpoint = (
-            Caches(config_of(configuration([])), time.time, Ledger(100, SHARED), ["page"]),
+            Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"]),
             b"s-1",
         )
         caches.know(endpoint, ("127.0.0.1", 1))
@@ -451,15 +451,15 @@
     # the decisions take each figure by its place: in the order of older settings, cores would be shares
     settings = copy.deepcopy(SETTINGS)
     settings["report"]["names"] = ["busy", "rif"]
-    before = config_of(configuration([], settings=settings))
+    before = parse_config(configuration([], settings=settings))
     settings = copy.deepcopy(settings)
     settings["report"]["names"] = names
     async with wire(before) as w:
         await w.send(b"stats p1\r\n", order("a" * 16))
-        w.caches.use(config_of(configuration([], settings=settings)))
+        w.caches.use(parse_config(configuration([], settings=settings)))
         await w.answer(b"a" * 16 + b" 200 tell=local,meter=util:0.5;inflight:7 3\r\nown\r\n")
         figures = {"busy": 0.5, "held": 7.0}
-        assert w.caches._report_names() == tuple(REPORTS.get(n, n) for n in names)
+        assert w.caches._report_names() == tuple(LOAD_REPORT_NAMES.get(n, n) for n in names)
         assert w.ends[0].report == tuple(figures[n] for n in w.caches._report_names())
 
 
--- a/tests/test_operating_day.py
+++ b/tests/test_operating_day.py
@@ -39,7 +39,7 @@
 from tests.test_endings import rest
 from zincladder import config as configs
 from zincladder.admission.seats import SETTLED
-from zincladder.config import ConfigError, config_of, renewed, shared
+from zincladder.config import ConfigError, divide_limits, merge_reloaded, parse_config
 from zincladder.control.readiness import Readiness
 from zincladder.control.status_calls import MAX_LINE_BYTES, LineReader, StatusCalls
 from zincladder.core.classes import LEAVING, Classes
@@ -229,11 +229,11 @@
 
 
 def test_processes_of_one_front_share_its_limits() -> None:
-    whole = config_of(configuration([], limits={"memory_mb": 80, "sockets": 384}))
-    half = shared(whole, 2)
-    assert shared(whole, 1) is whole and half.sockets == 192 and half.settings.routers == 2
+    whole = parse_config(configuration([], limits={"memory_mb": 80, "sockets": 384}))
+    half = divide_limits(whole, 2)
+    assert divide_limits(whole, 1) is whole and half.sockets == 192 and half.settings.routers == 2
     assert half.settings.routers_by_zone == (0, 2) and 2 * half.most_open < whole.most_open
-    assert shared(config_of(configuration([], limits={"memory_mb": 32})), 2).most_open > 20
+    assert divide_limits(parse_config(configuration([], limits={"memory_mb": 32})), 2).most_open > 20
 
 
 def changed(change: Callable[[dict[str, Any]], object]) -> dict[str, Any]:
@@ -270,16 +270,16 @@
 def test_a_file_that_is_not_whole_is_turned_down_with_its_key(
     change: Callable[[dict[str, Any]], object], key: str
 ) -> None:
-    old = config_of(changed(lambda d: None))
+    old = parse_config(changed(lambda d: None))
     with pytest.raises(ConfigError) as fault:
-        renewed(old, config_of(changed(change)))
+        merge_reloaded(old, parse_config(changed(change)))
     assert key in str(fault.value)
 
 
 def test_what_a_running_front_cannot_change_waits_for_the_next_start() -> None:
-    old = config_of(changed(lambda d: None))
-    new, waiting = renewed(
-        old, config_of(changed(lambda d: d.update(listen="127.0.0.1:9") or d["settings"].update(az=0)))
+    old = parse_config(changed(lambda d: None))
+    new, waiting = merge_reloaded(
+        old, parse_config(changed(lambda d: d.update(listen="127.0.0.1:9") or d["settings"].update(az=0)))
     )
     assert waiting == ["listen", "settings: zone"]
     assert new.listen == old.listen and new.settings.zone == 1
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -19,7 +19,7 @@
 from tests.stands import SETTINGS, configuration
 from zincladder.agreement.registers import MOST_VALUE, Value
 from zincladder.agreement.terms import Terms
-from zincladder.config import ConfigError, config_of
+from zincladder.config import ConfigError, parse_config
 from zincladder.policy import book
 from zincladder.policy.conductor import Conductor, _in, proposed
 from zincladder.policy.document import Files, difference, faults, laid_over, parsed, taken
@@ -433,7 +433,7 @@
 
 # Documents ----------------------------------------------------------------------------------------
 
-OWN = config_of(configuration([]))
+OWN = parse_config(configuration([]))
 FILES = Files(OWN.raw, {"admission": {"rate": 5.0}})
 
 
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -30,7 +30,7 @@
 from zincladder.agreement.store import Store
 from zincladder.agreement.terms import Terms
 from zincladder.cli import main
-from zincladder.config import Config, DutiesConfig, PolicyConfig, config_of
+from zincladder.config import Config, DutiesConfig, PolicyConfig, parse_config
 from zincladder.config.keeper import KeeperTable, LeaseTable, keeper_of
 from zincladder.config.operator import TABLES, RemoteWriteTable
 from zincladder.control.readiness import Readiness
@@ -320,5 +320,5 @@
     from tests.test_configuration_reading import FULL
 
     seen: dict[str, None] = {}
-    assert isinstance(config_of(Recorder(FULL, seen)), Config)
+    assert isinstance(parse_config(Recorder(FULL, seen)), Config)
     assert_matches("published/configuration.json", sorted(seen))
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -21,7 +21,7 @@
 
 from tests.conftest import FLEET, settings
 from tests.support.golden import DATA, assert_matches, positional
-from zincladder.config import DnsConfig, Host
+from zincladder.config import DnsConfig, DnsHost
 from zincladder.core.attempt import AttemptRequest, ClientRequest
 from zincladder.core.engine import Core
 from zincladder.dns.answers import Answers
@@ -207,7 +207,9 @@
 def test_answers_over_dns() -> None:
     core = Core(settings(), 1, None)  # type: ignore[arg-type]
     core.listed(api.UpdateKind.FULL, 1, FLEET)
-    table = DnsConfig(("127.0.0.1", 0), "main.example.org", 0.25, (Host("papers.main.example.org", 0, 7, 3),))
+    table = DnsConfig(
+        ("127.0.0.1", 0), "main.example.org", 0.25, (DnsHost("papers.main.example.org", 0, 7, 3),)
+    )
     answers = Answers(table, core, lambda member: ("192.0.2.7", 4000))
     queries = [dns.message.make_query(name, kind, id=4711).to_wire() for name, kind in QUESTIONS]
     queries.append(dns.message.make_query(*QUESTIONS[0], id=4712, use_edns=0, payload=1232).to_wire())
--- a/tests/wiring/test_front.py
+++ b/tests/wiring/test_front.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.stands import client, configuration, serve, world
-from zincladder.config import config_of
+from zincladder.config import parse_config
 from zincladder.config.operator import operator_of
 from zincladder.config.reload import Reload
 from zincladder.wiring.front import Front
@@ -65,7 +65,7 @@
 
 
 async def test_subscribers_to_reloads_are_told_in_the_order_of_start() -> None:
-    config = config_of(configuration([], 4222))
+    config = parse_config(configuration([], 4222))
     reload = Reload(config)
     front = Front(config, operator_of({}, config.names), reload, None)
     front.clients.listener.close()
--- a/zincladder/agreement/client.py
+++ b/zincladder/agreement/client.py
@@ -9,7 +9,7 @@
 
 from zincladder.agreement import calls
 from zincladder.agreement.registers import Result, Swap, Value
-from zincladder.config import address
+from zincladder.config import parse_address
 from zincladder.links.frames import VERSION, Hello, Stranger
 from zincladder.links.host import FAILED, Link, connect
 
@@ -35,7 +35,7 @@
 
     async def ask_at(self, where: str, what: calls.What, patience: float = 8.0) -> calls.Said:
         """One question to the keeper at an address, whatever its role. One of FAILED if it can't be asked."""
-        link, _ = await connect(address(where), self._hello)
+        link, _ = await connect(parse_address(where), self._hello)
         try:
             with anyio.fail_after(patience):
                 return await self._call(link, what)
@@ -60,7 +60,7 @@
                 while places:
                     name, where = places.popitem()
                     try:
-                        link, _ = await connect(address(where), self._hello)
+                        link, _ = await connect(parse_address(where), self._hello)
                     except Stranger as fault:
                         heard[name] = str(fault)
                         continue
--- a/zincladder/agreement/host.py
+++ b/zincladder/agreement/host.py
@@ -18,7 +18,7 @@
 from zincladder.agreement.model import Entry, Kind, Members, Message, Output
 from zincladder.agreement.registers import Registers, Result, Swap
 from zincladder.agreement.store import Store
-from zincladder.config import address
+from zincladder.config import parse_address
 from zincladder.config.keeper import KeeperConfig
 from zincladder.links.frames import VERSION, Hello, Spoilt, Stranger, Welcome, check
 from zincladder.links.host import FAILED, Link, Outbox, Patience, connect, greeted
@@ -201,7 +201,7 @@
         with scope:
             while True:
                 try:
-                    link, welcome = await connect(address(where), self._hello)
+                    link, welcome = await connect(parse_address(where), self._hello)
                     try:
                         await self._check_birth(name, welcome)
                         patience.met()
@@ -376,7 +376,7 @@
         members = self.member.members
         for name, where in what.add.items():
             try:
-                address(where)
+                parse_address(where)
             except ValueError:
                 raise Busy(f"{where[:40]!r} is no address like 127.0.0.1:7300") from None
             if name in members.all:
--- a/zincladder/cli/status.py
+++ b/zincladder/cli/status.py
@@ -10,7 +10,7 @@
 import click
 
 from zincladder.cli.admission import Duration
-from zincladder.config import address as parse_address
+from zincladder.config import parse_address
 
 TIMEOUT_SECONDS = 2.0  # an answer is owed within one
 POLL_SECONDS = 0.1  # between two calls of `--wait`
--- a/zincladder/config/check.py
+++ b/zincladder/config/check.py
@@ -6,7 +6,7 @@
 import re
 from typing import Any
 
-from zincladder.config import ConfigError, Names, config_of
+from zincladder.config import ConfigError, Names, parse_config
 
 MOST_FAULTS = 50
 SAID = re.compile(r"'([^']+)' (?:is missing: it )?must be (.*?)(?:, not .*)?$", re.DOTALL)
@@ -22,7 +22,7 @@
     found: list[str] = []
     for _ in range(MOST_FAULTS):
         try:
-            return found, config_of(data).names
+            return found, parse_config(data).names
         except ConfigError as fault:
             found.append(str(fault))
             said = SAID.match(str(fault))
--- /dev/null
+++ b/zincladder/config/environment.py
@@ -0,0 +1,56 @@
+"""Loads the files that the environment names."""
+
+from __future__ import annotations
+
+import os
+import tomllib
+from collections.abc import Mapping
+from pathlib import Path
+from typing import Any
+
+from zincladder.config.errors import ConfigError
+from zincladder.config.model import Config, Names, Operator
+from zincladder.config.node import parse_json
+from zincladder.config.platform import parse_config
+
+CONFIG_VARIABLE = "RELAY_CONFIG"
+OPERATOR_VARIABLE = "ZINCLADDER_OPERATOR"
+# Variables that go before a key of the file.
+OVERRIDES = {"RELAY_LISTEN": "listen", "RELAY_NAME": "name", "RELAY_CONTROL": "control"}
+
+
+def load(environ: Mapping[str, str] = os.environ) -> Config:
+    """Read the file named by RELAY_CONFIG, under the variables of OVERRIDES. Raises ConfigError."""
+    path = environ.get(CONFIG_VARIABLE)
+    if not path:
+        raise ConfigError("'RELAY_CONFIG' is not set: it must name the configuration file")
+    try:
+        content = Path(path).read_bytes()
+    except OSError as error:
+        raise ConfigError(f"'RELAY_CONFIG' cannot be read: {error}") from None
+    data = parse_json(content, "RELAY_CONFIG's file")
+    if isinstance(data, dict):
+        data |= {key: environ[variable] for variable, key in OVERRIDES.items() if variable in environ}
+    return parse_config(data)
+
+
+def load_operator(names: Names, environ: Mapping[str, str] = os.environ) -> Operator:
+    """Read the file named by ZINCLADDER_OPERATOR; without it all that it sets up is off.
+
+    Raises ConfigError.
+    """
+    path = environ.get(OPERATOR_VARIABLE)
+    if not path:
+        return Operator()
+    # Imported here: a front without such a file starts sooner after a restart, and holds a megabyte less.
+    from zincladder.config.operator import operator_of
+
+    return operator_of(read_operator(path), names)
+
+
+def read_operator(path: str | Path) -> dict[str, Any]:
+    """The operator's file as parsed TOML; ConfigError where it cannot be read."""
+    try:
+        return tomllib.loads(Path(path).read_text())
+    except (OSError, ValueError) as error:
+        raise ConfigError(f"'ZINCLADDER_OPERATOR' cannot be read: {error}") from None
--- a/zincladder/config/keeper.py
+++ b/zincladder/config/keeper.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta
 
-from zincladder.config import Address, ConfigError, address
+from zincladder.config import Address, ConfigError, parse_address
 from zincladder.config.operator import fault_at
 
 T = TypeVar("T")
@@ -67,7 +67,7 @@
 
 def _place(text: str, key: str) -> Address:
     try:
-        return address(text)
+        return parse_address(text)
     except ValueError:
         raise ConfigError(f"'{key}' must be an address like 127.0.0.1:7300, not {text[:40]!r}") from None
 
--- a/zincladder/config/operator.py
+++ b/zincladder/config/operator.py
@@ -18,13 +18,13 @@
     Address,
     ConfigError,
     DnsConfig,
+    DnsHost,
     DutiesConfig,
-    Host,
     Names,
     Operator,
     PolicyConfig,
     RemoteWriteConfig,
-    address,
+    parse_address,
 )
 
 T = TypeVar("T")
@@ -174,7 +174,7 @@
 
 def _address(text: str, key: str) -> Address:
     try:
-        return address(text)
+        return parse_address(text)
     except ValueError:
         raise ConfigError(f"'{key}' must be an address like 127.0.0.1:9090, not {text[:40]!r}") from None
 
@@ -198,7 +198,7 @@
             number = int(host.object, 16)
         except ValueError:
             raise ConfigError(f"'{key}.object' must be hex digits, not {host.object[:40]!r}") from None
-        hosts.append(Host(name, classes[host.request_class], number, host.group))
+        hosts.append(DnsHost(name, classes[host.request_class], number, host.group))
     return DnsConfig(listen, zone, dns.deadline_ms / 1000, tuple(hosts))
 
 
--- a/zincladder/config/reload.py
+++ b/zincladder/config/reload.py
@@ -46,7 +46,7 @@
         try:
             if self.overlay:
                 self.overlay.read_again()
-            config, waiting = configuration.renewed(self._own, configuration.load())
+            config, waiting = configuration.merge_reloaded(self._own, configuration.load())
             operator = configuration.load_operator(config.names)
             if bool(self.limits) != bool(operator.admission):
                 waiting.append("admission")
@@ -76,6 +76,6 @@
         self._apply()
 
     def _apply(self) -> None:
-        config = configuration.shared(self._config, self.processes)
+        config = configuration.divide_limits(self._config, self.processes)
         for apply in self.subscribers:
             apply(config)
--- a/zincladder/links/leader.py
+++ b/zincladder/links/leader.py
@@ -9,7 +9,7 @@
 import anyio
 import structlog
 
-from zincladder.config import address
+from zincladder.config import parse_address
 from zincladder.links.frames import Hello, Stranger
 from zincladder.links.host import FAILED, Link, Outbox, Patience, connect
 
@@ -57,7 +57,7 @@
             names.append(names.pop(0))  # the next one, if this one does not lead
             leader = ""
             try:
-                link, _ = await connect(address(self._places[name]), self._hello)
+                link, _ = await connect(parse_address(self._places[name]), self._hello)
                 try:
                     leader = await self._linked(link, patience)
                 finally:
--- a/zincladder/net/caches.py
+++ b/zincladder/net/caches.py
@@ -17,7 +17,7 @@
 from anyio.abc import TaskGroup
 
 from zincladder.admission.ledger import Ledger, Use
-from zincladder.config import BODY, Address, Config
+from zincladder.config import MAX_BODY_BYTES, Address, Config
 from zincladder.core.attempt import AbortReason, AttemptRequest
 from zincladder.core.ends import AttemptEnd, EndReason
 from zincladder.net import protocol
@@ -27,7 +27,7 @@
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 MOST_HEAD = 2048
-MOST_BODY = BODY
+MOST_BODY = MAX_BODY_BYTES
 IDLE_SHARE = 0.7  # of the caches' own idle time: this side closes first, so that no request crosses a close
 PROBE_LIMIT = 1.0  # seconds for the answer to a probe
 STALL = 10.0
--- a/zincladder/net/events.py
+++ b/zincladder/net/events.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from zincladder.config import Address, Config, ConfigError, Node, address
+from zincladder.config import Address, Config, ConfigError, Node, parse_address
 from zincladder.core.ends import EndReason
 from zincladder.net.protocol import STATE_NAMES, STATES
 from zincladder.net.stream import Ended
@@ -112,32 +112,32 @@
 def known_news(config: Config) -> tuple[int, list[News]]:
     """The events of the start, from the configuration; the number of the last one."""
     top = Node(config.known, "known")
-    last = top.whole("index", 0)
+    last = top.integer("index", 0)
     found: list[News] = []
     zones = {name: i for i, name in enumerate(config.names.zones)}
     kinds = {name: i for i, name in enumerate(config.names.kinds)}
     for i, raw in enumerate(top.data.get("updates", [])):
         update = Node(raw, f"known.updates[{i}]")
         if "evict" in update.data:
-            evict = update.sub("evict")
-            obj = evict.get("ref", lambda v: int(v, 16), "hex digits", None) if "ref" in evict.data else None
-            found.append(Purge(obj, evict.whole("shard", 0), evict.num("unix_ms") / 1000))
+            evict = update.child("evict")
+            obj = evict.read("ref", lambda v: int(v, 16), "hex digits", None) if "ref" in evict.data else None
+            found.append(Purge(obj, evict.integer("shard", 0), evict.number("unix_ms") / 1000))
         elif "endpoints" in update.data:
-            lists = update.sub("endpoints")
+            lists = update.child("endpoints")
             endpoints = []
             for j, line in enumerate(lists.data.get("endpoints", [])):
-                n = Node(line, f"{lists.at('endpoints')}[{j}]")
+                n = Node(line, f"{lists.path_of('endpoints')}[{j}]")
                 endpoint = api.Endpoint(
                     n.text("name").encode(),
                     n.choice("type", kinds),
                     n.choice("zone", zones),
                     n.choice("status", STATE_NAMES),
-                    n.num("weight", 1.0),
-                    n.whole("group", 0),
-                    n.num("since_ms", 0.0) / 1000,
+                    n.number("weight", 1.0),
+                    n.integer("group", 0),
+                    n.number("since_ms", 0.0) / 1000,
                 )
-                endpoints.append((endpoint, n.get("address", address, "an address", None)))
-            found.append(Listed(lists.flag("snapshot"), update.whole("index", 0), tuple(endpoints)))
+                endpoints.append((endpoint, n.read("address", parse_address, "an address", None)))
+            found.append(Listed(lists.flag("snapshot"), update.integer("index", 0), tuple(endpoints)))
         else:
             raise ConfigError(f"'{update.path}' holds neither 'endpoints' nor 'evict'")
     return last, found
--- a/zincladder/net/protocol.py
+++ b/zincladder/net/protocol.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from zincladder.config import REPORTS
+from zincladder.config import LOAD_REPORT_NAMES
 from zincladder.core.attempt import AttemptRequest
 from zincladder.core.ends import EndReason
 from zincladder.routing import interface as api
@@ -82,7 +82,7 @@
     """A load report by the module's names; one that is spoilt tells nothing, and the answer stands."""
     try:
         pairs = (pair.split(":") for pair in text.split(";") if text)
-        report = {REPORTS.get(name, name): float(value) for name, value in pairs}
+        report = {LOAD_REPORT_NAMES.get(name, name): float(value) for name, value in pairs}
     except ValueError:
         return {}
     # float() takes 'nan' and 'inf' too: one of them in a mean spoils it for all the caches judged by it.
--- a/zincladder/policy/document.py
+++ b/zincladder/policy/document.py
@@ -79,8 +79,8 @@
 def under(files: Files, policy: dict[str, Any], now: Config) -> tuple[Config, Operator]:
     """This front's configuration under a policy; ConfigError names a key that it can't take as it runs."""
     settings = laid_over(files.platform.get("settings", {}), policy.get("settings", {}))
-    config, waiting = configuration.renewed(
-        now, configuration.config_of(files.platform | {"settings": settings})
+    config, waiting = configuration.merge_reloaded(
+        now, configuration.parse_config(files.platform | {"settings": settings})
     )
     if waiting:
         raise ConfigError(f"'{waiting[0]}' takes effect at a front's next start only")
--- a/zincladder/simulator/wire.py
+++ b/zincladder/simulator/wire.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, BinaryIO
 
-from zincladder.config import ConfigError, settings_from
+from zincladder.config import ConfigError, parse_settings
 from zincladder.routing import interface as api
 
 BATCH_HEADER = struct.Struct("<II")
@@ -165,7 +165,7 @@
         text = r.take(r.num("I"))
         r.end()
         try:
-            return Born(instance, seed, settings_from(text))
+            return Born(instance, seed, parse_settings(text))
         except ConfigError as fault:
             raise WireError(f"settings cannot be read: {fault}") from fault
     if code == HALT:
