--- a/tests/test_operating_day.py
+++ b/tests/test_operating_day.py
@@ -39,13 +39,13 @@
 from tests.test_endings import rest
 from zincladder import config as configs
 from zincladder.admission.seats import SETTLED
-from zincladder.config import ConfigError, config_of, renewed, shared
-from zincladder.control.calls import MOST_LINE, Calls, Line
+from zincladder.config import ConfigError, divide_limits, merge_reloaded, parse_config
 from zincladder.control.readiness import Readiness
+from zincladder.control.status_calls import MAX_LINE_BYTES, LineReader, StatusCalls
 from zincladder.core.classes import LEAVING, Classes
 from zincladder.core.statistics import MOST_CLASSES, Statistics
 from zincladder.discovery.freshness import START_LIMIT, Freshness
-from zincladder.handover.model import MOST_COMPANIONS, Companions, Foreign, Hello, decode
+from zincladder.handover.model import MAX_OTHER_PROCESSES, Hello, HelloError, ProcessGenerations, decode
 from zincladder.net.feed import Feed
 from zincladder.routing import interface as api
 
@@ -60,7 +60,7 @@
 
 def test_ready_says_what_is_missing_and_stats_ends_with_eot() -> None:
     why = ""
-    calls = Calls(lambda: why, lambda: [("succeeded.page", 812), ("outstanding", 14)])
+    calls = StatusCalls(lambda: why, lambda: [("succeeded.page", 812), ("outstanding", 14)])
     assert calls.answer(b"READY\r") == b"SUCCESS\n"
     why = "this process is ending"
     assert calls.answer(b"READY") == b"FAILURE this process is ending\n"
@@ -69,15 +69,15 @@
 
 @pytest.mark.parametrize("line", [b"", b"ready", b"STATS now", b"\xff\xfe\x00", b"x" * 200])
 def test_a_call_that_is_not_known_gets_one_line_that_says_so(line: bytes) -> None:
-    said = Calls(str, list).answer(line)
+    said = StatusCalls(str, list).answer(line)
     assert said.startswith(b"FAILURE ") and said.count(b"\n") == 1 and said.isascii() and len(said) < 200
 
 
 def test_a_line_comes_in_pieces_and_is_bounded() -> None:
-    line = Line()
-    assert [line.take(b) for b in (b"RE", b"A", b"DY\nmore")] == [None, None, b"READY"]
+    line = LineReader()
+    assert [line.feed(b) for b in (b"RE", b"A", b"DY\nmore")] == [None, None, b"READY"]
     with pytest.raises(ValueError, match="over"):
-        Line().take(b"x" * (MOST_LINE + 1))
+        LineReader().feed(b"x" * (MAX_LINE_BYTES + 1))
 
 
 async def call(w: World, line: bytes = b"STATS\n") -> bytes:
@@ -159,19 +159,19 @@
     readiness = Readiness(
         lambda: state["ready"], lambda: fresh.settled(state["now"]), lambda: state["stopping"]
     )
-    assert "no member" in readiness.lacks()
+    assert "no member" in readiness.missing()
     state["ready"] = 1
-    assert "coordinator" in readiness.lacks()
+    assert "coordinator" in readiness.missing()
     state["now"] = 10.0 + START_LIMIT - 0.01
-    assert "coordinator" in readiness.lacks()
+    assert "coordinator" in readiness.missing()
     state["now"] = 10.0 + START_LIMIT  # one that stalls keeps no front out of service
-    assert not readiness.lacks()
+    assert not readiness.missing()
     heard = Freshness(grace=0.5)
     heard.trying(10.0)
     heard.spoke(10.1)
-    assert not Readiness(lambda: 1, lambda: heard.settled(10.1), lambda: False).lacks()
+    assert not Readiness(lambda: 1, lambda: heard.settled(10.1), lambda: False).missing()
     state["stopping"] = True
-    assert "ending" in readiness.lacks()
+    assert "ending" in readiness.missing()
 
 
 # New settings -------------------------------------------------------------------------------------
@@ -231,11 +231,11 @@
 
 
 def test_processes_of_one_front_share_its_limits() -> None:
-    whole = config_of(configuration([], limits={"memory_mb": 80, "sockets": 384}))
-    half = shared(whole, 2)
-    assert shared(whole, 1) is whole and half.sockets == 192 and half.settings.routers == 2
+    whole = parse_config(configuration([], limits={"memory_mb": 80, "sockets": 384}))
+    half = divide_limits(whole, 2)
+    assert divide_limits(whole, 1) is whole and half.sockets == 192 and half.settings.routers == 2
     assert half.settings.routers_by_zone == (0, 2) and 2 * half.most_open < whole.most_open
-    assert shared(config_of(configuration([], limits={"memory_mb": 32})), 2).most_open > 20
+    assert divide_limits(parse_config(configuration([], limits={"memory_mb": 32})), 2).most_open > 20
 
 
 def changed(change: Callable[[dict[str, Any]], object]) -> dict[str, Any]:
@@ -272,16 +272,16 @@
 def test_a_file_that_is_not_whole_is_turned_down_with_its_key(
     change: Callable[[dict[str, Any]], object], key: str
 ) -> None:
-    old = config_of(changed(lambda d: None))
+    old = parse_config(changed(lambda d: None))
     with pytest.raises(ConfigError) as fault:
-        renewed(old, config_of(changed(change)))
+        merge_reloaded(old, parse_config(changed(change)))
     assert key in str(fault.value)
 
 
 def test_what_a_running_front_cannot_change_waits_for_the_next_start() -> None:
-    old = config_of(changed(lambda d: None))
-    new, waiting = renewed(
-        old, config_of(changed(lambda d: d.update(listen="127.0.0.1:9") or d["settings"].update(az=0)))
+    old = parse_config(changed(lambda d: None))
+    new, waiting = merge_reloaded(
+        old, parse_config(changed(lambda d: d.update(listen="127.0.0.1:9") or d["settings"].update(az=0)))
     )
     assert waiting == ["listen", "settings: zone"]
     assert new.listen == old.listen and new.settings.zone == 1
@@ -581,8 +581,10 @@
             assert b"taken over" in (tmp_path / f"log{len(fronts) - 1}").read_bytes()
             fronts[-1].process.kill()
             log = tmp_path / "log0"
-            gone = len(fronts) - 1
-            await fronts[0].until(lambda log=log, gone=gone: log.read_bytes().count(b"has gone") == gone)  # type: ignore[misc]
+            ended = len(fronts) - 1
+            await fronts[0].until(
+                lambda log=log, ended=ended: log.read_bytes().count(b"other process ended") == ended  # type: ignore[misc]
+            )
             path = tmp_path / f"zincladder-{where.replace(':', '-')}.sock"
             inode = path.stat().st_ino  # of the one that died: the old one takes the path back
             await fronts[0].until(lambda path=path, inode=inode: path.stat().st_ino != inode)  # type: ignore[misc]
@@ -634,22 +636,22 @@
     assert decode(good, "127.0.0.1:80").pid == 7
     bad = (good[:-3], b"[]\n", b"\xff\n", good.replace(b": 1,", b": 2,"), good.replace(b"7", b'"x"'))
     for data in bad:
-        with pytest.raises(Foreign):
+        with pytest.raises(HelloError):
             decode(data, "127.0.0.1:80")
-    with pytest.raises(Foreign):
+    with pytest.raises(HelloError):
         decode(good, "127.0.0.1:81")
 
 
-def test_companions_are_counted_until_they_leave_and_bounded() -> None:
-    companions = Companions()
-    old = companions.came(newer=False)
-    assert old and companions.processes == 2 and not companions.succeeded
-    new = companions.came(newer=True)
-    assert new and companions.succeeded
-    companions.left(old)
-    companions.left(new)
-    assert companions.processes == 1 and not companions.succeeded
-    assert [companions.came(True) is None for _ in range(MOST_COMPANIONS + 1)].count(True) == 1
+def test_processes_are_counted_until_they_end_and_bounded() -> None:
+    generations = ProcessGenerations()
+    old = generations.add(newer=False)
+    assert old and generations.process_count == 2 and not generations.has_successor
+    new = generations.add(newer=True)
+    assert new and generations.has_successor
+    generations.remove(old)
+    generations.remove(new)
+    assert generations.process_count == 1 and not generations.has_successor
+    assert [generations.add(True) is None for _ in range(MAX_OTHER_PROCESSES + 1)].count(True) == 1
 
 
 async def test_fronts_that_lose_the_coordinator_come_back_at_moments_of_their_own(
