--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -25,12 +25,12 @@
 
 import anyio
 
+from tests.policy.test_change_processes import Fleet, fleet
 from tests.processes import Asked, Rig, Traffic
-from tests.test_policy_processes import Fleet, fleet
 from zincladder.agreement.client import NoAnswer, Open
 from zincladder.agreement.model import Entry, Kind, Members, Output
 from zincladder.agreement.store import Store
-from zincladder.policy.model import Outcome
+from zincladder.policy.model import ChangeOutcome
 
 TICKS = os.sysconf("SC_CLK_TCK")
 
@@ -138,7 +138,7 @@
 async def troubled(f: Fleet, changes: int, mark: int, seed: int) -> dict[str, Any]:
     """Changes while fronts fail; those that were withdrawn because too few answered are counted apart."""
     traffic = f.traffic()
-    before, outcomes = len(taking_hold(f.r)), list[Outcome]()
+    before, outcomes = len(taking_hold(f.r)), list[ChangeOutcome]()
     async with anyio.create_task_group() as tasks:
         for n in range(max(1, len(f.fronts) // 6)):
             tasks.start_soon(trouble, f, random.Random(seed + n))
@@ -155,8 +155,8 @@
     old = older(traffic)
     traffic.going = False
     return {
-        "held": sum(o is Outcome.HELD for o in outcomes),
-        "withdrawn": sum(o is Outcome.WITHDRAWN for o in outcomes),
+        "held": sum(o is ChangeOutcome.ACTIVATED for o in outcomes),
+        "withdrawn": sum(o is ChangeOutcome.WITHDRAWN for o in outcomes),
         "old": old,
         "to_force_ms": spread(taking_hold(f.r)[before:]),
         "pause_ms": spread(pauses(traffic.history)),
--- a/benchmarks/ownership.py
+++ b/benchmarks/tasks.py
@@ -1,6 +1,6 @@
 """What one owner at a time costs the fleet, and how soon another one follows.
 
-    python -m benchmarks.ownership [--quick] [--out DIR] [--takeovers N] [--fronts N] [--seed N]
+    python -m benchmarks.tasks [--quick] [--out DIR] [--takeovers N] [--fronts N] [--seed N]
 
 Real keepers and fronts, a receiver that remembers tokens, and an owner that is killed, stopped, cut off or
 told to end, in turn by lot. `gap_ms`: from the fault to the next push under another token. `old` counts
@@ -24,11 +24,11 @@
 
 from benchmarks.policy import spread, used
 from tests.processes import LEASE
-from tests.test_duties_processes import Crew, crew
+from tests.tasks.test_task_processes import Crew, crew
 from zincladder.agreement.terms import Terms
-from zincladder.ownership.model import Duty
-from zincladder.ownership.owner import Owner
-from zincladder.ownership.steward import Steward
+from zincladder.tasks.lease_holder import LeaseHolder
+from zincladder.tasks.lease_manager import LeaseManager
+from zincladder.tasks.model import TaskAssignment
 
 FAULTS = ("kill", "stop", "cut", "hear nothing", "end")
 
@@ -92,23 +92,23 @@
     """Messages a second that a leader hears and says, idle and in the first second after all came at once."""
     terms = Terms()
     now, index = 0.0, 1
-    registers: dict[str, tuple[Duty, int]] = {}
-    steward = Steward(terms, -100.0)
-    steward.knows(registers, now)
-    owners = {n: Owner(["figures", "purges", "drains"], now) for n in range(1, workers + 1)}
+    registers: dict[str, tuple[TaskAssignment, int]] = {}
+    lease_manager = LeaseManager(terms, -100.0)
+    lease_manager.knows(registers, now)
+    owners = {n: LeaseHolder(["figures", "purges", "drains"], now) for n in range(1, workers + 1)}
     counted: Counter[int] = Counter()
     writes = 0
     for n, owner in owners.items():
-        steward.linked(n, f"f{n}", "p", now)
+        lease_manager.linked(n, f"f{n}", "p", now)
         owner.link(True, now)
     while now < seconds:
         for n, owner in owners.items():
             owner.tick(now)
             for said in owner.take().say:
                 counted[int(now)] += 1
-                steward.heard(n, said, now)
-        steward.tick(now)
-        wish = steward.take()
+                lease_manager.heard(n, said, now)
+        lease_manager.tick(now)
+        wish = lease_manager.take()
         for number, answer in wish.say:
             counted[int(now)] += 1
             owners[number].heard(answer, now)
@@ -117,9 +117,9 @@
             writes += 1
             registers[take.duty] = (take.value, index)
         if wish.write:
-            steward.knows(registers, now)
+            lease_manager.knows(registers, now)
         for take in wish.write:
-            steward.wrote(take.duty, now)
+            lease_manager.wrote(take.duty, now)
         now = round(now + 0.05, 3)
     idle = [counted[s] for s in range(seconds // 2, seconds)]
     return {
--- a/example/receiver.py
+++ b/example/receiver.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from zincladder.ownership.fence import Fence
+from zincladder.tasks.fence import Fence
 
 FENCE = Fence()
 
--- a/tests/test_policy_processes.py
+++ b/tests/policy/test_change_processes.py
@@ -22,7 +22,7 @@
 from tests.stands import StubCache
 from zincladder.agreement.client import NoAnswer, Open
 from zincladder.policy.document import canonical
-from zincladder.policy.model import Outcome, Phase
+from zincladder.policy.model import ChangeOutcome, ChangePhase
 
 pytestmark = pytest.mark.anyio
 
@@ -63,7 +63,7 @@
             f.fronts.append(f"f{n}")
             await r.front(f"f{n}", caches, cut_off)
         if begun:
-            assert (await r.change(1)).outcome is Outcome.HELD
+            assert (await r.change(1)).outcome is ChangeOutcome.ACTIVATED
             await r.serving(*f.fronts)
         yield f
         tasks.cancel_scope.cancel()
@@ -82,7 +82,7 @@
         await f.r.until("clients are answered", lambda: len(traffic.history) > 5)
         assert {a.kind for a in traffic.history} == {"Throttled"}
         assert max(a.ended - a.began for a in traffic.history[1:]) < 0.5
-        assert (await f.r.change(1)).outcome is Outcome.HELD
+        assert (await f.r.change(1)).outcome is ChangeOutcome.ACTIVATED
         await f.everywhere(traffic, 1)
 
 
@@ -91,7 +91,7 @@
         traffic = f.traffic()
         for mark in range(2, 8):
             past = await f.r.change(mark)
-            assert (past.outcome, past.absent) == (Outcome.HELD, ())
+            assert (past.outcome, past.absent) == (ChangeOutcome.ACTIVATED, ())
             await f.everywhere(traffic, mark)
         traffic.judge()
         assert {a.kind for a in traffic.history} <= {"served", "booked", "Throttled"}
@@ -114,7 +114,7 @@
         traffic = f.traffic("f0", "f1")
         f.r.processes["f2"].kill()
         past = await f.r.change(2)
-        assert (past.outcome, past.absent) == (Outcome.HELD, ("f2",))
+        assert (past.outcome, past.absent) == (ChangeOutcome.ACTIVATED, ("f2",))
         await f.everywhere(traffic, 2, "f0", "f1")
         await f.r.start_front("f2")
         late = f.traffic("f2")
@@ -132,7 +132,7 @@
         await f.everywhere(traffic, 1)
         f.r.processes["f1"].stop()
         past = await f.r.change(2)
-        assert past.outcome is Outcome.HELD
+        assert past.outcome is ChangeOutcome.ACTIVATED
         await f.everywhere(traffic, 2, "f0", "f2")
         woke = anyio.current_time()
         f.r.processes["f1"].go_on()
@@ -152,7 +152,7 @@
         traffic = f.traffic()
         await f.everywhere(traffic, 1)
         f.r.cut_front("f1", *ways)
-        assert (await f.r.change(2)).outcome is Outcome.HELD
+        assert (await f.r.change(2)).outcome is ChangeOutcome.ACTIVATED
         await f.everywhere(traffic, 2, "f0", "f2")
         assert not traffic.served("f1", 2)
         f.r.cut_front("f1")
@@ -192,7 +192,7 @@
         traffic = f.traffic("f0", "f1", "odd")
         past = await f.r.change(2, categories=[{"name": "page", "onTime": 0.3, "deadline": 2.5,
                                                 "effect": "idempotent"}])  # fmt: skip
-        assert past.outcome is Outcome.WITHDRAWN
+        assert past.outcome is ChangeOutcome.WITHDRAWN
         assert past.reasons == ("odd: 'settings.categories[0].aimStretch' is missing",)
         after = anyio.current_time()
         for name in ("f0", "f1"):
@@ -207,7 +207,7 @@
         for name in ("f1", "f2"):
             f.r.processes[name].stop()
         past = await f.r.change(2)
-        assert past.outcome is Outcome.WITHDRAWN
+        assert past.outcome is ChangeOutcome.WITHDRAWN
         assert past.reasons == ("only 1 of 3 fronts answered",) and past.absent == ("f1", "f2")
         for name in ("f1", "f2"):
             f.r.processes[name].go_on()
@@ -228,7 +228,7 @@
         won = [version for version, _ in said if version]
         lost = [why for version, why in said if not version]
         assert len(won) == 1 and len(lost) == 1 and ("came first" in lost[0] or "under way" in lost[0])
-        assert (await f.r.outcome(won[0])).outcome is Outcome.HELD
+        assert (await f.r.outcome(won[0])).outcome is ChangeOutcome.ACTIVATED
 
 
 def command(f: Fleet, *words: str) -> Process:
@@ -305,7 +305,7 @@
         traffic = f.traffic("f0", "f1")
         await f.everywhere(traffic, 1, "f0", "f1")
         f.r.processes["f2"].kill()
-        assert (await f.r.change(2)).outcome is Outcome.HELD
+        assert (await f.r.change(2)).outcome is ChangeOutcome.ACTIVATED
         await f.everywhere(traffic, 2, "f0", "f1")
         traffic.judge()
         assert pause(traffic) < 0.8  # less than the lease of the one that is gone
@@ -320,10 +320,10 @@
         await f.r.serving("f0-new")
         f.fronts.append("f0-new")
         traffic = f.traffic()
-        assert (await f.r.change(2)).outcome is Outcome.HELD
+        assert (await f.r.change(2)).outcome is ChangeOutcome.ACTIVATED
         await f.everywhere(traffic, 2)
         old.stop()
-        assert (await f.r.change(3)).outcome is Outcome.HELD
+        assert (await f.r.change(3)).outcome is ChangeOutcome.ACTIVATED
         await f.everywhere(traffic, 3, "f0-new")
         old.go_on()
         await f.everywhere(traffic, 3)
@@ -416,9 +416,9 @@
         traffic.judge()
 
 
-@pytest.mark.parametrize("step", [*Phase, Outcome.HELD])
+@pytest.mark.parametrize("step", [*ChangePhase, ChangeOutcome.ACTIVATED])
 async def test_a_leader_that_is_killed_right_after_each_step_leaves_no_change_half_made(
-    tmp_path: Path, step: Phase | Outcome
+    tmp_path: Path, step: ChangePhase | ChangeOutcome
 ) -> None:
     async with fleet(tmp_path) as f:
         traffic = f.traffic("f0", "f1")
@@ -439,10 +439,10 @@
         f.r.processes[leader].kill()
         f.r.processes["f2"].go_on()
         past = await f.r.outcome(2)
-        assert past.outcome is Outcome.HELD or step is Phase.CHECKING  # decided is decided
-        await f.everywhere(traffic, 2 if past.outcome is Outcome.HELD else 1, "f0", "f1")
+        assert past.outcome is ChangeOutcome.ACTIVATED or step is ChangePhase.VALIDATING  # decided is decided
+        await f.everywhere(traffic, 2 if past.outcome is ChangeOutcome.ACTIVATED else 1, "f0", "f1")
         traffic.judge()
-        if past.outcome is Outcome.HELD:
+        if past.outcome is ChangeOutcome.ACTIVATED:
             late = f.traffic("f2")
             await f.everywhere(late, 2, "f2")
             assert 1 not in {a.mark for a in late.history}
@@ -457,7 +457,7 @@
         traffic = f.traffic()
         await f.everywhere(traffic, 1)
         f.r.cut_front("f1", "to", "back")
-        assert (await f.r.change(2)).outcome is Outcome.HELD
+        assert (await f.r.change(2)).outcome is ChangeOutcome.ACTIVATED
         await f.everywhere(traffic, 2, "f0", "f2")
         cut = len(traffic.history)
 
@@ -520,7 +520,7 @@
 
         async def decided() -> bool:
             found = (await f.r.record()).open
-            return found is not None and found.phase is Phase.DECIDED
+            return found is not None and found.phase is ChangePhase.COMMITTED
 
         await f.r.until("it is decided", decided)
         for name in ("k1", "k2"):
@@ -530,6 +530,6 @@
             "the fleet stops", lambda: {a.kind for a in traffic.since("f0", cut)[-20:]} == {"Throttled"}
         )
         await f.r.start("k2")
-        assert (await f.r.outcome(2)).outcome is Outcome.HELD
+        assert (await f.r.outcome(2)).outcome is ChangeOutcome.ACTIVATED
         await f.everywhere(traffic, 2, "f0")
         traffic.judge()
--- a/tests/test_policy.py
+++ b/tests/policy/test_changes.py
@@ -13,29 +13,29 @@
 from hypothesis import strategies as st
 
 from tests.simulated import Broken
-from tests.simulated_fleet import TERMS, FleetWorld
 from tests.small import Scope, search, walk
-from tests.small_policy import SmallFleet, in_force
 from tests.stands import SETTINGS, configuration
+from tests.support.fleet_simulation import TERMS, FleetWorld
+from tests.support.policy_states import SmallFleet, in_force
 from zincladder.agreement.registers import MOST_VALUE, Value
 from zincladder.agreement.terms import Terms
 from zincladder.config import ConfigError, config_of
-from zincladder.policy import book
-from zincladder.policy.conductor import Conductor, _in, proposed
+from zincladder.policy import change_log
+from zincladder.policy.coordinator import ChangeCoordinator, _in, propose_change
 from zincladder.policy.document import Files, difference, faults, laid_over, parsed, taken
-from zincladder.policy.holder import Holder
 from zincladder.policy.model import (
-    Change,
-    Checked,
-    Granted,
-    Outcome,
-    Past,
-    Phase,
-    Record,
-    Release,
-    Released,
-    Renew,
+    ChangeLogEntry,
+    ChangeOutcome,
+    ChangePhase,
+    DocumentValidated,
+    PolicyChange,
+    PolicyLeaseGranted,
+    PolicyLeaseReleased,
+    PolicyRecord,
+    RenewPolicyLease,
+    RevokePolicyLease,
 )
+from zincladder.policy.participant import ChangeParticipant
 
 
 def play(seed: int) -> FleetWorld:
@@ -61,40 +61,40 @@
 
 
 def looks_at_messages_only(monkeypatch: pytest.MonkeyPatch) -> None:
-    def spoilt(self: Holder, now: float) -> int:
+    def spoilt(self: ChangeParticipant, now: float) -> int:
         return self.version if self.applied == self._document and not self.released else 0
 
-    monkeypatch.setattr(Holder, "serving", spoilt)
+    monkeypatch.setattr(ChangeParticipant, "serving", spoilt)
 
 
 def grants_while_clearing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Conductor, "_clearing", lambda self: not self.known)
+    monkeypatch.setattr(ChangeCoordinator, "_clearing", lambda self: not self.known)
 
 
 def decides_without_asking(monkeypatch: pytest.MonkeyPatch) -> None:
-    def spoilt(self: Conductor, change: Any, now: float) -> None:
-        self._write(msgspec.structs.replace(self.record, open=_in(change, Phase.DECIDED)))
+    def spoilt(self: ChangeCoordinator, change: Any, now: float) -> None:
+        self._write(msgspec.structs.replace(self.record, open=_in(change, ChangePhase.COMMITTED)))
 
-    monkeypatch.setattr(Conductor, "_check", spoilt)
+    monkeypatch.setattr(ChangeCoordinator, "_check", spoilt)
 
 
 def lets_go_by_an_old_word(monkeypatch: pytest.MonkeyPatch) -> None:
-    heard = Conductor.heard
+    heard = ChangeCoordinator.heard
 
-    def spoilt(self: Conductor, number: int, message: Any, now: float) -> None:
-        if isinstance(message, Released):
-            message = Released(message.version, 10**9)
+    def spoilt(self: ChangeCoordinator, number: int, message: Any, now: float) -> None:
+        if isinstance(message, PolicyLeaseReleased):
+            message = PolicyLeaseReleased(message.version, 10**9)
         heard(self, number, message, now)
 
-    monkeypatch.setattr(Conductor, "heard", spoilt)
-    take = Holder.heard
+    monkeypatch.setattr(ChangeCoordinator, "heard", spoilt)
+    take = ChangeParticipant.heard
 
-    def forgets(self: Holder, message: Any, now: float) -> None:
+    def forgets(self: ChangeParticipant, message: Any, now: float) -> None:
         take(self, message, now)
-        if isinstance(message, Release):
+        if isinstance(message, RevokePolicyLease):
             self._wish.say.reverse()  # the asking goes out before the word that it let go
 
-    monkeypatch.setattr(Holder, "heard", forgets)
+    monkeypatch.setattr(ChangeParticipant, "heard", forgets)
 
 
 BREAKINGS: list[Callable[[pytest.MonkeyPatch], None]] = [
@@ -142,45 +142,45 @@
 
 
 def a_lease_a_little_long(patch: pytest.MonkeyPatch) -> None:
-    granted = Holder._granted
+    granted = ChangeParticipant._granted
 
-    def longer(self: Holder, message: Granted, now: float) -> None:
+    def longer(self: ChangeParticipant, message: PolicyLeaseGranted, now: float) -> None:
         granted(self, msgspec.structs.replace(message, believed=message.believed + 1), now)
 
-    patch.setattr(Holder, "_granted", longer)
+    patch.setattr(ChangeParticipant, "_granted", longer)
 
 
 def a_lease_from_its_answer(patch: pytest.MonkeyPatch) -> None:
-    granted = Holder._granted
+    granted = ChangeParticipant._granted
 
-    def later(self: Holder, message: Granted, now: float) -> None:
+    def later(self: ChangeParticipant, message: PolicyLeaseGranted, now: float) -> None:
         if message.serial in self._asked:
             self._asked[message.serial] = now
         granted(self, message, now)
 
-    patch.setattr(Holder, "_granted", later)
+    patch.setattr(ChangeParticipant, "_granted", later)
 
 
 def a_new_leader_that_does_not_wait(patch: pytest.MonkeyPatch) -> None:
-    made = Conductor.__init__
+    made = ChangeCoordinator.__init__
 
-    def hasty(self: Conductor, *args: Any) -> None:
+    def hasty(self: ChangeCoordinator, *args: Any) -> None:
         made(self, *args)
         self._unknown = args[1]
 
-    patch.setattr(Conductor, "__init__", hasty)
+    patch.setattr(ChangeCoordinator, "__init__", hasty)
 
 
 def a_grant_under_way_is_taken_after_letting_go(patch: pytest.MonkeyPatch) -> None:
-    heard = Holder.heard
+    heard = ChangeParticipant.heard
 
-    def forgets(self: Holder, message: Any, now: float) -> None:
+    def forgets(self: ChangeParticipant, message: Any, now: float) -> None:
         asked = dict(self._asked)
         heard(self, message, now)
-        if isinstance(message, Release):
+        if isinstance(message, RevokePolicyLease):
             self._void, self._asked = 0, asked | self._asked
 
-    patch.setattr(Holder, "heard", forgets)
+    patch.setattr(ChangeParticipant, "heard", forgets)
 
 
 @pytest.mark.parametrize(
@@ -205,32 +205,32 @@
 # A front's part, step by step ---------------------------------------------------------------------
 
 
-def holding(go_on: bool = False) -> Holder:
+def holding(go_on: bool = False) -> ChangeParticipant:
     """A front that serves under version 1 from a lease asked for at 100, for 5 s."""
-    holder = Holder(100.0, go_on)
-    holder.link(True, 100.0)
-    holder.tick(100.0)
-    (asked,) = holder.take().say
-    assert isinstance(asked, Renew)
-    holder.heard(Granted(asked.serial, 1, "d1", 5.0, 1.0), 100.4)
-    assert holder.serving(100.4) == 0  # the document isn't there yet
-    holder.take()
-    holder.took("d1")
-    return holder
+    participant = ChangeParticipant(100.0, go_on)
+    participant.link(True, 100.0)
+    participant.tick(100.0)
+    (asked,) = participant.take().say
+    assert isinstance(asked, RenewPolicyLease)
+    participant.heard(PolicyLeaseGranted(asked.serial, 1, "d1", 5.0, 1.0), 100.4)
+    assert participant.serving(100.4) == 0  # the document isn't there yet
+    participant.take()
+    participant.took("d1")
+    return participant
 
 
 def test_a_lease_counts_from_when_it_was_asked_for() -> None:
-    holder = holding()
-    assert holder.serving(104.99) == 1 and holder.serving(105.0) == 0
+    participant = holding()
+    assert participant.serving(104.99) == 1 and participant.serving(105.0) == 0
 
 
 def test_the_first_lease_says_how_often_to_ask_from_now_on() -> None:
     # seen with real processes: asked a second later instead, the keeper's silence looked like its death
-    holder = Holder(100.0)
-    holder.link(True, 100.0)
-    holder.tick(100.0)
-    holder.heard(Granted(1, 1, "d1", 1.5, 0.25), 100.1)
-    assert holder.next_at == pytest.approx(100.35)
+    participant = ChangeParticipant(100.0)
+    participant.link(True, 100.0)
+    participant.tick(100.0)
+    participant.heard(PolicyLeaseGranted(1, 1, "d1", 1.5, 0.25), 100.1)
+    assert participant.next_at == pytest.approx(100.35)
 
 
 def test_one_that_wakes_late_knows_before_it_hears_anything() -> None:
@@ -238,63 +238,63 @@
 
 
 def test_one_that_is_cut_off_goes_on_where_the_operator_says_so_unless_it_has_let_go() -> None:
-    holder = holding(go_on=True)
-    assert holder.serving(3700.0) == 1
-    holder.heard(Release(2), 101.0)
-    assert holder.serving(101.0) == 0 and holder.serving(3700.0) == 0
+    participant = holding(go_on=True)
+    assert participant.serving(3700.0) == 1
+    participant.heard(RevokePolicyLease(2), 101.0)
+    assert participant.serving(101.0) == 0 and participant.serving(3700.0) == 0
 
 
 def test_a_grant_on_its_way_is_not_taken_after_letting_go() -> None:
-    holder = holding()
-    holder.tick(101.0)
-    (asked,) = holder.take().say
-    assert isinstance(asked, Renew)
-    holder.heard(Release(2), 101.1)
-    said = holder.take().say
-    assert [type(m) for m in said] == [Released, Renew]
-    holder.heard(Granted(asked.serial, 1, "d1", 5.0, 1.0), 101.2)
-    assert holder.serving(101.2) == 0
+    participant = holding()
+    participant.tick(101.0)
+    (asked,) = participant.take().say
+    assert isinstance(asked, RenewPolicyLease)
+    participant.heard(RevokePolicyLease(2), 101.1)
+    said = participant.take().say
+    assert [type(m) for m in said] == [PolicyLeaseReleased, RenewPolicyLease]
+    participant.heard(PolicyLeaseGranted(asked.serial, 1, "d1", 5.0, 1.0), 101.2)
+    assert participant.serving(101.2) == 0
 
 
 def test_a_policy_that_cannot_be_taken_serves_nobody_and_says_why() -> None:
-    holder = holding()
-    holder.tick(101.0)
-    (asked,) = holder.take().say
-    assert isinstance(asked, Renew)
-    holder.heard(Granted(asked.serial, 2, "d2", 5.0, 1.0), 101.1)
-    holder.took("d2", "'settings.az' waits")
-    assert holder.serving(101.1) == 0 and holder.failed == {"d2": "'settings.az' waits"}
+    participant = holding()
+    participant.tick(101.0)
+    (asked,) = participant.take().say
+    assert isinstance(asked, RenewPolicyLease)
+    participant.heard(PolicyLeaseGranted(asked.serial, 2, "d2", 5.0, 1.0), 101.1)
+    participant.took("d2", "'settings.az' waits")
+    assert participant.serving(101.1) == 0 and participant.failed == {"d2": "'settings.az' waits"}
 
 
 # The leader's part, step by step ------------------------------------------------------------------
 
 LEASES = Terms(lease=5.0, renew=1.0, drift=0.01, check=3.0, clear=0.3)
-DECIDED = Record(1, "d1", Change(2, "d2", "ana", "", 0.0, Phase.DECIDED))
+DECIDED = PolicyRecord(1, "d1", PolicyChange(2, "d2", "ana", "", 0.0, ChangePhase.COMMITTED))
 TEXTS = {"d1": b"1", "d2": b"2"}
 
 
 class Leader:
     """A conductor whose writes come about at once, on a clock that goes on in steps."""
 
-    def __init__(self, record: Record, fronts: int) -> None:
+    def __init__(self, record: PolicyRecord, fronts: int) -> None:
         self.now, self.at, self.record = 100.0, 1, record
-        self.conductor = Conductor(LEASES, self.now, 1)
+        self.coordinator = ChangeCoordinator(LEASES, self.now, 1)
         self.roster = [f"f{n}" for n in range(1, fronts + 1)]
         self.phases: list[tuple[float, str]] = []
         self.said: list[tuple[int, Any]] = []
         self.knows()
         for n in range(1, fronts + 1):
-            self.conductor.linked(n, f"f{n}", "p", self.now)
+            self.coordinator.linked(n, f"f{n}", "p", self.now)
 
     def knows(self) -> None:
-        self.conductor.knows(self.record, self.at, self.roster, TEXTS, self.now)
+        self.coordinator.knows(self.record, self.at, self.roster, TEXTS, self.now)
 
     def step(self, seconds: float = 0.0) -> list[tuple[int, Any]]:
         """What is said to the fronts until then; the phases are kept with their times."""
         until, said = self.now + seconds, []
         while True:
-            self.conductor.tick(self.now)
-            wish = self.conductor.take()
+            self.coordinator.tick(self.now)
+            wish = self.coordinator.take()
             said += wish.say
             if wish.write:
                 self.record, self.at = wish.write.record, self.at + 1
@@ -307,7 +307,7 @@
                 self.now = min(until, self.now + 0.05)
 
     def hears(self, number: int, message: Any) -> list[tuple[int, Any]]:
-        self.conductor.heard(number, message, self.now)
+        self.coordinator.heard(number, message, self.now)
         return self.step()
 
 
@@ -319,17 +319,19 @@
 
 
 def test_one_that_is_gone_is_waited_for_before_any_other_has_to_let_go() -> None:
-    leader = Leader(Record(1, "d1"), 2)
+    leader = Leader(PolicyRecord(1, "d1"), 2)
     leader.step(6.0)
     for number in (1, 2):
-        assert [type(m) for _, m in leader.hears(number, Renew(1, "d1"))] == [Granted]
-    leader.conductor.unlinked(2, leader.now)  # killed, or cut off: nobody knows
+        assert [type(m) for _, m in leader.hears(number, RenewPolicyLease(1, "d1"))] == [PolicyLeaseGranted]
+    leader.coordinator.unlinked(2, leader.now)  # killed, or cut off: nobody knows
     leader.record, leader.at = DECIDED, leader.at + 1
     leader.knows()
     began, serial = leader.now, 1
     while not leader.phases:
         serial += 1
-        assert [type(m) for _, m in leader.hears(1, Renew(serial, "d1"))] == [Granted]  # it goes on meanwhile
+        assert [type(m) for _, m in leader.hears(1, RenewPolicyLease(serial, "d1"))] == [
+            PolicyLeaseGranted
+        ]  # it goes on meanwhile
         leader.step(0.5)
     assert leader.now - began >= LEASES.waited - 1.0
     assert leader.phases[0][1] == "clearing"
@@ -337,20 +339,20 @@
 
 def test_one_that_is_heard_and_hears_nothing_holds_a_change_up_for_a_lease_only() -> None:
     # seen with real processes: its askings were answered, unheard, and the change was tried for ever
-    leader = Leader(Record(1, "d1"), 2)
+    leader = Leader(PolicyRecord(1, "d1"), 2)
     leader.step(6.0)
     for number in (1, 2):
-        leader.hears(number, Renew(1, "d1"))
+        leader.hears(number, RenewPolicyLease(1, "d1"))
     leader.record, leader.at = DECIDED, leader.at + 1
     leader.knows()
     began, serial = leader.now, 1
     while leader.record.version == 1 and leader.now < began + 20:
         serial += 1
         for number in (1, 2):
-            said = [m for _, m in leader.hears(number, Renew(serial, "d1"))]
+            said = [m for _, m in leader.hears(number, RenewPolicyLease(serial, "d1"))]
             said += [m for _, m in leader.step(0.2)]
-            if any(isinstance(m, Release) for m in said):
-                leader.hears(1, Released(2, serial))  # the other one hears nothing
+            if any(isinstance(m, RevokePolicyLease) for m in said):
+                leader.hears(1, PolicyLeaseReleased(2, serial))  # the other one hears nothing
     assert leader.record.version == 2
     assert leader.now - began < LEASES.waited + 2.0
     assert [phase for _, phase in leader.phases] == ["clearing", "decided", "clearing", "in force"]
@@ -358,16 +360,16 @@
 
 def test_a_decided_change_takes_hold_in_a_fleet_of_which_some_front_is_always_gone() -> None:
     # seen with 20 fronts, three of them failing at any time: decided for 14 s, and never a moment without one
-    leader, serial, refused = Leader(Record(1, "d1"), 3), 0, 0.0
+    leader, serial, refused = Leader(PolicyRecord(1, "d1"), 3), 0, 0.0
 
     def comes_and_goes() -> None:
-        leader.conductor.linked(100 + serial, "f9", f"p{serial}", leader.now)
-        leader.hears(100 + serial, Renew(serial, "d1"))  # it gets a lease, and is gone again
-        leader.conductor.unlinked(100 + serial, leader.now)
+        leader.coordinator.linked(100 + serial, "f9", f"p{serial}", leader.now)
+        leader.hears(100 + serial, RenewPolicyLease(serial, "d1"))  # it gets a lease, and is gone again
+        leader.coordinator.unlinked(100 + serial, leader.now)
 
     leader.step(6.0)
     for number in (1, 2, 3):
-        leader.hears(number, Renew(1, "d1"))
+        leader.hears(number, RenewPolicyLease(1, "d1"))
     comes_and_goes()
     leader.record, leader.at = DECIDED, leader.at + 1
     leader.knows()
@@ -376,38 +378,44 @@
         serial += 1
         comes_and_goes()
         for number in (1, 2, 3):
-            leader.hears(number, Renew(serial, "d1"))
-            if leader.conductor.fronts[number].told:
-                leader.hears(number, Released(2, serial))
+            leader.hears(number, RenewPolicyLease(serial, "d1"))
+            if leader.coordinator.fronts[number].told:
+                leader.hears(number, PolicyLeaseReleased(2, serial))
         leader.step(0.5)
-        refused += 0.5 * (leader.record.open is not None and leader.record.open.phase is Phase.CLEARING)
+        refused += 0.5 * (leader.record.open is not None and leader.record.open.phase is ChangePhase.REVOKING)
     assert leader.record.version == 2
     assert LEASES.patient < leader.now - began < LEASES.patient + LEASES.waited + 1.0
     assert refused < LEASES.waited + 1.0  # what it costs the clients: a lease, once
 
 
 def test_a_front_that_has_said_no_and_is_gone_has_said_no_all_the_same() -> None:
-    leader = Leader(Record(1, "d1", Change(2, "d2", "ana", "", 0.0)), 3)
+    leader = Leader(PolicyRecord(1, "d1", PolicyChange(2, "d2", "ana", "", 0.0)), 3)
     leader.step(0.1)
-    leader.conductor.heard(1, Checked(2, "d2", ("it can't",)), leader.now)
-    leader.conductor.unlinked(1, leader.now)
+    leader.coordinator.heard(1, DocumentValidated(2, "d2", ("it can't",)), leader.now)
+    leader.coordinator.unlinked(1, leader.now)
     for number in (2, 3):
-        leader.hears(number, Checked(2, "d2"))
+        leader.hears(number, DocumentValidated(2, "d2"))
     (past,) = leader.record.history
-    assert (past.outcome, past.reasons) == (Outcome.WITHDRAWN, ("f1: it can't",))
+    assert (past.outcome, past.reasons) == (ChangeOutcome.WITHDRAWN, ("f1: it can't",))
 
 
 def test_a_record_never_outgrows_its_register_and_old_documents_go() -> None:
     # guards a change's end: one that can't be written would leave it open for ever
     reasons = tuple("x" * 200 for _ in range(20))
-    past = [Past(n, f"o{n}", "ana", "n" * 200, 0.0, Outcome.WITHDRAWN, reasons) for n in range(3, 103)]
-    leader = Leader(Record(1, "d1", Change(103, "d2", "ana", "", 0.0), history=tuple(past)), 1)
-    leader.hears(1, Checked(103, "d2", ("it can't",)))
+    past = [
+        ChangeLogEntry(n, f"o{n}", "ana", "n" * 200, 0.0, ChangeOutcome.WITHDRAWN, reasons)
+        for n in range(3, 103)
+    ]
+    leader = Leader(PolicyRecord(1, "d1", PolicyChange(103, "d2", "ana", "", 0.0), history=tuple(past)), 1)
+    leader.hears(1, DocumentValidated(103, "d2", ("it can't",)))
     assert leader.record.open is None and leader.record.history[-1].version == 103
-    assert len(book.encode(leader.record)) < MOST_VALUE
+    assert len(change_log.encode(leader.record)) < MOST_VALUE
     data = bytes(200 << 10)
     kept = {f"o{n}": Value(n, data) for n in range(3, 103)} | {"d1": Value(1, data)}
-    gone = {s.key for s in book.unneeded(book.Book(leader.record, 1, frozenset(), kept))}
+    gone = {
+        s.key
+        for s in change_log.delete_unreferenced(change_log.ChangeLog(leader.record, 1, frozenset(), kept))
+    }
     assert 0 < (len(kept) - len(gone)) * len(data) < 5 << 20
     assert "document/d1" not in gone and "document/o102" not in gone
 
@@ -416,19 +424,19 @@
 
 
 def test_the_second_of_two_operators_is_told_which_version_it_missed() -> None:
-    first = proposed(Record(3, "c"), 3, "d", "ana", "", 0.0)
-    assert isinstance(first, Record) and first.open and first.open.version == 4
-    assert proposed(first, 3, "e", "ben", "", 0.0) == "version 4 by ana is under way (checking)"
+    first = propose_change(PolicyRecord(3, "c"), 3, "d", "ana", "", 0.0)
+    assert isinstance(first, PolicyRecord) and first.open and first.open.version == 4
+    assert propose_change(first, 3, "e", "ben", "", 0.0) == "version 4 by ana is under way (checking)"
     assert (
-        proposed(Record(4, "d"), 3, "e", "ben", "", 0.0)
+        propose_change(PolicyRecord(4, "d"), 3, "e", "ben", "", 0.0)
         == "version 4 is in force, not 3: look at what it changed"
     )
 
 
 def test_a_version_that_was_withdrawn_is_never_given_again() -> None:
-    past = Past(4, "d", "ana", "", 0.0, Outcome.WITHDRAWN)
-    again = proposed(Record(3, "c", history=(past,)), 3, "e", "ben", "", 0.0)
-    assert isinstance(again, Record) and again.open and again.open.version == 5
+    past = ChangeLogEntry(4, "d", "ana", "", 0.0, ChangeOutcome.WITHDRAWN)
+    again = propose_change(PolicyRecord(3, "c", history=(past,)), 3, "e", "ben", "", 0.0)
+    assert isinstance(again, PolicyRecord) and again.open and again.open.version == 5
 
 
 # Documents ----------------------------------------------------------------------------------------
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -30,10 +30,10 @@
 from zincladder.agreement.client import Client, NoAnswer, Open
 from zincladder.agreement.registers import Missed
 from zincladder.links.host import FAILED
-from zincladder.policy import book
-from zincladder.policy.conductor import proposed
+from zincladder.policy import change_log
+from zincladder.policy.coordinator import propose_change
 from zincladder.policy.document import canonical, laid_over
-from zincladder.policy.model import RECORD, Outcome, Past, Record, document_id
+from zincladder.policy.model import POLICY_KEY, ChangeLogEntry, ChangeOutcome, PolicyRecord, document_id
 
 BOUND = 20.0  # seconds for anything that is waited for
 GROUP = "test"
@@ -316,8 +316,8 @@
 
     # Changes --------------------------------------------------------------------------------------
 
-    async def record(self) -> Record:
-        return book.read(await self.client_of_keepers().get("")).record
+    async def record(self) -> PolicyRecord:
+        return change_log.read(await self.client_of_keepers().get("")).record
 
     def client_of_keepers(self) -> Client:
         return self.client(*(n for n in self.ports if n.startswith("k") and not self.processes[n].stopped))
@@ -326,31 +326,33 @@
         """Proposes a policy whose mark shows in each answer; its version, or 0 and why not."""
         client = self.client_of_keepers()
         data = canonical({"settings": laid_over(marked(mark), settings)})
-        found = book.read(await client.get(""))
-        new = proposed(found.record, found.record.version, document_id(data), "test", f"mark {mark}", 0.0)
+        found = change_log.read(await client.get(""))
+        new = propose_change(
+            found.record, found.record.version, document_id(data), "test", f"mark {mark}", 0.0
+        )
         if isinstance(new, str):
             return 0, new
         assert new.open is not None
-        for swap in (book.document_swap(data), book.record_swap(found.at, new)):
+        for swap in (change_log.write_document(data), change_log.write_record(found.at, new)):
             said = await client.swap(swap.key, swap.expected, swap.data)
-            if isinstance(said, Missed) and swap.key == RECORD:
+            if isinstance(said, Missed) and swap.key == POLICY_KEY:
                 return 0, "another came first"
         return new.open.version, ""
 
-    async def outcome(self, version: int) -> Past:
+    async def outcome(self, version: int) -> ChangeLogEntry:
         """How a change has ended, once it has."""
 
-        async def ended() -> Past | None:
+        async def ended() -> ChangeLogEntry | None:
             try:
                 record = await self.record()
             except (NoAnswer, Open):
                 return None
             return next((p for p in record.history if p.version == version), None)
 
-        found: Past = await self.until(f"version {version} comes to an end", ended)
+        found: ChangeLogEntry = await self.until(f"version {version} comes to an end", ended)
         return found
 
-    async def change(self, mark: int, **settings: Any) -> Past:
+    async def change(self, mark: int, **settings: Any) -> ChangeLogEntry:
         """Proposes as often as it takes to be heard, and waits for the end."""
         while True:
             try:
@@ -361,15 +363,15 @@
                 return await self.outcome(version)
             record = await self.record()
             done = [p for p in record.history if p.note == f"mark {mark}"]
-            held = next((p for p in done if p.outcome is Outcome.HELD), None)
+            held = next((p for p in done if p.outcome is ChangeOutcome.ACTIVATED), None)
             if held:
                 return held
             await anyio.sleep(0.05)
 
-    async def insist(self, mark: int) -> Past:
+    async def insist(self, mark: int) -> ChangeLogEntry:
         """Proposes a change until it holds: one that too few fronts have heard of comes to nothing."""
         with anyio.fail_after(2 * BOUND):
-            while (past := await self.change(mark)).outcome is not Outcome.HELD:
+            while (past := await self.change(mark)).outcome is not ChangeOutcome.ACTIVATED:
                 await anyio.sleep(0.1)
         return past
 
--- a/tests/simulated_fleet.py
+++ b/tests/support/fleet_simulation.py
@@ -11,10 +11,18 @@
 from zincladder.agreement.model import Entry, Kind, Snapshot
 from zincladder.agreement.registers import Registers, Swap
 from zincladder.agreement.terms import Terms
-from zincladder.policy import book
-from zincladder.policy.conductor import Conductor, proposed
-from zincladder.policy.holder import Holder
-from zincladder.policy.model import RECORD, Checked, FromFront, FromKeeper, Outcome, Phase, document_id
+from zincladder.policy import change_log
+from zincladder.policy.coordinator import ChangeCoordinator, propose_change
+from zincladder.policy.model import (
+    POLICY_KEY,
+    ChangeOutcome,
+    ChangePhase,
+    DocumentValidated,
+    FromCoordinator,
+    FromParticipant,
+    document_id,
+)
+from zincladder.policy.participant import ChangeParticipant
 
 TERMS = Terms(lease=2.5, renew=0.5, drift=0.1, check=1.0, clear=0.4)
 
@@ -38,12 +46,12 @@
     name: str
     rate: float
     offset: float
-    holder: Holder | None = None
+    participant: ChangeParticipant | None = None
     process: int = 0
     asleep: bool = False
     line: Line | None = None
     against: set[str] = field(default_factory=set)  # documents that it can't take
-    missed: list[tuple[Line, FromKeeper]] = field(default_factory=list)
+    missed: list[tuple[Line, FromCoordinator]] = field(default_factory=list)
 
 
 class FleetWorld(World):
@@ -52,8 +60,8 @@
     def __init__(self, seed: int, voters: int = 3, fronts: int = 4, terms: Terms = TERMS) -> None:
         self.terms = terms
         self.registers: dict[str, Registers] = {}
-        self.conductors: dict[str, Conductor] = {}
-        self.inbox: dict[str, deque[tuple[int, Line, FromFront | None]]] = {}
+        self.conductors: dict[str, ChangeCoordinator] = {}
+        self.inbox: dict[str, deque[tuple[int, Line, FromParticipant | None]]] = {}
         self.read_at: dict[str, int] = {}
         self.fronts: dict[str, Front] = {}
         self.lines = itertools.count(1)
@@ -79,25 +87,25 @@
     # Fronts ---------------------------------------------------------------------------------------
 
     def begin(self, front: Front) -> None:
-        if front.holder is None:
+        if front.participant is None:
             front.process += 1
-            front.holder = self.holder(front)
+            front.participant = self.participant(front)
 
-    def holder(self, front: Front) -> Holder:
-        return Holder(self.front_clock(front))
+    def participant(self, front: Front) -> ChangeParticipant:
+        return ChangeParticipant(self.front_clock(front))
 
     def end_front(self, front: Front) -> None:
-        front.holder, front.asleep = None, False
+        front.participant, front.asleep = None, False
         front.missed.clear()
         self.break_line(front.line)
 
     def _front_loop(self, front: Front) -> None:
         self.at(self.random.uniform(0.05, 0.3), lambda: self._front_loop(front))
-        if front.holder is None or front.asleep:
+        if front.participant is None or front.asleep:
             return
         if front.line is None:
             self.connect(front)
-        front.holder.tick(self.front_clock(front))
+        front.participant.tick(self.front_clock(front))
         self.front_settle(front)
         self.judge()
 
@@ -107,13 +115,13 @@
             return
         if front.name in self.alone:
             return
-        conductor = self.conductors.get(process.name)
-        if conductor is None or process.member.role is not Role.LEADER:
+        coordinator = self.conductors.get(process.name)
+        if coordinator is None or process.member.role is not Role.LEADER:
             return
-        assert front.holder is not None
+        assert front.participant is not None
         line = front.line = Line(next(self.lines), front.name, process.name, process.lives)
-        conductor.linked(line.number, front.name, str(front.process), self.clock(process))
-        front.holder.link(True, self.front_clock(front))
+        coordinator.linked(line.number, front.name, str(front.process), self.clock(process))
+        front.participant.link(True, self.front_clock(front))
 
     def break_line(self, line: Line | None) -> None:
         """Each side learns of it at a time of its own."""
@@ -127,28 +135,28 @@
         front = self.fronts[line.front]
         if front.line is line:
             front.line = None
-            if front.holder is not None:
-                front.holder.link(False, self.front_clock(front))
+            if front.participant is not None:
+                front.participant.link(False, self.front_clock(front))
 
     def _keeper_lost(self, line: Line) -> None:
-        process, conductor = self.processes[line.keeper], self.conductors.get(line.keeper)
-        if conductor is not None and process.member is not None and process.lives == line.life:
-            conductor.unlinked(line.number, self.clock(process))
+        process, coordinator = self.processes[line.keeper], self.conductors.get(line.keeper)
+        if coordinator is not None and process.member is not None and process.lives == line.life:
+            coordinator.unlinked(line.number, self.clock(process))
             if not process.asleep:
                 self.conduct(process)
 
     def front_settle(self, front: Front) -> None:
-        holder, line = front.holder, front.line
-        assert holder is not None
+        participant, line = front.participant, front.line
+        assert participant is not None
         while True:
-            wish = holder.take()
+            wish = participant.take()
             for document, _ in wish.apply:
-                holder.took(document, "it can't" if document in front.against else "")
+                participant.took(document, "it can't" if document in front.against else "")
             for check in wish.check:
                 no = check.document in front.against
                 if not no:
                     self.said_yes.add((front.name, check.document))
-                holder.checked(check, ("it can't",) if no else ())
+                participant.checked(check, ("it can't",) if no else ())
             if line is not None:
                 for message in wish.say:
                     self._carry(line, "to", message)
@@ -157,7 +165,7 @@
 
     # Links ----------------------------------------------------------------------------------------
 
-    def _carry(self, line: Line, way: str, message: FromFront | FromKeeper) -> None:
+    def _carry(self, line: Line, way: str, message: FromParticipant | FromCoordinator) -> None:
         """In order, as a connection does; what is under way when it breaks may still come."""
         if way in self.alone.get(line.front, ()):
             return None  # nobody learns of it
@@ -175,7 +183,7 @@
             self.at(at - self.now, lambda: self._to_front(line, message))  # type: ignore[arg-type]
         return None
 
-    def _to_keeper(self, line: Line, message: FromFront) -> None:
+    def _to_keeper(self, line: Line, message: FromParticipant) -> None:
         process = self.processes[line.keeper]
         if process.member is None or process.lives != line.life:
             return
@@ -184,7 +192,7 @@
             return
         self.ask_first(process, line, message)
 
-    def ask_first(self, process: Process, line: Line, message: FromFront) -> None:
+    def ask_first(self, process: Process, line: Line, message: FromParticipant) -> None:
         """What a front says is handed in once a majority has confirmed that this keeper leads."""
         assert process.member is not None
         ticket = next(self._tickets)
@@ -196,14 +204,14 @@
         self.inbox.setdefault(process.name, deque()).append((ticket, line, message))
         self.settle(process)
 
-    def _to_front(self, line: Line, message: FromKeeper) -> None:
+    def _to_front(self, line: Line, message: FromCoordinator) -> None:
         front = self.fronts[line.front]
-        if front.line is not line or front.holder is None:
+        if front.line is not line or front.participant is None:
             return
         if front.asleep:
             front.missed.append((line, message))
             return
-        front.holder.heard(message, self.front_clock(front))
+        front.participant.heard(message, self.front_clock(front))
         self.front_settle(front)
         self.judge()
 
@@ -232,9 +240,9 @@
         if entry.kind is Kind.DATA:
             self.registers[process.name].apply(process.index, entry.data)
             registers = self.registers[process.name]
-            found = registers.get(RECORD)
+            found = registers.get(POLICY_KEY)
             if found is not None and found.version == process.index:
-                self.judge_record(book.read(registers.under("")))
+                self.judge_record(change_log.read(registers.under("")))
 
     def settle(self, process: Process) -> None:
         super().settle(process)
@@ -244,37 +252,37 @@
         queue = self.inbox.get(process.name, deque())
         while queue and queue[0][0] <= ticket:
             _, line, message = queue.popleft()
-            conductor = self.conductors.get(process.name)
-            if conductor is None:
+            coordinator = self.conductors.get(process.name)
+            if coordinator is None:
                 continue
-            self.learn(process, conductor)
+            self.learn(process, coordinator)
             if message is not None:
-                known = line.number in conductor.fronts
-                if known and isinstance(message, Checked) and message.reasons:
-                    self.heard_no.add((process.name, conductor.term, message.document))
-                conductor.heard(line.number, message, self.clock(process))
+                known = line.number in coordinator.fronts
+                if known and isinstance(message, DocumentValidated) and message.reasons:
+                    self.heard_no.add((process.name, coordinator.term, message.document))
+                coordinator.heard(line.number, message, self.clock(process))
 
-    def learn(self, process: Process, conductor: Conductor) -> None:
-        found = book.read(self.registers[process.name].under(""))
+    def learn(self, process: Process, coordinator: ChangeCoordinator) -> None:
+        found = change_log.read(self.registers[process.name].under(""))
         if self.read_at.get(process.name) != process.index:
             self.read_at[process.name] = process.index
-            conductor.knows(found.record, found.at, found.roster, found.contents, self.clock(process))
+            coordinator.knows(found.record, found.at, found.roster, found.contents, self.clock(process))
 
     def conduct(self, process: Process) -> None:
         member = process.member
         if member is None:
             return
-        conductor = self.conductors.get(process.name)
+        coordinator = self.conductors.get(process.name)
         if member.role is not Role.LEADER:
-            if conductor is not None:
+            if coordinator is not None:
                 del self.conductors[process.name]
                 self.inbox.pop(process.name, None)
                 for front in self.fronts.values():
                     if front.line and front.line.keeper == process.name:
                         self.break_line(front.line)
             return
-        if conductor is None or conductor.term != member.term:
-            conductor = self.conductors[process.name] = Conductor(
+        if coordinator is None or coordinator.term != member.term:
+            coordinator = self.conductors[process.name] = ChangeCoordinator(
                 self.terms, self.clock(process), member.term
             )
             self.read_at.pop(process.name, None)
@@ -284,22 +292,27 @@
             self.inbox[process.name].append((ticket, Line(0, "", process.name, 0), None))
             self.settle(process)
             return
-        if conductor.known:
-            self.learn(process, conductor)
-        conductor.tick(self.clock(process))
-        wish = conductor.take()
+        if coordinator.known:
+            self.learn(process, coordinator)
+        coordinator.tick(self.clock(process))
+        wish = coordinator.take()
         lines = {f.line.number: f.line for f in self.fronts.values() if f.line}
         for number, message in wish.say:
             self.figures["grants"] += type(message).__name__ == "Granted"
             if number in lines:
                 self._carry(lines[number], "back", message)
-        swaps = [book.expected_swap(name) for name in wish.expect]
+        swaps = [change_log.write_expected_front(name) for name in wish.expect]
         if wish.write:
             change = wish.write.record.open
-            no = change and (process.name, conductor.term, change.document) in self.heard_no
-            if no and change and change.phase is Phase.DECIDED and not self.decided.get(change.version):
+            no = change and (process.name, coordinator.term, change.document) in self.heard_no
+            if (
+                no
+                and change
+                and change.phase is ChangePhase.COMMITTED
+                and not self.decided.get(change.version)
+            ):
                 raise Broken(f"version {change.version} is decided against a front's word")
-            swaps.append(book.record_swap(wish.write.expected, wish.write.record))
+            swaps.append(change_log.write_record(wish.write.expected, wish.write.record))
         for swap in swaps:
             self.put(process, swap)
         if swaps:
@@ -308,7 +321,7 @@
     def put(self, process: Process, swap: Swap) -> None:
         assert process.member is not None
         try:
-            process.member.propose(book.encode(swap))
+            process.member.propose(change_log.encode(swap))
         except (Busy, NotLeader):
             return
 
@@ -325,16 +338,16 @@
         process = self.leader()
         if process is None or process.member is None:
             return
-        found = book.read(self.registers[process.name].under(""))  # perhaps an old one
+        found = change_log.read(self.registers[process.name].under(""))  # perhaps an old one
         data = b"policy %d" % next(self.proposals)
         if self.random.random() < 0.2:
             self.random.choice(list(self.fronts.values())).against.add(document_id(data))
-        new = proposed(found.record, found.record.version, document_id(data), "op", "", self.now)
+        new = propose_change(found.record, found.record.version, document_id(data), "op", "", self.now)
         if isinstance(new, str):
             return
         self.figures["asked"] += 1
-        self.put(process, book.document_swap(data))
-        self.put(process, book.record_swap(found.at, new))
+        self.put(process, change_log.write_document(data))
+        self.put(process, change_log.write_record(found.at, new))
         self.settle(process)
 
     def trouble(self) -> None:
@@ -343,10 +356,10 @@
             super().trouble()
         front = r.choice(list(self.fronts.values()))
         kind = r.randrange(7)
-        if kind == 0 and front.holder:
+        if kind == 0 and front.participant:
             self.end_front(front)
             self.at(r.uniform(0.1, 9), lambda: self.begin(front))
-        elif kind == 1 and front.holder and not front.asleep:
+        elif kind == 1 and front.participant and not front.asleep:
             front.asleep = True
             self.at(r.uniform(0.1, 8), lambda: self.wake_front(front))
         elif kind == 2:
@@ -368,7 +381,7 @@
         """What is written here are records."""
 
     def wake_front(self, front: Front) -> None:
-        if front.holder is None or not front.asleep:
+        if front.participant is None or not front.asleep:
             return
         front.asleep = False
         self.judge()  # before it has heard anything
@@ -381,8 +394,8 @@
     def judge(self) -> None:
         serving = {}
         for front in self.fronts.values():
-            if front.holder is not None and not front.asleep:
-                version = front.holder.serving(self.front_clock(front))
+            if front.participant is not None and not front.asleep:
+                version = front.participant.serving(self.front_clock(front))
                 if version:
                     serving[front.name] = version
                     self.figures["served"] += 1
@@ -396,18 +409,22 @@
             if version not in self.decided:
                 raise Broken(f"version {version} is served and was never decided")
 
-    def judge_record(self, found: book.Book) -> None:
+    def judge_record(self, found: change_log.ChangeLog) -> None:
         record, change = found.record, found.record.open
         if change is not None:
             self.expected.setdefault(change.version, len(found.roster))
-        if change is not None and change.phase is not Phase.CHECKING and change.version not in self.decided:
+        if (
+            change is not None
+            and change.phase is not ChangePhase.VALIDATING
+            and change.version not in self.decided
+        ):
             self.decided[change.version] = change.document
             names = {n for n, d in self.said_yes if d == change.document}
             expected = self.expected.get(change.version, 0)
             if expected and len(names) <= self.terms.least * expected:
                 raise Broken(f"version {change.version} was decided with {len(names)} of {expected}")
         for past in record.history:
-            if past.version in self.decided and past.outcome is Outcome.WITHDRAWN:
+            if past.version in self.decided and past.outcome is ChangeOutcome.WITHDRAWN:
                 raise Broken(f"version {past.version} was decided and came to nothing")
 
     def mend(self) -> None:
@@ -425,9 +442,10 @@
             leader = self.leader()
             if leader is None:
                 continue
-            record = book.read(self.registers[leader.name].under("")).record
+            record = change_log.read(self.registers[leader.name].under("")).record
             versions = {
-                f.holder.serving(self.front_clock(f)) if f.holder else 0 for f in self.fronts.values()
+                f.participant.serving(self.front_clock(f)) if f.participant else 0
+                for f in self.fronts.values()
             }
             ill = any(record.document in f.against for f in self.fronts.values())
             done = record.open is None and self.decided.keys() <= {p.version for p in record.history}
@@ -435,5 +453,5 @@
                 break
         else:
             raise Broken(f"no version everywhere {80} s after all was mended: {versions}, {record.open}")
-        self.figures["held"] += sum(p.outcome is Outcome.HELD for p in record.history)
-        self.figures["withdrawn"] += sum(p.outcome is Outcome.WITHDRAWN for p in record.history)
+        self.figures["held"] += sum(p.outcome is ChangeOutcome.ACTIVATED for p in record.history)
+        self.figures["withdrawn"] += sum(p.outcome is ChangeOutcome.WITHDRAWN for p in record.history)
--- a/tests/golden.py
+++ b/tests/support/golden.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-DATA = Path(__file__).parent / "data"
+DATA = Path(__file__).parent.parent / "data"
 
 
 def fixtures(name: str) -> dict[str, bytes]:
--- a/tests/small_policy.py
+++ b/tests/support/policy_states.py
@@ -8,19 +8,19 @@
 from tests.simulated import Broken
 from tests.small import Event, Place, Scope, Small
 from zincladder.agreement.terms import Terms
-from zincladder.policy.conductor import Conductor, Write, proposed
-from zincladder.policy.holder import Holder
-from zincladder.policy.model import Phase, Record
+from zincladder.policy.coordinator import ChangeCoordinator, Write, propose_change
+from zincladder.policy.model import ChangePhase, PolicyRecord
+from zincladder.policy.participant import ChangeParticipant
 
 TERMS = Terms(lease=3.0, renew=2.0, drift=0.0, check=1.0, clear=1.0)
-DOCUMENTS = {f"d{n}": b"%d" % n for n in range(1, 9)}
+DOCUMENT_PREFIX = {f"d{n}": b"%d" % n for n in range(1, 9)}
 
 
 class SmallFleet(Small):
     """All fronts serve under version 1 at the start."""
 
     def __init__(self, scope: Scope, fronts: int = 2) -> None:
-        self.record, self.at, self.in_force = Record(1, "d1"), 1, 1
+        self.record, self.at, self.in_force = PolicyRecord(1, "d1"), 1, 1
         self.roster = [f"f{n}" for n in range(fronts)]
         super().__init__(scope, fronts)
         self.knows()
@@ -30,14 +30,14 @@
             while place.to or place.back:
                 self.to_leader(n) if place.to else self.to_process(n)
 
-    def begin(self, since: float) -> Conductor:
-        return Conductor(TERMS, since, self.term)
+    def begin(self, since: float) -> ChangeCoordinator:
+        return ChangeCoordinator(TERMS, since, self.term)
 
-    def mind(self, now: float) -> Holder:
-        return Holder(now)
+    def mind(self, now: float) -> ChangeParticipant:
+        return ChangeParticipant(now)
 
     def knows(self) -> None:
-        self.part.knows(self.record, self.at, self.roster, DOCUMENTS, self.time)
+        self.part.knows(self.record, self.at, self.roster, DOCUMENT_PREFIX, self.time)
 
     def land(self, write: Write) -> None:
         if write.expected == self.at:
@@ -60,8 +60,8 @@
 
     def propose(self) -> None:
         self.spend(changes=-1)
-        new = proposed(self.record, self.record.version, f"d{self.record.version + 1}", "", "", 0.0)
-        assert isinstance(new, Record)
+        new = propose_change(self.record, self.record.version, f"d{self.record.version + 1}", "", "", 0.0)
+        assert isinstance(new, PolicyRecord)
         self.record, self.at = new, self.at + 1
         self.knows()
         self.conduct()
@@ -92,7 +92,7 @@
         if self.record.version < self.in_force:
             raise Broken(f"version {self.in_force} is served before it is in force")
         change = self.record.open
-        if change and change.version <= self.record.version and change.phase is not Phase.CHECKING:
+        if change and change.version <= self.record.version and change.phase is not ChangePhase.VALIDATING:
             raise Broken(f"version {change.version} is decided twice")
 
 
--- a/tests/small_duties.py
+++ b/tests/support/task_states.py
@@ -14,10 +14,10 @@
 from tests.simulated import Broken
 from tests.small import Event, Place, Scope, Small
 from zincladder.agreement.terms import Terms
-from zincladder.ownership.fence import Fence
-from zincladder.ownership.model import Duty
-from zincladder.ownership.owner import Owner
-from zincladder.ownership.steward import Steward, Take
+from zincladder.tasks.fence import Fence
+from zincladder.tasks.lease_holder import LeaseHolder
+from zincladder.tasks.lease_manager import AssignmentWrite, LeaseManager
+from zincladder.tasks.model import TaskAssignment
 
 TERMS = Terms(lease=3.0, renew=2.0, drift=0.0, act=0.0)
 DUTY = "figures"
@@ -27,7 +27,7 @@
     """One duty that all processes want; `effects` are how many may be let go in all."""
 
     def __init__(self, scope: Scope, processes: int = 2, effects: int = 2, fenced: bool = True) -> None:
-        self.register: tuple[Duty, int] = (Duty(), 0)
+        self.register: tuple[TaskAssignment, int] = (TaskAssignment(), 0)
         self.index = 1
         self.effects, self.fenced = effects, fenced
         self.under_way: list[int] = []  # tokens
@@ -39,22 +39,22 @@
         for n in range(processes):
             self.link(n)
 
-    def begin(self, since: float) -> Steward:
-        return Steward(TERMS, since, self.term)
+    def begin(self, since: float) -> LeaseManager:
+        return LeaseManager(TERMS, since, self.term)
 
-    def mind(self, now: float) -> Owner:
-        return Owner([DUTY], now)
+    def mind(self, now: float) -> LeaseHolder:
+        return LeaseHolder([DUTY], now)
 
     def knows(self) -> None:
         duty, version = self.register
         self.part.knows({DUTY: (duty, version)} if version else {}, self.time)
 
-    def land(self, write: Take) -> None:
+    def land(self, write: AssignmentWrite) -> None:
         if write.expected == self.register[1]:
             self.index += 1
             self.register = (write.value, self.index)
 
-    def landed(self, write: Take) -> None:
+    def landed(self, write: AssignmentWrite) -> None:
         self.part.wrote(write.duty, self.time)
 
     def wishes(self) -> tuple[list[tuple[int, Any]], list[Any]]:
@@ -80,7 +80,7 @@
         """An operator takes the duty from whoever has it."""
         self.spend(changes=-1)
         self.index += 1
-        self.register = (Duty(left="moved"), self.index)
+        self.register = (TaskAssignment(left="moved"), self.index)
         self.knows()
         self.conduct()
 
--- a/tests/tasks/test_golden_bytes.py
+++ b/tests/tasks/test_golden_bytes.py
@@ -7,70 +7,70 @@
 import msgspec
 import pytest
 
-from tests.golden import assert_same_bytes, fixtures
+from tests.support.golden import assert_same_bytes, fixtures
 from zincladder.agreement.registers import Swap
-from zincladder.ownership import figures, model
-from zincladder.ownership.model import (
-    Duty,
+from zincladder.tasks import fleet_metrics, model
+from zincladder.tasks.counter_sums import FleetTotals, decode_totals, encode_totals
+from zincladder.tasks.model import (
+    Assigned,
     Elsewhere,
-    FromKeeper,
-    FromWorker,
-    GivesBack,
-    Keeps,
-    Lent,
-    Stop,
-    Tells,
-    Wants,
-    Yours,
-    checkpoint,
+    FromLeaseManager,
+    FromRunner,
+    LeaseGranted,
+    Offer,
+    ReleaseLease,
+    RenewLease,
+    ReportCounters,
+    Revoke,
+    TaskAssignment,
+    write_checkpoint,
 )
-from zincladder.ownership.sums import Totals, packed, unpacked
 
 FROM_WORKER = {
-    "wants": Wants(("figures", "other")),
-    "wants-none": Wants(()),
-    "keeps": Keeps(9, (("figures", 41), ("other", 7))),
-    "keeps-none": Keeps(1, ()),
-    "gives-back": GivesBack("figures", 41),
-    "tells": Tells({"zincladder_fleet_class_answers_total\0page\0ok": 12.0, "b": 0.5}),
+    "wants": Offer(("figures", "other")),
+    "wants-none": Offer(()),
+    "keeps": RenewLease(9, (("figures", 41), ("other", 7))),
+    "keeps-none": RenewLease(1, ()),
+    "gives-back": ReleaseLease("figures", 41),
+    "tells": ReportCounters({"zincladder_fleet_class_answers_total\0page\0ok": 12.0, "b": 0.5}),
 }
 FROM_LEADER = {
-    "yours": Yours("figures", 41),
-    "lent": Lent(9, (("figures", 41),), 4.75, 1.0),
-    "lent-none": Lent(1, (), 4.75, 1.0),
-    "stop": Stop("figures", 41),
+    "yours": Assigned("figures", 41),
+    "lent": LeaseGranted(9, (("figures", 41),), 4.75, 1.0),
+    "lent-none": LeaseGranted(1, (), 4.75, 1.0),
+    "stop": Revoke("figures", 41),
     "elsewhere": Elsewhere("k2"),
 }
 REGISTERS = {
-    "never-taken": Duty(),
-    "owned": Duty("f1", "0a1b2c3d", 1733216400.25),
-    "paused": Duty(at=1733216400.25, paused=True, left="paused"),
-    "wished": Duty("", "", 1733216400.25, False, "f2", "to be moved to f2"),
+    "never-taken": TaskAssignment(),
+    "owned": TaskAssignment("f1", "0a1b2c3d", 1733216400.25),
+    "paused": TaskAssignment(at=1733216400.25, paused=True, left="paused"),
+    "wished": TaskAssignment("", "", 1733216400.25, False, "f2", "to be moved to f2"),
 }
 TOTALS = {
-    "none": Totals(),
-    "some": Totals(1733216400000, "k1/7", {"a\0x": 3.0, "b": 1.5}, {"a\0x": 10.0, "b": 2.5, "c": 1.0}),
+    "none": FleetTotals(),
+    "some": FleetTotals(1733216400000, "k1/7", {"a\0x": 3.0, "b": 1.5}, {"a\0x": 10.0, "b": 2.5, "c": 1.0}),
 }
 SWAPS = {
-    "checkpoint": checkpoint("figures", 41, 40, b"progress"),
-    "checkpoint-first": checkpoint("figures", 3, 0, b""),
-    "owner": Swap(model.key("figures"), 40, msgspec.msgpack.encode(REGISTERS["owned"])),
+    "checkpoint": write_checkpoint("figures", 41, 40, b"progress"),
+    "checkpoint-first": write_checkpoint("figures", 3, 0, b""),
+    "owner": Swap(model.task_key("figures"), 40, msgspec.msgpack.encode(REGISTERS["owned"])),
 }
 
 
 @pytest.mark.parametrize("name", FROM_WORKER)
 def test_messages_of_a_process(name: str) -> None:
-    assert_same_bytes(fixtures("task_from_process.txt")[name], FROM_WORKER[name], FromWorker)
+    assert_same_bytes(fixtures("task_from_process.txt")[name], FROM_WORKER[name], FromRunner)
 
 
 @pytest.mark.parametrize("name", FROM_LEADER)
 def test_messages_of_the_leader(name: str) -> None:
-    assert_same_bytes(fixtures("task_from_leader.txt")[name], FROM_LEADER[name], FromKeeper)
+    assert_same_bytes(fixtures("task_from_leader.txt")[name], FROM_LEADER[name], FromLeaseManager)
 
 
 @pytest.mark.parametrize("name", REGISTERS)
 def test_values_of_a_tasks_register(name: str) -> None:
-    assert_same_bytes(fixtures("task_registers.txt")[name], REGISTERS[name], Duty)
+    assert_same_bytes(fixtures("task_registers.txt")[name], REGISTERS[name], TaskAssignment)
 
 
 @pytest.mark.parametrize("name", SWAPS)
@@ -80,9 +80,11 @@
 
 @pytest.mark.parametrize("name", TOTALS)
 def test_progress_of_the_fleets_figures(name: str) -> None:
-    assert_same_bytes(fixtures("task_totals.txt")[name], TOTALS[name], Totals)
+    assert_same_bytes(fixtures("task_totals.txt")[name], TOTALS[name], FleetTotals)
     stored = fixtures("task_totals_packed.txt")[name]
-    assert unpacked(stored) == TOTALS[name] and unpacked(packed(TOTALS[name])) == TOTALS[name]
+    assert (
+        decode_totals(stored) == TOTALS[name] and decode_totals(encode_totals(TOTALS[name])) == TOTALS[name]
+    )
 
 
 def test_each_fixture_is_checked_and_each_message_has_one() -> None:
@@ -96,13 +98,19 @@
     }
     for file, values in checked.items():
         assert fixtures(file).keys() == values.keys()
-    assert {type(message) for message in FROM_WORKER.values()} == set(FromWorker.__args__)
-    assert {type(message) for message in FROM_LEADER.values()} == set(FromKeeper.__args__)
+    assert {type(message) for message in FROM_WORKER.values()} == set(FromRunner.__args__)
+    assert {type(message) for message in FROM_LEADER.values()} == set(FromLeaseManager.__args__)
 
 
 def test_keys_of_registers_and_of_the_push() -> None:
-    assert (model.DUTIES, model.PROGRESS) == ("duty/", "progress/")
-    assert (model.key("a"), model.progress_key("a")) == ("duty/a", "progress/a")
-    assert (figures.FENCE, figures.FENCED) == ("X-Zincladder-Fence", 409)
-    assert figures.series(figures.ANSWERS, "page", "ok") == "zincladder_fleet_class_answers_total\0page\0ok"
-    assert figures.series(figures.ATTEMPTS, "c", "ok") == "zincladder_fleet_cache_attempts_total\0c\0ok"
+    assert (model.TASK_PREFIX, model.CHECKPOINT_PREFIX) == ("duty/", "progress/")
+    assert (model.task_key("a"), model.checkpoint_key("a")) == ("duty/a", "progress/a")
+    assert (fleet_metrics.FENCE_HEADER, fleet_metrics.HTTP_FENCED) == ("X-Zincladder-Fence", 409)
+    assert (
+        fleet_metrics.series(fleet_metrics.ANSWERS, "page", "ok")
+        == "zincladder_fleet_class_answers_total\0page\0ok"
+    )
+    assert (
+        fleet_metrics.series(fleet_metrics.ATTEMPTS, "c", "ok")
+        == "zincladder_fleet_cache_attempts_total\0c\0ok"
+    )
--- a/tests/test_ownership.py
+++ b/tests/tasks/test_leases.py
@@ -13,25 +13,35 @@
 
 from tests.simulated import Broken
 from tests.small import Scope, search, walk
-from tests.small_duties import TERMS, SmallDuties, taken_over
+from tests.support.task_states import TERMS, SmallDuties, taken_over
 from zincladder.agreement.registers import MOST_VALUE, Fenced, Missed, Registers, Swap, Swapped
 from zincladder.config import DutiesConfig
-from zincladder.ownership.fence import MOST_DUTIES, Fence
-from zincladder.ownership.host import fault
-from zincladder.ownership.model import Duty, GivesBack, Keeps, Lent, Stop, Wants, Yours, checkpoint, key
-from zincladder.ownership.owner import Held, Owner
-from zincladder.ownership.steward import Steward
-from zincladder.ownership.sums import (
-    MOST_PROCESSES,
-    MOST_SERIES,
-    MOST_TOLD,
-    Sums,
-    Totals,
-    next_time,
-    packed,
-    unpacked,
+from zincladder.tasks.counter_sums import (
+    MAX_COUNTERS_PER_PROCESS,
+    MAX_PROCESSES,
+    MAX_SERIES,
+    CounterSums,
+    FleetTotals,
+    decode_totals,
+    encode_totals,
+    next_sample_at,
 )
-from zincladder.ownership.worker import Worker
+from zincladder.tasks.fence import MAX_TASKS, Fence
+from zincladder.tasks.host import fault
+from zincladder.tasks.lease_holder import HeldLease, LeaseHolder
+from zincladder.tasks.lease_manager import LeaseManager
+from zincladder.tasks.model import (
+    Assigned,
+    LeaseGranted,
+    Offer,
+    ReleaseLease,
+    RenewLease,
+    Revoke,
+    TaskAssignment,
+    task_key,
+    write_checkpoint,
+)
+from zincladder.tasks.runner import TaskRunner
 
 # Many faults of all kinds, and leaders that hardly last.
 WIDE = (
@@ -67,47 +77,47 @@
 
 
 def a_lease_a_little_long(patch: pytest.MonkeyPatch) -> None:
-    lent = Owner._lent
+    lent = LeaseHolder._lent
 
-    def longer(self: Owner, message: Lent, now: float) -> None:
+    def longer(self: LeaseHolder, message: LeaseGranted, now: float) -> None:
         lent(self, msgspec.structs.replace(message, believed=message.believed + 1), now)
 
-    patch.setattr(Owner, "_lent", longer)
+    patch.setattr(LeaseHolder, "_lent", longer)
 
 
 def a_lease_from_its_answer(patch: pytest.MonkeyPatch) -> None:
-    lent = Owner._lent
+    lent = LeaseHolder._lent
 
-    def later(self: Owner, message: Lent, now: float) -> None:
+    def later(self: LeaseHolder, message: LeaseGranted, now: float) -> None:
         if message.serial in self._asked:
             self._asked[message.serial] = now
         lent(self, message, now)
 
-    patch.setattr(Owner, "_lent", later)
+    patch.setattr(LeaseHolder, "_lent", later)
 
 
 def a_new_leader_that_does_not_wait(patch: pytest.MonkeyPatch) -> None:
-    made = Steward.__init__
+    made = LeaseManager.__init__
 
-    def hasty(self: Steward, *args: Any) -> None:
+    def hasty(self: LeaseManager, *args: Any) -> None:
         made(self, *args)
         self._unknown = args[1]
 
-    patch.setattr(Steward, "__init__", hasty)
+    patch.setattr(LeaseManager, "__init__", hasty)
 
 
 def an_older_word_frees_a_duty(patch: pytest.MonkeyPatch) -> None:
-    given = Steward._given_back
+    given = LeaseManager._given_back
 
-    def any_token(self: Steward, worker: Any, duty: str, token: int, now: float) -> None:
-        given(self, worker, duty, self.lent.get(duty, (token, 0.0))[0], now)
+    def any_token(self: LeaseManager, task_runner: Any, duty: str, token: int, now: float) -> None:
+        given(self, task_runner, duty, self.lent.get(duty, (token, 0.0))[0], now)
 
-    patch.setattr(Steward, "_given_back", any_token)
+    patch.setattr(LeaseManager, "_given_back", any_token)
 
 
 def a_duty_that_is_taken_while_it_is_lent(patch: pytest.MonkeyPatch) -> None:
-    free = Steward.free_at
-    patch.setattr(Steward, "free_at", lambda self, duty: free(self, duty) - 2)
+    free = LeaseManager.free_at
+    patch.setattr(LeaseManager, "free_at", lambda self, duty: free(self, duty) - 2)
 
 
 def a_token_that_comes_twice(patch: pytest.MonkeyPatch) -> None:
@@ -144,16 +154,16 @@
 # The owner, step by step --------------------------------------------------------------------------
 
 
-def owning(now: float = 100.0) -> Owner:
-    owner = Owner(["a", "b"], now)
+def owning(now: float = 100.0) -> LeaseHolder:
+    owner = LeaseHolder(["a", "b"], now)
     owner.link(True, now)
-    owner.heard(Yours("a", 7), now)
+    owner.heard(Assigned("a", 7), now)
     (wants, idle, asked) = owner.take().say
-    assert wants == Wants(("a", "b"))
-    assert isinstance(idle, Keeps) and not idle.held and isinstance(asked, Keeps)
-    assert asked == Keeps(idle.serial + 1, (("a", 7),))
+    assert wants == Offer(("a", "b"))
+    assert isinstance(idle, RenewLease) and not idle.held and isinstance(asked, RenewLease)
+    assert asked == RenewLease(idle.serial + 1, (("a", 7),))
     assert owner.acting("a", now) == 0  # it is the owner, and has no lease yet
-    owner.heard(Lent(asked.serial, (("a", 7),), 5.0, 1.0), now + 0.4)
+    owner.heard(LeaseGranted(asked.serial, (("a", 7),), 5.0, 1.0), now + 0.4)
     assert owner.take().begin == ["a"]
     return owner
 
@@ -165,12 +175,12 @@
 
 
 def test_the_first_lease_says_how_often_to_ask_from_now_on() -> None:
-    owner = Owner(["a"], 100.0)
+    owner = LeaseHolder(["a"], 100.0)
     owner.link(True, 100.0)
-    owner.heard(Yours("a", 7), 100.0)
+    owner.heard(Assigned("a", 7), 100.0)
     asked = owner.take().say[-1]
-    assert isinstance(asked, Keeps)
-    owner.heard(Lent(asked.serial, (("a", 7),), 1.5, 0.25), 100.1)
+    assert isinstance(asked, RenewLease)
+    owner.heard(LeaseGranted(asked.serial, (("a", 7),), 1.5, 0.25), 100.1)
     assert owner.next_at == pytest.approx(100.35)
 
 
@@ -181,8 +191,8 @@
     assert owner.take().end == ["a"]
     owner.link(True, 107.0)
     asked = owner.take().say[-1]
-    assert isinstance(asked, Keeps) and asked.held == (("a", 7),)
-    owner.heard(Lent(asked.serial, (("a", 7),), 5.0, 1.0), 107.1)
+    assert isinstance(asked, RenewLease) and asked.held == (("a", 7),)
+    owner.heard(LeaseGranted(asked.serial, (("a", 7),), 5.0, 1.0), 107.1)
     assert owner.take().begin == ["a"] and owner.acting("a", 108.0) == 7
 
 
@@ -190,25 +200,25 @@
     owner = owning()
     owner.tick(101.0)
     (asked,) = owner.take().say
-    assert isinstance(asked, Keeps)
-    owner.heard(Lent(asked.serial, (), 5.0, 1.0), 101.1)
+    assert isinstance(asked, RenewLease)
+    owner.heard(LeaseGranted(asked.serial, (), 5.0, 1.0), 101.1)
     assert owner.acting("a", 101.1) == 0 and owner.take().end == ["a"] and not owner.held
 
 
 def test_a_stop_is_answered_and_an_older_one_ends_nothing() -> None:
     owner = owning()
-    owner.heard(Stop("a", 6), 100.5)
+    owner.heard(Revoke("a", 6), 100.5)
     assert owner.acting("a", 100.5) == 7
-    owner.heard(Stop("a", 7), 100.6)
-    assert owner.acting("a", 100.6) == 0 and owner.take().say == [GivesBack("a", 7)]
+    owner.heard(Revoke("a", 7), 100.6)
+    assert owner.acting("a", 100.6) == 0 and owner.take().say == [ReleaseLease("a", 7)]
 
 
 def test_one_that_leaves_gives_all_back_and_wants_nothing() -> None:
     owner = owning()
     owner.leave()
     wish = owner.take()
-    assert wish.say == [Wants(()), GivesBack("a", 7)] and wish.end == ["a"]
-    owner.heard(Yours("b", 9), 101.0)
+    assert wish.say == [Offer(()), ReleaseLease("a", 7)] and wish.end == ["a"]
+    owner.heard(Assigned("b", 9), 101.0)
     assert not owner.held
 
 
@@ -227,31 +237,31 @@
 
     def __init__(self, *names: str) -> None:
         self.now, self.index = 100.0, 1
-        self.registers: dict[str, tuple[Duty, int]] = {}
-        self.steward = Steward(TERMS, self.now - 50)
-        self.steward.knows(self.registers, self.now)
+        self.registers: dict[str, tuple[TaskAssignment, int]] = {}
+        self.lease_manager = LeaseManager(TERMS, self.now - 50)
+        self.lease_manager.knows(self.registers, self.now)
         self.said: list[tuple[int, Any]] = []
         for n, name in enumerate(names, 1):
-            self.steward.linked(n, name, "p", self.now)
-            self.hears(n, Wants(("a",)))
+            self.lease_manager.linked(n, name, "p", self.now)
+            self.hears(n, Offer(("a",)))
 
     def hears(self, number: int, message: Any) -> None:
-        self.steward.heard(number, message, self.now)
+        self.lease_manager.heard(number, message, self.now)
         self.settle()
 
     def settle(self, seconds: float = 0.0) -> None:
         self.now += seconds
-        self.steward.tick(self.now)
-        while (wish := self.steward.take()).write or wish.say:
+        self.lease_manager.tick(self.now)
+        while (wish := self.lease_manager.take()).write or wish.say:
             self.said += wish.say
             for take in wish.write:
-                assert take.expected == self.registers.get(take.duty, (Duty(), 0))[1]
+                assert take.expected == self.registers.get(take.duty, (TaskAssignment(), 0))[1]
                 self.index += 1
                 self.registers[take.duty] = (take.value, self.index)
             if wish.write:
-                self.steward.knows(self.registers, self.now)
+                self.lease_manager.knows(self.registers, self.now)
             for take in wish.write:
-                self.steward.wrote(take.duty, self.now)
+                self.lease_manager.wrote(take.duty, self.now)
 
     def owner(self) -> str:
         return self.registers["a"][0].owner
@@ -271,19 +281,19 @@
 def test_nobody_gets_a_lease_while_a_duty_changes_hands_whatever_else_is_decided_meanwhile() -> None:
     # any entry that was learned of ended the wait for this one: both would have acted
     lead = Lead("x", "y")
-    number, token = lead.steward.owner_link("a"), lead.registers["a"][1]
+    number, token = lead.lease_manager.owner_link("a"), lead.registers["a"][1]
     lead.now += TERMS.waited + 0.1
-    lead.steward.tick(lead.now)
-    (take,) = lead.steward.take().write
-    lead.steward.knows(lead.registers, lead.now)  # of something else
-    lead.steward.heard(number, Keeps(1, (("a", token),)), lead.now)
-    wish = lead.steward.take()
-    assert not wish.write and [m for _, m in wish.say] == [Lent(1, (), TERMS.owned, TERMS.renew)]
+    lead.lease_manager.tick(lead.now)
+    (take,) = lead.lease_manager.take().write
+    lead.lease_manager.knows(lead.registers, lead.now)  # of something else
+    lead.lease_manager.heard(number, RenewLease(1, (("a", token),)), lead.now)
+    wish = lead.lease_manager.take()
+    assert not wish.write and [m for _, m in wish.say] == [LeaseGranted(1, (), TERMS.owned, TERMS.renew)]
     lead.registers["a"] = (take.value, token + 1)
-    lead.steward.knows(lead.registers, lead.now)
-    lead.steward.wrote("a", lead.now)
-    lead.hears(3 - number, Keeps(1, (("a", token + 1),)))
-    assert lead.said[-1][1] == Lent(1, (("a", token + 1),), TERMS.owned, TERMS.renew)
+    lead.lease_manager.knows(lead.registers, lead.now)
+    lead.lease_manager.wrote("a", lead.now)
+    lead.hears(3 - number, RenewLease(1, (("a", token + 1),)))
+    assert lead.said[-1][1] == LeaseGranted(1, (("a", token + 1),), TERMS.owned, TERMS.renew)
 
 
 def test_the_only_one_there_is_keeps_its_duty_however_long_it_says_nothing() -> None:
@@ -291,67 +301,67 @@
     token = lead.registers["a"][1]
     lead.settle(100.0)
     assert (lead.owner(), lead.registers["a"][1]) == ("x", token)
-    lead.hears(1, Keeps(1, (("a", token),)))
-    assert Lent(1, (("a", token),), TERMS.owned, TERMS.renew) in [m for _, m in lead.said]
+    lead.hears(1, RenewLease(1, (("a", token),)))
+    assert LeaseGranted(1, (("a", token),), TERMS.owned, TERMS.renew) in [m for _, m in lead.said]
 
 
 def test_an_owner_that_is_gone_is_waited_for_and_one_that_gave_back_is_not() -> None:
     lead = Lead("x", "y")
     first = lead.owner()
-    number = lead.steward.owner_link("a")
-    lead.hears(number, Keeps(1, (("a", lead.registers["a"][1]),)))
-    lead.steward.unlinked(number, lead.now)
+    number = lead.lease_manager.owner_link("a")
+    lead.hears(number, RenewLease(1, (("a", lead.registers["a"][1]),)))
+    lead.lease_manager.unlinked(number, lead.now)
     lead.settle(TERMS.waited - 0.1)
     assert lead.owner() == first
     lead.settle(0.2)
     second = lead.owner()
     assert second and second != first
-    other = lead.steward.owner_link("a")
-    lead.steward.linked(9, "z", "p", lead.now)
-    lead.hears(9, Wants(("a",)))
-    lead.hears(other, Wants(()))
-    lead.hears(other, GivesBack("a", lead.registers["a"][1]))
+    other = lead.lease_manager.owner_link("a")
+    lead.lease_manager.linked(9, "z", "p", lead.now)
+    lead.hears(9, Offer(("a",)))
+    lead.hears(other, Offer(()))
+    lead.hears(other, ReleaseLease("a", lead.registers["a"][1]))
     assert lead.owner() == "z"
 
 
 def test_a_word_on_a_token_that_was_never_lent_frees_nothing_and_is_not_kept() -> None:
     # guards what a former leader may have lent; and names are what a worker says they are
-    steward = Steward(TERMS, 100.0)
-    steward.knows({"a": (Duty("x", "p"), 7)}, 100.0)
-    steward.linked(1, "y", "p", 100.0)
-    steward.heard(1, Wants(("a",)), 100.0)
+    lease_manager = LeaseManager(TERMS, 100.0)
+    lease_manager.knows({"a": (TaskAssignment("x", "p"), 7)}, 100.0)
+    lease_manager.linked(1, "y", "p", 100.0)
+    lease_manager.heard(1, Offer(("a",)), 100.0)
     for name in ("a", "b", "c"):
-        steward.heard(1, GivesBack(name, 0), 100.0)
-    assert not steward.lent and not steward.take().write
-    steward.tick(100.0 + TERMS.waited)
-    assert steward.take().write
+        lease_manager.heard(1, ReleaseLease(name, 0), 100.0)
+    assert not lease_manager.lent and not lease_manager.take().write
+    lease_manager.tick(100.0 + TERMS.waited)
+    assert lease_manager.take().write
 
 
 def test_an_owner_is_told_on_its_latest_link() -> None:
     # an older one may be half open: nothing said on it arrives, and nobody hears that it is gone
     lead = Lead("x")
-    lead.steward.linked(5, "x", "p", lead.now)
+    lead.lease_manager.linked(5, "x", "p", lead.now)
     lead.said.clear()
-    lead.hears(5, Wants(("a",)))
-    assert lead.said == [(5, Yours("a", lead.registers["a"][1]))]
+    lead.hears(5, Offer(("a",)))
+    assert lead.said == [(5, Assigned("a", lead.registers["a"][1]))]
 
 
 def test_what_is_paused_is_nobodys_and_a_wish_comes_first() -> None:
     lead = Lead("x", "y", "z")
     first = lead.owner()
-    number, token = lead.steward.owner_link("a"), lead.registers["a"][1]
+    number, token = lead.lease_manager.owner_link("a"), lead.registers["a"][1]
     wish = next(n for n in "xyz" if n != first)
     lead.index += 1
-    lead.registers["a"] = (Duty(paused=True, wish=wish), lead.index)
-    lead.steward.knows(lead.registers, lead.now)
+    lead.registers["a"] = (TaskAssignment(paused=True, wish=wish), lead.index)
+    lead.lease_manager.knows(lead.registers, lead.now)
     lead.settle()
-    assert (number, Stop("a", token)) in lead.said
-    lead.hears(number, GivesBack("a", token))
+    assert (number, Revoke("a", token)) in lead.said
+    lead.hears(number, ReleaseLease("a", token))
     lead.settle(50.0)
     assert lead.owner() == ""
     lead.index += 1
-    lead.registers["a"] = (Duty(wish=wish), lead.index)
-    lead.steward.knows(lead.registers, lead.now)
+    lead.registers["a"] = (TaskAssignment(wish=wish), lead.index)
+    lead.lease_manager.knows(lead.registers, lead.now)
     lead.settle()
     assert lead.owner() == wish
 
@@ -360,8 +370,8 @@
     def given(order: list[str]) -> dict[str, str]:
         lead = Lead()
         for n, name in enumerate(order, 1):
-            lead.steward.linked(n, name, "p", lead.now)
-            lead.steward.workers[n].wants = frozenset(f"d{i}" for i in range(12))
+            lead.lease_manager.linked(n, name, "p", lead.now)
+            lead.lease_manager.workers[n].wants = frozenset(f"d{i}" for i in range(12))
         lead.settle()
         return {duty: found.owner for duty, (found, _) in lead.registers.items()}
 
@@ -380,9 +390,9 @@
     assert (fence.admit("a", 5), fence.admit("a", 9), fence.admit("b", 1)) == ("", "", "")
     assert fence.admit("a", 8) and fence.admit("b", 0) and fence.refused == 3
     assert Fence(fence.highest).admit("a", 8)  # through a restart
-    for n in range(2 * MOST_DUTIES):
+    for n in range(2 * MAX_TASKS):
         fence.admit(f"x{n}", 1)
-    assert len(fence.highest) == MOST_DUTIES and not fence.admit("a", 10)
+    assert len(fence.highest) == MAX_TASKS and not fence.admit("a", 10)
 
 
 def test_progress_is_written_only_under_the_token_that_stands_when_the_entry_is_applied() -> None:
@@ -391,24 +401,24 @@
     def put(index: int, swap: Swap) -> object:
         return registers.apply(index, msgspec.msgpack.encode(swap))
 
-    put(3, Swap(key("a"), 0, msgspec.msgpack.encode(Duty("x", "p"))))
-    assert put(4, checkpoint("a", 3, 0, b"one")) == Swapped(4)
-    put(5, Swap(key("a"), 3, msgspec.msgpack.encode(Duty("y", "q"))))
-    assert put(6, checkpoint("a", 3, 4, b"late")) == Fenced(5)
-    assert put(7, checkpoint("a", 5, 0, b"two")) == Missed(4)
-    assert put(8, checkpoint("a", 5, 4, b"two")) == Swapped(8)
+    put(3, Swap(task_key("a"), 0, msgspec.msgpack.encode(TaskAssignment("x", "p"))))
+    assert put(4, write_checkpoint("a", 3, 0, b"one")) == Swapped(4)
+    put(5, Swap(task_key("a"), 3, msgspec.msgpack.encode(TaskAssignment("y", "q"))))
+    assert put(6, write_checkpoint("a", 3, 4, b"late")) == Fenced(5)
+    assert put(7, write_checkpoint("a", 5, 0, b"two")) == Missed(4)
+    assert put(8, write_checkpoint("a", 5, 4, b"two")) == Swapped(8)
     value = registers.get("progress/a")
     assert value is not None and value.data == b"two"
 
 
 def test_no_caller_names_an_owner_or_writes_progress_without_a_token() -> None:
-    mine = msgspec.msgpack.encode(Duty("me", "p"))
-    assert fault(Swap(key("a"), 0, mine)) == "the leader alone names owners"
-    assert fault(Swap(key("a"), 0, b"\xc1")).startswith("no duty")
+    mine = msgspec.msgpack.encode(TaskAssignment("me", "p"))
+    assert fault(Swap(task_key("a"), 0, mine)) == "the leader alone names owners"
+    assert fault(Swap(task_key("a"), 0, b"\xc1")).startswith("no duty")
     assert fault(Swap("progress/a", 0, b"x")) == "progress needs its duty's token"
-    assert fault(checkpoint("b", 3, 0, b"x")) == "" and fault(Swap("x", 0, b"x")) == ""
-    assert fault(Swap("progress/a", 0, b"x", checkpoint("b", 3, 0, b"").guard)) != ""
-    assert fault(Swap(key("a"), 4, msgspec.msgpack.encode(Duty(paused=True)))) == ""
+    assert fault(write_checkpoint("b", 3, 0, b"x")) == "" and fault(Swap("x", 0, b"x")) == ""
+    assert fault(Swap("progress/a", 0, b"x", write_checkpoint("b", 3, 0, b"").guard)) != ""
+    assert fault(Swap(task_key("a"), 4, msgspec.msgpack.encode(TaskAssignment(paused=True)))) == ""
 
 
 # Sums ---------------------------------------------------------------------------------------------
@@ -416,8 +426,8 @@
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 50), st.sampled_from("tgl")), max_size=60))
 def test_sums_only_rise_and_count_nothing_twice_whoever_goes(steps: list[tuple[int, int, str]]) -> None:
-    counted, real = Sums(), [0.0] * 4
-    kept, epoch, total = Totals(), 0, 0.0
+    counted, real = CounterSums(), [0.0] * 4
+    kept, epoch, total = FleetTotals(), 0, 0.0
     for process, amount, what in steps:
         if what == "t":
             real[process] += amount
@@ -425,14 +435,14 @@
         elif what == "g":
             counted.gone(f"f{process}", "p")
         else:  # another leader: it begins at 0
-            counted, epoch = Sums(), epoch + 1
+            counted, epoch = CounterSums(), epoch + 1
         kept = kept.grown(str(epoch), counted.totals, kept.at + 1)
         assert total <= kept.totals.get("s", 0.0) <= sum(real)
         total = kept.totals.get("s", 0.0)
 
 
 def test_what_a_process_had_counted_before_it_was_first_heard_is_not_counted_and_the_rest_is() -> None:
-    sums = Sums()
+    sums = CounterSums()
     sums.told("x", "p", {"s": 1000.0})
     sums.told("x", "p", {"s": 1007.0, "t": 2.0})
     sums.told("x", "other", {"s": 3.0})  # its next process
@@ -441,27 +451,29 @@
 
 
 def test_the_sums_of_a_large_fleet_fit_a_register_and_nobody_makes_them_grow_without_end() -> None:
-    sums = Sums()
+    sums = CounterSums()
     for turn in range(2):  # 400 caches with five ends each
         names = [
             f"zincladder_fleet_cache_attempts_total\0s-{n:08x}\0end{e}" for n in range(400) for e in range(5)
         ]
         sums.told("x", "p", {name: 1e6 * turn + i for i, name in enumerate(names)})
-    kept = Totals().grown("k1/7", sums.totals, 1)
-    assert len(kept.totals) == 2000 and len(packed(kept)) < MOST_VALUE // 2
-    assert unpacked(packed(kept)) == kept and unpacked(b"") == Totals()
-    for process in range(2 * MOST_PROCESSES):
+    kept = FleetTotals().grown("k1/7", sums.totals, 1)
+    assert len(kept.totals) == 2000 and len(encode_totals(kept)) < MOST_VALUE // 2
+    assert decode_totals(encode_totals(kept)) == kept and decode_totals(b"") == FleetTotals()
+    for process in range(2 * MAX_PROCESSES):
         sums.told(
-            "y", f"p{process}", {f"{process} {i}": 1.0 for i in range(2 * MOST_TOLD if process < 5 else 9)}
+            "y",
+            f"p{process}",
+            {f"{process} {i}": 1.0 for i in range(2 * MAX_COUNTERS_PER_PROCESS if process < 5 else 9)},
         )
-    assert len(sums._last) == MOST_PROCESSES and max(map(len, sums._last.values())) == MOST_TOLD
-    assert len(sums.totals) <= MOST_SERIES and sums.left_out
+    assert len(sums._last) == MAX_PROCESSES and max(map(len, sums._last.values())) == MAX_COUNTERS_PER_PROCESS
+    assert len(sums.totals) <= MAX_SERIES and sums.left_out
 
 
 def test_the_times_of_samples_are_even_and_rise_whatever_the_clock_does() -> None:
     at, found = 0, []
     for now in (100_400, 101_100, 102_900, 50_000, 50_900, 130_000):  # it is set back, and forward
-        at = next_time(at, now, 1000)
+        at = next_sample_at(at, now, 1000)
         found.append(at)
     assert found == [100_000, 101_000, 102_000, 103_000, 104_000, 130_000]
 
@@ -469,20 +481,20 @@
 @pytest.mark.anyio
 async def test_a_worker_that_has_nothing_to_do_does_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     # measured: it woke itself up, and a front that only waited took a whole core
-    worker = Worker(DutiesConfig("g", {"k1": "127.0.0.1:1"}, ()), "f0", {}, dict)
-    ticks, tick = [], worker.owner.tick
+    task_runner = TaskRunner(DutiesConfig("g", {"k1": "127.0.0.1:1"}, ()), "f0", {}, dict)
+    ticks, tick = [], task_runner.owner.tick
 
     def counted(now: float) -> None:
         ticks.append(now)
         tick(now)
 
-    monkeypatch.setattr(worker.owner, "tick", counted)
+    monkeypatch.setattr(task_runner.owner, "tick", counted)
     with anyio.move_on_after(0.3):
-        await worker.run(anyio.Event())
+        await task_runner.run(anyio.Event())
     assert 0 < len(ticks) < 10
 
 
 def test_a_held_duty_is_known_by_its_token_alone() -> None:
     owner = owning()
-    owner.heard(Yours("a", 5), 100.5)  # late, of an older turn
-    assert owner.held["a"] == Held(7, 105.0, owner.held["a"].since)
+    owner.heard(Assigned("a", 5), 100.5)  # late, of an older turn
+    assert owner.held["a"] == HeldLease(7, 105.0, owner.held["a"].since)
--- a/tests/test_duties_processes.py
+++ b/tests/tasks/test_task_processes.py
@@ -26,9 +26,9 @@
 from zincladder.agreement.client import NoAnswer, Open
 from zincladder.agreement.registers import Fenced
 from zincladder.export import messages
-from zincladder.ownership.fence import Fence
-from zincladder.ownership.figures import FENCED
-from zincladder.ownership.model import checkpoint
+from zincladder.tasks.fence import Fence
+from zincladder.tasks.fleet_metrics import HTTP_FENCED
+from zincladder.tasks.model import write_checkpoint
 
 pytestmark = pytest.mark.anyio
 EVERY = 0.2
@@ -90,7 +90,7 @@
             times.add(sample.timestamp)
         why = self.fence.admit(duty, int(token))
         self.pushes.append(Push(int(token), times.pop(), totals, not why))
-        return FENCED if why else 200
+        return HTTP_FENCED if why else 200
 
     @property
     def accepted(self) -> list[Push]:
@@ -235,7 +235,9 @@
         c.r.cut_front(old)
         client = c.r.client_of_keepers()
         kept = (await client.get("progress/figures"))["progress/figures"]
-        assert await client.ask(checkpoint("figures", before, kept.version, b"late")) == Fenced(c.newest())
+        assert await client.ask(write_checkpoint("figures", before, kept.version, b"late")) == Fenced(
+            c.newest()
+        )
         await c.more(after=before)
 
 
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -32,7 +32,7 @@
 from zincladder.durable.files import Files
 from zincladder.durable.journal import Journal, JournalError
 from zincladder.links.frames import Frames, Spoilt, frame
-from zincladder.policy.book import encode
+from zincladder.policy.change_log import encode
 
 FOUNDERS = Members({"a": "127.0.0.1:1", "b": "127.0.0.1:2", "c": "127.0.0.1:3"})
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,9 +8,9 @@
 
 from tests.conftest import Driver, cache, parent
 from zincladder.agreement import host
-from zincladder.ownership import model as duties
-from zincladder.ownership import sums
-from zincladder.policy import conductor
+from zincladder.policy import coordinator
+from zincladder.tasks import counter_sums
+from zincladder.tasks import model as tasks
 
 PACKAGE = Path(__file__).resolve().parent.parent / "zincladder"
 
@@ -96,12 +96,12 @@
 
 
 def test_no_cap_on_fronts_or_servers_is_under_1024() -> None:
-    caps = (host.MOST_LINKS, sums.MOST_PROCESSES, conductor.MOST_FRONTS, duties.MOST_WORKERS)
-    assert min(caps) >= 1024 and host.MOST_LINKS >= 2 * conductor.MOST_FRONTS
+    caps = (host.MOST_LINKS, counter_sums.MAX_PROCESSES, coordinator.MAX_FRONTS, tasks.MAX_RUNNERS)
+    assert min(caps) >= 1024 and host.MOST_LINKS >= 2 * coordinator.MAX_FRONTS
 
 
 def test_the_sums_take_what_1500_fronts_tell() -> None:
-    added = sums.Sums()
+    added = counter_sums.CounterSums()
     for _ in range(2):  # the first word of a process is where its counting begins
         for n in range(1500):
             added.told(f"front{n}", "1", {"served": float(len(added.totals))})
--- a/zincladder/__main__.py
+++ b/zincladder/__main__.py
@@ -42,8 +42,8 @@
 
 if TYPE_CHECKING:
     from zincladder.export.sender import RemoteWrite
-    from zincladder.ownership.worker import Worker
     from zincladder.policy.front import FleetPolicy
+    from zincladder.tasks.runner import TaskRunner
 if sys.modules["rich"] is None:
     del sys.modules["rich"]
 BEGAN = time.monotonic()  # before the event loop runs; only the interpreter and the imports come earlier
@@ -161,7 +161,7 @@
     where_dns = where_metrics = where_control = None
     pushes: list[RemoteWrite] = []
     policy: FleetPolicy | None = None
-    worker: Worker | None = None
+    task_runner: TaskRunner | None = None
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(clients.stop, stopping)
         tasks.start_soon(caches.run)
@@ -192,10 +192,10 @@
             policy = follow_policy(operator.policy, config, reload, core)
             tasks.start_soon(policy.run)
         if operator.duties:
-            from zincladder.ownership.wiring import work_for_fleet
+            from zincladder.tasks.wiring import build_task_runner
 
-            worker = work_for_fleet(operator.duties, config.name, core)
-            tasks.start_soon(worker.run, stopping)
+            task_runner = build_task_runner(operator.duties, config.name, core)
+            tasks.start_soon(task_runner.run, stopping)
         if config.control:
             from zincladder.control.address import OperatorAddress
             from zincladder.control.calls import Calls
@@ -203,10 +203,10 @@
             from zincladder.control.readiness import Readiness
 
             readiness = Readiness(core.ready, core.is_settled, lambda: clients.stopping)
-            readiness.more = policy.lacks if policy else readiness.more
+            readiness.more = policy.not_ready_reason if policy else readiness.more
             calls = Calls(
                 readiness.lacks,
-                lambda: figures(core, policy=policy, duty=worker),
+                lambda: figures(core, policy=policy, duty=task_runner),
             )
             operators = OperatorAddress(
                 listener(config.control), calls, admission.ledger, RateLimitedLog().warning
@@ -241,7 +241,7 @@
                 admission,
                 lambda: reload.processes,
                 policy.figures if policy else dict,
-                worker.figures if worker else dict,
+                task_runner.figures if task_runner else dict,
             )
             if operator.metrics:
                 where_metrics = await tasks.start(Endpoint(operator.metrics, registry, admission).run)
@@ -273,8 +273,8 @@
                 flushing.start_soon(push.finish, FLUSH)
             if policy:
                 flushing.start_soon(policy.end, FLUSH)
-            if worker:
-                flushing.start_soon(worker.end, FLUSH)
+            if task_runner:
+                flushing.start_soon(task_runner.end, FLUSH)
         tasks.cancel_scope.cancel()
     log.info("ended", answers={k[1]: n for k, n in core.counts.items() if k[0] == "answers"})
 
--- a/zincladder/cli/__init__.py
+++ b/zincladder/cli/__init__.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import copy
 import json
 import os
 import sys
@@ -12,9 +13,9 @@
 
 from zincladder.cli.admission import admission
 from zincladder.cli.day import ready, stats
-from zincladder.cli.duties import duties
 from zincladder.cli.keep import keep, keepers
 from zincladder.cli.policy import policy
+from zincladder.cli.tasks import tasks
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -63,5 +64,8 @@
     sys.exit(0 if good else 1)
 
 
-for command in (admission, duties, keep, keepers, policy, ready, stats):
+for command in (admission, keep, keepers, policy, ready, stats, tasks):
     main.add_command(command)
+former_tasks = copy.copy(tasks)  # the command's former name, which scripts may still use
+former_tasks.hidden = True
+main.add_command(former_tasks, "duties")
--- a/zincladder/cli/keep.py
+++ b/zincladder/cli/keep.py
@@ -76,8 +76,8 @@
     from zincladder.agreement.model import Members
     from zincladder.agreement.store import Store
     from zincladder.agreement.terms import Terms
-    from zincladder.ownership.host import Stewarding
-    from zincladder.policy.host import Conducting
+    from zincladder.policy.host import PolicyLeaderService
+    from zincladder.tasks.host import TaskLeaderService
 
     store = Store(config.directory, config.group, config.name, Members(config.founders))
     try:
@@ -92,18 +92,20 @@
             lease.patient_s,
             lease.act_s,
         )
-        conducting = Conducting(keeper, terms)
-        stewarding = Stewarding(keeper, terms)
+        policy_service = PolicyLeaderService(keeper, terms)
+        task_service = TaskLeaderService(keeper, terms)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async with anyio.create_task_group() as tasks:
                 await tasks.start(keeper.run)
-                tasks.start_soon(conducting.run)
-                tasks.start_soon(stewarding.run)
+                tasks.start_soon(policy_service.run)
+                tasks.start_soon(task_service.run)
                 if config.metrics:
                     from zincladder.metrics.endpoint import Endpoint
                     from zincladder.metrics.keeper import Few, KeeperRegistry
 
-                    told = Endpoint(config.metrics, KeeperRegistry(keeper, conducting, stewarding), Few())
+                    told = Endpoint(
+                        config.metrics, KeeperRegistry(keeper, policy_service, task_service), Few()
+                    )
                     where = await tasks.start(told.run)
                     structlog.get_logger().info("metrics", listen=where)
                 async for _ in signals:
--- a/zincladder/cli/policy.py
+++ b/zincladder/cli/policy.py
@@ -42,18 +42,18 @@
 
 def _book(group: Group) -> Any:
     """The record. Documents are fetched one by one: all of them together may not fit a message."""
-    from zincladder.policy import book
-    from zincladder.policy.model import RECORD
+    from zincladder.policy import change_log
+    from zincladder.policy.model import POLICY_KEY
 
-    return book.read(run_call(lambda: asking(group).get(RECORD)))
+    return change_log.read(run_call(lambda: asking(group).get(POLICY_KEY)))
 
 
 def _content(group: Group, document: str) -> dict[str, Any]:
-    from zincladder.policy.model import DOCUMENTS
+    from zincladder.policy.model import DOCUMENT_PREFIX
 
     if not document:
         return {}
-    key = DOCUMENTS + document
+    key = DOCUMENT_PREFIX + document
     found = run_call(lambda: asking(group).get(key)).get(key)
     if found is None:
         raise click.ClickException(f"document {document} is not kept any more")
@@ -141,8 +141,8 @@
     as_json: bool,
 ) -> None:
     from zincladder.agreement.registers import Full, Missed
-    from zincladder.policy import book
-    from zincladder.policy.conductor import proposed
+    from zincladder.policy import change_log
+    from zincladder.policy.coordinator import propose_change
     from zincladder.policy.document import canonical
     from zincladder.policy.model import document_id
 
@@ -150,18 +150,18 @@
     found = _book(group)
     base = found.record.version if base is None else base
     try:
-        document = book.document_swap(data)
-    except book.Unfit as fault:
+        document = change_log.write_document(data)
+    except change_log.InvalidPolicyError as fault:
         raise click.ClickException(str(fault)) from None
     name = document_id(data)
-    new = proposed(found.record, base, name, author, note, time.time())
+    new = propose_change(found.record, base, name, author, note, time.time())
     if isinstance(new, str):
         raise click.ClickException(f"not proposed: {new}")
     assert new.open is not None
     said = run_call(lambda: client.swap(document.key, document.expected, document.data))
     if isinstance(said, Full):
         raise click.ClickException(f"not proposed: {said.why}")
-    swap = book.record_swap(found.at, new)
+    swap = change_log.write_record(found.at, new)
     said = run_call(lambda: client.swap(swap.key, swap.expected, swap.data))
     if isinstance(said, Missed):
         now = _book(group).record
@@ -302,10 +302,10 @@
 @click.pass_obj
 def forget(group: Group, front: str) -> None:
     """Expect a FRONT no more: it is counted as absent no longer. One that comes back is expected again."""
-    from zincladder.policy.model import ROSTER
+    from zincladder.policy.model import EXPECTED_FRONT_PREFIX
 
     client = asking(group)
-    key = ROSTER + front
+    key = EXPECTED_FRONT_PREFIX + front
     found = run_call(lambda: client.get(key)).get(key)
     if found is None:
         raise click.ClickException(f"{front!r} is not expected")
--- a/zincladder/cli/duties.py
+++ b/zincladder/cli/tasks.py
@@ -17,7 +17,7 @@
 @click.group()
 @group_options
 @click.pass_context
-def duties(context: click.Context, group: Group) -> None:
+def tasks(context: click.Context, group: Group) -> None:
     """Work on behalf of the fleet: each duty has one owner at a time."""
     context.obj = group
 
@@ -27,27 +27,30 @@
     import msgspec
 
     from zincladder.agreement import calls
-    from zincladder.ownership.model import DUTIES, PROGRESS, Duty
+    from zincladder.tasks.model import CHECKPOINT_PREFIX, TASK_PREFIX, TaskAssignment
 
     client = asking(group)
 
     async def both() -> Any:
         said = await client.ask(calls.Progress())
-        return said, await client.get(DUTIES), await client.get(PROGRESS)
+        return said, await client.get(TASK_PREFIX), await client.get(CHECKPOINT_PREFIX)
 
     said, registers, progress = run_call(both)
     if not isinstance(said, calls.Told):
         raise click.ClickException(str(getattr(said, "why", said)))
     found: dict[str, tuple[Any, int]] = {
-        name.removeprefix(DUTIES): (msgspec.msgpack.decode(value.data, type=Duty), value.version)
+        name.removeprefix(TASK_PREFIX): (
+            msgspec.msgpack.decode(value.data, type=TaskAssignment),
+            value.version,
+        )
         for name, value in registers.items()
     }
-    kept = {name.removeprefix(PROGRESS): len(value.data) for name, value in progress.items()}
+    kept = {name.removeprefix(CHECKPOINT_PREFIX): len(value.data) for name, value in progress.items()}
     seen: dict[str, Any] = json.loads(said.data)
     return seen, found, kept
 
 
-@duties.command()
+@tasks.command()
 @click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
 @click.pass_obj
 def status(group: Group, as_json: bool) -> None:
@@ -100,7 +103,7 @@
     import msgspec
 
     from zincladder.agreement.registers import Swap, Swapped
-    from zincladder.ownership.model import key
+    from zincladder.tasks.model import task_key
 
     _, found, _ = _found(group)
     if name not in found:
@@ -108,14 +111,14 @@
     duty, version = found[name]
     fields = {"owner": "", "process": "", "wish": "", "at": time.time()}
     data = msgspec.msgpack.encode(msgspec.structs.replace(duty, **(fields | changes)))
-    said = run_call(lambda: asking(group).ask(Swap(key(name), version, data)))
+    said = run_call(lambda: asking(group).ask(Swap(task_key(name), version, data)))
     if not isinstance(said, Swapped):
         raise click.ClickException(
             f"nothing was done: {getattr(said, 'why', 'the duty has changed meanwhile')}"
         )
 
 
-@duties.command()
+@tasks.command()
 @click.argument("name")
 @click.argument("worker")
 @click.pass_obj
@@ -125,7 +128,7 @@
     click.echo(f"{name} goes to {worker} once its owner has stopped")
 
 
-@duties.command()
+@tasks.command()
 @click.argument("name")
 @click.pass_obj
 def pause(group: Group, name: str) -> None:
@@ -134,7 +137,7 @@
     click.echo(f"{name} is paused")
 
 
-@duties.command()
+@tasks.command()
 @click.argument("name")
 @click.pass_obj
 def resume(group: Group, name: str) -> None:
--- a/zincladder/metrics/keeper.py
+++ b/zincladder/metrics/keeper.py
@@ -8,8 +8,8 @@
 from zincladder.admission.model import Why
 from zincladder.agreement.host import Keeper
 from zincladder.metrics.registry import Sample, exposition
-from zincladder.ownership.host import Stewarding
-from zincladder.policy.host import Conducting
+from zincladder.policy.host import PolicyLeaderService
+from zincladder.tasks.host import TaskLeaderService
 
 MOST_VISITS = 16  # connections at once
 KEEPER = {
@@ -53,8 +53,10 @@
 class KeeperRegistry:
     """All samples of one keeper."""
 
-    def __init__(self, keeper: Keeper, conducting: Conducting, stewarding: Stewarding) -> None:
-        self._keeper, self._conducting, self._stewarding = keeper, conducting, stewarding
+    def __init__(
+        self, keeper: Keeper, policy_service: PolicyLeaderService, task_service: TaskLeaderService
+    ) -> None:
+        self._keeper, self._policy_service, self._task_service = keeper, policy_service, task_service
 
     def samples(self) -> Iterator[Sample]:
         keeper = self._keeper
@@ -77,8 +79,8 @@
             "silent": len(standing.silent),
             "older": len(standing.older),
             "learners": len(standing.learners),
-            **self._conducting.figures(),
-            **self._stewarding.figures(),
+            **self._policy_service.figures(),
+            **self._task_service.figures(),
         }
         for key, figure in leading.items():
             yield Sample(LEADER[key][0], labels, float(figure))
--- a/zincladder/policy/conductor.py
+++ b/zincladder/policy/coordinator.py
@@ -20,30 +20,30 @@
 
 from zincladder.agreement.terms import Terms
 from zincladder.policy.model import (
-    MOST_HISTORY,
-    MOST_NAMES,
-    MOST_REASONS,
-    MOST_RECORD,
-    MOST_TEXT,
-    Change,
-    Check,
-    Checked,
-    Delivered,
-    Fetch,
-    FromFront,
-    FromKeeper,
-    Granted,
-    Outcome,
-    Past,
-    Phase,
-    Record,
-    Release,
-    Released,
-    Renew,
-    Waits,
+    MAX_ABSENT_NAMES,
+    MAX_LOG_ENTRIES,
+    MAX_REASONS,
+    MAX_RECORD_BYTES,
+    MAX_TEXT_LENGTH,
+    ChangeLogEntry,
+    ChangeOutcome,
+    ChangePhase,
+    DocumentContent,
+    DocumentValidated,
+    FetchDocument,
+    FromCoordinator,
+    FromParticipant,
+    PolicyChange,
+    PolicyLeaseGranted,
+    PolicyLeaseReleased,
+    PolicyRecord,
+    RenewalDeferred,
+    RenewPolicyLease,
+    RevokePolicyLease,
+    ValidateDocument,
 )
 
-MOST_FRONTS = 2048
+MAX_FRONTS = 2048
 Holding = tuple[str, str]  # a front's name and its process
 
 
@@ -54,9 +54,9 @@
     name: str
     process: str
     renewed: float  # when it last asked
-    parked: Renew | None = None  # an asking that waits for the next version
+    parked: RenewPolicyLease | None = None  # an asking that waits for the next version
     checking: int = 0  # the version that it was asked about
-    answer: Checked | None = None
+    answer: DocumentValidated | None = None
     document: str = ""  # that it has applied
     told: int = 0  # the version that it was asked to let go
 
@@ -66,28 +66,28 @@
     """The record is to change, from the version of the register that was seen."""
 
     expected: int
-    record: Record
+    record: PolicyRecord
 
 
 @dataclass(slots=True)
 class Wish:
     """What the host is to do."""
 
-    say: list[tuple[int, FromKeeper]] = field(default_factory=list)  # to a link
+    say: list[tuple[int, FromCoordinator]] = field(default_factory=list)  # to a link
     write: Write | None = None
     expect: list[str] = field(default_factory=list)  # fronts not on the roster yet
 
 
 def shortened(reasons: Iterable[str]) -> tuple[str, ...]:
-    return tuple(r[:MOST_TEXT] for r in list(reasons)[:MOST_REASONS])
+    return tuple(r[:MAX_TEXT_LENGTH] for r in list(reasons)[:MAX_REASONS])
 
 
-class Conductor:
+class ChangeCoordinator:
     """While one keeper leads. Made anew at each election."""
 
     def __init__(self, terms: Terms, now: float, term: int = 0) -> None:
         self.terms, self.term = terms, term
-        self.record, self._at = Record(), 0  # and the register's version
+        self.record, self._at = PolicyRecord(), 0  # and the register's version
         self.known = False  # whether the record has been read in this term
         self.roster: frozenset[str] = frozenset()
         self.fronts: dict[int, Front] = {}
@@ -128,9 +128,9 @@
         change = self.record.open
         if change is None or self._writing:
             return math.inf
-        if change.phase is Phase.CHECKING:
+        if change.phase is ChangePhase.VALIDATING:
             return self.since + self.terms.check
-        if change.phase is Phase.CLEARING and not self._forced(self.since + self.terms.clear):
+        if change.phase is ChangePhase.REVOKING and not self._forced(self.since + self.terms.clear):
             return self.since + self.terms.clear
         ends = [until for until, _ in self.holding.values()]
         ends += [self._unknown, self._decided[1] + self.terms.patient]
@@ -148,7 +148,7 @@
 
     def knows(
         self,
-        record: Record,
+        record: PolicyRecord,
         at: int,
         roster: Iterable[str],
         documents: dict[str, bytes],
@@ -161,15 +161,15 @@
             self.since = now
         if record.open is None:
             self._barred.clear()
-        elif record.open.phase is not Phase.CHECKING and self._decided[0] != record.open.version:
+        elif record.open.phase is not ChangePhase.VALIDATING and self._decided[0] != record.open.version:
             self._decided = (record.open.version, now)
-        if record.open is None or record.open.phase is not Phase.CLEARING:
+        if record.open is None or record.open.phase is not ChangePhase.REVOKING:
             for number, front in self.fronts.items():
                 front.told = 0
                 self._grant(number, front, now)  # what was parked
         self._go_on(now)
 
-    def _write(self, record: Record) -> None:
+    def _write(self, record: PolicyRecord) -> None:
         self._writing = True
         self._wish.write = Write(self._at, record)
 
@@ -177,10 +177,10 @@
 
     def linked(self, number: int, name: str, process: str, now: float) -> str:
         """A front has come; why it can't take part, or nothing."""
-        if len(self.fronts) >= MOST_FRONTS:
-            return f"{MOST_FRONTS} fronts at most"
+        if len(self.fronts) >= MAX_FRONTS:
+            return f"{MAX_FRONTS} fronts at most"
         self.fronts[number] = Front(name, process, now)
-        if name not in self.roster and len(self.roster) < MOST_FRONTS:  # names are a front's own claim
+        if name not in self.roster and len(self.roster) < MAX_FRONTS:  # names are a front's own claim
             self._wish.expect.append(name)
         self._go_on(now)
         return ""
@@ -190,37 +190,39 @@
         self.fronts.pop(number, None)
         self._go_on(now)
 
-    def heard(self, number: int, message: FromFront, now: float) -> None:
+    def heard(self, number: int, message: FromParticipant, now: float) -> None:
         """What a front said, before a moment at which this keeper was confirmed to lead."""
         front = self.fronts.get(number)
         if front is None:
             return
         match message:
-            case Renew():
+            case RenewPolicyLease():
                 front.renewed, front.document = now, message.document
                 front.parked = message
                 self._grant(number, front, now)
                 if front.parked is message:  # so that it does not take this keeper for dead
-                    self._wish.say.append((number, Waits(message.serial)))
-            case Checked():
+                    self._wish.say.append((number, RenewalDeferred(message.serial)))
+            case DocumentValidated():
                 if message.version == front.checking:
                     front.answer = message
                     self._against += [(message.version, f"{front.name}: {why}") for why in message.reasons]
-            case Released(_, serial):
+            case PolicyLeaseReleased(_, serial):
                 # One that was said on an older link, before a lease on this one, gives nothing back.
                 holding = (front.name, front.process)
                 if self.holding.get(holding, (0.0, 0))[1] <= serial:
                     self.holding.pop(holding, None)
                     self._barred.discard(holding)
-            case Fetch(document):
+            case FetchDocument(document):
                 if document in self._documents:
-                    self._wish.say.append((number, Delivered(document, self._documents[document])))
+                    self._wish.say.append((number, DocumentContent(document, self._documents[document])))
         self._go_on(now)
 
     def _clearing(self) -> bool:
         change = self.record.open
         # Also while the record is being written: it may be clearing already, for all that is known here.
-        return not self.known or self._writing or (change is not None and change.phase is Phase.CLEARING)
+        return (
+            not self.known or self._writing or (change is not None and change.phase is ChangePhase.REVOKING)
+        )
 
     def _grant(self, number: int, front: Front, now: float) -> None:
         if front.parked is None or not self.record.version or self._clearing():
@@ -230,7 +232,7 @@
         serial, front.parked = front.parked.serial, None
         self.holding[front.name, front.process] = (now + self.terms.waited, serial)
         terms, record = self.terms, self.record
-        granted = Granted(serial, record.version, record.document, terms.believed, terms.renew)
+        granted = PolicyLeaseGranted(serial, record.version, record.document, terms.believed, terms.renew)
         self._wish.say.append((number, granted))
 
     # A change -------------------------------------------------------------------------------------
@@ -245,15 +247,15 @@
         if not self.known or change is None or self._writing:
             return
         match change.phase:
-            case Phase.CHECKING:
+            case ChangePhase.VALIDATING:
                 self._check(change, now)
-            case Phase.DECIDED:
+            case ChangePhase.COMMITTED:
                 if not self.waits_for(now) or self._forced(now):
-                    self._write(msgspec.structs.replace(self.record, open=_in(change, Phase.CLEARING)))
-            case Phase.CLEARING:
+                    self._write(msgspec.structs.replace(self.record, open=_in(change, ChangePhase.REVOKING)))
+            case ChangePhase.REVOKING:
                 self._clear(change, now)
 
-    def _check(self, change: Change, now: float) -> None:
+    def _check(self, change: PolicyChange, now: float) -> None:
         data = self._documents.get(change.document)
         if data is None:
             self._withdraw(change, ["the document is not there"])
@@ -261,7 +263,7 @@
         for number, front in self.fronts.items():
             if front.checking != change.version:
                 front.checking, front.answer = change.version, None
-                self._wish.say.append((number, Check(change.version, change.document, data)))
+                self._wish.say.append((number, ValidateDocument(change.version, change.document, data)))
         # A front that has said no and is gone again has said no all the same.
         self._against = [(version, why) for version, why in self._against if version == change.version]
         if self._against:
@@ -273,40 +275,40 @@
         enough = len(agreed) > self.terms.least * len(expected) or not expected
         if (silent or not enough) and now < self.since + self.terms.check:
             return
-        missing = tuple(sorted(expected - agreed))[:MOST_NAMES]
+        missing = tuple(sorted(expected - agreed))[:MAX_ABSENT_NAMES]
         if not enough:
             self._withdraw(change, [f"only {len(agreed)} of {len(expected)} fronts answered"], missing)
             return
-        record = msgspec.structs.replace(self.record, open=_in(change, Phase.DECIDED), absent=missing)
+        record = msgspec.structs.replace(self.record, open=_in(change, ChangePhase.COMMITTED), absent=missing)
         self._write(record)
 
-    def _withdraw(self, change: Change, reasons: Iterable[str], absent: tuple[str, ...] = ()) -> None:
-        self._write(self._closed(change, Outcome.WITHDRAWN, shortened(reasons), absent))
+    def _withdraw(self, change: PolicyChange, reasons: Iterable[str], absent: tuple[str, ...] = ()) -> None:
+        self._write(self._closed(change, ChangeOutcome.WITHDRAWN, shortened(reasons), absent))
 
-    def _clear(self, change: Change, now: float) -> None:
+    def _clear(self, change: PolicyChange, now: float) -> None:
         for number, front in self.fronts.items():
             if front.told != change.version:
                 front.told = change.version
-                self._wish.say.append((number, Release(change.version)))
+                self._wish.say.append((number, RevokePolicyLease(change.version)))
         if not self.holding and now >= self._unknown:
-            record = self._closed(change, Outcome.HELD, (), self.record.absent)
+            record = self._closed(change, ChangeOutcome.ACTIVATED, (), self.record.absent)
             self._write(msgspec.structs.replace(record, version=change.version, document=change.document))
         elif now >= self.since + self.terms.clear and not self._forced(now):
             # Somebody has not let go: all others go on as before until its lease has run out. It gets no new
             # one, for it may be heard and hear nothing: its askings would then hold the change up for ever.
             self._barred = set(self.holding)
-            self._write(msgspec.structs.replace(self.record, open=_in(change, Phase.DECIDED)))
+            self._write(msgspec.structs.replace(self.record, open=_in(change, ChangePhase.COMMITTED)))
 
     def _closed(
-        self, change: Change, outcome: Outcome, reasons: tuple[str, ...], absent: tuple[str, ...]
-    ) -> Record:
-        past = Past(
+        self, change: PolicyChange, outcome: ChangeOutcome, reasons: tuple[str, ...], absent: tuple[str, ...]
+    ) -> PolicyRecord:
+        past = ChangeLogEntry(
             change.version, change.document, change.author, change.note, change.at, outcome, reasons, absent
         )
-        history = (*self.record.history, past)[-MOST_HISTORY:]
+        history = (*self.record.history, past)[-MAX_LOG_ENTRIES:]
         record = msgspec.structs.replace(self.record, open=None, absent=(), history=history)
         # Guards the change: a record that no register takes would leave it open for ever.
-        while len(msgspec.msgpack.encode(record)) > MOST_RECORD and len(record.history) > 1:
+        while len(msgspec.msgpack.encode(record)) > MAX_RECORD_BYTES and len(record.history) > 1:
             record = msgspec.structs.replace(record, history=record.history[1:])
         return record
 
@@ -316,15 +318,17 @@
         return wish
 
 
-def _in(change: Change, phase: Phase) -> Change:
+def _in(change: PolicyChange, phase: ChangePhase) -> PolicyChange:
     return msgspec.structs.replace(change, phase=phase)
 
 
-def _stage(record: Record) -> tuple[int, str]:
+def _stage(record: PolicyRecord) -> tuple[int, str]:
     return (record.open.version, record.open.phase) if record.open else (0, "")
 
 
-def proposed(record: Record, base: int, document: str, author: str, note: str, at: float) -> Record | str:
+def propose_change(
+    record: PolicyRecord, base: int, document: str, author: str, note: str, at: float
+) -> PolicyRecord | str:
     """The record with a change under way, or why there can't be one: another came first."""
     if record.open is not None:
         return f"version {record.open.version} by {record.open.author} is under way ({record.open.phase})"
@@ -332,5 +336,7 @@
     if base != newest:
         return f"version {newest} is in force, not {base}: look at what it changed"
     tried = max((p.version for p in record.history), default=0)
-    change = Change(max(newest, tried) + 1, document, author[:MOST_TEXT], note[:MOST_TEXT], at)
+    change = PolicyChange(
+        max(newest, tried) + 1, document, author[:MAX_TEXT_LENGTH], note[:MAX_TEXT_LENGTH], at
+    )
     return msgspec.structs.replace(record, open=change)
--- a/zincladder/policy/document.py
+++ b/zincladder/policy/document.py
@@ -18,7 +18,7 @@
 
 PARTS = ("settings", "operator")
 TABLES = ("admission",)  # of the operator's file
-MOST_DEPTH = 12
+MAX_DEPTH = 12
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
         if table not in TABLES:
             raise ConfigError(f"'operator.{table}' can't be part of a policy, only {', '.join(TABLES)}")
     for path, _ in leaves(found):
-        if path.count(".") > MOST_DEPTH:
+        if path.count(".") > MAX_DEPTH:
             raise ConfigError(f"'{path[:80]}' lies too deep")
     return found
 
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -12,32 +12,32 @@
 from zincladder.agreement.leading import AGAIN, FAULTS, Leading
 from zincladder.agreement.terms import Terms
 from zincladder.links.clocks import boottime
-from zincladder.policy import book
-from zincladder.policy.conductor import Conductor, Write
-from zincladder.policy.model import Elsewhere, FromFront, Phase
+from zincladder.policy import change_log
+from zincladder.policy.coordinator import ChangeCoordinator, Write
+from zincladder.policy.model import ChangePhase, Elsewhere, FromParticipant
 
 log = structlog.get_logger()
 
 
-class Conducting(Leading[Conductor]):
+class PolicyLeaderService(Leading[ChangeCoordinator]):
     """Leads changes of the policy while its keeper leads the group."""
 
     role = "front"
-    messages = FromFront
+    messages = FromParticipant
 
     def __init__(self, keeper: Keeper, terms: Terms, clock: Callable[[], float] = boottime) -> None:
         super().__init__(keeper, terms, clock)
         self._seen: tuple[int, str] = (-1, "")
-        keeper.faults.append(book.fault)
+        keeper.faults.append(change_log.fault)
 
-    def begin(self, since: float, term: int) -> Conductor:
-        return Conductor(self.terms, since, term)
+    def begin(self, since: float, term: int) -> ChangeCoordinator:
+        return ChangeCoordinator(self.terms, since, term)
 
     def elsewhere(self, leader: str) -> Elsewhere:
         return Elsewhere(leader)
 
-    def learn(self, part: Conductor) -> None:
-        found = book.read(self.keeper.registers.under(""))
+    def learn(self, part: ChangeCoordinator) -> None:
+        found = change_log.read(self.keeper.registers.under(""))
         part.knows(found.record, found.at, found.roster, found.contents, self.clock())
         change = found.record.open
         seen = (change.version, change.phase.value) if change else (found.record.version, "in force")
@@ -45,18 +45,18 @@
             self._seen = seen
             log.info("policy", version=seen[0], phase=seen[1], absent=part.absent)
 
-    def carry_out(self, part: Conductor, tasks: anyio.abc.TaskGroup) -> None:
+    def carry_out(self, part: ChangeCoordinator, tasks: anyio.abc.TaskGroup) -> None:
         wish = part.take()
         for number, message in wish.say:
             self.say(number, message)
         for name in wish.expect:
-            tasks.start_soon(self.swap, book.expected_swap(name))
+            tasks.start_soon(self.swap, change_log.write_expected_front(name))
         if wish.write:
             tasks.start_soon(self._write, wish.write, part)
 
-    async def _write(self, write: Write, part: Conductor) -> None:
+    async def _write(self, write: Write, part: ChangeCoordinator) -> None:
         try:
-            await self.keeper.swap(book.record_swap(write.expected, write.record))
+            await self.keeper.swap(change_log.write_record(write.expected, write.record))
         except FAULTS:
             await anyio.sleep(AGAIN)
         if write.record.open is None:
@@ -71,44 +71,44 @@
             await self.keeper.confirm()
         except FAULTS:
             return
-        for swap in book.unneeded(book.read(self.keeper.registers.under(""))):
+        for swap in change_log.delete_unreferenced(change_log.read(self.keeper.registers.under(""))):
             await self.swap(swap)
 
     # Questions ------------------------------------------------------------------------------------
 
     def figures(self) -> dict[str, float]:
         """For those who watch the leader: fronts, the version in force, and how long a change hangs."""
-        conductor, now = self.part, self.clock()
-        if conductor is None:
+        coordinator, now = self.part, self.clock()
+        if coordinator is None:
             return {}
-        record = conductor.record
+        record = coordinator.record
         return {
-            "fronts": float(len(conductor.fronts)),
-            "absent": float(len(conductor.absent)),
+            "fronts": float(len(coordinator.fronts)),
+            "absent": float(len(coordinator.absent)),
             "version": float(record.version),
-            "change": round(now - conductor.since, 3) if record.open else 0.0,
-            "waits": float(len(conductor.waits_for(now))) if record.open else 0.0,
+            "change": round(now - coordinator.since, 3) if record.open else 0.0,
+            "waits": float(len(coordinator.waits_for(now))) if record.open else 0.0,
         }
 
     def progress(self) -> dict[str, object]:
         """How the leader sees it; empty where this keeper doesn't lead."""
-        conductor, now = self.part, self.clock()
-        if conductor is None:
+        coordinator, now = self.part, self.clock()
+        if coordinator is None:
             return {}
-        change = conductor.record.open
-        clearing = change is not None and change.phase is Phase.CLEARING
+        change = coordinator.record.open
+        clearing = change is not None and change.phase is ChangePhase.REVOKING
         fronts = {}
-        for front in conductor.fronts.values():
-            lease = conductor.holding.get((front.name, front.process), (0.0, 0))[0]
+        for front in coordinator.fronts.values():
+            lease = coordinator.holding.get((front.name, front.process), (0.0, 0))[0]
             state = "serves" if lease > now else "has let go" if clearing else "no lease"
-            if change and change.phase is Phase.CHECKING:
+            if change and change.phase is ChangePhase.VALIDATING:
                 answer = front.answer
                 state = "is asked" if answer is None else "; ".join(answer.reasons) or "agrees"
-            elif conductor.silent(front, now):
+            elif coordinator.silent(front, now):
                 state = "silent"
             fronts[front.name] = {"state": state, "lease_s": round(max(0.0, lease - now), 2)}
         return {
             "fronts": fronts,
-            "absent": list(conductor.absent),
-            "waits_for": list(conductor.waits_for(now)),
+            "absent": list(coordinator.absent),
+            "waits_for": list(coordinator.waits_for(now)),
         }
--- a/zincladder/policy/model.py
+++ b/zincladder/policy/model.py
@@ -11,15 +11,15 @@
 
 import msgspec
 
-RECORD = "policy"  # the register that says what is in force
-DOCUMENTS = "document/"  # and those that hold what was ever proposed, by content
-ROSTER = "front/"  # and those of the fronts that are expected to take part
-MOST_HISTORY = 100  # changes that the record tells of; documents that none of them names are removed
-MOST_REASONS = 20
-MOST_NAMES = 100  # of fronts that could not be asked
-MOST_RECORD = 200 << 10  # bytes of the record; the oldest history goes
-MOST_KEPT = 4 << 20  # bytes of documents; those of the oldest history go
-MOST_TEXT = 200  # letters of an author, a note or a reason
+POLICY_KEY = "policy"  # the register that says what is in force
+DOCUMENT_PREFIX = "document/"  # and those that hold what was ever proposed, by content
+EXPECTED_FRONT_PREFIX = "front/"  # and those of the fronts that are expected to take part
+MAX_LOG_ENTRIES = 100  # changes that the record tells of; documents that none of them names are removed
+MAX_REASONS = 20
+MAX_ABSENT_NAMES = 100  # of fronts that could not be asked
+MAX_RECORD_BYTES = 200 << 10  # bytes of the record; the oldest history goes
+MAX_RETAINED_DOCUMENT_BYTES = 4 << 20  # bytes of documents; those of the oldest history go
+MAX_TEXT_LENGTH = 200  # letters of an author, a note or a reason
 
 
 def document_id(data: bytes) -> str:
@@ -27,22 +27,22 @@
     return hashlib.sha256(data).hexdigest()[:32]
 
 
-class Phase(enum.StrEnum):
+class ChangePhase(enum.StrEnum):
     """How far the open change has come."""
 
-    CHECKING = "checking"  # the fronts are asked; it may still come to nothing
-    DECIDED = "decided"  # it will take hold; the old version is still in force
-    CLEARING = "clearing"  # the fronts let go of the old version, and nobody gets a new lease on it
+    VALIDATING = "checking"  # the fronts are asked; it may still come to nothing
+    COMMITTED = "decided"  # it will take hold; the old version is still in force
+    REVOKING = "clearing"  # the fronts let go of the old version, and nobody gets a new lease on it
 
 
-class Outcome(enum.StrEnum):
+class ChangeOutcome(enum.StrEnum):
     """What became of a change."""
 
-    HELD = "held"
+    ACTIVATED = "held"
     WITHDRAWN = "withdrawn"
 
 
-class Change(msgspec.Struct, frozen=True, array_like=True):
+class PolicyChange(msgspec.Struct, frozen=True, array_like=True):
     """A change that is under way."""
 
     version: int
@@ -50,10 +50,10 @@
     author: str
     note: str
     at: float  # Unix time
-    phase: Phase = Phase.CHECKING
+    phase: ChangePhase = ChangePhase.VALIDATING
 
 
-class Past(msgspec.Struct, frozen=True, array_like=True):
+class ChangeLogEntry(msgspec.Struct, frozen=True, array_like=True):
     """A change that has come to its end, with what stood in its way if anything did."""
 
     version: int
@@ -61,32 +61,32 @@
     author: str
     note: str
     at: float
-    outcome: Outcome
+    outcome: ChangeOutcome
     reasons: tuple[str, ...] = ()
     absent: tuple[str, ...] = ()  # fronts that could not be asked
 
 
-class Record(msgspec.Struct, frozen=True, array_like=True):
+class PolicyRecord(msgspec.Struct, frozen=True, array_like=True):
     """The register's value."""
 
     version: int = 0
     document: str = ""
-    open: Change | None = None
+    open: PolicyChange | None = None
     absent: tuple[str, ...] = ()  # fronts that could not be asked about the open change
-    history: tuple[Past, ...] = ()  # oldest first
+    history: tuple[ChangeLogEntry, ...] = ()  # oldest first
 
 
 # From a front --------------------------------------------------------------------------------------
 
 
-class Renew(msgspec.Struct, frozen=True, array_like=True, tag="renew"):
+class RenewPolicyLease(msgspec.Struct, frozen=True, array_like=True, tag="renew"):
     """Asks for a lease. `document` is the policy that this front is ready to serve under."""
 
     serial: int
     document: str = ""
 
 
-class Checked(msgspec.Struct, frozen=True, array_like=True, tag="checked"):
+class DocumentValidated(msgspec.Struct, frozen=True, array_like=True, tag="checked"):
     """Whether this front could serve under a document: no reason against it is a yes."""
 
     version: int
@@ -94,25 +94,25 @@
     reasons: tuple[str, ...] = ()
 
 
-class Released(msgspec.Struct, frozen=True, array_like=True, tag="released"):
+class PolicyLeaseReleased(msgspec.Struct, frozen=True, array_like=True, tag="released"):
     """This process serves under no version any more, and takes no lease that it asked for up to `serial`."""
 
     version: int
     serial: int
 
 
-class Fetch(msgspec.Struct, frozen=True, array_like=True, tag="fetch"):
+class FetchDocument(msgspec.Struct, frozen=True, array_like=True, tag="fetch"):
     """Asks for a document."""
 
     document: str
 
 
-FromFront = Renew | Checked | Released | Fetch
+FromParticipant = RenewPolicyLease | DocumentValidated | PolicyLeaseReleased | FetchDocument
 
 # From a keeper -------------------------------------------------------------------------------------
 
 
-class Granted(msgspec.Struct, frozen=True, array_like=True, tag="granted"):
+class PolicyLeaseGranted(msgspec.Struct, frozen=True, array_like=True, tag="granted"):
     """The lease that was asked for with this serial: for so long from the moment at which it was."""
 
     serial: int
@@ -122,13 +122,13 @@
     renew: float
 
 
-class Waits(msgspec.Struct, frozen=True, array_like=True, tag="waits"):
+class RenewalDeferred(msgspec.Struct, frozen=True, array_like=True, tag="waits"):
     """The asking with this serial was heard; its lease comes when there is a version to give it on."""
 
     serial: int
 
 
-class Check(msgspec.Struct, frozen=True, array_like=True, tag="check"):
+class ValidateDocument(msgspec.Struct, frozen=True, array_like=True, tag="check"):
     """Asks whether a front could serve under a document."""
 
     version: int
@@ -136,13 +136,13 @@
     data: bytes
 
 
-class Release(msgspec.Struct, frozen=True, array_like=True, tag="release"):
+class RevokePolicyLease(msgspec.Struct, frozen=True, array_like=True, tag="release"):
     """Asks a front to let go of a version now: another one waits for it."""
 
     version: int
 
 
-class Delivered(msgspec.Struct, frozen=True, array_like=True, tag="delivered"):
+class DocumentContent(msgspec.Struct, frozen=True, array_like=True, tag="delivered"):
     """A document."""
 
     document: str
@@ -155,4 +155,6 @@
     leader: str
 
 
-FromKeeper = Granted | Waits | Check | Release | Delivered | Elsewhere
+FromCoordinator = (
+    PolicyLeaseGranted | RenewalDeferred | ValidateDocument | RevokePolicyLease | DocumentContent | Elsewhere
+)
--- a/zincladder/policy/holder.py
+++ b/zincladder/policy/participant.py
@@ -10,36 +10,36 @@
 from dataclasses import dataclass, field
 
 from zincladder.policy.model import (
-    Check,
-    Checked,
-    Delivered,
+    DocumentContent,
+    DocumentValidated,
     Elsewhere,
-    Fetch,
-    FromFront,
-    FromKeeper,
-    Granted,
-    Release,
-    Released,
-    Renew,
-    Waits,
+    FetchDocument,
+    FromCoordinator,
+    FromParticipant,
+    PolicyLeaseGranted,
+    PolicyLeaseReleased,
+    RenewalDeferred,
+    RenewPolicyLease,
+    RevokePolicyLease,
+    ValidateDocument,
 )
 
 RENEW = 1.0  # seconds
 
-MOST_ASKED = 16  # askings whose answers may still come
-MOST_DOCUMENTS = 4  # held beside the one that is applied
+MAX_PENDING_RENEWALS = 16  # askings whose answers may still come
+MAX_CACHED_DOCUMENTS = 4  # held beside the one that is applied
 
 
 @dataclass(slots=True)
 class Wish:
     """What the host is to do: say these, and then check or apply these documents."""
 
-    say: list[FromFront] = field(default_factory=list)
-    check: list[Check] = field(default_factory=list)
+    say: list[FromParticipant] = field(default_factory=list)
+    check: list[ValidateDocument] = field(default_factory=list)
     apply: list[tuple[str, bytes]] = field(default_factory=list)  # document, content
 
 
-class Holder:
+class ChangeParticipant:
     """One process of a front. Times are of a clock that goes on while the process or the machine sleeps."""
 
     def __init__(self, now: float, go_on: bool = False) -> None:
@@ -98,36 +98,36 @@
     def _renew(self, now: float) -> None:
         self._serial += 1
         self._asked[self._serial] = now
-        while len(self._asked) > MOST_ASKED:
+        while len(self._asked) > MAX_PENDING_RENEWALS:
             del self._asked[min(self._asked)]
         self._renew_at = now + self.renew
         self._fetching = ""  # asked for again where it has not come
-        self._wish.say.append(Renew(self._serial, self.applied))
+        self._wish.say.append(RenewPolicyLease(self._serial, self.applied))
 
-    def heard(self, message: FromKeeper, now: float) -> None:
+    def heard(self, message: FromCoordinator, now: float) -> None:
         """What a keeper said."""
         match message:
-            case Granted():
+            case PolicyLeaseGranted():
                 self._granted(message, now)
-            case Release(version):
+            case RevokePolicyLease(version):
                 # Guards the one version in force: a grant that is still on its way is not taken after this.
                 self.until, self.released, self._void = -float("inf"), True, self._serial
                 self._asked.clear()
-                self._wish.say.append(Released(version, self._void))
+                self._wish.say.append(PolicyLeaseReleased(version, self._void))
                 self._renew(now)
-            case Check():
+            case ValidateDocument():
                 self._keep(message.document, message.data)
                 self._wish.check.append(message)
-            case Delivered(document, data):
+            case DocumentContent(document, data):
                 self._keep(document, data)
                 if document == self._fetching:
                     self._fetching = ""
                 if document == self._document:
                     self._take()
-            case Elsewhere() | Waits():
+            case Elsewhere() | RenewalDeferred():
                 pass  # the host goes there, or knows that it is heard
 
-    def _granted(self, granted: Granted, now: float) -> None:
+    def _granted(self, granted: PolicyLeaseGranted, now: float) -> None:
         asked = self._asked.pop(granted.serial, None)
         if asked is None or granted.serial <= self._void:
             return
@@ -142,7 +142,7 @@
 
     def _keep(self, document: str, data: bytes) -> None:
         self._documents[document] = data
-        while len(self._documents) > MOST_DOCUMENTS:
+        while len(self._documents) > MAX_CACHED_DOCUMENTS:
             del self._documents[next(iter(self._documents))]
 
     def _take(self) -> None:
@@ -153,13 +153,13 @@
             self._wish.apply.append((self._document, data))
         elif self._fetching != self._document:
             self._fetching = self._document
-            self._wish.say.append(Fetch(self._document))
+            self._wish.say.append(FetchDocument(self._document))
 
     # What the host found --------------------------------------------------------------------------
 
-    def checked(self, check: Check, reasons: tuple[str, ...]) -> None:
+    def checked(self, check: ValidateDocument, reasons: tuple[str, ...]) -> None:
         """What this front's own checks say of a document."""
-        self._wish.say.append(Checked(check.version, check.document, reasons))
+        self._wish.say.append(DocumentValidated(check.version, check.document, reasons))
 
     def took(self, document: str, why_not: str = "") -> None:
         """The front's parts have taken a document, or can't: then it serves under no version that has it."""
@@ -171,7 +171,7 @@
     def end(self) -> None:
         """An orderly end: lets go at once, so that nobody has to wait for the lease."""
         self.until, self.released, self._void = -float("inf"), True, self._serial
-        self._wish.say.append(Released(self.version, self._void))
+        self._wish.say.append(PolicyLeaseReleased(self.version, self._void))
         self.version = 0
 
     def take(self) -> Wish:
--- a/zincladder/policy/wiring.py
+++ b/zincladder/policy/wiring.py
@@ -11,7 +11,7 @@
 from zincladder.config.reload import Reload
 from zincladder.core.engine import Core
 from zincladder.policy import document
-from zincladder.policy.front import FleetPolicy, Parts
+from zincladder.policy.front import FleetPolicy, PolicyHooks
 
 
 def _operators_file() -> dict[str, Any]:
@@ -56,7 +56,7 @@
             return str(fault)
         return ""
 
-    policy = FleetPolicy(wanted, config.name, Parts(check, apply))
+    policy = FleetPolicy(wanted, config.name, PolicyHooks(check, apply))
     reload.overlay = own
     core.hold_off = policy.hold_off
     return policy
--- a/zincladder/ownership/fence.py
+++ b/zincladder/tasks/fence.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Mapping
 
-MOST_DUTIES = 256
+MAX_TASKS = 256
 
 
 class Fence:
@@ -24,8 +24,8 @@
         if token < seen or token < 1:
             self.refused += 1
             return f"duty {duty!r}: token {token} is older than {seen}, which has worked here"
-        if seen == 0 and len(self.highest) >= MOST_DUTIES:
+        if seen == 0 and len(self.highest) >= MAX_TASKS:
             self.refused += 1
-            return f"{MOST_DUTIES} duties at most"
+            return f"{MAX_TASKS} duties at most"
         self.highest[duty] = token
         return ""
--- a/zincladder/ownership/figures.py
+++ b/zincladder/tasks/fleet_metrics.py
@@ -20,11 +20,13 @@
 from zincladder.export.delivery import Outcome
 from zincladder.export.push import FAILED, post
 from zincladder.metrics.registry import Sample
-from zincladder.ownership.sums import Totals, next_time, packed, unpacked
-from zincladder.ownership.worker import Hand
+from zincladder.tasks.counter_sums import FleetTotals, decode_totals, encode_totals, next_sample_at
+from zincladder.tasks.runner import TaskContext
 
-FENCE = "X-Zincladder-Fence"  # "DUTY TOKEN", for a receiver that remembers the highest token of each duty
-FENCED = 409  # what such a receiver answers to an older one
+FENCE_HEADER = (
+    "X-Zincladder-Fence"  # "DUTY TOKEN", for a receiver that remembers the highest token of each duty
+)
+HTTP_FENCED = 409  # what such a receiver answers to an older one
 LIMIT = 5.0  # seconds for one push
 ANSWERS, ATTEMPTS = "zincladder_fleet_class_answers_total", "zincladder_fleet_cache_attempts_total"
 log = structlog.get_logger()
@@ -47,28 +49,28 @@
     return found
 
 
-class FleetFigures:
+class FleetMetricsTask:
     """The work of the duty's owner."""
 
     def __init__(self, config: RemoteWriteConfig, clock: Callable[[], float] = time.time) -> None:
         self._config, self._clock = config, clock
         self.pushed = 0
 
-    async def __call__(self, hand: Hand) -> None:
+    async def __call__(self, hand: TaskContext) -> None:
         """Until it is cancelled, or Lost."""
         every = int(1000 * self._config.every)
         version, data = await hand.progress()
-        totals = unpacked(data)
+        totals = decode_totals(data)
         while True:
-            at = next_time(totals.at, int(1000 * self._clock()), every)
+            at = next_sample_at(totals.at, int(1000 * self._clock()), every)
             wait = min(at / 1000 - self._clock(), self._config.every)
             await anyio.sleep(max(0.0, wait))
             sums = await hand.collect()
             totals = totals.grown(sums.epoch, sums.totals, at)
-            version = await hand.keep(version, packed(totals))
+            version = await hand.keep(version, encode_totals(totals))
             await self._push(hand, totals)
 
-    async def _push(self, hand: Hand, totals: Totals) -> None:
+    async def _push(self, hand: TaskContext, totals: FleetTotals) -> None:
         found = samples(totals.totals)
         if not found:
             return
@@ -76,7 +78,7 @@
         body, kind, said = messages.on_the_wire(payload, self._config.version)
 
         def fence() -> list[tuple[str, str]]:
-            return [(FENCE, f"{hand.duty} {hand.token()}")]  # looked at when all awaits are over
+            return [(FENCE_HEADER, f"{hand.duty} {hand.token()}")]  # looked at when all awaits are over
 
         outcome = Outcome(0)
         try:
@@ -84,6 +86,6 @@
                 outcome = await post(self._config, body, kind, said, fence)
         except (*FAILED, h11.ProtocolError) as fault:
             log.info("fleet's figures not pushed", why=str(fault) or type(fault).__name__)
-        if outcome.status == FENCED:
+        if outcome.status == HTTP_FENCED:
             hand.fenced("receiver")
         self.pushed += 200 <= outcome.status < 300
--- a/zincladder/ownership/host.py
+++ b/zincladder/tasks/host.py
@@ -17,68 +17,79 @@
 from zincladder.agreement.registers import Registers, Swap, Swapped
 from zincladder.agreement.terms import Terms
 from zincladder.links.clocks import boottime
-from zincladder.ownership.model import DUTIES, PROGRESS, Duty, Elsewhere, FromWorker, Tells, key
-from zincladder.ownership.steward import Steward, Take
-from zincladder.ownership.sums import Sums
+from zincladder.tasks.counter_sums import CounterSums
+from zincladder.tasks.lease_manager import AssignmentWrite, LeaseManager
+from zincladder.tasks.model import (
+    CHECKPOINT_PREFIX,
+    TASK_PREFIX,
+    Elsewhere,
+    FromRunner,
+    ReportCounters,
+    TaskAssignment,
+    task_key,
+)
 
 log = structlog.get_logger()
 
 
-def duties_of(registers: Registers) -> dict[str, tuple[Duty, int]]:
+def duties_of(registers: Registers) -> dict[str, tuple[TaskAssignment, int]]:
     """Each duty with the version of its register, which is its owner's token."""
     return {
-        name.removeprefix(DUTIES): (msgspec.msgpack.decode(value.data, type=Duty), value.version)
-        for name, value in registers.under(DUTIES).items()
+        name.removeprefix(TASK_PREFIX): (
+            msgspec.msgpack.decode(value.data, type=TaskAssignment),
+            value.version,
+        )
+        for name, value in registers.under(TASK_PREFIX).items()
     }
 
 
 def fault(swap: Swap) -> str:
     """Why a caller's swap can't be taken, or nothing: owners are made by the leader, progress by owners."""
-    if swap.key.startswith(PROGRESS) and swap.data is not None:
-        duty = swap.key.removeprefix(PROGRESS)
-        return "" if swap.guard and swap.guard.key == key(duty) else "progress needs its duty's token"
-    if not swap.key.startswith(DUTIES):
+    if swap.key.startswith(CHECKPOINT_PREFIX) and swap.data is not None:
+        duty = swap.key.removeprefix(CHECKPOINT_PREFIX)
+        return "" if swap.guard and swap.guard.key == task_key(duty) else "progress needs its duty's token"
+    if not swap.key.startswith(TASK_PREFIX):
         return ""
     try:
-        duty_now: Duty = msgspec.msgpack.decode(swap.data or b"", type=Duty)
+        duty_now: TaskAssignment = msgspec.msgpack.decode(swap.data or b"", type=TaskAssignment)
     except (msgspec.DecodeError, UnicodeDecodeError) as why:
         return f"no duty: {why}"
     return "the leader alone names owners" if duty_now.owner else ""
 
 
-class Stewarding(Leading[Steward]):
+class TaskLeaderService(Leading[LeaseManager]):
     """Gives duties to workers while its keeper leads the group."""
 
     role = "worker"
-    messages = FromWorker
+    messages = FromRunner
 
     def __init__(self, keeper: Keeper, terms: Terms, clock: Callable[[], float] = boottime) -> None:
         super().__init__(keeper, terms, clock)
-        self.sums = Sums()
+        self.sums = CounterSums()
         self._names: dict[int, tuple[str, str]] = {}
         keeper.faults.append(fault)
         keeper.collect = self.collect
 
-    def begin(self, since: float, term: int) -> Steward:
-        self.sums = Sums()
-        return Steward(self.terms, since, term)
+    def begin(self, since: float, term: int) -> LeaseManager:
+        self.sums = CounterSums()
+        return LeaseManager(self.terms, since, term)
 
     def elsewhere(self, leader: str) -> Elsewhere:
         return Elsewhere(leader)
 
-    def learn(self, part: Steward) -> None:
+    def learn(self, part: LeaseManager) -> None:
         part.knows(duties_of(self.keeper.registers), self.clock())
 
-    def carry_out(self, part: Steward, tasks: anyio.abc.TaskGroup) -> None:
+    def carry_out(self, part: LeaseManager, tasks: anyio.abc.TaskGroup) -> None:
         wish = part.take()
         for number, message in wish.say:
             self.say(number, message)
         for take in wish.write:
             tasks.start_soon(self._write, take, part)
 
-    async def _write(self, take: Take, part: Steward) -> None:
+    async def _write(self, take: AssignmentWrite, part: LeaseManager) -> None:
         value = replace_time(take.value, time.time())
-        swap = Swap(key(take.duty), take.expected, msgspec.msgpack.encode(value))
+        swap = Swap(task_key(take.duty), take.expected, msgspec.msgpack.encode(value))
         open_ones = False
         while self.part is part:
             try:
@@ -98,9 +109,9 @@
             break
         self.wake()
 
-    def hears(self, number: int, message: FromWorker) -> None:
+    def hears(self, number: int, message: FromRunner) -> None:
         part = self.part
-        if isinstance(message, Tells) and part is not None and number in part.workers:
+        if isinstance(message, ReportCounters) and part is not None and number in part.workers:
             worker = part.workers[number]
             self._names[number] = (worker.name, worker.process)
             self.sums.told(worker.name, worker.process, message.counters)
@@ -148,6 +159,6 @@
         return {"duties": found, "workers": sorted({w.name for w in part.workers.values()})}
 
 
-def replace_time(duty: Duty, now: float) -> Duty:
+def replace_time(duty: TaskAssignment, now: float) -> TaskAssignment:
     """With the time of day, which the steward doesn't know."""
     return msgspec.structs.replace(duty, at=now)
--- a/zincladder/ownership/owner.py
+++ b/zincladder/tasks/lease_holder.py
@@ -9,25 +9,25 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from zincladder.ownership.model import (
+from zincladder.tasks.model import (
+    Assigned,
     Elsewhere,
-    FromKeeper,
-    FromWorker,
-    GivesBack,
-    Keeps,
-    Lent,
-    Stop,
-    Wants,
-    Yours,
+    FromLeaseManager,
+    FromRunner,
+    LeaseGranted,
+    Offer,
+    ReleaseLease,
+    RenewLease,
+    Revoke,
 )
 
 RENEW = 1.0  # seconds, until the first lease says how often
 IDLE = 5  # times as long between two askings of one that owns nothing
-MOST_ASKED = 16  # askings whose answers may still come
+MAX_PENDING_RENEWALS = 16  # askings whose answers may still come
 
 
 @dataclass(slots=True)
-class Held:
+class HeldLease:
     """A duty of which this process was told that it is the owner."""
 
     token: int
@@ -39,17 +39,17 @@
 class Wish:
     """What the host is to do: say these; begin or end work on these duties."""
 
-    say: list[FromWorker] = field(default_factory=list)
+    say: list[FromRunner] = field(default_factory=list)
     begin: list[str] = field(default_factory=list)
     end: list[str] = field(default_factory=list)
 
 
-class Owner:
+class LeaseHolder:
     """One process. Times are of a clock that goes on while the process or the machine sleeps."""
 
     def __init__(self, wants: Iterable[str], now: float) -> None:
         self.wants = tuple(sorted(wants))
-        self.held: dict[str, Held] = {}
+        self.held: dict[str, HeldLease] = {}
         self.linked = False
         self.renew = RENEW
         self._serial = 0
@@ -88,7 +88,7 @@
         self.linked, self._renew_at = up, now
         self._wish.say.clear()
         if up:
-            self._wish.say.append(Wants(self.wants))
+            self._wish.say.append(Offer(self.wants))
         self.tick(now)
 
     def tick(self, now: float) -> None:
@@ -103,29 +103,31 @@
         self._renew_at = now + self.between
         self._serial += 1
         self._asked[self._serial] = now
-        while len(self._asked) > MOST_ASKED:
+        while len(self._asked) > MAX_PENDING_RENEWALS:
             del self._asked[min(self._asked)]
-        self._wish.say.append(Keeps(self._serial, tuple((d, h.token) for d, h in sorted(self.held.items()))))
+        self._wish.say.append(
+            RenewLease(self._serial, tuple((d, h.token) for d, h in sorted(self.held.items())))
+        )
 
-    def heard(self, message: FromKeeper, now: float) -> None:
+    def heard(self, message: FromLeaseManager, now: float) -> None:
         """What a keeper said."""
         match message:
-            case Yours(duty, token):
+            case Assigned(duty, token):
                 held = self.held.get(duty)
                 if duty in self.wants and (held is None or held.token < token):
                     self._lose(duty)
-                    self.held[duty] = Held(token, since=self._serial)
+                    self.held[duty] = HeldLease(token, since=self._serial)
                     self._renew(now)
-            case Lent():
+            case LeaseGranted():
                 self._lent(message, now)
-            case Stop(duty, token):
+            case Revoke(duty, token):
                 held = self.held.get(duty)
                 if held is None or held.token <= token:
                     self.give_back(duty, token)
             case Elsewhere():
                 pass  # the host goes there
 
-    def _lent(self, lent: Lent, now: float) -> None:
+    def _lent(self, lent: LeaseGranted, now: float) -> None:
         asked = self._asked.pop(lent.serial, None)
         if asked is None:
             return
@@ -160,12 +162,12 @@
         token = held.token if held is not None and token is None else token
         self._lose(duty)
         if token is not None:
-            self._wish.say.append(GivesBack(duty, token))
+            self._wish.say.append(ReleaseLease(duty, token))
 
     def leave(self) -> None:
         """An orderly end: takes nothing more and gives all back."""
         self.wants = ()
-        self._wish.say.append(Wants(()))
+        self._wish.say.append(Offer(()))
         for duty in sorted(self.held):
             self.give_back(duty)
 
--- a/zincladder/ownership/steward.py
+++ b/zincladder/tasks/lease_manager.py
@@ -14,25 +14,25 @@
 from dataclasses import dataclass, field
 
 from zincladder.agreement.terms import Terms
-from zincladder.ownership.model import (
-    MOST_DUTIES,
-    MOST_NAME,
-    MOST_WORKERS,
-    Duty,
-    FromKeeper,
-    FromWorker,
-    GivesBack,
-    Keeps,
-    Lent,
-    Stop,
-    Tells,
-    Wants,
-    Yours,
+from zincladder.tasks.model import (
+    MAX_NAME_LENGTH,
+    MAX_RUNNERS,
+    MAX_TASKS,
+    Assigned,
+    FromLeaseManager,
+    FromRunner,
+    LeaseGranted,
+    Offer,
+    ReleaseLease,
+    RenewLease,
+    ReportCounters,
+    Revoke,
+    TaskAssignment,
 )
 
 
 @dataclass(slots=True)
-class Worker:
+class LinkedRunner:
     """A process that has a link to this keeper."""
 
     name: str
@@ -42,29 +42,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
+class AssignmentWrite:
     """A duty's register is to change, from the version that was seen."""
 
     duty: str
     expected: int
-    value: Duty
+    value: TaskAssignment
 
 
 @dataclass(slots=True)
 class Wish:
     """What the host is to do."""
 
-    say: list[tuple[int, FromKeeper]] = field(default_factory=list)  # to a link
-    write: list[Take] = field(default_factory=list)
+    say: list[tuple[int, FromLeaseManager]] = field(default_factory=list)  # to a link
+    write: list[AssignmentWrite] = field(default_factory=list)
 
 
-class Steward:
+class LeaseManager:
     """While one keeper leads. Made anew at each election."""
 
     def __init__(self, terms: Terms, now: float, term: int = 0) -> None:
         self.terms, self.term = terms, term
-        self.workers: dict[int, Worker] = {}
-        self.duties: dict[str, tuple[Duty, int]] = {}  # with the version of the register
+        self.workers: dict[int, LinkedRunner] = {}
+        self.duties: dict[str, tuple[TaskAssignment, int]] = {}  # with the version of the register
         self.known = False
         # Who may act on a duty, by token, and until when: its owner, or the one that it was taken from.
         self.lent: dict[str, tuple[int, float]] = {}
@@ -92,23 +92,23 @@
 
     def owner_link(self, duty: str) -> int:
         """The latest link of a duty's owner, as an older one may be dead unheard; 0 if there is none."""
-        found = self.duties.get(duty, (Duty(), 0))[0]
+        found = self.duties.get(duty, (TaskAssignment(), 0))[0]
         return max((n for n, worker in self.workers.items() if owns(worker, found)), default=0)
 
     # Registers ------------------------------------------------------------------------------------
 
-    def knows(self, duties: Mapping[str, tuple[Duty, int]], now: float) -> None:
+    def knows(self, tasks: Mapping[str, tuple[TaskAssignment, int]], now: float) -> None:
         """The duties as they stand, with the versions of their registers."""
-        for name, (duty, token) in duties.items():
-            before, old = self.duties.get(name, (Duty(), 0))
+        for name, (duty, token) in tasks.items():
+            before, old = self.duties.get(name, (TaskAssignment(), 0))
             if not self.known or old == token:
                 continue
             for number, worker in self.workers.items():
                 if owns(worker, before):  # moved or paused by a command, or its lease ran out
-                    self._wish.say.append((number, Stop(name, old)))
+                    self._wish.say.append((number, Revoke(name, old)))
             if duty.owner:
                 self.lent[name] = (token, now + self.terms.waited)
-        self.duties, self.known = dict(duties), True
+        self.duties, self.known = dict(tasks), True
         self._go_on(now)
 
     def wrote(self, duty: str, now: float) -> None:
@@ -123,9 +123,9 @@
 
     def linked(self, number: int, name: str, process: str, now: float) -> str:
         """A worker has come; why it can't take part, or nothing."""
-        if len(self.workers) >= MOST_WORKERS:
-            return f"{MOST_WORKERS} workers at most"
-        self.workers[number] = Worker(name, process)
+        if len(self.workers) >= MAX_RUNNERS:
+            return f"{MAX_RUNNERS} workers at most"
+        self.workers[number] = LinkedRunner(name, process)
         return ""
 
     def unlinked(self, number: int, now: float) -> None:
@@ -133,43 +133,43 @@
         self.workers.pop(number, None)
         self._go_on(now)
 
-    def heard(self, number: int, message: FromWorker, now: float) -> None:
+    def heard(self, number: int, message: FromRunner, now: float) -> None:
         """What a worker said, before a moment at which this keeper was confirmed to lead."""
         worker = self.workers.get(number)
         if worker is None:
             return
         worker.lapsed = False
         match message:
-            case Wants(duties):
-                worker.wants = frozenset(d for d in duties[:MOST_DUTIES] if 0 < len(d) <= MOST_NAME)
-            case Keeps(serial, asked):
+            case Offer(tasks):
+                worker.wants = frozenset(d for d in tasks[:MAX_TASKS] if 0 < len(d) <= MAX_NAME_LENGTH)
+            case RenewLease(serial, asked):
                 self._lend(number, worker, serial, asked, now)
-            case GivesBack(duty, token):
+            case ReleaseLease(duty, token):
                 self._given_back(worker, duty, token, now)
-            case Tells():
+            case ReportCounters():
                 pass  # the host's
         self._go_on(now)
 
-    def _given_back(self, worker: Worker, duty: str, token: int, now: float) -> None:
-        found, standing = self.duties.get(duty, (Duty(), 0))
+    def _given_back(self, worker: LinkedRunner, duty: str, token: int, now: float) -> None:
+        found, standing = self.duties.get(duty, (TaskAssignment(), 0))
         if token == standing and owns(worker, found):
             # Nobody else can hold a lease: this token was given when all older ones had run out.
             self.lent[duty] = (token, now)
             if duty not in self._writing:
-                self._write(duty, Duty(at=found.at, left=f"given back by {worker.name}"))
+                self._write(duty, TaskAssignment(at=found.at, left=f"given back by {worker.name}"))
         elif duty in self.lent and token == self.lent[duty][0]:
             self.lent[duty] = (token, now)  # from whom a command took it, and who has stopped now
 
     def _lend(
-        self, number: int, worker: Worker, serial: int, asked: tuple[tuple[str, int], ...], now: float
+        self, number: int, worker: LinkedRunner, serial: int, asked: tuple[tuple[str, int], ...], now: float
     ) -> None:
         granted = []
-        for duty, token in asked[:MOST_DUTIES]:
-            found, standing = self.duties.get(duty, (Duty(), 0))
+        for duty, token in asked[:MAX_TASKS]:
+            found, standing = self.duties.get(duty, (TaskAssignment(), 0))
             if owns(worker, found) and token == standing and duty not in self._writing:
                 self.lent[duty] = (token, max(self.free_at(duty), now + self.terms.waited))
                 granted.append((duty, token))
-        lent = Lent(serial, tuple(granted), self.terms.owned, self.terms.renew)
+        lent = LeaseGranted(serial, tuple(granted), self.terms.owned, self.terms.renew)
         self._wish.say.append((number, lent))
 
     # Duties ---------------------------------------------------------------------------------------
@@ -177,9 +177,9 @@
     def tick(self, now: float) -> None:
         self._go_on(now)
 
-    def _write(self, duty: str, value: Duty) -> None:
+    def _write(self, duty: str, value: TaskAssignment) -> None:
         self._writing.add(duty)
-        self._wish.write.append(Take(duty, self.duties.get(duty, (Duty(), 0))[1], value))
+        self._wish.write.append(AssignmentWrite(duty, self.duties.get(duty, (TaskAssignment(), 0))[1], value))
 
     def _go_on(self, now: float) -> None:
         """Tells owners what is theirs, and gives what nobody can act on any more to somebody."""
@@ -188,7 +188,7 @@
             return
         self._told = {name: told for name, told in self._told.items() if name in self.duties}
         for name in sorted(self.wanted() | self.duties.keys()):
-            duty, token = self.duties.get(name, (Duty(), 0))
+            duty, token = self.duties.get(name, (TaskAssignment(), 0))
             if name in self._writing or duty.paused:
                 self._told.pop(name, None)
                 continue
@@ -196,15 +196,15 @@
             self._tell(name, number, token, now)
             if now < self.free_at(name):
                 continue
-            if name not in self.duties and len(self.duties) + len(self._writing) >= MOST_DUTIES:
+            if name not in self.duties and len(self.duties) + len(self._writing) >= MAX_TASKS:
                 continue
             chosen = self._chosen(name, duty, number)
             if chosen is not None:
                 if number:
                     self.workers[number].lapsed = True
-                self._write(name, Duty(chosen.name, chosen.process, now))
+                self._write(name, TaskAssignment(chosen.name, chosen.process, now))
             elif duty.owner and not number:
-                self._write(name, Duty(at=now, left=f"{duty.owner} is gone"))
+                self._write(name, TaskAssignment(at=now, left=f"{duty.owner} is gone"))
 
     def _tell(self, name: str, number: int, token: int, now: float) -> None:
         """Its owner is told, and again while it doesn't ask for a lease."""
@@ -214,11 +214,11 @@
         told, link, at = self._told.get(name, (0, 0, 0.0))
         again = at + self.terms.renew <= now
         if (told, link) != (token, number) or (again and now >= self.free_at(name)):
-            self._wish.say.append((number, Yours(name, token)))
+            self._wish.say.append((number, Assigned(name, token)))
         if (told, link) != (token, number) or again:
             self._told[name] = (token, number, now)
 
-    def _chosen(self, name: str, duty: Duty, but: int) -> Worker | None:
+    def _chosen(self, name: str, duty: TaskAssignment, but: int) -> LinkedRunner | None:
         """Whoever was wished for; else the one with the fewest duties, and among these by lot.
 
         The lot is drawn from the names alone: all keepers draw the same one, and it spreads duties.
@@ -226,7 +226,7 @@
         owned = [(d.owner, d.process) for d, _ in self.duties.values() if d.owner]
         owned += [(t.value.owner, t.value.process) for t in self._wish.write if t.value.owner]
 
-        def order(worker: Worker) -> tuple[bool, bool, int, bytes]:
+        def order(worker: LinkedRunner) -> tuple[bool, bool, int, bytes]:
             lot = hashlib.sha256(f"{name}\0{worker.name}\0{worker.process}".encode()).digest()
             many = owned.count((worker.name, worker.process))
             return (worker.lapsed, worker.name != duty.wish, many, lot)
@@ -240,5 +240,5 @@
         return wish
 
 
-def owns(worker: Worker, duty: Duty) -> bool:
+def owns(worker: LinkedRunner, duty: TaskAssignment) -> bool:
     return bool(duty.owner) and (worker.name, worker.process) == (duty.owner, duty.process)
--- a/zincladder/ownership/model.py
+++ b/zincladder/tasks/model.py
@@ -11,14 +11,14 @@
 
 from zincladder.agreement.registers import Guard, Swap
 
-DUTIES = "duty/"
-PROGRESS = "progress/"  # what an owner has done, kept for whoever follows
-MOST_DUTIES = 64
-MOST_WORKERS = 2048
-MOST_NAME = 40
+TASK_PREFIX = "duty/"
+CHECKPOINT_PREFIX = "progress/"  # what an owner has done, kept for whoever follows
+MAX_TASKS = 64
+MAX_RUNNERS = 2048
+MAX_NAME_LENGTH = 40
 
 
-class Duty(msgspec.Struct, frozen=True, array_like=True):
+class TaskAssignment(msgspec.Struct, frozen=True, array_like=True):
     """The register's value. No owner: it was given back, moved, or never taken."""
 
     owner: str = ""  # the worker's name
@@ -29,61 +29,61 @@
     left: str = ""  # why nobody owns it
 
 
-def key(duty: str) -> str:
-    return DUTIES + duty
+def task_key(duty: str) -> str:
+    return TASK_PREFIX + duty
 
 
-def progress_key(duty: str) -> str:
-    return PROGRESS + duty
+def checkpoint_key(duty: str) -> str:
+    return CHECKPOINT_PREFIX + duty
 
 
-def checkpoint(duty: str, token: int, expected: int, data: bytes) -> Swap:
+def write_checkpoint(duty: str, token: int, expected: int, data: bytes) -> Swap:
     """Keeps an owner's progress, if it still is the owner when the entry is applied: the fence in the log."""
-    return Swap(progress_key(duty), expected, data, Guard(key(duty), token))
+    return Swap(checkpoint_key(duty), expected, data, Guard(task_key(duty), token))
 
 
 # From a worker -------------------------------------------------------------------------------------
 
 
-class Wants(msgspec.Struct, frozen=True, array_like=True, tag="wants"):
+class Offer(msgspec.Struct, frozen=True, array_like=True, tag="wants"):
     """The duties that this process would take; none when it is about to end."""
 
     duties: tuple[str, ...]
 
 
-class Keeps(msgspec.Struct, frozen=True, array_like=True, tag="keeps"):
+class RenewLease(msgspec.Struct, frozen=True, array_like=True, tag="keeps"):
     """Asks for a lease on what it owns: duties with their tokens."""
 
     serial: int
     held: tuple[tuple[str, int], ...]
 
 
-class GivesBack(msgspec.Struct, frozen=True, array_like=True, tag="gives_back"):
+class ReleaseLease(msgspec.Struct, frozen=True, array_like=True, tag="gives_back"):
     """It does nothing more under this token, and takes no lease on it that it asked for."""
 
     duty: str
     token: int
 
 
-class Tells(msgspec.Struct, frozen=True, array_like=True, tag="tells"):
+class ReportCounters(msgspec.Struct, frozen=True, array_like=True, tag="tells"):
     """Counters of this process since its start, for whoever sums them."""
 
     counters: dict[str, float]
 
 
-FromWorker = Wants | Keeps | GivesBack | Tells
+FromRunner = Offer | RenewLease | ReleaseLease | ReportCounters
 
 # From a keeper -------------------------------------------------------------------------------------
 
 
-class Yours(msgspec.Struct, frozen=True, array_like=True, tag="yours"):
+class Assigned(msgspec.Struct, frozen=True, array_like=True, tag="yours"):
     """This process owns a duty, once it has a lease on it."""
 
     duty: str
     token: int
 
 
-class Lent(msgspec.Struct, frozen=True, array_like=True, tag="lent"):
+class LeaseGranted(msgspec.Struct, frozen=True, array_like=True, tag="lent"):
     """The lease that was asked for with this serial; what was asked for and is not named is lost."""
 
     serial: int
@@ -92,7 +92,7 @@
     renew: float
 
 
-class Stop(msgspec.Struct, frozen=True, array_like=True, tag="stop"):
+class Revoke(msgspec.Struct, frozen=True, array_like=True, tag="stop"):
     """Asks an owner to give a duty back now."""
 
     duty: str
@@ -105,4 +105,4 @@
     leader: str
 
 
-FromKeeper = Yours | Lent | Stop | Elsewhere
+FromLeaseManager = Assigned | LeaseGranted | Revoke | Elsewhere
--- a/zincladder/ownership/worker.py
+++ b/zincladder/tasks/runner.py
@@ -20,8 +20,14 @@
 from zincladder.links.clocks import boottime
 from zincladder.links.frames import VERSION, Hello
 from zincladder.links.leader import LeaderLink
-from zincladder.ownership.model import Elsewhere, FromKeeper, Tells, checkpoint, progress_key
-from zincladder.ownership.owner import Owner
+from zincladder.tasks.lease_holder import LeaseHolder
+from zincladder.tasks.model import (
+    Elsewhere,
+    FromLeaseManager,
+    ReportCounters,
+    checkpoint_key,
+    write_checkpoint,
+)
 
 SILENT = 2.5  # askings without a word after which another keeper is tried
 AGAIN = (0.2, 5.0)  # seconds after work that failed, doubled from the first to the second
@@ -29,19 +35,19 @@
 log = structlog.get_logger()
 
 
-class Lost(Exception):
+class LeaseLostError(Exception):
     """This process may not act on the duty any more, or not now."""
 
 
-class NoRoom(Exception):
+class CheckpointTooLargeError(Exception):
     """The group can't keep so much progress; the text says what there is no room for."""
 
 
-class Hand:
+class TaskContext:
     """What a piece of work holds while its process owns the duty."""
 
-    def __init__(self, worker: Worker, duty: str) -> None:
-        self._worker, self.duty = worker, duty
+    def __init__(self, task_runner: TaskRunner, duty: str) -> None:
+        self._worker, self.duty = task_runner, duty
 
     def token(self) -> int:
         """The token to act under, right before an effect; Lost if there is none at this moment.
@@ -50,12 +56,12 @@
         """
         if token := self._worker.acting(self.duty):
             return token
-        raise Lost(self.duty)
+        raise LeaseLostError(self.duty)
 
     async def progress(self) -> tuple[int, bytes]:
         """What was kept last, by whomever, and the version to keep the next from; (0, b"") for nothing."""
         self.token()
-        wanted = progress_key(self.duty)
+        wanted = checkpoint_key(self.duty)
         found = (await self._worker.client().get(wanted)).get(wanted)
         return (found.version, found.data) if found else (0, b"")
 
@@ -64,7 +70,7 @@
 
         NoRoom where it is too much.
         """
-        swap = checkpoint(self.duty, self.token(), expected, data)
+        swap = write_checkpoint(self.duty, self.token(), expected, data)
         while True:
             try:
                 said = await self._worker.client().ask(swap)
@@ -75,14 +81,14 @@
                     return version
                 case Fenced():
                     self.fenced("log")
-                    raise Lost(self.duty)
+                    raise LeaseLostError(self.duty)
                 case Full(why):
-                    raise NoRoom(why)
+                    raise CheckpointTooLargeError(why)
                 case Missed(version) if version != expected:
                     # Perhaps this very write, whose answer was lost: nobody else writes under this token.
                     if (await self.progress()) == (version, data):
                         return version
-                    raise Lost(self.duty)
+                    raise LeaseLostError(self.duty)
             self.token()
             await anyio.sleep(AGAIN[0])
 
@@ -99,26 +105,26 @@
         return said
 
 
-Work = Callable[[Hand], Awaitable[None]]
+TaskFunction = Callable[[TaskContext], Awaitable[None]]
 
 
-class Worker:
+class TaskRunner:
     """One process."""
 
     def __init__(
         self,
         config: DutiesConfig,
         name: str,
-        works: Mapping[str, Work],
+        works: Mapping[str, TaskFunction],
         counters: Callable[[], dict[str, float]],
         clock: Callable[[], float] = boottime,
     ) -> None:
         self._config, self._name, self._works, self._clock = config, name, dict(works), clock
         self._counters = counters
-        self.owner = Owner(self._works, clock())
+        self.owner = LeaseHolder(self._works, clock())
         hello = Hello(VERSION, config.group, "worker", name, os.urandom(8).hex())
         self._random = random.Random(hello.birth)
-        self._leader = LeaderLink(config.keepers, hello, FromKeeper, self, self._random)
+        self._leader = LeaderLink(config.keepers, hello, FromLeaseManager, self, self._random)
         self._due = anyio.Event()
         self._scopes: dict[str, anyio.CancelScope] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
@@ -168,7 +174,7 @@
         self._pump()
         self._due.set()  # it may be due sooner now
 
-    def heard(self, message: FromKeeper) -> str | None:
+    def heard(self, message: FromLeaseManager) -> str | None:
         if isinstance(message, Elsewhere):
             return message.leader
         self.owner.heard(message, self._clock())
@@ -190,7 +196,7 @@
     async def _telling(self) -> None:
         while True:
             if self.owner.linked:
-                self._leader.outbox.put(Tells(self._counters()))
+                self._leader.outbox.put(ReportCounters(self._counters()))
             await anyio.sleep(TELL * (0.9 + 0.2 * self._random.random()))  # not all of a fleet at once
 
     def _pump(self) -> None:
@@ -212,8 +218,8 @@
         with scope:
             while self.acting(duty):
                 try:
-                    await self._works[duty](Hand(self, duty))
-                except Lost:
+                    await self._works[duty](TaskContext(self, duty))
+                except LeaseLostError:
                     # Its lease may have run out a moment before the word of it comes, or comes anew.
                     await anyio.sleep(AGAIN[0])
                     continue
--- a/zincladder/ownership/wiring.py
+++ b/zincladder/tasks/wiring.py
@@ -4,11 +4,11 @@
 
 from zincladder.config import DutiesConfig
 from zincladder.core.engine import Core
-from zincladder.ownership.figures import ANSWERS, ATTEMPTS, FleetFigures, series
-from zincladder.ownership.worker import Work, Worker
+from zincladder.tasks.fleet_metrics import ANSWERS, ATTEMPTS, FleetMetricsTask, series
+from zincladder.tasks.runner import TaskFunction, TaskRunner
 
 
-def counters_of(core: Core) -> dict[str, float]:
+def front_counters(core: Core) -> dict[str, float]:
     """A front's service by class and by cache, since its start."""
     found = {series(ANSWERS, *key): float(n) for key, n in core.figures.answers.items()}
     for member, figures in core.figures.members.items():
@@ -17,9 +17,9 @@
     return found
 
 
-def work_for_fleet(config: DutiesConfig, name: str, core: Core) -> Worker:
+def build_task_runner(config: DutiesConfig, name: str, core: Core) -> TaskRunner:
     """A front's part in the duties of its fleet."""
-    works: dict[str, Work] = {}
+    works: dict[str, TaskFunction] = {}
     if config.figures is not None and "figures" in config.wants:
-        works["figures"] = FleetFigures(config.figures)
-    return Worker(config, name, works, lambda: counters_of(core))
+        works["figures"] = FleetMetricsTask(config.figures)
+    return TaskRunner(config, name, works, lambda: front_counters(core))
