--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -20,6 +20,7 @@
     DocumentValidated,
     FromCoordinator,
     FromParticipant,
+    PolicyLeaseGranted,
     document_id,
 )
 from zincladder.policy.participant import ChangeParticipant
@@ -298,7 +299,7 @@
         wish = coordinator.take()
         lines = {f.line.number: f.line for f in self.fronts.values() if f.line}
         for number, message in wish.say:
-            self.figures["grants"] += type(message).__name__ == "Granted"
+            self.figures["grants"] += isinstance(message, PolicyLeaseGranted)
             if number in lines:
                 self._carry(lines[number], "back", message)
         swaps = [change_log.write_expected_front(name) for name in wish.expect]
