--- a/tests/policy/test_change_processes.py
+++ b/tests/policy/test_change_processes.py
@@ -177,8 +177,8 @@
             await f.r.start(leader)
         traffic.judge()
         record = await f.r.record()
-        assert record.open is None and [p.version for p in record.history] == sorted(
-            p.version for p in record.history
+        assert record.open_change is None and [p.version for p in record.log] == sorted(
+            p.version for p in record.log
         )
 
 
@@ -283,7 +283,7 @@
         started.kill()
 
         async def settled() -> bool:
-            return (await f.r.record()).open is None
+            return (await f.r.record()).open_change is None
 
         await f.r.until("no change is open", settled)
         record = await f.r.record()
@@ -432,7 +432,7 @@
 
         async def reached() -> bool:
             record = await f.r.record()
-            found = record.open.phase if record.open else record.history[-1].outcome
+            found = record.open_change.phase if record.open_change else record.log[-1].outcome
             return str(found) == str(step)
 
         await f.r.until(f"it is {step}", reached)
@@ -519,7 +519,7 @@
         assert (await f.r.propose(2))[0] == 2
 
         async def decided() -> bool:
-            found = (await f.r.record()).open
+            found = (await f.r.record()).open_change
             return found is not None and found.phase is ChangePhase.COMMITTED
 
         await f.r.until("it is decided", decided)
--- /dev/null
+++ b/tests/policy/test_fleet_simulation.py
@@ -0,0 +1,101 @@
+"""Simulated fleets with faults by seed, and mutations of the rules that the judge has to notice."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from tests.simulated import Broken
+from tests.support.fleet_simulation import TERMS, FleetWorld
+from zincladder.policy import change_states
+from zincladder.policy.coordinator import ChangeCoordinator
+from zincladder.policy.model import PolicyLeaseReleased, RevokePolicyLease
+from zincladder.policy.participant import ChangeParticipant
+
+
+def play(seed: int) -> FleetWorld:
+    """Three or five replicas with four fronts; in some histories replicas are killed at any step."""
+    world = FleetWorld(seed, 3 + 2 * (seed // 2 % 2), 4)
+    world.fatal = 0.0005 * (seed % 3)
+    world.play(40)
+    return world
+
+
+@pytest.mark.parametrize("block", range(8))
+def test_a_change_is_activated_everywhere_or_nowhere_whatever_fails(block: int) -> None:
+    total: Counter[str] = Counter()
+    for seed in range(block * 25, block * 25 + 25):
+        total.update(play(seed).figures)
+    assert total["held"] > 30 and total["withdrawn"] > 3 and total["served"] > 1000 and total["crashes"] > 20
+
+
+@settings(max_examples=25, deadline=None)
+@given(st.integers(1000, 10**9))
+def test_any_seed_keeps_the_rules(seed: int) -> None:
+    play(seed)
+
+
+def ignores_the_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+    def without_the_clock(self: ChangeParticipant, now: float) -> int:
+        applied = self.applied_document == self._leased_document
+        return self.version if applied and not self.released else 0
+
+    monkeypatch.setattr(ChangeParticipant, "serving_version", without_the_clock)
+
+
+def grants_while_revoking(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(ChangeCoordinator, "_granting_suspended", lambda self: not self.known)
+
+
+def commits_without_asking(monkeypatch: pytest.MonkeyPatch) -> None:
+    def commits_at_once(self: ChangeCoordinator, change: Any, now: float) -> None:
+        self._write(change_states.retreat(self.record, change))
+
+    monkeypatch.setattr(ChangeCoordinator, "_validate", commits_at_once)
+
+
+def accepts_an_outdated_release(monkeypatch: pytest.MonkeyPatch) -> None:
+    heard = ChangeCoordinator.heard
+
+    def releases_all(self: ChangeCoordinator, number: int, message: Any, now: float) -> None:
+        if isinstance(message, PolicyLeaseReleased):
+            message = PolicyLeaseReleased(message.version, 10**9)
+        heard(self, number, message, now)
+
+    monkeypatch.setattr(ChangeCoordinator, "heard", releases_all)
+    participant_heard = ChangeParticipant.heard
+
+    def renews_before_release(self: ChangeParticipant, message: Any, now: float) -> None:
+        participant_heard(self, message, now)
+        if isinstance(message, RevokePolicyLease):
+            self._actions.messages.reverse()
+
+    monkeypatch.setattr(ChangeParticipant, "heard", renews_before_release)
+
+
+MUTATIONS: list[Callable[[pytest.MonkeyPatch], None]] = [
+    ignores_the_clock,
+    grants_while_revoking,
+    commits_without_asking,
+    accepts_an_outdated_release,
+]
+
+
+@pytest.mark.parametrize("mutate", MUTATIONS, ids=lambda mutation: mutation.__name__)
+def test_the_judge_notices_each_mutation(
+    mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    mutate(monkeypatch)
+    with pytest.raises(Broken):
+        for seed in range(400):
+            play(seed)
+
+
+def test_a_front_relies_on_a_lease_for_less_time_than_the_leader_waits() -> None:
+    assert TERMS.believed * (1 + TERMS.drift) <= TERMS.waited
+    assert TERMS.believed / (1 - TERMS.drift) <= TERMS.waited / (1 + TERMS.drift) + 1e-9
--- a/tests/policy/test_golden_bytes.py
+++ b/tests/policy/test_golden_bytes.py
@@ -10,6 +10,7 @@
 from tests.support.golden import assert_same_bytes, fixtures
 from zincladder.agreement.registers import Swap
 from zincladder.agreement.terms import TERMS, Terms
+from zincladder.leases.model import NotLeaderReply
 from zincladder.policy import change_log, model
 from zincladder.policy.model import (
     ChangeLogEntry,
@@ -17,7 +18,6 @@
     ChangePhase,
     DocumentContent,
     DocumentValidated,
-    Elsewhere,
     FetchDocument,
     FromCoordinator,
     FromParticipant,
@@ -51,8 +51,8 @@
     "check": ValidateDocument(3, "d3", b'{"settings":{}}'),
     "release": RevokePolicyLease(3),
     "delivered": DocumentContent("d3", b'{"operator":{}}'),
-    "elsewhere": Elsewhere("k2"),
-    "elsewhere-unknown": Elsewhere(""),
+    "elsewhere": NotLeaderReply("k2"),
+    "elsewhere-unknown": NotLeaderReply(""),
 }
 RECORDS = {
     "none": PolicyRecord(),
--- /dev/null
+++ b/tests/policy/test_state_space.py
@@ -0,0 +1,101 @@
+"""Orders of events at small scope: all of them for one front, many random ones for more."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+import pytest
+
+from tests.simulated import Broken
+from tests.small import Scope, search, walk
+from tests.support.policy_states import SmallFleet, in_force
+from zincladder.policy.coordinator import ChangeCoordinator
+from zincladder.policy.model import PolicyLeaseGranted, RevokePolicyLease
+from zincladder.policy.participant import ChangeParticipant
+
+# Many faults of all kinds, and leaders with short terms.
+WIDE_SCOPES = (
+    Scope(changes=6, leaders=3, kills=3, breaks=4, until=60, noise=20),
+    Scope(changes=3, leaders=12, kills=1, breaks=2, until=60, noise=20),
+)
+
+
+def play(seed: int) -> SmallFleet:
+    state = SmallFleet(WIDE_SCOPES[seed % 2], 2 + seed // 2 % 2)
+    walk(state, seed, 500)
+    return state
+
+
+def test_no_order_of_events_breaks_a_rule_with_one_front() -> None:
+    states, activated = search(SmallFleet(Scope(changes=1, until=3), 1), good=in_force)  # exhaustive
+    assert states > 2000 and activated > 10
+
+
+@pytest.mark.parametrize("block", range(4))
+def test_no_long_random_history_breaks_a_rule(block: int) -> None:
+    versions = sum(play(seed).in_force for seed in range(block * 500, block * 500 + 500))
+    assert versions > 1000
+
+
+def lease_is_a_little_longer(patch: pytest.MonkeyPatch) -> None:
+    granted = ChangeParticipant._granted
+
+    def longer(self: ChangeParticipant, message: PolicyLeaseGranted, now: float) -> None:
+        granted(self, msgspec.structs.replace(message, valid_seconds=message.valid_seconds + 1), now)
+
+    patch.setattr(ChangeParticipant, "_granted", longer)
+
+
+def lease_counts_from_its_answer(patch: pytest.MonkeyPatch) -> None:
+    granted = ChangeParticipant._granted
+
+    def later(self: ChangeParticipant, message: PolicyLeaseGranted, now: float) -> None:
+        if message.serial in self.renewals.requested_at:
+            self.renewals.requested_at[message.serial] = now
+        granted(self, message, now)
+
+    patch.setattr(ChangeParticipant, "_granted", later)
+
+
+def new_leader_does_not_wait(patch: pytest.MonkeyPatch) -> None:
+    made = ChangeCoordinator.__init__
+
+    def hasty(self: ChangeCoordinator, *args: Any) -> None:
+        made(self, *args)
+        self.leases.former_leases_expire_at = args[1]
+
+    patch.setattr(ChangeCoordinator, "__init__", hasty)
+
+
+def grant_under_way_counts_after_release(patch: pytest.MonkeyPatch) -> None:
+    heard = ChangeParticipant.heard
+
+    def forgets(self: ChangeParticipant, message: Any, now: float) -> None:
+        pending = dict(self.renewals.requested_at)
+        heard(self, message, now)
+        if isinstance(message, RevokePolicyLease):
+            self._void_serial = 0
+            self.renewals.requested_at = pending | self.renewals.requested_at
+
+    patch.setattr(ChangeParticipant, "heard", forgets)
+
+
+@pytest.mark.parametrize(
+    "mutate",
+    [
+        lease_is_a_little_longer,
+        lease_counts_from_its_answer,
+        new_leader_does_not_wait,
+        grant_under_way_counts_after_release,
+    ],
+    ids=lambda mutation: mutation.__name__,
+)
+def test_small_histories_notice_what_the_fleet_simulation_does_not(
+    mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    mutate(monkeypatch)
+    with pytest.raises(Broken):
+        for seed in range(3000):
+            play(seed)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -31,8 +31,9 @@
 from zincladder.agreement.registers import Missed
 from zincladder.links.host import FAILED
 from zincladder.policy import change_log
-from zincladder.policy.coordinator import propose_change
-from zincladder.policy.document import canonical, laid_over
+from zincladder.policy.change_states import propose_change
+from zincladder.policy.document import canonical, merged
+from zincladder.policy.errors import ChangeRejectedError
 from zincladder.policy.model import POLICY_KEY, ChangeLogEntry, ChangeOutcome, PolicyRecord, document_id
 
 BOUND = 20.0  # seconds for anything that is waited for
@@ -245,7 +246,7 @@
         data = configuration([c.member() for c in caches], name=name, listen=where, control="127.0.0.1:0")
         # A purge of an hour ago, within its time: each attempt then says the oldest copy that will do, which
         # is the class's fresh time, and so under which policy it was decided.
-        data["settings"] = laid_over(SETTINGS, settings)
+        data["settings"] = merged(SETTINGS, settings)
         data["settings"]["domain"] = data["settings"]["domain"] | {"goneEverywhere": 80_000.0}
         hour_ago = int((time.time() - 3600) * 1000)
         data["known"]["updates"].append({"index": 2, "evict": {"ref": KEY, "shard": 0, "unix_ms": hour_ago}})
@@ -325,19 +326,19 @@
     async def propose(self, mark: int, **settings: Any) -> tuple[int, str]:
         """Proposes a policy whose mark shows in each answer; its version, or 0 and why not."""
         client = self.client_of_keepers()
-        data = canonical({"settings": laid_over(marked(mark), settings)})
+        data = canonical({"settings": merged(marked(mark), settings)})
         found = change_log.read(await client.get(""))
-        new = propose_change(
-            found.record, found.record.version, document_id(data), "test", f"mark {mark}", 0.0
-        )
-        if isinstance(new, str):
-            return 0, new
-        assert new.open is not None
-        for swap in (change_log.write_document(data), change_log.write_record(found.at, new)):
+        base = found.record.version
+        try:
+            new = propose_change(found.record, base, document_id(data), "test", f"mark {mark}", 0.0)
+        except ChangeRejectedError as error:
+            return 0, str(error)
+        assert new.open_change is not None
+        for swap in (change_log.write_document(data), change_log.write_record(found.record_version, new)):
             said = await client.swap(swap.key, swap.expected, swap.data)
             if isinstance(said, Missed) and swap.key == POLICY_KEY:
                 return 0, "another came first"
-        return new.open.version, ""
+        return new.open_change.version, ""
 
     async def outcome(self, version: int) -> ChangeLogEntry:
         """How a change has ended, once it has."""
@@ -347,7 +348,7 @@
                 record = await self.record()
             except (NoAnswer, Open):
                 return None
-            return next((p for p in record.history if p.version == version), None)
+            return next((p for p in record.log if p.version == version), None)
 
         found: ChangeLogEntry = await self.until(f"version {version} comes to an end", ended)
         return found
@@ -362,7 +363,7 @@
             if version:
                 return await self.outcome(version)
             record = await self.record()
-            done = [p for p in record.history if p.note == f"mark {mark}"]
+            done = [p for p in record.log if p.note == f"mark {mark}"]
             held = next((p for p in done if p.outcome is ChangeOutcome.ACTIVATED), None)
             if held:
                 return held
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -12,7 +12,9 @@
 from zincladder.agreement.registers import Registers, Swap
 from zincladder.agreement.terms import Terms
 from zincladder.policy import change_log
-from zincladder.policy.coordinator import ChangeCoordinator, propose_change
+from zincladder.policy.change_states import propose_change
+from zincladder.policy.coordinator import ChangeCoordinator
+from zincladder.policy.errors import ChangeRejectedError
 from zincladder.policy.model import (
     POLICY_KEY,
     ChangeOutcome,
@@ -61,7 +63,7 @@
     def __init__(self, seed: int, voters: int = 3, fronts: int = 4, terms: Terms = TERMS) -> None:
         self.terms = terms
         self.registers: dict[str, Registers] = {}
-        self.conductors: dict[str, ChangeCoordinator] = {}
+        self.coordinators: dict[str, ChangeCoordinator] = {}
         self.inbox: dict[str, deque[tuple[int, Line, FromParticipant | None]]] = {}
         self.read_at: dict[str, int] = {}
         self.fronts: dict[str, Front] = {}
@@ -116,7 +118,7 @@
             return
         if front.name in self.alone:
             return
-        coordinator = self.conductors.get(process.name)
+        coordinator = self.coordinators.get(process.name)
         if coordinator is None or process.member.role is not Role.LEADER:
             return
         assert front.participant is not None
@@ -140,7 +142,7 @@
                 front.participant.link(False, self.front_clock(front))
 
     def _keeper_lost(self, line: Line) -> None:
-        process, coordinator = self.processes[line.keeper], self.conductors.get(line.keeper)
+        process, coordinator = self.processes[line.keeper], self.coordinators.get(line.keeper)
         if coordinator is not None and process.member is not None and process.lives == line.life:
             coordinator.unlinked(line.number, self.clock(process))
             if not process.asleep:
@@ -150,18 +152,18 @@
         participant, line = front.participant, front.line
         assert participant is not None
         while True:
-            wish = participant.take()
-            for document, _ in wish.apply:
-                participant.took(document, "it can't" if document in front.against else "")
-            for check in wish.check:
+            actions = participant.take_actions()
+            for document, _ in actions.apply:
+                participant.applied(document, "it can't" if document in front.against else "")
+            for check in actions.validate:
                 no = check.document in front.against
                 if not no:
                     self.said_yes.add((front.name, check.document))
-                participant.checked(check, ("it can't",) if no else ())
+                participant.validated(check, ("it can't",) if no else ())
             if line is not None:
-                for message in wish.say:
+                for message in actions.messages:
                     self._carry(line, "to", message)
-            if not wish.say and not wish.apply and not wish.check:
+            if not actions.messages and not actions.apply and not actions.validate:
                 break
 
     # Links ----------------------------------------------------------------------------------------
@@ -227,7 +229,7 @@
 
     def crash(self, process: Process) -> None:
         super().crash(process)
-        self.conductors.pop(process.name, None)
+        self.coordinators.pop(process.name, None)
         self.inbox.pop(process.name, None)
         for front in self.fronts.values():
             if front.line and front.line.keeper == process.name:
@@ -253,7 +255,7 @@
         queue = self.inbox.get(process.name, deque())
         while queue and queue[0][0] <= ticket:
             _, line, message = queue.popleft()
-            coordinator = self.conductors.get(process.name)
+            coordinator = self.coordinators.get(process.name)
             if coordinator is None:
                 continue
             self.learn(process, coordinator)
@@ -267,23 +269,25 @@
         found = change_log.read(self.registers[process.name].under(""))
         if self.read_at.get(process.name) != process.index:
             self.read_at[process.name] = process.index
-            coordinator.knows(found.record, found.at, found.roster, found.contents, self.clock(process))
+            coordinator.record_read(
+                found.record, found.record_version, found.expected_fronts, found.contents, self.clock(process)
+            )
 
     def conduct(self, process: Process) -> None:
         member = process.member
         if member is None:
             return
-        coordinator = self.conductors.get(process.name)
+        coordinator = self.coordinators.get(process.name)
         if member.role is not Role.LEADER:
             if coordinator is not None:
-                del self.conductors[process.name]
+                del self.coordinators[process.name]
                 self.inbox.pop(process.name, None)
                 for front in self.fronts.values():
                     if front.line and front.line.keeper == process.name:
                         self.break_line(front.line)
             return
         if coordinator is None or coordinator.term != member.term:
-            coordinator = self.conductors[process.name] = ChangeCoordinator(
+            coordinator = self.coordinators[process.name] = ChangeCoordinator(
                 self.terms, self.clock(process), member.term
             )
             self.read_at.pop(process.name, None)
@@ -296,15 +300,15 @@
         if coordinator.known:
             self.learn(process, coordinator)
         coordinator.tick(self.clock(process))
-        wish = coordinator.take()
+        actions = coordinator.take_actions()
         lines = {f.line.number: f.line for f in self.fronts.values() if f.line}
-        for number, message in wish.say:
+        for number, message in actions.messages:
             self.figures["grants"] += isinstance(message, PolicyLeaseGranted)
             if number in lines:
                 self._carry(lines[number], "back", message)
-        swaps = [change_log.write_expected_front(name) for name in wish.expect]
-        if wish.write:
-            change = wish.write.record.open
+        swaps = [change_log.write_expected_front(name) for name in actions.expect_fronts]
+        if actions.write:
+            change = actions.write.record.open_change
             no = change and (process.name, coordinator.term, change.document) in self.heard_no
             if (
                 no
@@ -313,7 +317,7 @@
                 and not self.decided.get(change.version)
             ):
                 raise Broken(f"version {change.version} is decided against a front's word")
-            swaps.append(change_log.write_record(wish.write.expected, wish.write.record))
+            swaps.append(change_log.write_record(actions.write.expected_version, actions.write.record))
         for swap in swaps:
             self.put(process, swap)
         if swaps:
@@ -343,12 +347,14 @@
         data = b"policy %d" % next(self.proposals)
         if self.random.random() < 0.2:
             self.random.choice(list(self.fronts.values())).against.add(document_id(data))
-        new = propose_change(found.record, found.record.version, document_id(data), "op", "", self.now)
-        if isinstance(new, str):
+        base = found.record.version
+        try:
+            proposed = propose_change(found.record, base, document_id(data), "op", "", self.now)
+        except ChangeRejectedError:
             return
         self.figures["asked"] += 1
         self.put(process, change_log.write_document(data))
-        self.put(process, change_log.write_record(found.at, new))
+        self.put(process, change_log.write_record(found.record_version, proposed))
         self.settle(process)
 
     def trouble(self) -> None:
@@ -396,7 +402,7 @@
         serving = {}
         for front in self.fronts.values():
             if front.participant is not None and not front.asleep:
-                version = front.participant.serving(self.front_clock(front))
+                version = front.participant.serving_version(self.front_clock(front))
                 if version:
                     serving[front.name] = version
                     self.figures["served"] += 1
@@ -411,9 +417,9 @@
                 raise Broken(f"version {version} is served and was never decided")
 
     def judge_record(self, found: change_log.ChangeLog) -> None:
-        record, change = found.record, found.record.open
+        record, change = found.record, found.record.open_change
         if change is not None:
-            self.expected.setdefault(change.version, len(found.roster))
+            self.expected.setdefault(change.version, len(found.expected_fronts))
         if (
             change is not None
             and change.phase is not ChangePhase.VALIDATING
@@ -424,7 +430,7 @@
             expected = self.expected.get(change.version, 0)
             if expected and len(names) <= self.terms.least * expected:
                 raise Broken(f"version {change.version} was decided with {len(names)} of {expected}")
-        for past in record.history:
+        for past in record.log:
             if past.version in self.decided and past.outcome is ChangeOutcome.WITHDRAWN:
                 raise Broken(f"version {past.version} was decided and came to nothing")
 
@@ -445,14 +451,16 @@
                 continue
             record = change_log.read(self.registers[leader.name].under("")).record
             versions = {
-                f.participant.serving(self.front_clock(f)) if f.participant else 0
+                f.participant.serving_version(self.front_clock(f)) if f.participant else 0
                 for f in self.fronts.values()
             }
             ill = any(record.document in f.against for f in self.fronts.values())
-            done = record.open is None and self.decided.keys() <= {p.version for p in record.history}
+            done = record.open_change is None and self.decided.keys() <= {p.version for p in record.log}
             if done and (versions == {record.version} or ill or not record.version):
                 break
         else:
-            raise Broken(f"no version everywhere {80} s after all was mended: {versions}, {record.open}")
-        self.figures["held"] += sum(p.outcome is ChangeOutcome.ACTIVATED for p in record.history)
-        self.figures["withdrawn"] += sum(p.outcome is ChangeOutcome.WITHDRAWN for p in record.history)
+            raise Broken(
+                f"no version everywhere {80} s after all was mended: {versions}, {record.open_change}"
+            )
+        self.figures["held"] += sum(p.outcome is ChangeOutcome.ACTIVATED for p in record.log)
+        self.figures["withdrawn"] += sum(p.outcome is ChangeOutcome.WITHDRAWN for p in record.log)
--- a/tests/support/policy_states.py
+++ b/tests/support/policy_states.py
@@ -1,4 +1,4 @@
-"""The policy's conductor and holders at small scope: two fronts, few changes, few faults."""
+"""The policy at small scope: a coordinator and a few participants, few changes, few faults."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 from tests.simulated import Broken
 from tests.small import Event, Place, Scope, Small
 from zincladder.agreement.terms import Terms
-from zincladder.policy.coordinator import ChangeCoordinator, Write, propose_change
+from zincladder.policy.change_states import propose_change
+from zincladder.policy.coordinator import ChangeCoordinator, RecordWrite
 from zincladder.policy.model import ChangePhase, PolicyRecord
 from zincladder.policy.participant import ChangeParticipant
 
 TERMS = Terms(lease=3.0, renew=2.0, drift=0.0, check=1.0, clear=1.0)
-DOCUMENT_PREFIX = {f"d{n}": b"%d" % n for n in range(1, 9)}
+DOCUMENTS = {f"d{n}": b"%d" % n for n in range(1, 9)}
 
 
 class SmallFleet(Small):
     """All fronts serve under version 1 at the start."""
 
     def __init__(self, scope: Scope, fronts: int = 2) -> None:
-        self.record, self.at, self.in_force = PolicyRecord(1, "d1"), 1, 1
-        self.roster = [f"f{n}" for n in range(fronts)]
+        self.record, self.record_version, self.in_force = PolicyRecord(1, "d1"), 1, 1
+        self.expected_fronts = [f"f{n}" for n in range(fronts)]
         super().__init__(scope, fronts)
         self.knows()
         for n, place in enumerate(self.places):
-            place.mind.took("d1")
+            place.mind.applied("d1")
             self.link(n)
             while place.to or place.back:
                 self.to_leader(n) if place.to else self.to_process(n)
@@ -37,52 +38,60 @@
         return ChangeParticipant(now)
 
     def knows(self) -> None:
-        self.part.knows(self.record, self.at, self.roster, DOCUMENT_PREFIX, self.time)
+        self.part.record_read(self.record, self.record_version, self.expected_fronts, DOCUMENTS, self.time)
 
-    def land(self, write: Write) -> None:
-        if write.expected == self.at:
-            self.record, self.at = write.record, self.at + 1
+    def land(self, write: RecordWrite) -> None:
+        if write.expected_version == self.record_version:
+            self.record, self.record_version = write.record, self.record_version + 1
 
     def wishes(self) -> tuple[list[tuple[int, Any]], list[Any]]:
-        wish = self.part.take()
-        return wish.say, [wish.write] if wish.write else []
+        actions = self.part.take_actions()
+        return actions.messages, [actions.write] if actions.write else []
 
     def settle(self, place: Place) -> None:
         while True:
-            wish = place.mind.take()
-            for check in wish.check:
-                place.mind.checked(check, ())
-            for document, _ in wish.apply:
-                place.mind.took(document)
-            place.to += wish.say if place.number else []
-            if not (wish.say or wish.check or wish.apply):
+            actions = place.mind.take_actions()
+            for request in actions.validate:
+                place.mind.validated(request, ())
+            for document, _ in actions.apply:
+                place.mind.applied(document)
+            place.to += actions.messages if place.number else []
+            if not (actions.messages or actions.validate or actions.apply):
                 return
 
     def propose(self) -> None:
         self.spend(changes=-1)
-        new = propose_change(self.record, self.record.version, f"d{self.record.version + 1}", "", "", 0.0)
-        assert isinstance(new, PolicyRecord)
-        self.record, self.at = new, self.at + 1
+        document = f"d{self.record.version + 1}"
+        self.record = propose_change(self.record, self.record.version, document, "", "", 0.0)
+        self.record_version += 1
         self.knows()
         self.conduct()
 
     def more(self) -> Iterator[Event]:
-        if self.record.open is None and self.left.changes and not self.pending:
+        if self.record.open_change is None and self.left.changes and not self.pending:
             yield type(self).propose
 
     def key(self) -> Any:
-        c = self.part
-        fronts = [(p.process, p.number, p.to, p.back, p.mind.version, p.mind.until, p.mind.applied,
-                   p.mind.released, p.mind._asked, p.mind._void, p.mind._serial, p.mind._renew_at,
-                   p.mind._document, sorted(p.mind._documents), p.mind.linked)
-                  for p in self.places]  # fmt: skip
-        leader = (c.record, sorted(c.holding.items()), sorted(c._barred), c._unknown, c.since, c._writing,
-                  c._against, sorted(c.fronts.items()), c.known)  # fmt: skip
-        return repr((self.now, self.record, self.at, self.pending, self.left, self.in_force, self.lost,
-                     leader, fronts))  # fmt: skip
+        fronts = [self._front_key(place) for place in self.places]
+        return repr((self.now, self.record, self.record_version, self.pending, self.left, self.in_force,
+                     self.lost, self._leader_key(), fronts))  # fmt: skip
+
+    def _leader_key(self) -> Any:
+        part, leases = self.part, self.part.leases
+        return (part.record, sorted(leases.by_process.items()), sorted(leases.fenced_off),
+                leases.former_leases_expire_at, part.phase_entered_at, part._write_pending,
+                part._objections, sorted(part.fronts.items()), part.known)  # fmt: skip
+
+    @staticmethod
+    def _front_key(place: Place) -> Any:
+        mind, renewals = place.mind, place.mind.renewals
+        return (place.process, place.number, place.to, place.back, mind.version, mind.lease_expires_at,
+                mind.applied_document, mind.released, renewals.requested_at, mind._void_serial,
+                renewals.serial, renewals.next_at, mind._leased_document, sorted(mind._documents),
+                mind.linked)  # fmt: skip
 
     def judge(self) -> None:
-        serving = {v for p in self.places if (v := p.mind.serving(self.time))}
+        serving = {version for p in self.places if (version := p.mind.serving_version(self.time))}
         if len(serving) > 1:
             raise Broken(f"two versions in force: {serving}")
         for version in serving:
@@ -91,9 +100,9 @@
             self.in_force = version
         if self.record.version < self.in_force:
             raise Broken(f"version {self.in_force} is served before it is in force")
-        change = self.record.open
+        change = self.record.open_change
         if change and change.version <= self.record.version and change.phase is not ChangePhase.VALIDATING:
-            raise Broken(f"version {change.version} is decided twice")
+            raise Broken(f"version {change.version} is committed twice")
 
 
 def in_force(state: SmallFleet) -> bool:
--- a/zincladder/cli/policy.py
+++ b/zincladder/cli/policy.py
@@ -5,18 +5,20 @@
 import json
 import sys
 import time
-import tomllib
-from datetime import UTC, datetime
 from getpass import getuser
 from pathlib import Path
 from typing import Any
 
 import click
 
-from zincladder.cli.keep import asking, group_options, run_call
+from zincladder.cli import policy_client as client
+from zincladder.cli import policy_output as output
+from zincladder.cli.keep import group_options
+from zincladder.cli.policy_client import Group
 
-EVERY = 0.1  # seconds between two looks at a change
-Group = tuple[str, dict[str, str]]
+POLL_SECONDS = 0.1  # between two looks at a change that is followed
+EXIT_FAILED = 1  # not proposed, or withdrawn
+EXIT_UNDECIDED = 3
 
 
 @click.group()
@@ -27,64 +29,21 @@
     context.obj = group
 
 
-def _read(file: Path) -> dict[str, Any]:
-    from zincladder.config import ConfigError
-    from zincladder.policy.document import parsed
-
-    try:
-        data = file.read_bytes()
-        if file.suffix == ".toml":
-            data = json.dumps(tomllib.loads(data.decode())).encode()
-        return parsed(data)
-    except (OSError, ValueError, ConfigError) as fault:
-        raise click.ClickException(f"{file}: {fault}") from None
-
-
-def _book(group: Group) -> Any:
-    """The record. Documents are fetched one by one: all of them together may not fit a message."""
-    from zincladder.policy import change_log
-    from zincladder.policy.model import POLICY_KEY
-
-    return change_log.read(run_call(lambda: asking(group).get(POLICY_KEY)))
-
-
-def _content(group: Group, document: str) -> dict[str, Any]:
-    from zincladder.policy.model import DOCUMENT_PREFIX
-
-    if not document:
-        return {}
-    key = DOCUMENT_PREFIX + document
-    found = run_call(lambda: asking(group).get(key)).get(key)
-    if found is None:
-        raise click.ClickException(f"document {document} is not kept any more")
-    content: dict[str, Any] = json.loads(found.data)
-    return content
-
-
-def _document(found: Any, version: int) -> str:
-    """The document of a version that is or was in force, or was tried."""
-    if version == 0:
-        return ""
-    if version == found.record.version:
-        return str(found.record.document)
-    for past in reversed(found.record.history):
-        if past.version == version:
-            return str(past.document)
-    raise click.ClickException(f"there is no version {version} on record")
-
-
-def _differences(group: Group, old: str, new: dict[str, Any]) -> list[tuple[str, Any, Any]]:
-    from zincladder.policy.document import difference
-
-    return difference(_content(group, old), new)
-
-
-def _show(differences: list[tuple[str, Any, Any]]) -> None:
-    for path, was, now in differences:
-        if was is not None:
-            click.echo(f"- {path} = {json.dumps(was)}")
-        if now is not None:
-            click.echo(f"+ {path} = {json.dumps(now)}")
+def following_options(command: Any) -> Any:
+    """The options of commands that propose a change and follow it."""
+    for option in (
+        click.option("--json", "as_json", is_flag=True, help="Print JSON, a line for each step."),
+        click.option(
+            "--wait",
+            "wait_seconds",
+            default=60.0,
+            show_default=True,
+            help="Seconds to follow the change.",
+        ),
+        click.option("--author", default=getuser, help="Who; else the user that runs this."),
+    ):
+        command = option(command)
+    return command
 
 
 @policy.command()
@@ -92,139 +51,71 @@
 @click.pass_obj
 def check(group: Group, file: Path) -> None:
     """Read a policy from FILE (JSON, or TOML) and print what it would change. Nothing is proposed."""
-    new, found = _read(file), _book(group)
-    differences = _differences(group, found.record.document, new)
-    _show(differences)
-    click.echo(f"{len(differences)} keys differ from version {found.record.version}")
+    new, change_log = client.read_policy_file(file), client.read_change_log(group)
+    differences = client.differences(group, change_log.record.document, new)
+    output.print_differences(differences)
+    click.echo(f"{len(differences)} keys differ from version {change_log.record.version}")
 
 
 @policy.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--note", required=True, help="Why, for the history.")
-@click.option("--author", default=getuser, help="Who; else the user that runs this.")
 @click.option("--base", type=int, help="The version that it was made from; else the one in force now.")
-@click.option("--wait", default=60.0, show_default=True, help="Seconds to follow the change.")
-@click.option("--json", "as_json", is_flag=True, help="Print JSON, a line for each step.")
+@following_options
 @click.pass_obj
 def propose(
-    group: Group, file: Path, note: str, author: str, base: int | None, wait: float, as_json: bool
+    group: Group,
+    file: Path,
+    note: str,
+    base: int | None,
+    author: str,
+    wait_seconds: float,
+    as_json: bool,
 ) -> None:
     """Propose the policy in FILE and follow it until it is in force everywhere or withdrawn.
 
     Exits with 1 if it was not made or came to nothing, with 3 if it is not known yet. Ending this command
     stops nothing.
     """
-    _propose(group, _read(file), note, author, base, wait, as_json)
+    version, document = client.propose(group, client.read_policy_file(file), note, author, base)
+    _follow(group, version, document, wait_seconds, as_json)
 
 
 @policy.command()
 @click.argument("version", type=int)
 @click.option("--note", default="", help="Why, for the history.")
-@click.option("--author", default=getuser, help="Who; else the user that runs this.")
-@click.option("--wait", default=60.0, show_default=True, help="Seconds to follow the change.")
-@click.option("--json", "as_json", is_flag=True, help="Print JSON, a line for each step.")
+@following_options
 @click.pass_obj
-def back(group: Group, version: int, note: str, author: str, wait: float, as_json: bool) -> None:
+def back(group: Group, version: int, note: str, author: str, wait_seconds: float, as_json: bool) -> None:
     """Propose what VERSION said, as a new change. Exits as `propose` does."""
-    found = _book(group)
-    content = _content(group, _document(found, version))
-    _propose(group, content, note or f"back to version {version}", author, None, wait, as_json)
-
-
-def _propose(
-    group: Group,
-    content: dict[str, Any],
-    note: str,
-    author: str,
-    base: int | None,
-    wait: float,
-    as_json: bool,
-) -> None:
-    from zincladder.agreement.registers import Full, Missed
-    from zincladder.policy import change_log
-    from zincladder.policy.coordinator import propose_change
-    from zincladder.policy.document import canonical
-    from zincladder.policy.model import document_id
-
-    client, data = asking(group), canonical(content)
-    found = _book(group)
-    base = found.record.version if base is None else base
-    try:
-        document = change_log.write_document(data)
-    except change_log.InvalidPolicyError as fault:
-        raise click.ClickException(str(fault)) from None
-    name = document_id(data)
-    new = propose_change(found.record, base, name, author, note, time.time())
-    if isinstance(new, str):
-        raise click.ClickException(f"not proposed: {new}")
-    assert new.open is not None
-    said = run_call(lambda: client.swap(document.key, document.expected, document.data))
-    if isinstance(said, Full):
-        raise click.ClickException(f"not proposed: {said.why}")
-    swap = change_log.write_record(found.at, new)
-    said = run_call(lambda: client.swap(swap.key, swap.expected, swap.data))
-    if isinstance(said, Missed):
-        now = _book(group).record
-        what = f"version {now.open.version} by {now.open.author} is under way" if now.open else ""
-        raise click.ClickException(f"not proposed: {what or f'version {now.version} came first'}")
-    if isinstance(said, Full):
-        raise click.ClickException(f"not proposed: {said.why}")
-    _follow(group, new.open.version, name, wait, as_json)
-
-
-def _follow(group: Group, version: int, document: str, wait: float, as_json: bool) -> None:
-    """Tells each step of a change until it has come to its end."""
-    until, last = time.monotonic() + wait, ""
-    while time.monotonic() < until:
-        record = _book(group).record
-        line: dict[str, Any]
-        past = next((p for p in record.history if (p.version, p.document) == (version, document)), None)
-        if past is not None:
-            line = {
-                "version": version,
-                "outcome": past.outcome,
-                "reasons": past.reasons,
-                "absent": past.absent,
-            }
-            _say(line, as_json)
-            sys.exit(0 if past.outcome == "held" else 1)
-        if record.open is None or (record.open.version, record.open.document) != (version, document):
+    document = client.document_of_version(client.read_change_log(group), version)
+    restored = client.read_document(group, document)
+    note = note or f"back to version {version}"
+    proposed, document = client.propose(group, restored, note, author, None)
+    _follow(group, proposed, document, wait_seconds, as_json)
+
+
+def _follow(group: Group, version: int, document: str, wait_seconds: float, as_json: bool) -> None:
+    """Prints each step of a change until it has ended, and exits."""
+    deadline, printed = time.monotonic() + wait_seconds, ""
+    while time.monotonic() < deadline:
+        record = client.read_change_log(group).record
+        entry = next((e for e in record.log if (e.version, e.document) == (version, document)), None)
+        if entry is not None:
+            output.print_step(output.outcome_line(entry), as_json)
+            sys.exit(0 if entry.outcome == "held" else EXIT_FAILED)
+        change = record.open_change
+        if change is None or (change.version, change.document) != (version, document):
             raise click.ClickException(f"version {version} is on record no more")
-        line = {"version": version, "phase": record.open.phase} | _progress(group)
-        shown = json.dumps(line | {"fronts": {n: f["state"] for n, f in line.get("fronts", {}).items()}})
-        if shown != last:
-            last = shown
-            _say(line, as_json)
-        time.sleep(EVERY)
+        line: dict[str, Any] = {"version": version, "phase": change.phase} | client.leader_view(group)
+        states = {name: front["state"] for name, front in line.get("fronts", {}).items()}
+        shown = json.dumps(line | {"fronts": states})  # leases run down all the time, and are no step
+        if shown != printed:
+            printed = shown
+            output.print_step(line, as_json)
+        time.sleep(POLL_SECONDS)
     click.echo(f"version {version} is not at its end yet: `zincladder policy status` tells", err=True)
-    sys.exit(3)
-
-
-def _say(line: dict[str, Any], as_json: bool) -> None:
-    if as_json:
-        click.echo(json.dumps(line))
-        return
-    if "outcome" in line:
-        click.echo(f"version {line['version']} {line['outcome']}")
-        for why in line["reasons"]:
-            click.echo(f"  {why}")
-        if line["absent"]:
-            click.echo(f"  not reached, and bound by it all the same: {', '.join(line['absent'])}")
-        return
-    states: dict[str, int] = {}
-    for front in line.get("fronts", {}).values():
-        states[front["state"]] = states.get(front["state"], 0) + 1
-    told = ", ".join(f"{n} {s}" for s, n in sorted(states.items())) or "no front is linked"
-    waits = f"; waits for {', '.join(line['waits_for'])}" if line.get("waits_for") else ""
-    click.echo(f"version {line['version']} {line['phase']}: {told}{waits}")
-
-
-def _progress(group: Group) -> dict[str, Any]:
-    from zincladder.agreement import calls
-
-    said = run_call(lambda: asking(group).ask(calls.Progress()))
-    found: dict[str, Any] = json.loads(said.data) if isinstance(said, calls.Told) else {}
-    return found
+    sys.exit(EXIT_UNDECIDED)
 
 
 @policy.command()
@@ -232,31 +123,8 @@
 @click.pass_obj
 def status(group: Group, as_json: bool) -> None:
     """Show the version in force, the change under way, and each front that takes part."""
-    from msgspec.structs import asdict
-
-    record, progress = _book(group).record, _progress(group)
-    if as_json:
-        change = asdict(record.open) if record.open else None
-        in_force = {"version": record.version, "document": record.document, "open": change}
-        click.echo(json.dumps(in_force | progress))
-        return
-    click.echo(f"in force: version {record.version}" + (f" ({record.document})" if record.version else ""))
-    if record.open:
-        c = record.open
-        click.echo(f"under way: version {c.version} by {c.author}, {c.phase}: {c.note}")
-    if progress.get("waits_for"):
-        click.echo(f"waits for: {', '.join(progress['waits_for'])}")
-    from rich.console import Console
-    from rich.table import Table
-
-    table = Table()
-    for column in ("front", "state", "lease left, s"):
-        table.add_column(column)
-    for name, front in sorted(progress.get("fronts", {}).items()):
-        table.add_row(name, front["state"], f"{front['lease_s']:.1f}")
-    for name in progress.get("absent", []):
-        table.add_row(name, "absent", "", style="red")
-    Console().print(table)
+    record = client.read_change_log(group).record
+    output.print_status(record, client.leader_view(group), as_json)
 
 
 @policy.command()
@@ -264,16 +132,8 @@
 @click.pass_obj
 def history(group: Group, as_json: bool) -> None:
     """List all changes on record, oldest first."""
-    from msgspec.structs import asdict
-
-    for past in _book(group).record.history:
-        if as_json:
-            click.echo(json.dumps(asdict(past)))
-            continue
-        at = datetime.fromtimestamp(past.at, UTC).strftime("%Y-%m-%d %H:%M:%S")
-        click.echo(f"{past.version:5} {past.outcome:9} {at} {past.author}: {past.note}")
-        for why in past.reasons:
-            click.echo(f"      {why}")
+    for entry in client.read_change_log(group).record.log:
+        output.print_entry(entry, as_json)
 
 
 @policy.command()
@@ -282,32 +142,30 @@
 @click.pass_obj
 def diff(group: Group, old: int, new: int | None) -> None:
     """Show what differs between two versions; without NEW, between OLD and the one in force."""
-    found = _book(group)
-    document = _document(found, found.record.version if new is None else new)
-    _show(_differences(group, _document(found, old), _content(group, document)))
+    change_log = client.read_change_log(group)
+    in_force = change_log.record.version
+    new_document = client.document_of_version(change_log, in_force if new is None else new)
+    old_document = client.document_of_version(change_log, old)
+    output.print_differences(
+        client.differences(group, old_document, client.read_document(group, new_document))
+    )
 
 
-@policy.command("show")
+@policy.command()
 @click.argument("version", type=int, required=False)
 @click.pass_obj
 def show(group: Group, version: int | None) -> None:
     """Print a version as JSON; without VERSION the one in force."""
-    found = _book(group)
-    document = _document(found, found.record.version if version is None else version)
-    click.echo(json.dumps(_content(group, document), indent=2, sort_keys=True))
+    change_log = client.read_change_log(group)
+    shown = change_log.record.version if version is None else version
+    document = client.document_of_version(change_log, shown)
+    click.echo(json.dumps(client.read_document(group, document), indent=2, sort_keys=True))
 
 
-@policy.command("forget")
+@policy.command()
 @click.argument("front")
 @click.pass_obj
 def forget(group: Group, front: str) -> None:
     """Expect a FRONT no more: it is counted as absent no longer. One that comes back is expected again."""
-    from zincladder.policy.model import EXPECTED_FRONT_PREFIX
-
-    client = asking(group)
-    key = EXPECTED_FRONT_PREFIX + front
-    found = run_call(lambda: client.get(key)).get(key)
-    if found is None:
-        raise click.ClickException(f"{front!r} is not expected")
-    run_call(lambda: client.swap(key, found.version, None))
+    client.forget_front(group, front)
     click.echo(f"{front} is expected no more")
--- /dev/null
+++ b/zincladder/cli/policy_client.py
@@ -0,0 +1,142 @@
+"""What the policy commands ask of a group: the registers, a proposal, and how far a change is."""
+
+from __future__ import annotations
+
+import json
+import time
+import tomllib
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import click
+
+from zincladder.cli.keep import asking, run_call
+
+if TYPE_CHECKING:
+    from zincladder.policy.change_log import ChangeLog
+
+Group = tuple[str, dict[str, str]]  # the group's name, and its replicas' addresses by name
+
+
+def read_policy_file(file: Path) -> dict[str, Any]:
+    """A policy in JSON or TOML. Raises ClickException, which names the fault."""
+    from zincladder.config import ConfigError
+    from zincladder.policy.document import parse_policy
+
+    try:
+        content = file.read_bytes()
+        if file.suffix == ".toml":
+            content = json.dumps(tomllib.loads(content.decode())).encode()
+        return parse_policy(content)
+    except (OSError, ValueError, ConfigError) as error:
+        raise click.ClickException(f"{file}: {error}") from None
+
+
+def read_change_log(group: Group) -> ChangeLog:
+    """The policy's record. Documents are fetched one by one: all of them together may not fit a message."""
+    from zincladder.policy import change_log
+    from zincladder.policy.model import POLICY_KEY
+
+    return change_log.read(run_call(lambda: asking(group).get(POLICY_KEY)))
+
+
+def read_document(group: Group, document: str) -> dict[str, Any]:
+    """The policy with this document id; {} for "", the policy before the first one."""
+    from zincladder.policy.model import DOCUMENT_PREFIX
+
+    if not document:
+        return {}
+    key = DOCUMENT_PREFIX + document
+    stored = run_call(lambda: asking(group).get(key)).get(key)
+    if stored is None:
+        raise click.ClickException(f"document {document} is not kept any more")
+    policy: dict[str, Any] = json.loads(stored.data)
+    return policy
+
+
+def document_of_version(change_log: ChangeLog, version: int) -> str:
+    """The document id of a version that is or was in force, or was tried."""
+    record = change_log.record
+    if version == 0:
+        return ""
+    if version == record.version:
+        return record.document
+    for entry in reversed(record.log):
+        if entry.version == version:
+            return entry.document
+    raise click.ClickException(f"there is no version {version} on record")
+
+
+def differences(group: Group, old_document: str, new: dict[str, Any]) -> list[tuple[str, Any, Any]]:
+    """Each path that differs between a stored document and a policy, with both values."""
+    from zincladder.policy.document import difference
+
+    return difference(read_document(group, old_document), new)
+
+
+def propose(
+    group: Group, policy: dict[str, Any], note: str, author: str, base_version: int | None
+) -> tuple[int, str]:
+    """Proposes a policy; the version and document id of the change. Raises ClickException if it is rejected.
+
+    `base_version` is the version that it was made from; None stands for the one in force now.
+    """
+    from zincladder.policy import change_log
+    from zincladder.policy.change_states import propose_change
+    from zincladder.policy.document import canonical
+    from zincladder.policy.errors import ChangeRejectedError, InvalidPolicyError
+    from zincladder.policy.model import document_id
+
+    content, stored = canonical(policy), read_change_log(group)
+    document = document_id(content)
+    base = stored.record.version if base_version is None else base_version
+    try:
+        document_write = change_log.write_document(content)
+    except InvalidPolicyError as error:
+        raise click.ClickException(str(error)) from None
+    try:
+        record = propose_change(stored.record, base, document, author, note, time.time())
+    except ChangeRejectedError as error:
+        raise click.ClickException(f"not proposed: {error}") from None
+    assert record.open_change is not None
+    _write_or_fail(group, document_write)
+    _write_or_fail(group, change_log.write_record(stored.record_version, record), proposal=True)
+    return record.open_change.version, document
+
+
+def _write_or_fail(group: Group, swap: Any, proposal: bool = False) -> None:
+    """Writes a register. A version mismatch fails a proposal only; a document is then stored already."""
+    from zincladder.agreement.registers import Full, Missed
+
+    result = run_call(lambda: asking(group).swap(swap.key, swap.expected, swap.data))
+    if isinstance(result, Full):
+        raise click.ClickException(f"not proposed: {result.why}")
+    if proposal and isinstance(result, Missed):
+        record = read_change_log(group).record
+        change = record.open_change
+        if change is not None:
+            raise click.ClickException(
+                f"not proposed: version {change.version} by {change.author} is under way"
+            )
+        raise click.ClickException(f"not proposed: version {record.version} came first")
+
+
+def leader_view(group: Group) -> dict[str, Any]:
+    """What the leader sees of the fronts; {} if that can't be told."""
+    from zincladder.agreement import calls
+
+    reply = run_call(lambda: asking(group).ask(calls.Progress()))
+    view: dict[str, Any] = json.loads(reply.data) if isinstance(reply, calls.Told) else {}
+    return view
+
+
+def forget_front(group: Group, front: str) -> None:
+    """Removes a front from those that are expected. Raises ClickException if it is not one of them."""
+    from zincladder.policy.model import EXPECTED_FRONT_PREFIX
+
+    client = asking(group)
+    key = EXPECTED_FRONT_PREFIX + front
+    stored = run_call(lambda: client.get(key)).get(key)
+    if stored is None:
+        raise click.ClickException(f"{front!r} is not expected")
+    run_call(lambda: client.swap(key, stored.version, None))
--- /dev/null
+++ b/zincladder/cli/policy_output.py
@@ -0,0 +1,127 @@
+"""What the policy commands print. Scripts read the JSON keys, so these do not follow the names of fields."""
+
+from __future__ import annotations
+
+import json
+from collections import Counter
+from datetime import UTC, datetime
+from typing import TYPE_CHECKING, Any
+
+import click
+
+if TYPE_CHECKING:
+    from zincladder.policy.model import ChangeLogEntry, PolicyChange, PolicyRecord
+
+
+def entry_json(entry: ChangeLogEntry) -> dict[str, Any]:
+    """An entry of the change log."""
+    return {
+        "version": entry.version,
+        "document": entry.document,
+        "author": entry.author,
+        "note": entry.note,
+        "at": entry.proposed_at,
+        "outcome": entry.outcome,
+        "reasons": entry.reasons,
+        "absent": entry.absent,
+    }
+
+
+def change_json(change: PolicyChange) -> dict[str, Any]:
+    """An open change."""
+    return {
+        "version": change.version,
+        "document": change.document,
+        "author": change.author,
+        "note": change.note,
+        "at": change.proposed_at,
+        "phase": change.phase,
+    }
+
+
+def outcome_line(entry: ChangeLogEntry) -> dict[str, Any]:
+    """The last line of a change that is followed."""
+    return {
+        "version": entry.version,
+        "outcome": entry.outcome,
+        "reasons": entry.reasons,
+        "absent": entry.absent,
+    }
+
+
+def print_differences(differences: list[tuple[str, Any, Any]]) -> None:
+    """Each path that differs, with its old and its new value."""
+    for path, old, new in differences:
+        if old is not None:
+            click.echo(f"- {path} = {json.dumps(old)}")
+        if new is not None:
+            click.echo(f"+ {path} = {json.dumps(new)}")
+
+
+def print_step(line: dict[str, Any], as_json: bool) -> None:
+    """One step of a change that is followed."""
+    if as_json:
+        click.echo(json.dumps(line))
+    elif "outcome" in line:
+        _print_outcome(line)
+    else:
+        _print_phase(line)
+
+
+def _print_outcome(line: dict[str, Any]) -> None:
+    click.echo(f"version {line['version']} {line['outcome']}")
+    for reason in line["reasons"]:
+        click.echo(f"  {reason}")
+    if line["absent"]:
+        click.echo(f"  not reached, and bound by it all the same: {', '.join(line['absent'])}")
+
+
+def _print_phase(line: dict[str, Any]) -> None:
+    states = Counter(front["state"] for front in line.get("fronts", {}).values())
+    fronts = ", ".join(f"{count} {state}" for state, count in sorted(states.items()))
+    waits = f"; waits for {', '.join(line['waits_for'])}" if line.get("waits_for") else ""
+    click.echo(f"version {line['version']} {line['phase']}: {fronts or 'no front is linked'}{waits}")
+
+
+def print_status(record: PolicyRecord, view: dict[str, Any], as_json: bool) -> None:
+    """The version in force, the open change, and the leader's view of the fronts."""
+    change = record.open_change
+    if as_json:
+        in_force = {
+            "version": record.version,
+            "document": record.document,
+            "open": change_json(change) if change else None,
+        }
+        click.echo(json.dumps(in_force | view))
+        return
+    click.echo(f"in force: version {record.version}" + (f" ({record.document})" if record.version else ""))
+    if change:
+        click.echo(f"under way: version {change.version} by {change.author}, {change.phase}: {change.note}")
+    if view.get("waits_for"):
+        click.echo(f"waits for: {', '.join(view['waits_for'])}")
+    _print_fronts(view)
+
+
+def _print_fronts(view: dict[str, Any]) -> None:
+    from rich.console import Console
+    from rich.table import Table
+
+    table = Table()
+    for column in ("front", "state", "lease left, s"):
+        table.add_column(column)
+    for name, front in sorted(view.get("fronts", {}).items()):
+        table.add_row(name, front["state"], f"{front['lease_s']:.1f}")
+    for name in view.get("absent", []):
+        table.add_row(name, "absent", "", style="red")
+    Console().print(table)
+
+
+def print_entry(entry: ChangeLogEntry, as_json: bool) -> None:
+    """An entry of the change log."""
+    if as_json:
+        click.echo(json.dumps(entry_json(entry)))
+        return
+    at = datetime.fromtimestamp(entry.proposed_at, UTC).strftime("%Y-%m-%d %H:%M:%S")
+    click.echo(f"{entry.version:5} {entry.outcome:9} {at} {entry.author}: {entry.note}")
+    for reason in entry.reasons:
+        click.echo(f"      {reason}")
--- a/zincladder/policy/change_log.py
+++ b/zincladder/policy/change_log.py
@@ -1,4 +1,4 @@
-"""The policy as a group's registers hold it: reading them, and the swaps that change it. No I/O."""
+"""The policy as a group's registers hold it: reading them, and the writes that change them. No I/O."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 from zincladder.agreement.registers import MOST_VALUE, Swap, Value
 from zincladder.agreement.terms import TERMS
+from zincladder.policy.errors import InvalidPolicyError
 from zincladder.policy.model import (
     DOCUMENT_PREFIX,
     EXPECTED_FRONT_PREFIX,
@@ -21,79 +22,88 @@
 encode = msgspec.msgpack.encode
 
 
-class InvalidPolicyError(Exception):
-    """What cannot be a policy; the text says why."""
-
-
 @dataclass(frozen=True, slots=True)
 class ChangeLog:
-    """All that the registers say of the policy, as of one moment."""
+    """All registers of the policy, as of one moment."""
 
     record: PolicyRecord
-    at: int  # the version of its register
-    roster: frozenset[str]
+    record_version: int  # of the record's register
+    expected_fronts: frozenset[str]
     documents: dict[str, Value]
 
     @property
     def contents(self) -> dict[str, bytes]:
+        """The content of each stored document, by its id."""
         return {name: value.data for name, value in self.documents.items()}
 
 
-def read(values: Mapping[str, Value]) -> ChangeLog:
-    """From all registers."""
-    found = values.get(POLICY_KEY)
-    record = msgspec.msgpack.decode(found.data, type=PolicyRecord) if found else PolicyRecord()
-    roster = frozenset(
-        key.removeprefix(EXPECTED_FRONT_PREFIX) for key in values if key.startswith(EXPECTED_FRONT_PREFIX)
+def read(registers: Mapping[str, Value]) -> ChangeLog:
+    """The policy's part of all registers."""
+    stored = registers.get(POLICY_KEY)
+    record = msgspec.msgpack.decode(stored.data, type=PolicyRecord) if stored else PolicyRecord()
+    expected = frozenset(
+        key.removeprefix(EXPECTED_FRONT_PREFIX) for key in registers if key.startswith(EXPECTED_FRONT_PREFIX)
     )
     documents = {
-        k.removeprefix(DOCUMENT_PREFIX): v for k, v in values.items() if k.startswith(DOCUMENT_PREFIX)
+        key.removeprefix(DOCUMENT_PREFIX): value
+        for key, value in registers.items()
+        if key.startswith(DOCUMENT_PREFIX)
     }
-    return ChangeLog(record, found.version if found else 0, roster, documents)
+    return ChangeLog(record, stored.version if stored else 0, expected, documents)
 
 
-def fault(swap: Swap) -> str:
-    """Why a caller's swap can't be taken, or nothing: what can't be read here would stop every keeper."""
+def rejection_reason(swap: Swap) -> str:
+    """Why a caller's write can't be accepted; empty if it can.
+
+    Guards the replicas: a record that cannot be decoded would end every one that comes to lead.
+    """
     if swap.key == TERMS:
         return f"{TERMS!r} is the keepers' own"
     if swap.key == POLICY_KEY:
         try:
             msgspec.msgpack.decode(swap.data or b"", type=PolicyRecord)
-        except (msgspec.DecodeError, UnicodeDecodeError) as why:
-            return f"no record of a policy: {why}"
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            return f"no record of a policy: {error}"
     name = swap.key.removeprefix(DOCUMENT_PREFIX)
     if name != swap.key and swap.data is not None and name != document_id(swap.data):
         return "a document is named by its content"
     return ""
 
 
-def write_record(expected: int, record: PolicyRecord) -> Swap:
-    return Swap(POLICY_KEY, expected, encode(record))
+def write_record(expected_version: int, record: PolicyRecord) -> Swap:
+    """Replaces the record, if its register still has the expected version."""
+    return Swap(POLICY_KEY, expected_version, encode(record))
+
 
+def write_document(content: bytes) -> Swap:
+    """Stores a document. A version mismatch is as good as success: the register then has the same content.
 
-def write_document(data: bytes) -> Swap:
-    """Where it is there already, it is the same one: a Missed is as good."""
-    if len(data) > MOST_VALUE:
-        raise InvalidPolicyError(f"a policy of {len(data)} bytes, {MOST_VALUE} at most")
-    return Swap(DOCUMENT_PREFIX + document_id(data), 0, data)
+    Raises InvalidPolicyError for one that is too large for a register.
+    """
+    if len(content) > MOST_VALUE:
+        raise InvalidPolicyError(f"a policy of {len(content)} bytes, {MOST_VALUE} at most")
+    return Swap(DOCUMENT_PREFIX + document_id(content), 0, content)
 
 
 def write_expected_front(front: str) -> Swap:
+    """Expects a front to take part from now on."""
     return Swap(EXPECTED_FRONT_PREFIX + front, 0, b"")
 
 
 def delete_unreferenced(change_log: ChangeLog) -> list[Swap]:
-    """Documents that nothing names, or only the oldest history: they go when a change has come to its end."""
+    """Removes documents that nothing but the oldest log entries names; none while a change is open."""
     record = change_log.record
-    if record.open is not None:
+    if record.open_change is not None:
         return []
-    named, size = {record.document}, 0
-    for past in reversed(record.history):
-        if past.document in change_log.documents and past.document not in named:
-            size += len(change_log.documents[past.document].data)
+    retained, size = {record.document}, 0
+    for entry in reversed(record.log):
+        if entry.document in change_log.documents and entry.document not in retained:
+            size += len(change_log.documents[entry.document].data)
         if size > MAX_RETAINED_DOCUMENT_BYTES:
             break
-        named.add(past.document)
+        retained.add(entry.document)
     return [
-        Swap(DOCUMENT_PREFIX + n, v.version, None) for n, v in change_log.documents.items() if n not in named
+        Swap(DOCUMENT_PREFIX + name, value.version, None)
+        for name, value in change_log.documents.items()
+        if name not in retained
     ]
--- a/zincladder/policy/coordinator.py
+++ b/zincladder/policy/coordinator.py
@@ -1,13 +1,12 @@
-"""The leading keeper's part in a fleet's policy: who may serve under what, and how far a change is. No I/O.
+"""The leader's part in a policy change: grants leases on the version in force, and takes a change on. No I/O.
 
-What has to outlive any keeper is in the group's record, which changes by compare and swap. Leases are not in
-it: whoever comes to lead waits out what its predecessor may have granted. Every message that is handed in was
-followed by a confirmation that this one leads, so no lease began after a successor's election.
+What has to outlive any leader is in the group's record, which changes by compare and swap. Leases are not in
+it: a new leader waits until all that its predecessor may have granted have expired. Every message handed in
+was followed by a confirmation that this replica leads, so no lease began after a successor's election.
 
-A change goes through: checking (every front that can be reached says whether it could serve under it),
-decided (it will take hold), clearing (all let go of the old version, nobody gets it any more), in force.
-Fronts that are silent are waited for before clearing, while all others go on serving; so what a change costs
-the clients is one message to each front, its answer, and one write of the record.
+`ChangePhase` names the states of a change. Silent fronts are waited for while it is committed, and all others
+go on serving under the old version; so a change costs the clients one message to each front, its answer, and
+one write of the record.
 """
 
 from __future__ import annotations
@@ -16,17 +15,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-import msgspec
-
 from zincladder.agreement.terms import Terms
+from zincladder.policy import change_states
+from zincladder.policy.granted_leases import FrontProcess, GrantedLeases
 from zincladder.policy.model import (
     MAX_ABSENT_NAMES,
-    MAX_LOG_ENTRIES,
-    MAX_REASONS,
-    MAX_RECORD_BYTES,
-    MAX_TEXT_LENGTH,
-    ChangeLogEntry,
-    ChangeOutcome,
     ChangePhase,
     DocumentContent,
     DocumentValidated,
@@ -44,299 +37,290 @@
 )
 
 MAX_FRONTS = 2048
-Holding = tuple[str, str]  # a front's name and its process
+SILENCE_RENEWALS = 2  # renewal intervals without a request after which a front counts as silent
 
 
 @dataclass(slots=True)
-class Front:
-    """A front that has a link to this keeper."""
+class LinkedFront:
+    """A front that has a link to this replica."""
 
     name: str
     process: str
-    renewed: float  # when it last asked
-    parked: RenewPolicyLease | None = None  # an asking that waits for the next version
-    checking: int = 0  # the version that it was asked about
-    answer: DocumentValidated | None = None
-    document: str = ""  # that it has applied
-    told: int = 0  # the version that it was asked to let go
+    renewed_at: float
+    deferred_renewal: RenewPolicyLease | None = None  # answered once there is a version to grant a lease on
+    asked_about: int = 0  # the version that it was asked to validate
+    validation: DocumentValidated | None = None
+    applied_document: str = ""
+    asked_to_release: int = 0  # the version for which it was asked to release its lease
+
+    @property
+    def identity(self) -> FrontProcess:
+        """Whose leases its requests are for."""
+        return FrontProcess(self.name, self.process)
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
-    """The record is to change, from the version of the register that was seen."""
+class RecordWrite:
+    """The record is to be replaced, if its register still has the expected version."""
 
-    expected: int
+    expected_version: int
     record: PolicyRecord
 
 
 @dataclass(slots=True)
-class Wish:
+class CoordinatorActions:
     """What the host is to do."""
 
-    say: list[tuple[int, FromCoordinator]] = field(default_factory=list)  # to a link
-    write: Write | None = None
-    expect: list[str] = field(default_factory=list)  # fronts not on the roster yet
-
-
-def shortened(reasons: Iterable[str]) -> tuple[str, ...]:
-    return tuple(r[:MAX_TEXT_LENGTH] for r in list(reasons)[:MAX_REASONS])
+    messages: list[tuple[int, FromCoordinator]] = field(default_factory=list)  # with the number of the link
+    write: RecordWrite | None = None
+    expect_fronts: list[str] = field(default_factory=list)  # to be stored as expected
 
 
 class ChangeCoordinator:
-    """While one keeper leads. Made anew at each election."""
+    """Decides for one leader in one term."""
 
     def __init__(self, terms: Terms, now: float, term: int = 0) -> None:
         self.terms, self.term = terms, term
-        self.record, self._at = PolicyRecord(), 0  # and the register's version
+        self.record, self._record_version = PolicyRecord(), 0
         self.known = False  # whether the record has been read in this term
-        self.roster: frozenset[str] = frozenset()
-        self.fronts: dict[int, Front] = {}
-        # Until when a process may rely on a lease, and with which serial it asked for it.
-        self.holding: dict[Holding, tuple[float, int]] = {}
-        self._barred: set[Holding] = set()  # did not let go when they were asked to
-        self._unknown = now + terms.waited  # what a predecessor granted
+        self.expected_fronts: frozenset[str] = frozenset()
+        self.fronts: dict[int, LinkedFront] = {}  # by the number of the link
+        self.leases = GrantedLeases(now + terms.waited)
         self._documents: dict[str, bytes] = {}
-        self._against: list[tuple[int, str]] = []  # versions, and why a front can't take them
-        self._decided = (0, now)  # the version that is decided, and since when this leader knows
-        self.since = now  # when the open change came to its phase, as far as this leader knows
-        self._writing = False
-        self._wish = Wish()
+        self._objections: list[tuple[int, str]] = []  # versions, and why a front can't serve under them
+        self._committed_version, self._committed_at = 0, now  # as far as this leader knows
+        self.phase_entered_at = now  # as far as this leader knows
+        self._write_pending = False
+        self._actions = CoordinatorActions()
 
     # Questions ------------------------------------------------------------------------------------
 
     @property
     def absent(self) -> tuple[str, ...]:
-        """Fronts that are expected and have no link."""
-        return tuple(sorted(self.roster - {f.name for f in self.fronts.values()}))
-
-    def waits_for(self, now: float) -> tuple[str, ...]:
-        """Who may still rely on the version in force, and can't be asked to let go."""
-        linked = {(f.name, f.process): f for f in self.fronts.values()}
-        found = []
-        for holding, (until, _) in self.holding.items():
-            front = linked.get(holding)
-            if until > now and (front is None or holding in self._barred or self.silent(front, now)):
-                found.append(holding[0])
-        return tuple(sorted(found)) if now >= self._unknown else ("whoever the last leader let serve", *found)
-
-    def silent(self, front: Front, now: float) -> bool:
-        return now - front.renewed > 2 * self.terms.renew
+        """Expected fronts without a link, by name."""
+        return tuple(sorted(self.expected_fronts - {front.name for front in self.fronts.values()}))
+
+    def blocked_by(self, now: float) -> tuple[str, ...]:
+        """Who may still rely on the version in force, and can't be asked to release its lease."""
+        linked = {front.identity: front for front in self.fronts.values()}
+        blocking = []
+        for holder, lease in self.leases.by_process.items():
+            front = linked.get(holder)
+            unreachable = front is None or holder in self.leases.fenced_off or self.is_silent(front, now)
+            if lease.expires_at > now and unreachable:
+                blocking.append(holder.front)
+        if now < self.leases.former_leases_expire_at:
+            return ("whoever the last leader let serve", *blocking)
+        return tuple(sorted(blocking))
+
+    def is_silent(self, front: LinkedFront, now: float) -> bool:
+        """Whether a front has missed its renewals, so that it may not hear either."""
+        return now - front.renewed_at > SILENCE_RENEWALS * self.terms.renew
 
     @property
     def next_at(self) -> float:
         """When `tick` is due."""
-        change = self.record.open
-        if change is None or self._writing:
+        change = self.record.open_change
+        if change is None or self._write_pending:
             return math.inf
         if change.phase is ChangePhase.VALIDATING:
-            return self.since + self.terms.check
-        if change.phase is ChangePhase.REVOKING and not self._forced(self.since + self.terms.clear):
-            return self.since + self.terms.clear
-        ends = [until for until, _ in self.holding.values()]
-        ends += [self._unknown, self._decided[1] + self.terms.patient]
-        return min((u for u in ends if u > self.since), default=math.inf)
-
-    def _forced(self, now: float) -> bool:
-        """Whether a decided change has waited long enough for a moment in which nobody is gone.
-
-        Guards a change in a fleet of which some front is always gone: without it that moment may never come.
-        All then wait at once for whoever is: for a lease at most, once.
+            return self.phase_entered_at + self.terms.check
+        release_due_at = self.phase_entered_at + self.terms.clear
+        if change.phase is ChangePhase.REVOKING and not self._patience_is_over(release_due_at):
+            return release_due_at
+        moments = [lease.expires_at for lease in self.leases.by_process.values()]
+        moments += [self.leases.former_leases_expire_at, self._committed_at + self.terms.patient]
+        return min((moment for moment in moments if moment > self.phase_entered_at), default=math.inf)
+
+    def _patience_is_over(self, now: float) -> bool:
+        """Whether a committed change has waited long enough for a moment in which no front is silent.
+
+        Guards a change in a fleet of which some front is always gone: that moment may never come. All fronts
+        then wait at once for whoever is gone: for one lease at most, once.
         """
-        return now >= self._decided[1] + self.terms.patient
+        return now >= self._committed_at + self.terms.patient
 
     # The record -----------------------------------------------------------------------------------
 
-    def knows(
+    def record_read(
         self,
         record: PolicyRecord,
-        at: int,
-        roster: Iterable[str],
+        record_version: int,
+        expected_fronts: Iterable[str],
         documents: dict[str, bytes],
         now: float,
     ) -> None:
-        """The record as it stands, at a version of its register; what was to be written was, or was not."""
-        old, self.record, self._at, self.known = self.record, record, at, True
-        self.roster, self._documents, self._writing = frozenset(roster), documents, False
-        if _stage(old) != _stage(record):
-            self.since = now
-        if record.open is None:
-            self._barred.clear()
-        elif record.open.phase is not ChangePhase.VALIDATING and self._decided[0] != record.open.version:
-            self._decided = (record.open.version, now)
-        if record.open is None or record.open.phase is not ChangePhase.REVOKING:
-            for number, front in self.fronts.items():
-                front.told = 0
-                self._grant(number, front, now)  # what was parked
-        self._go_on(now)
+        """Takes over what the registers hold; a write of this leader has succeeded or failed by then."""
+        previous, self.record = self.record, record
+        self._record_version, self.known, self._write_pending = record_version, True, False
+        self.expected_fronts, self._documents = frozenset(expected_fronts), documents
+        if _state(previous) != _state(record):
+            self.phase_entered_at = now
+        change = record.open_change
+        if change is None:
+            self.leases.fenced_off.clear()
+        elif change.phase is not ChangePhase.VALIDATING and self._committed_version != change.version:
+            self._committed_version, self._committed_at = change.version, now
+        if change is None or change.phase is not ChangePhase.REVOKING:
+            self._resume_granting(now)
+        self._advance(now)
+
+    def _resume_granting(self, now: float) -> None:
+        for number, front in self.fronts.items():
+            front.asked_to_release = 0
+            self._grant(number, front, now)
 
     def _write(self, record: PolicyRecord) -> None:
-        self._writing = True
-        self._wish.write = Write(self._at, record)
+        self._write_pending = True
+        self._actions.write = RecordWrite(self._record_version, record)
 
     # Fronts ---------------------------------------------------------------------------------------
 
     def linked(self, number: int, name: str, process: str, now: float) -> str:
-        """A front has come; why it can't take part, or nothing."""
+        """A front has connected; the reason why it can't take part, or nothing."""
         if len(self.fronts) >= MAX_FRONTS:
             return f"{MAX_FRONTS} fronts at most"
-        self.fronts[number] = Front(name, process, now)
-        if name not in self.roster and len(self.roster) < MAX_FRONTS:  # names are a front's own claim
-            self._wish.expect.append(name)
-        self._go_on(now)
+        self.fronts[number] = LinkedFront(name, process, now)
+        # Guards the registers: a front's name is its own claim.
+        if name not in self.expected_fronts and len(self.expected_fronts) < MAX_FRONTS:
+            self._actions.expect_fronts.append(name)
+        self._advance(now)
         return ""
 
     def unlinked(self, number: int, now: float) -> None:
-        """Its link is gone. Whether it is, nobody knows: its lease runs on."""
+        """A link is gone. The front may be alive all the same: its lease runs on."""
         self.fronts.pop(number, None)
-        self._go_on(now)
+        self._advance(now)
 
     def heard(self, number: int, message: FromParticipant, now: float) -> None:
-        """What a front said, before a moment at which this keeper was confirmed to lead."""
+        """Takes a front's message, received before a moment at which this replica was confirmed to lead."""
         front = self.fronts.get(number)
         if front is None:
             return
         match message:
             case RenewPolicyLease():
-                front.renewed, front.document = now, message.document
-                front.parked = message
-                self._grant(number, front, now)
-                if front.parked is message:  # so that it does not take this keeper for dead
-                    self._wish.say.append((number, RenewalDeferred(message.serial)))
+                self._renewal_requested(number, front, message, now)
             case DocumentValidated():
-                if message.version == front.checking:
-                    front.answer = message
-                    self._against += [(message.version, f"{front.name}: {why}") for why in message.reasons]
+                self._validated(front, message)
             case PolicyLeaseReleased(_, serial):
-                # One that was said on an older link, before a lease on this one, gives nothing back.
-                holding = (front.name, front.process)
-                if self.holding.get(holding, (0.0, 0))[1] <= serial:
-                    self.holding.pop(holding, None)
-                    self._barred.discard(holding)
+                self.leases.release(front.identity, serial)
             case FetchDocument(document):
                 if document in self._documents:
-                    self._wish.say.append((number, DocumentContent(document, self._documents[document])))
-        self._go_on(now)
-
-    def _clearing(self) -> bool:
-        change = self.record.open
-        # Also while the record is being written: it may be clearing already, for all that is known here.
-        return (
-            not self.known or self._writing or (change is not None and change.phase is ChangePhase.REVOKING)
-        )
-
-    def _grant(self, number: int, front: Front, now: float) -> None:
-        if front.parked is None or not self.record.version or self._clearing():
+                    self._send(number, DocumentContent(document, self._documents[document]))
+        self._advance(now)
+
+    def _send(self, number: int, message: FromCoordinator) -> None:
+        self._actions.messages.append((number, message))
+
+    def _renewal_requested(
+        self, number: int, front: LinkedFront, request: RenewPolicyLease, now: float
+    ) -> None:
+        front.renewed_at, front.applied_document = now, request.applied_document
+        front.deferred_renewal = request
+        self._grant(number, front, now)
+        if front.deferred_renewal is request:
+            # Guards the link: a front that hears nothing takes this replica for dead.
+            self._send(number, RenewalDeferred(request.serial))
+
+    def _validated(self, front: LinkedFront, validation: DocumentValidated) -> None:
+        if validation.version == front.asked_about:
+            front.validation = validation
+            for reason in validation.reasons:
+                self._objections.append((validation.version, f"{front.name}: {reason}"))
+
+    def _granting_suspended(self) -> bool:
+        change = self.record.open_change
+        # While the record is being written, it may be REVOKING already, for all that is known here.
+        revoking = change is not None and change.phase is ChangePhase.REVOKING
+        return not self.known or self._write_pending or revoking
+
+    def _grant(self, number: int, front: LinkedFront, now: float) -> None:
+        """Answers a front's latest request, unless it has to be deferred."""
+        if front.deferred_renewal is None or not self.record.version or self._granting_suspended():
             return
-        if (front.name, front.process) in self._barred:
+        if front.identity in self.leases.fenced_off:
             return
-        serial, front.parked = front.parked.serial, None
-        self.holding[front.name, front.process] = (now + self.terms.waited, serial)
-        terms, record = self.terms, self.record
+        serial, front.deferred_renewal = front.deferred_renewal.serial, None
+        self.leases.grant(front.identity, serial, now + self.terms.waited)
+        record, terms = self.record, self.terms
         granted = PolicyLeaseGranted(serial, record.version, record.document, terms.believed, terms.renew)
-        self._wish.say.append((number, granted))
+        self._send(number, granted)
 
     # A change -------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        self._go_on(now)
-
-    def _go_on(self, now: float) -> None:
-        """Takes the next step of the open change, if all that it needs is there."""
-        self.holding = {h: lease for h, lease in self.holding.items() if lease[0] > now}
-        change = self.record.open
-        if not self.known or change is None or self._writing:
+        """Takes the steps that are due."""
+        self._advance(now)
+
+    def _advance(self, now: float) -> None:
+        """Takes the next step of the open change, if its condition is met."""
+        self.leases.drop_expired(now)
+        change = self.record.open_change
+        if not self.known or change is None or self._write_pending:
             return
         match change.phase:
             case ChangePhase.VALIDATING:
-                self._check(change, now)
+                self._validate(change, now)
             case ChangePhase.COMMITTED:
-                if not self.waits_for(now) or self._forced(now):
-                    self._write(msgspec.structs.replace(self.record, open=_in(change, ChangePhase.REVOKING)))
+                if not self.blocked_by(now) or self._patience_is_over(now):
+                    self._write(change_states.begin_revoking(self.record, change))
             case ChangePhase.REVOKING:
-                self._clear(change, now)
+                self._revoke(change, now)
 
-    def _check(self, change: PolicyChange, now: float) -> None:
-        data = self._documents.get(change.document)
-        if data is None:
+    def _validate(self, change: PolicyChange, now: float) -> None:
+        """Commits the change once enough fronts agree; withdraws it if one objects or too few answer."""
+        content = self._documents.get(change.document)
+        if content is None:
             self._withdraw(change, ["the document is not there"])
             return
-        for number, front in self.fronts.items():
-            if front.checking != change.version:
-                front.checking, front.answer = change.version, None
-                self._wish.say.append((number, ValidateDocument(change.version, change.document, data)))
-        # A front that has said no and is gone again has said no all the same.
-        self._against = [(version, why) for version, why in self._against if version == change.version]
-        if self._against:
-            self._withdraw(change, sorted(why for _, why in self._against))
+        self._ask_to_validate(change, content)
+        # The objection of a front that is gone again counts all the same.
+        self._objections = [
+            (version, reason) for version, reason in self._objections if version == change.version
+        ]
+        if self._objections:
+            self._withdraw(change, sorted(reason for _, reason in self._objections))
             return
-        silent = [front for front in self.fronts.values() if not front.answer]
-        agreed = {front.name for front in self.fronts.values() if front.answer}
-        expected = self.roster | agreed
+        unanswered = [front for front in self.fronts.values() if not front.validation]
+        agreed = {front.name for front in self.fronts.values() if front.validation}
+        expected = self.expected_fronts | agreed
         enough = len(agreed) > self.terms.least * len(expected) or not expected
-        if (silent or not enough) and now < self.since + self.terms.check:
+        if (unanswered or not enough) and now < self.phase_entered_at + self.terms.check:
             return
         missing = tuple(sorted(expected - agreed))[:MAX_ABSENT_NAMES]
         if not enough:
             self._withdraw(change, [f"only {len(agreed)} of {len(expected)} fronts answered"], missing)
             return
-        record = msgspec.structs.replace(self.record, open=_in(change, ChangePhase.COMMITTED), absent=missing)
-        self._write(record)
+        self._write(change_states.commit(self.record, change, missing))
+
+    def _ask_to_validate(self, change: PolicyChange, content: bytes) -> None:
+        for number, front in self.fronts.items():
+            if front.asked_about != change.version:
+                front.asked_about, front.validation = change.version, None
+                self._send(number, ValidateDocument(change.version, change.document, content))
 
     def _withdraw(self, change: PolicyChange, reasons: Iterable[str], absent: tuple[str, ...] = ()) -> None:
-        self._write(self._closed(change, ChangeOutcome.WITHDRAWN, shortened(reasons), absent))
+        self._write(change_states.withdraw(self.record, change, reasons, absent))
 
-    def _clear(self, change: PolicyChange, now: float) -> None:
+    def _revoke(self, change: PolicyChange, now: float) -> None:
+        """Activates the change once no lease is left; retreats if some front does not release its lease."""
         for number, front in self.fronts.items():
-            if front.told != change.version:
-                front.told = change.version
-                self._wish.say.append((number, RevokePolicyLease(change.version)))
-        if not self.holding and now >= self._unknown:
-            record = self._closed(change, ChangeOutcome.ACTIVATED, (), self.record.absent)
-            self._write(msgspec.structs.replace(record, version=change.version, document=change.document))
-        elif now >= self.since + self.terms.clear and not self._forced(now):
-            # Somebody has not let go: all others go on as before until its lease has run out. It gets no new
-            # one, for it may be heard and hear nothing: its askings would then hold the change up for ever.
-            self._barred = set(self.holding)
-            self._write(msgspec.structs.replace(self.record, open=_in(change, ChangePhase.COMMITTED)))
-
-    def _closed(
-        self, change: PolicyChange, outcome: ChangeOutcome, reasons: tuple[str, ...], absent: tuple[str, ...]
-    ) -> PolicyRecord:
-        past = ChangeLogEntry(
-            change.version, change.document, change.author, change.note, change.at, outcome, reasons, absent
-        )
-        history = (*self.record.history, past)[-MAX_LOG_ENTRIES:]
-        record = msgspec.structs.replace(self.record, open=None, absent=(), history=history)
-        # Guards the change: a record that no register takes would leave it open for ever.
-        while len(msgspec.msgpack.encode(record)) > MAX_RECORD_BYTES and len(record.history) > 1:
-            record = msgspec.structs.replace(record, history=record.history[1:])
-        return record
-
-    def take(self) -> Wish:
+            if front.asked_to_release != change.version:
+                front.asked_to_release = change.version
+                self._send(number, RevokePolicyLease(change.version))
+        if self.leases.none_left(now):
+            self._write(change_states.activate(self.record, change))
+        elif now >= self.phase_entered_at + self.terms.clear and not self._patience_is_over(now):
+            # All others go on as before until the lease of whoever has not released it has expired.
+            self.leases.fence_off_remaining()
+            self._write(change_states.retreat(self.record, change))
+
+    def take_actions(self) -> CoordinatorActions:
         """What is to be done since the last time."""
-        wish, self._wish = self._wish, Wish()
-        return wish
-
-
-def _in(change: PolicyChange, phase: ChangePhase) -> PolicyChange:
-    return msgspec.structs.replace(change, phase=phase)
-
-
-def _stage(record: PolicyRecord) -> tuple[int, str]:
-    return (record.open.version, record.open.phase) if record.open else (0, "")
+        actions, self._actions = self._actions, CoordinatorActions()
+        return actions
 
 
-def propose_change(
-    record: PolicyRecord, base: int, document: str, author: str, note: str, at: float
-) -> PolicyRecord | str:
-    """The record with a change under way, or why there can't be one: another came first."""
-    if record.open is not None:
-        return f"version {record.open.version} by {record.open.author} is under way ({record.open.phase})"
-    newest = record.version
-    if base != newest:
-        return f"version {newest} is in force, not {base}: look at what it changed"
-    tried = max((p.version for p in record.history), default=0)
-    change = PolicyChange(
-        max(newest, tried) + 1, document, author[:MAX_TEXT_LENGTH], note[:MAX_TEXT_LENGTH], at
-    )
-    return msgspec.structs.replace(record, open=change)
+def _state(record: PolicyRecord) -> tuple[int, str]:
+    change = record.open_change
+    return (change.version, change.phase) if change else (0, "")
--- a/zincladder/policy/front.py
+++ b/zincladder/policy/front.py
@@ -1,12 +1,10 @@
-"""A front's side of a fleet's policy: its link to the leading keeper, and what it does with what it is told.
+"""A front's side of the fleet's policy: its link to the leader, and its parts that serve under the policy.
 
 On anyio. Loaded only where the operator's file has [policy].
 """
 
 from __future__ import annotations
 
-import os
-import random
 from collections.abc import Callable
 from dataclasses import dataclass
 
@@ -14,124 +12,97 @@
 import structlog
 
 from zincladder.config import PolicyConfig
+from zincladder.leases.client import LeaseClient
 from zincladder.links.clocks import boottime
-from zincladder.links.frames import VERSION, Hello
-from zincladder.links.leader import LeaderLink
-from zincladder.policy.model import Elsewhere, FromCoordinator
+from zincladder.policy.model import FromCoordinator
 from zincladder.policy.participant import ChangeParticipant
 
-SILENT = 2.5  # askings without a word after which another keeper is tried
 log = structlog.get_logger()
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyHooks:
-    """What a front does with a policy: `check` tells why it can't take one, `apply` takes it."""
+    """How a front validates a document (the reasons against it) and applies one (the reason of its
+    failure).
+    """
 
-    check: Callable[[bytes], tuple[str, ...]]
+    validate: Callable[[bytes], tuple[str, ...]]
     apply: Callable[[bytes], str]
 
 
-class FleetPolicy:
+class FleetPolicy(LeaseClient[ChangeParticipant]):
     """One process of a front."""
 
+    role = "front"
+    messages = FromCoordinator
+
     def __init__(
-        self, config: PolicyConfig, name: str, parts: PolicyHooks, clock: Callable[[], float] = boottime
+        self, config: PolicyConfig, name: str, hooks: PolicyHooks, clock: Callable[[], float] = boottime
     ) -> None:
-        self._parts, self._clock = parts, clock
-        self.participant = ChangeParticipant(clock(), config.go_on)
-        hello = Hello(VERSION, config.group, "front", name, os.urandom(8).hex())
-        self._leader = LeaderLink(config.keepers, hello, FromCoordinator, self, random.Random(hello.birth))
-        self._due = anyio.Event()
-        self.refused = 0
+        participant = ChangeParticipant(clock(), config.go_on)
+        super().__init__(participant, config.group, config.keepers, name, clock)
+        self._hooks = hooks
+        self.rejected = 0  # requests, for want of a lease
 
     # Asked by the front ---------------------------------------------------------------------------
 
     def hold_off(self) -> float:
         """0 while this front may serve; else the seconds after which a client may come back."""
-        now = self._clock()
-        if self.participant.serving(now):
+        now = self.clock()
+        if self.participant.serving_version(now):
             return 0.0
-        self.refused += 1
-        return self.participant.back_in(now)
+        self.rejected += 1
+        return self.participant.retry_after_seconds(now)
 
     def not_ready_reason(self) -> str:
-        """What keeps this front from serving; nothing if it may."""
+        """What keeps this front from serving; empty if it may."""
         participant = self.participant
-        if participant.serving(self._clock()):
+        if participant.serving_version(self.clock()):
             return ""
-        for why in participant.failed.values():
-            return f"the fleet's policy can't be taken: {why}"
+        for reason in participant.failed_documents.values():
+            return f"the fleet's policy can't be taken: {reason}"
         if not participant.version:
             return "no policy of the fleet yet" if participant.linked else "no keeper has been reached yet"
-        changing, out = "the fleet's policy is changing", "the lease on the fleet's policy has run out"
-        return changing if participant.linked else out
+        if participant.linked:
+            return "the fleet's policy is changing"
+        return "the lease on the fleet's policy has run out"
 
     def figures(self) -> dict[str, float]:
-        """For those who watch: the version served under (0 for none), the lease's seconds, and so on."""
-        now = self._clock()
+        """For STATS and metrics: the version served under (0 for none), the lease's seconds, and so on."""
+        now = self.clock()
         return {
-            "version": float(self.participant.serving(now)),
-            "lease": round(self.participant.left(now), 3),
+            "version": float(self.participant.serving_version(now)),
+            "lease": round(self.participant.lease_seconds_left(now), 3),
             "linked": float(self.participant.linked),
-            "refused": float(self.refused),
+            "refused": float(self.rejected),
         }
 
     # Running --------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Holds a link to whoever leads until it is cancelled."""
+        """Keeps a link to the leader until it is cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._renewing)
-            await self._leader.run()
-
-    def link(self, up: bool) -> None:
-        self.participant.link(up, self._clock())
-        self._due.set()  # it may ask for a lease from now on
-        self._pump()
-
-    def heard(self, message: FromCoordinator) -> str | None:
-        if isinstance(message, Elsewhere):
-            return message.leader
-        self.participant.heard(message, self._clock())
-        self._pump()
-        self._due.set()  # it may be due sooner now
-        return None
-
-    def silence(self) -> float:
-        return SILENT * self.participant.renew
-
-    async def _renewing(self) -> None:
-        while True:
-            self._due = due = anyio.Event()
-            self.participant.tick(self._clock())
-            self._pump()
-            with anyio.move_on_after(max(0.0, self.participant.next_at - self._clock())):
-                await due.wait()
-
-    def _pump(self) -> None:
-        """Carries out what the holder wishes, until there is nothing more."""
+            tasks.start_soon(self.renew_when_due)
+            await self.leader.run()
+
+    def carry_out(self) -> None:
+        """Carries out the participant's actions, and those that follow from their results."""
         while True:
-            wish = self.participant.take()
-            for message in wish.say:
-                self._leader.outbox.put(message)
-            for check in wish.check:
-                self.participant.checked(check, self._parts.check(check.data))
-            for document, data in wish.apply:
-                why = self._parts.apply(data)
-                self.participant.took(document, why)
-                if why:
-                    log.error("the fleet's policy can't be taken", why=why)
-                else:
-                    log.info(
-                        "the fleet's policy is taken", version=self.participant.version, document=document
-                    )
-            if not (wish.say or wish.check or wish.apply):
+            actions = self.participant.take_actions()
+            for message in actions.messages:
+                self.leader.outbox.put(message)
+            for request in actions.validate:
+                self.participant.validated(request, self._hooks.validate(request.content))
+            for document, content in actions.apply:
+                self._apply(document, content)
+            if not (actions.messages or actions.validate or actions.apply):
                 return
-            self._due.set()
-
-    async def end(self, patience: float) -> None:
-        """An orderly end: lets go, so that a change need not wait for this process's lease."""
-        self.participant.end()
-        self._pump()
-        await self._leader.flush(patience)
+            self.wake()
+
+    def _apply(self, document: str, content: bytes) -> None:
+        failure = self._hooks.apply(content)
+        self.participant.applied(document, failure)
+        if failure:
+            log.error("policy not applied", reason=failure)
+        else:
+            log.info("policy applied", version=self.participant.version, document=document)
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -1,4 +1,4 @@
-"""The keepers' side of a policy: the conductor of whoever leads, and its writes. On anyio."""
+"""The replicas' side of the policy: the change coordinator of whoever leads, and its writes. On anyio."""
 
 from __future__ import annotations
 
@@ -9,63 +9,71 @@
 import structlog
 
 from zincladder.agreement.host import Keeper
-from zincladder.agreement.leading import AGAIN, FAULTS, Leading
+from zincladder.agreement.leading import AGAIN, FAULTS
 from zincladder.agreement.terms import Terms
+from zincladder.leases.service import LeaseService
 from zincladder.links.clocks import boottime
 from zincladder.policy import change_log
-from zincladder.policy.coordinator import ChangeCoordinator, Write
-from zincladder.policy.model import ChangePhase, Elsewhere, FromParticipant
-
+from zincladder.policy.coordinator import (
+    ChangeCoordinator,
+    CoordinatorActions,
+    LinkedFront,
+    RecordWrite,
+)
+from zincladder.policy.model import ChangePhase, FromParticipant
+
+REREAD = -1  # as the place in the log that was read: the coordinator is told again what stands
 log = structlog.get_logger()
 
 
-class PolicyLeaderService(Leading[ChangeCoordinator]):
-    """Leads changes of the policy while its keeper leads the group."""
+class PolicyLeaderService(LeaseService[ChangeCoordinator]):
+    """Coordinates changes of the policy while its replica leads the group."""
 
     role = "front"
     messages = FromParticipant
 
     def __init__(self, keeper: Keeper, terms: Terms, clock: Callable[[], float] = boottime) -> None:
         super().__init__(keeper, terms, clock)
-        self._seen: tuple[int, str] = (-1, "")
-        keeper.faults.append(change_log.fault)
+        self._logged_state: tuple[int, str] = (-1, "")
+        keeper.faults.append(change_log.rejection_reason)
 
     def begin(self, since: float, term: int) -> ChangeCoordinator:
+        """The coordinator of a new term."""
         return ChangeCoordinator(self.terms, since, term)
 
-    def elsewhere(self, leader: str) -> Elsewhere:
-        return Elsewhere(leader)
-
     def learn(self, part: ChangeCoordinator) -> None:
-        found = change_log.read(self.keeper.registers.under(""))
-        part.knows(found.record, found.at, found.roster, found.contents, self.clock())
-        change = found.record.open
-        seen = (change.version, change.phase.value) if change else (found.record.version, "in force")
-        if seen != self._seen:
-            self._seen = seen
-            log.info("policy", version=seen[0], phase=seen[1], absent=part.absent)
-
-    def carry_out(self, part: ChangeCoordinator, tasks: anyio.abc.TaskGroup) -> None:
-        wish = part.take()
-        for number, message in wish.say:
-            self.say(number, message)
-        for name in wish.expect:
-            tasks.start_soon(self.swap, change_log.write_expected_front(name))
-        if wish.write:
-            tasks.start_soon(self._write, wish.write, part)
-
-    async def _write(self, write: Write, part: ChangeCoordinator) -> None:
+        """Tells the coordinator what the registers hold."""
+        stored = change_log.read(self.keeper.registers.under(""))
+        part.record_read(
+            stored.record, stored.record_version, stored.expected_fronts, stored.contents, self.clock()
+        )
+        change = stored.record.open_change
+        state = (change.version, change.phase.value) if change else (stored.record.version, "in force")
+        if state != self._logged_state:
+            self._logged_state = state
+            log.info("policy state", version=state[0], phase=state[1], absent=part.absent)
+
+    def begin_writes(
+        self, actions: CoordinatorActions, part: ChangeCoordinator, tasks: anyio.abc.TaskGroup
+    ) -> None:
+        """Begins the coordinator's writes."""
+        for front in actions.expect_fronts:
+            tasks.start_soon(self.swap, change_log.write_expected_front(front))
+        if actions.write:
+            tasks.start_soon(self._write, actions.write, part)
+
+    async def _write(self, write: RecordWrite, part: ChangeCoordinator) -> None:
         try:
-            await self.keeper.swap(change_log.write_record(write.expected, write.record))
+            await self.keeper.swap(change_log.write_record(write.expected_version, write.record))
         except FAULTS:
             await anyio.sleep(AGAIN)
-        if write.record.open is None:
-            await self._tidy()
+        if write.record.open_change is None:
+            await self._delete_unreferenced()
         if self.part is part:
-            self.read_at = -1  # whatever came of it, the conductor goes on from what stands
+            self.read_at = REREAD  # whatever came of the write, the coordinator goes on from what stands
         self.wake()
 
-    async def _tidy(self) -> None:
+    async def _delete_unreferenced(self) -> None:
         """Removes documents that nothing names any more."""
         try:
             await self.keeper.confirm()
@@ -77,38 +85,49 @@
     # Questions ------------------------------------------------------------------------------------
 
     def figures(self) -> dict[str, float]:
-        """For those who watch the leader: fronts, the version in force, and how long a change hangs."""
+        """The leader's metrics: fronts, the version in force, how long a change takes; empty elsewhere."""
         coordinator, now = self.part, self.clock()
         if coordinator is None:
             return {}
         record = coordinator.record
+        changing = record.open_change is not None
         return {
             "fronts": float(len(coordinator.fronts)),
             "absent": float(len(coordinator.absent)),
             "version": float(record.version),
-            "change": round(now - coordinator.since, 3) if record.open else 0.0,
-            "waits": float(len(coordinator.waits_for(now))) if record.open else 0.0,
+            "change": round(now - coordinator.phase_entered_at, 3) if changing else 0.0,
+            "waits": float(len(coordinator.blocked_by(now))) if changing else 0.0,
         }
 
     def progress(self) -> dict[str, object]:
-        """How the leader sees it; empty where this keeper doesn't lead."""
+        """What `policy status` shows of the leader's view; empty where this replica doesn't lead."""
         coordinator, now = self.part, self.clock()
         if coordinator is None:
             return {}
-        change = coordinator.record.open
-        clearing = change is not None and change.phase is ChangePhase.REVOKING
-        fronts = {}
-        for front in coordinator.fronts.values():
-            lease = coordinator.holding.get((front.name, front.process), (0.0, 0))[0]
-            state = "serves" if lease > now else "has let go" if clearing else "no lease"
-            if change and change.phase is ChangePhase.VALIDATING:
-                answer = front.answer
-                state = "is asked" if answer is None else "; ".join(answer.reasons) or "agrees"
-            elif coordinator.silent(front, now):
-                state = "silent"
-            fronts[front.name] = {"state": state, "lease_s": round(max(0.0, lease - now), 2)}
+        fronts = {
+            front.name: {
+                "state": front_state(coordinator, front, now),
+                "lease_s": round(coordinator.leases.remaining_seconds(front.identity, now), 2),
+            }
+            for front in coordinator.fronts.values()
+        }
         return {
             "fronts": fronts,
             "absent": list(coordinator.absent),
-            "waits_for": list(coordinator.waits_for(now)),
+            "waits_for": list(coordinator.blocked_by(now)),
         }
+
+
+def front_state(coordinator: ChangeCoordinator, front: LinkedFront, now: float) -> str:
+    """How a front stands towards the open change or the policy in force, as `policy status` words it."""
+    change = coordinator.record.open_change
+    if change is not None and change.phase is ChangePhase.VALIDATING:
+        if front.validation is None:
+            return "is asked"
+        return "; ".join(front.validation.reasons) or "agrees"
+    if coordinator.is_silent(front, now):
+        return "silent"
+    if coordinator.leases.remaining_seconds(front.identity, now) > 0:
+        return "serves"
+    revoking = change is not None and change.phase is ChangePhase.REVOKING
+    return "has let go" if revoking else "no lease"
--- a/zincladder/policy/model.py
+++ b/zincladder/policy/model.py
@@ -1,7 +1,8 @@
-"""What a policy is, how far a change of it has come, and what fronts and keepers say to each other about it.
+"""Types of a policy, of its changes, and of the messages between fronts and the change coordinator.
 
-Shapes only. A policy is one document, named by its content. `version` counts the policies of a group from 1;
-0 is none. Times in seconds.
+A policy is one document, identified by its content. Versions count the policies of a group from 1; 0 means
+none. The structs are arrays on the wire and in the registers: the order of their fields, their tags and the
+values of the enums are stored and exchanged with other versions, so they stay as they are. Spans in seconds.
 """
 
 from __future__ import annotations
@@ -11,83 +12,90 @@
 
 import msgspec
 
-POLICY_KEY = "policy"  # the register that says what is in force
-DOCUMENT_PREFIX = "document/"  # and those that hold what was ever proposed, by content
-EXPECTED_FRONT_PREFIX = "front/"  # and those of the fronts that are expected to take part
-MAX_LOG_ENTRIES = 100  # changes that the record tells of; documents that none of them names are removed
+from zincladder.leases.model import NotLeaderReply
+
+POLICY_KEY = "policy"  # the register with the PolicyRecord
+DOCUMENT_PREFIX = "document/"  # registers of the proposed documents, by document id
+EXPECTED_FRONT_PREFIX = "front/"  # registers of the fronts that are expected to take part, by name
+MAX_LOG_ENTRIES = 100
 MAX_REASONS = 20
-MAX_ABSENT_NAMES = 100  # of fronts that could not be asked
-MAX_RECORD_BYTES = 200 << 10  # bytes of the record; the oldest history goes
-MAX_RETAINED_DOCUMENT_BYTES = 4 << 20  # bytes of documents; those of the oldest history go
-MAX_TEXT_LENGTH = 200  # letters of an author, a note or a reason
+MAX_ABSENT_NAMES = 100
+MAX_RECORD_BYTES = 200 << 10  # beyond it the oldest entries of the change log are dropped
+MAX_RETAINED_DOCUMENT_BYTES = 4 << 20  # beyond it the documents of the oldest log entries are removed
+MAX_TEXT_LENGTH = 200  # characters of an author, a note or a reason
 
 
-def document_id(data: bytes) -> str:
-    """The name of a document: nobody can change what it stands for."""
-    return hashlib.sha256(data).hexdigest()[:32]
+def document_id(content: bytes) -> str:
+    """The identity of a document: a digest, so that no content can be exchanged under the same id."""
+    return hashlib.sha256(content).hexdigest()[:32]
 
 
 class ChangePhase(enum.StrEnum):
-    """How far the open change has come."""
+    """The state of the open change.
+
+    VALIDATING -> COMMITTED -> REVOKING -> activated (no change is open any more)
+    VALIDATING -> withdrawn
+    REVOKING -> COMMITTED, when a front does not release its lease in time
+    """
 
-    VALIDATING = "checking"  # the fronts are asked; it may still come to nothing
-    COMMITTED = "decided"  # it will take hold; the old version is still in force
-    REVOKING = "clearing"  # the fronts let go of the old version, and nobody gets a new lease on it
+    VALIDATING = "checking"  # the fronts are asked whether they could serve under it; it may be withdrawn
+    COMMITTED = "decided"  # it will be activated; the old version is still in force
+    REVOKING = "clearing"  # the fronts release their leases on the old version, and nobody gets a new one
 
 
 class ChangeOutcome(enum.StrEnum):
-    """What became of a change."""
+    """How a change ended."""
 
     ACTIVATED = "held"
     WITHDRAWN = "withdrawn"
 
 
 class PolicyChange(msgspec.Struct, frozen=True, array_like=True):
-    """A change that is under way."""
+    """The change that is under way."""
 
     version: int
     document: str
     author: str
     note: str
-    at: float  # Unix time
+    proposed_at: float  # Unix time
     phase: ChangePhase = ChangePhase.VALIDATING
 
 
 class ChangeLogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """A change that has come to its end, with what stood in its way if anything did."""
+    """A change that has ended, with the reasons for which it was withdrawn, if it was."""
 
     version: int
     document: str
     author: str
     note: str
-    at: float
+    proposed_at: float  # Unix time
     outcome: ChangeOutcome
     reasons: tuple[str, ...] = ()
-    absent: tuple[str, ...] = ()  # fronts that could not be asked
+    absent: tuple[str, ...] = ()  # expected fronts that could not be asked
 
 
 class PolicyRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The register's value."""
+    """The value of the policy register: the policy in force, the open change, and the change log."""
 
     version: int = 0
     document: str = ""
-    open: PolicyChange | None = None
-    absent: tuple[str, ...] = ()  # fronts that could not be asked about the open change
-    history: tuple[ChangeLogEntry, ...] = ()  # oldest first
+    open_change: PolicyChange | None = None
+    absent: tuple[str, ...] = ()  # expected fronts that could not be asked about the open change
+    log: tuple[ChangeLogEntry, ...] = ()  # oldest first
 
 
 # From a front --------------------------------------------------------------------------------------
 
 
 class RenewPolicyLease(msgspec.Struct, frozen=True, array_like=True, tag="renew"):
-    """Asks for a lease. `document` is the policy that this front is ready to serve under."""
+    """Requests a lease on the policy in force."""
 
     serial: int
-    document: str = ""
+    applied_document: str = ""  # the policy that this front is ready to serve under
 
 
 class DocumentValidated(msgspec.Struct, frozen=True, array_like=True, tag="checked"):
-    """Whether this front could serve under a document: no reason against it is a yes."""
+    """Whether this front could serve under a document: without reasons against it, it could."""
 
     version: int
     document: str
@@ -95,66 +103,65 @@
 
 
 class PolicyLeaseReleased(msgspec.Struct, frozen=True, array_like=True, tag="released"):
-    """This process serves under no version any more, and takes no lease that it asked for up to `serial`."""
+    """This process serves under no version any more, and ignores leases requested up to `serial`."""
 
     version: int
     serial: int
 
 
 class FetchDocument(msgspec.Struct, frozen=True, array_like=True, tag="fetch"):
-    """Asks for a document."""
+    """Requests the content of a document."""
 
     document: str
 
 
 FromParticipant = RenewPolicyLease | DocumentValidated | PolicyLeaseReleased | FetchDocument
 
-# From a keeper -------------------------------------------------------------------------------------
+# From the leader -----------------------------------------------------------------------------------
 
 
 class PolicyLeaseGranted(msgspec.Struct, frozen=True, array_like=True, tag="granted"):
-    """The lease that was asked for with this serial: for so long from the moment at which it was."""
+    """The lease requested with this serial, valid from the moment at which it was requested."""
 
     serial: int
     version: int
     document: str
-    believed: float
-    renew: float
+    valid_seconds: float
+    renew_seconds: float  # between two renewals
 
 
 class RenewalDeferred(msgspec.Struct, frozen=True, array_like=True, tag="waits"):
-    """The asking with this serial was heard; its lease comes when there is a version to give it on."""
+    """The request with this serial has arrived; it is answered once a lease can be granted."""
 
     serial: int
 
 
 class ValidateDocument(msgspec.Struct, frozen=True, array_like=True, tag="check"):
-    """Asks whether a front could serve under a document."""
+    """Asks a front whether it could serve under a document."""
 
     version: int
     document: str
-    data: bytes
+    content: bytes
 
 
 class RevokePolicyLease(msgspec.Struct, frozen=True, array_like=True, tag="release"):
-    """Asks a front to let go of a version now: another one waits for it."""
+    """Asks a front to release its lease at once, as the given version is to be activated."""
 
     version: int
 
 
 class DocumentContent(msgspec.Struct, frozen=True, array_like=True, tag="delivered"):
-    """A document."""
+    """The content of a document."""
 
     document: str
-    data: bytes
-
-
-class Elsewhere(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
-    """This keeper does not lead."""
-
-    leader: str
+    content: bytes
 
 
 FromCoordinator = (
-    PolicyLeaseGranted | RenewalDeferred | ValidateDocument | RevokePolicyLease | DocumentContent | Elsewhere
+    PolicyLeaseGranted
+    | RenewalDeferred
+    | ValidateDocument
+    | RevokePolicyLease
+    | DocumentContent
+    | NotLeaderReply
 )
--- a/zincladder/policy/wiring.py
+++ b/zincladder/policy/wiring.py
@@ -1,4 +1,4 @@
-"""Joins a fleet's policy to the parts of a front: its configuration in force, and its decisions."""
+"""Joins the fleet's policy to the parts of a front: its configuration in force, and its decisions."""
 
 from __future__ import annotations
 
@@ -14,49 +14,54 @@
 from zincladder.policy.front import FleetPolicy, PolicyHooks
 
 
-def _operators_file() -> dict[str, Any]:
+def _read_operator_file() -> dict[str, Any]:
     path = os.environ.get("ZINCLADDER_OPERATOR")
     return configuration.read_operator(path) if path else {}
 
 
-class Own:
-    """The front's own files, and what the policy lays over them."""
+class PolicyOverlay:
+    """The front's own files, and the policy that is laid over them."""
 
     def __init__(self, config: Config, operator: dict[str, Any]) -> None:
-        self.files = document.Files(config.raw, operator)
+        self.files = document.FrontFiles(config.raw, operator)
         self.policy: dict[str, Any] = {}
 
     def over(self, config: Config, operator: Operator) -> tuple[Config, Operator]:
+        """The configuration in force for the given files. Raises ConfigError."""
         if not self.policy:
             return config, operator
-        return document.under(replace(self.files, platform=config.raw), self.policy, config)
+        return document.configuration_under(replace(self.files, platform=config.raw), self.policy, config)
 
     def read_again(self) -> None:
-        new = document.Files(configuration.load().raw, _operators_file())
-        if taken := document.taken(self.files, new, self.policy):
-            raise ConfigError(f"'{taken[0]}' is part of the fleet's policy, and is changed there")
+        """Reads the front's files anew, at SIGHUP.
+
+        Raises ConfigError for a changed key that the policy sets.
+        """
+        new = document.FrontFiles(configuration.load().raw, _read_operator_file())
+        if overridden := document.overridden_keys(self.files, new, self.policy):
+            raise ConfigError(f"'{overridden[0]}' is part of the fleet's policy, and is changed there")
         self.files = new
 
 
-def follow_policy(wanted: PolicyConfig, config: Config, reload: Reload, core: Core) -> FleetPolicy:
-    """A front's part in a policy; from now on it decides under a lease only."""
-    own = Own(config, _operators_file())
+def follow_policy(policy_config: PolicyConfig, config: Config, reload: Reload, core: Core) -> FleetPolicy:
+    """Makes the front take part in the policy; from now on it decides under a lease only."""
+    overlay = PolicyOverlay(config, _read_operator_file())
 
-    def check(data: bytes) -> tuple[str, ...]:
-        return document.faults(own.files, data, reload.own, reload.limits is not None)
+    def validate(content: bytes) -> tuple[str, ...]:
+        return document.validation_reasons(overlay.files, content, reload.own, reload.limits is not None)
 
-    def apply(data: bytes) -> str:
-        if reasons := check(data):
+    def apply(content: bytes) -> str:
+        if reasons := validate(content):
             return reasons[0]
-        before, own.policy = own.policy, document.parsed(data)
+        before, overlay.policy = overlay.policy, document.parse_policy(content)
         try:
-            reload.take(reload.own, Operator())  # the operator's part is that of `own`, with the policy on it
-        except ConfigError as fault:
-            own.policy = before
-            return str(fault)
+            reload.take(reload.own, Operator())  # the operator's part comes from the overlay
+        except ConfigError as error:
+            overlay.policy = before
+            return str(error)
         return ""
 
-    policy = FleetPolicy(wanted, config.name, PolicyHooks(check, apply))
-    reload.overlay = own
+    policy = FleetPolicy(policy_config, config.name, PolicyHooks(validate, apply))
+    reload.overlay = overlay
     core.hold_off = policy.hold_off
     return policy
