--- a/benchmarks/tasks.py
+++ b/benchmarks/tasks.py
@@ -1,12 +1,12 @@
-"""What one owner at a time costs the fleet, and how soon another one follows.
+"""What singleton tasks cost the fleet, and how soon another lease holder follows.
 
     python -m benchmarks.tasks [--quick] [--out DIR] [--takeovers N] [--fronts N] [--seed N]
 
-Real keepers and fronts, a receiver that remembers tokens, and an owner that is killed, stopped, cut off or
-told to end, in turn by lot. `gap_ms`: from the fault to the next push under another token. `old` counts
-effects of an old owner that the receiver took after a newer one's, `twice` pushes of one time: both have to
-be 0. `refused` are those that arrived late and were turned away. Messages are counted in one process, for
-many workers on a given clock. The lease is the rig's, 1.5 s.
+Real replicas and fronts, a receiver that remembers tokens, and a lease holder that is killed, stopped, cut
+off or terminated, at random. `gap_ms`: from the fault to the next push under another token. `old` counts
+effects of a former holder that the receiver accepted after a newer one's, `twice` pushes of one time: both
+have to be 0. `refused` are those that arrived late and were rejected. Messages are counted in one process,
+for many runners on a given clock. The lease is the rig's, 1.5 s.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 from benchmarks.policy import spread, used
 from tests.processes import LEASE
-from tests.tasks.test_task_processes import Crew, crew
+from tests.tasks.test_task_processes import TaskFleet, task_fleet
 from zincladder.agreement.terms import Terms
 from zincladder.tasks.lease_holder import LeaseHolder
 from zincladder.tasks.lease_manager import LeaseManager
@@ -33,11 +33,11 @@
 FAULTS = ("kill", "stop", "cut", "hear nothing", "end")
 
 
-async def takeovers(c: Crew, times: int, seed: int) -> dict[str, Any]:
-    """The owner fails so often, and each time another one has to push."""
+async def takeovers(c: TaskFleet, times: int, seed: int) -> dict[str, Any]:
+    """The lease holder fails so often, and each time another one has to push."""
     draw, gaps = random.Random(seed), dict[str, list[float]]()
     for _ in range(times):
-        name, before, kind = await c.owner(), c.newest(), draw.choice(FAULTS)
+        name, before, kind = await c.holder(), c.newest(), draw.choice(FAULTS)
         process = c.r.processes[name]
         await anyio.sleep(draw.uniform(0, 0.2))
         began = anyio.current_time()
@@ -70,11 +70,11 @@
     }
 
 
-async def costs(c: Crew, seconds: float) -> dict[str, Any]:
-    """The owner, another front that only waits, and the leading keeper, without clients."""
-    owner = await c.owner()
-    waits = next(n for n in c.fronts if n != owner)
-    names = {"owner": owner, "waits": waits, "keeper": await c.r.leader()}
+async def costs(c: TaskFleet, seconds: float) -> dict[str, Any]:
+    """The lease holder, another front that only waits, and the leader, without clients."""
+    holder = await c.holder()
+    waits = next(n for n in c.fronts if n != holder)
+    names = {"owner": holder, "waits": waits, "keeper": await c.r.leader()}
     pids = {what: p.pid for what, n in names.items() if (p := c.r.processes[n].popen)}
     before = {what: used(pid) for what, pid in pids.items()}
     await anyio.sleep(seconds)
@@ -88,46 +88,46 @@
     }
 
 
-def messages(workers: int, seconds: int) -> dict[str, Any]:
-    """Messages a second that a leader hears and says, idle and in the first second after all came at once."""
+def messages(runners: int, seconds: int) -> dict[str, Any]:
+    """Messages a second that a leader receives and sends, idle and just after all runners connected."""
     terms = Terms()
     now, index = 0.0, 1
     registers: dict[str, tuple[TaskAssignment, int]] = {}
-    lease_manager = LeaseManager(terms, -100.0)
-    lease_manager.knows(registers, now)
-    owners = {n: LeaseHolder(["figures", "purges", "drains"], now) for n in range(1, workers + 1)}
+    manager = LeaseManager(terms, -100.0)
+    manager.assignments_read(registers, now)
+    holders = {n: LeaseHolder(["figures", "purges", "drains"], now) for n in range(1, runners + 1)}
     counted: Counter[int] = Counter()
     writes = 0
-    for n, owner in owners.items():
-        lease_manager.linked(n, f"f{n}", "p", now)
-        owner.link(True, now)
+    for n, holder in holders.items():
+        manager.linked(n, f"f{n}", "p", now)
+        holder.link(True, now)
     while now < seconds:
-        for n, owner in owners.items():
-            owner.tick(now)
-            for said in owner.take().say:
+        for n, holder in holders.items():
+            holder.tick(now)
+            for message in holder.take_actions().messages:
                 counted[int(now)] += 1
-                lease_manager.heard(n, said, now)
-        lease_manager.tick(now)
-        wish = lease_manager.take()
-        for number, answer in wish.say:
+                manager.heard(n, message, now)
+        manager.tick(now)
+        actions = manager.take_actions()
+        for number, reply in actions.messages:
             counted[int(now)] += 1
-            owners[number].heard(answer, now)
-        for take in wish.write:
+            holders[number].heard(reply, now)
+        for write in actions.writes:
             index += 1
             writes += 1
-            registers[take.duty] = (take.value, index)
-        if wish.write:
-            lease_manager.knows(registers, now)
-        for take in wish.write:
-            lease_manager.wrote(take.duty, now)
+            registers[write.task] = (write.assignment, index)
+        if actions.writes:
+            manager.assignments_read(registers, now)
+        for write in actions.writes:
+            manager.write_ended(write.task, now)
         now = round(now + 0.05, 3)
     idle = [counted[s] for s in range(seconds // 2, seconds)]
     return {
-        "workers": workers,
+        "workers": runners,
         "first_second": counted[0],
         "idle_a_second": round(sum(idle) / len(idle), 1),
         "writes": writes,
-        "owned": sum(bool(d.owner) for d, _ in registers.values()),
+        "owned": sum(bool(assignment.lease_holder) for assignment, _ in registers.values()),
     }
 
 
@@ -135,7 +135,7 @@
     found: dict[str, Any] = {"fronts": wanted.fronts, "lease_s": LEASE["seconds"]}
     found["messages"] = [messages(n, 60) for n in (20, 200)]
     with tempfile.TemporaryDirectory() as folder:
-        async with crew(Path(folder), fronts=wanted.fronts) as c:
+        async with task_fleet(Path(folder), fronts=wanted.fronts) as c:
             found["cost"] = await costs(c, 3 if wanted.quick else 20)
             found["faults"] = await takeovers(c, wanted.takeovers, wanted.seed)
     return found
--- /dev/null
+++ b/tests/tasks/test_fence.py
@@ -0,0 +1,50 @@
+"""Fences: at a receiver, in the log, and against callers that write the registers."""
+
+from __future__ import annotations
+
+import msgspec
+
+from zincladder.agreement.registers import Fenced, Missed, Registers, Swap, Swapped
+from zincladder.tasks.fence import MAX_TASKS, Fence
+from zincladder.tasks.host import rejection_reason
+from zincladder.tasks.model import TaskAssignment, task_key, write_checkpoint
+
+
+def test_a_fence_rejects_outdated_tokens_for_each_task_by_itself() -> None:
+    fence = Fence({"a": 5})
+    assert fence.admit("a", 4) == "task 'a': token 4 is older than 5, which was admitted here"
+    assert (fence.admit("a", 5), fence.admit("a", 9), fence.admit("b", 1)) == ("", "", "")
+    assert fence.admit("a", 8) and fence.admit("b", 0) and fence.rejected == 3
+    assert Fence(fence.highest).admit("a", 8)  # after a restart
+    for n in range(2 * MAX_TASKS):
+        fence.admit(f"x{n}", 1)
+    assert len(fence.highest) == MAX_TASKS and not fence.admit("a", 10)
+
+
+def test_a_checkpoint_is_stored_only_under_the_token_that_is_valid_when_it_is_applied() -> None:
+    registers = Registers()
+
+    def put(index: int, swap: Swap) -> object:
+        return registers.apply(index, msgspec.msgpack.encode(swap))
+
+    put(3, Swap(task_key("a"), 0, msgspec.msgpack.encode(TaskAssignment("x", "p"))))
+    assert put(4, write_checkpoint("a", 3, 0, b"one")) == Swapped(4)
+    put(5, Swap(task_key("a"), 3, msgspec.msgpack.encode(TaskAssignment("y", "q"))))
+    assert put(6, write_checkpoint("a", 3, 4, b"late")) == Fenced(5)
+    assert put(7, write_checkpoint("a", 5, 0, b"two")) == Missed(4)
+    assert put(8, write_checkpoint("a", 5, 4, b"two")) == Swapped(8)
+    value = registers.get("progress/a")
+    assert value is not None and value.data == b"two"
+
+
+def test_no_caller_assigns_a_task_or_stores_a_checkpoint_without_a_token() -> None:
+    mine = msgspec.msgpack.encode(TaskAssignment("me", "p"))
+    assert rejection_reason(Swap(task_key("a"), 0, mine)) == "the leader alone names owners"
+    assert rejection_reason(Swap(task_key("a"), 0, b"\xc1")).startswith("no duty")
+    assert rejection_reason(Swap("progress/a", 0, b"x")) == "progress needs its duty's token"
+    assert (
+        rejection_reason(write_checkpoint("b", 3, 0, b"x")) == ""
+        and rejection_reason(Swap("x", 0, b"x")) == ""
+    )
+    assert rejection_reason(Swap("progress/a", 0, b"x", write_checkpoint("b", 3, 0, b"").guard)) != ""
+    assert rejection_reason(Swap(task_key("a"), 4, msgspec.msgpack.encode(TaskAssignment(paused=True)))) == ""
--- a/tests/tasks/test_golden_bytes.py
+++ b/tests/tasks/test_golden_bytes.py
@@ -9,11 +9,11 @@
 
 from tests.support.golden import assert_same_bytes, fixtures
 from zincladder.agreement.registers import Swap
+from zincladder.leases.model import NotLeaderReply
 from zincladder.tasks import fleet_metrics, model
 from zincladder.tasks.counter_sums import FleetTotals, decode_totals, encode_totals
 from zincladder.tasks.model import (
     Assigned,
-    Elsewhere,
     FromLeaseManager,
     FromRunner,
     LeaseGranted,
@@ -39,12 +39,12 @@
     "lent": LeaseGranted(9, (("figures", 41),), 4.75, 1.0),
     "lent-none": LeaseGranted(1, (), 4.75, 1.0),
     "stop": Revoke("figures", 41),
-    "elsewhere": Elsewhere("k2"),
+    "elsewhere": NotLeaderReply("k2"),
 }
 REGISTERS = {
     "never-taken": TaskAssignment(),
     "owned": TaskAssignment("f1", "0a1b2c3d", 1733216400.25),
-    "paused": TaskAssignment(at=1733216400.25, paused=True, left="paused"),
+    "paused": TaskAssignment(changed_at=1733216400.25, paused=True, vacancy_reason="paused"),
     "wished": TaskAssignment("", "", 1733216400.25, False, "f2", "to be moved to f2"),
 }
 TOTALS = {
--- /dev/null
+++ b/tests/tasks/test_lease_manager.py
@@ -0,0 +1,167 @@
+"""The leader's part, step by step."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from tests.support.task_states import TERMS
+from zincladder.tasks.lease_manager import LeaseManager
+from zincladder.tasks.model import (
+    Assigned,
+    LeaseGranted,
+    Offer,
+    ReleaseLease,
+    RenewLease,
+    Revoke,
+    TaskAssignment,
+)
+
+
+class Leader:
+    """A lease manager whose writes succeed at once."""
+
+    def __init__(self, *names: str) -> None:
+        self.now, self.index = 100.0, 1
+        self.registers: dict[str, tuple[TaskAssignment, int]] = {}
+        self.lease_manager = LeaseManager(TERMS, self.now - 50)
+        self.lease_manager.assignments_read(self.registers, self.now)
+        self.messages: list[tuple[int, Any]] = []
+        for n, name in enumerate(names, 1):
+            self.lease_manager.linked(n, name, "p", self.now)
+            self.hears(n, Offer(("a",)))
+
+    def hears(self, number: int, message: Any) -> None:
+        self.lease_manager.heard(number, message, self.now)
+        self.settle()
+
+    def settle(self, seconds: float = 0.0) -> None:
+        self.now += seconds
+        self.lease_manager.tick(self.now)
+        while (actions := self.lease_manager.take_actions()).writes or actions.messages:
+            self.messages += actions.messages
+            for write in actions.writes:
+                assert write.expected_version == self.registers.get(write.task, (TaskAssignment(), 0))[1]
+                self.index += 1
+                self.registers[write.task] = (write.assignment, self.index)
+            if actions.writes:
+                self.lease_manager.assignments_read(self.registers, self.now)
+            for write in actions.writes:
+                self.lease_manager.write_ended(write.task, self.now)
+
+    def holder(self) -> str:
+        return self.registers["a"][0].lease_holder
+
+
+def test_a_silent_holder_with_its_link_up_loses_its_task_when_its_lease_expires() -> None:
+    leader = Leader("x", "y")
+    first = leader.holder()
+    leader.settle(TERMS.waited - 0.1)
+    assert leader.holder() == first
+    leader.settle(0.2)
+    assert leader.holder() != first and leader.holder()
+    leader.settle(TERMS.waited + 0.1)  # the other is silent too: never to nobody
+    assert leader.holder() == first
+
+
+def test_no_lease_is_granted_while_a_reassignment_is_being_written() -> None:
+    # Guards against two holders: any other entry of the log once ended the wait for this one.
+    leader = Leader("x", "y")
+    number, token = leader.lease_manager.holder_link("a"), leader.registers["a"][1]
+    leader.now += TERMS.waited + 0.1
+    leader.lease_manager.tick(leader.now)
+    (write,) = leader.lease_manager.take_actions().writes
+    leader.lease_manager.assignments_read(leader.registers, leader.now)  # of something else
+    leader.lease_manager.heard(number, RenewLease(1, (("a", token),)), leader.now)
+    actions = leader.lease_manager.take_actions()
+    assert not actions.writes
+    assert [message for _, message in actions.messages] == [LeaseGranted(1, (), TERMS.owned, TERMS.renew)]
+    leader.registers["a"] = (write.assignment, token + 1)
+    leader.lease_manager.assignments_read(leader.registers, leader.now)
+    leader.lease_manager.write_ended("a", leader.now)
+    leader.hears(3 - number, RenewLease(1, (("a", token + 1),)))
+    assert leader.messages[-1][1] == LeaseGranted(1, (("a", token + 1),), TERMS.owned, TERMS.renew)
+
+
+def test_the_only_runner_keeps_its_task_however_long_it_is_silent() -> None:
+    leader = Leader("x")
+    token = leader.registers["a"][1]
+    leader.settle(100.0)
+    assert (leader.holder(), leader.registers["a"][1]) == ("x", token)
+    leader.hears(1, RenewLease(1, (("a", token),)))
+    assert LeaseGranted(1, (("a", token),), TERMS.owned, TERMS.renew) in [m for _, m in leader.messages]
+
+
+def test_a_lost_holder_is_waited_for_and_one_that_released_is_not() -> None:
+    leader = Leader("x", "y")
+    first = leader.holder()
+    number = leader.lease_manager.holder_link("a")
+    leader.hears(number, RenewLease(1, (("a", leader.registers["a"][1]),)))
+    leader.lease_manager.unlinked(number, leader.now)
+    leader.settle(TERMS.waited - 0.1)
+    assert leader.holder() == first
+    leader.settle(0.2)
+    second = leader.holder()
+    assert second and second != first
+    other = leader.lease_manager.holder_link("a")
+    leader.lease_manager.linked(9, "z", "p", leader.now)
+    leader.hears(9, Offer(("a",)))
+    leader.hears(other, Offer(()))
+    leader.hears(other, ReleaseLease("a", leader.registers["a"][1]))
+    assert leader.holder() == "z"
+
+
+def test_a_release_of_a_token_that_was_never_leased_frees_nothing_and_is_not_stored() -> None:
+    # Guards what a former leader may have granted; and names are a runner's own claims.
+    lease_manager = LeaseManager(TERMS, 100.0)
+    lease_manager.assignments_read({"a": (TaskAssignment("x", "p"), 7)}, 100.0)
+    lease_manager.linked(1, "y", "p", 100.0)
+    lease_manager.heard(1, Offer(("a",)), 100.0)
+    for name in ("a", "b", "c"):
+        lease_manager.heard(1, ReleaseLease(name, 0), 100.0)
+    assert not lease_manager.leases and not lease_manager.take_actions().writes
+    lease_manager.tick(100.0 + TERMS.waited)
+    assert lease_manager.take_actions().writes
+
+
+def test_an_assignment_is_announced_on_the_holders_latest_link() -> None:
+    # An older one may be half open: nothing sent on it arrives, and nobody notices that it is gone.
+    leader = Leader("x")
+    leader.lease_manager.linked(5, "x", "p", leader.now)
+    leader.messages.clear()
+    leader.hears(5, Offer(("a",)))
+    assert leader.messages == [(5, Assigned("a", leader.registers["a"][1]))]
+
+
+def test_a_paused_task_is_assigned_to_nobody_and_a_preferred_runner_comes_first() -> None:
+    leader = Leader("x", "y", "z")
+    first = leader.holder()
+    number, token = leader.lease_manager.holder_link("a"), leader.registers["a"][1]
+    preferred = next(n for n in "xyz" if n != first)
+    leader.index += 1
+    leader.registers["a"] = (TaskAssignment(paused=True, preferred_runner=preferred), leader.index)
+    leader.lease_manager.assignments_read(leader.registers, leader.now)
+    leader.settle()
+    assert (number, Revoke("a", token)) in leader.messages
+    leader.hears(number, ReleaseLease("a", token))
+    leader.settle(50.0)
+    assert leader.holder() == ""
+    leader.index += 1
+    leader.registers["a"] = (TaskAssignment(preferred_runner=preferred), leader.index)
+    leader.lease_manager.assignments_read(leader.registers, leader.now)
+    leader.settle()
+    assert leader.holder() == preferred
+
+
+def test_many_tasks_are_spread_and_all_leaders_choose_alike() -> None:
+    def assigned(order: list[str]) -> dict[str, str]:
+        leader = Leader()
+        for n, name in enumerate(order, 1):
+            leader.lease_manager.linked(n, name, "p", leader.now)
+            leader.lease_manager.runners[n].offered = frozenset(f"d{i}" for i in range(12))
+        leader.settle()
+        return {task: assignment.lease_holder for task, (assignment, _) in leader.registers.items()}
+
+    names = ["w", "x", "y", "z"]
+    one, two = assigned(names), assigned(names[::-1])
+    assert one == two and len(one) == 12
+    assert {list(one.values()).count(name) for name in names} == {3}
--- /dev/null
+++ b/tests/tasks/test_state_space.py
@@ -0,0 +1,125 @@
+"""Orders of events at small scope: all of them for one process, many random ones for more."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+import pytest
+
+from tests.simulated import Broken
+from tests.small import Scope, search, walk
+from tests.support.task_states import SmallTasks, taken_over
+from zincladder.tasks.fence import Fence
+from zincladder.tasks.lease_holder import LeaseHolder
+from zincladder.tasks.lease_manager import LeaseManager
+from zincladder.tasks.model import LeaseGranted
+
+# Many faults of all kinds, and leaders with short terms.
+WIDE_SCOPES = (
+    Scope(changes=4, leaders=3, kills=3, breaks=4, until=60, noise=20),
+    Scope(changes=1, leaders=12, kills=1, breaks=2, until=60, noise=20),
+)
+
+
+def play(seed: int) -> SmallTasks:
+    state = SmallTasks(WIDE_SCOPES[seed % 2], processes=2 + seed // 2 % 2, effects=30)
+    walk(state, seed, 400)
+    return state
+
+
+def test_no_order_of_events_makes_two_lease_holders_or_admits_an_outdated_effect() -> None:
+    # One process and its successors, one effect: exhaustive, 7,000 states.
+    scope = Scope(changes=0, kills=1, until=3)
+    states, count = search(SmallTasks(scope, processes=1, effects=1), good=taken_over)
+    assert states > 2000 and count > 10
+
+
+@pytest.mark.parametrize("block", range(4))
+def test_no_long_random_history_breaks_a_rule(block: int) -> None:
+    writes = sum(play(seed).register[1] for seed in range(block * 500, block * 500 + 500))
+    assert writes > 2500  # of assignments
+
+
+# Mutations of the rules ---------------------------------------------------------------------------
+
+
+def no_fence(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(Fence, "admit", lambda *_: "")
+
+
+def lease_is_a_little_longer(patch: pytest.MonkeyPatch) -> None:
+    granted = LeaseHolder._granted
+
+    def longer(self: LeaseHolder, message: LeaseGranted, now: float) -> None:
+        granted(self, msgspec.structs.replace(message, valid_seconds=message.valid_seconds + 1), now)
+
+    patch.setattr(LeaseHolder, "_granted", longer)
+
+
+def lease_counts_from_its_answer(patch: pytest.MonkeyPatch) -> None:
+    granted = LeaseHolder._granted
+
+    def later(self: LeaseHolder, message: LeaseGranted, now: float) -> None:
+        if message.serial in self.renewals.requested_at:
+            self.renewals.requested_at[message.serial] = now
+        granted(self, message, now)
+
+    patch.setattr(LeaseHolder, "_granted", later)
+
+
+def new_leader_does_not_wait(patch: pytest.MonkeyPatch) -> None:
+    init = LeaseManager.__init__
+
+    def hasty(self: LeaseManager, *args: Any) -> None:
+        init(self, *args)
+        self._former_leases_expire_at = args[1]
+
+    patch.setattr(LeaseManager, "__init__", hasty)
+
+
+def outdated_release_frees_a_task(patch: pytest.MonkeyPatch) -> None:
+    released = LeaseManager._released
+
+    def any_token(self: LeaseManager, runner: Any, task: str, token: int, now: float) -> None:
+        lease = self.leases.get(task)
+        released(self, runner, task, lease.token if lease else token, now)
+
+    patch.setattr(LeaseManager, "_released", any_token)
+
+
+def task_is_assigned_while_it_is_leased(patch: pytest.MonkeyPatch) -> None:
+    free_at = LeaseManager.free_at
+    patch.setattr(LeaseManager, "free_at", lambda self, task: free_at(self, task) - 2)
+
+
+def token_is_given_twice(patch: pytest.MonkeyPatch) -> None:
+    land = SmallTasks.land
+
+    def again(self: SmallTasks, write: Any) -> None:
+        land(self, write)
+        self.register = (self.register[0], self.register[1] // 3 + 1)
+
+    patch.setattr(SmallTasks, "land", again)
+
+
+MUTATIONS: list[Callable[[pytest.MonkeyPatch], None]] = [
+    no_fence,
+    lease_is_a_little_longer,
+    lease_counts_from_its_answer,
+    new_leader_does_not_wait,
+    outdated_release_frees_a_task,
+    task_is_assigned_while_it_is_leased,
+    token_is_given_twice,
+]
+
+
+@pytest.mark.parametrize("mutate", MUTATIONS, ids=lambda mutation: mutation.__name__)
+def test_the_judge_notices_each_mutation(
+    mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    mutate(monkeypatch)
+    with pytest.raises(Broken):
+        for seed in range(3000):
+            play(seed)
--- a/tests/tasks/test_task_processes.py
+++ b/tests/tasks/test_task_processes.py
@@ -1,7 +1,7 @@
-"""Duties with real keepers and fronts, a receiver that knows fences, and faults between them.
+"""Singleton tasks with real replicas and fronts, a receiver that knows fences, and faults between them.
 
-The receiver keeps every push with its token, also those that it refused. The judge: accepted ones are in the
-order of their tokens and times, none comes twice, and what is summed never falls.
+The receiver records every push with its token, also those that it rejected. The judge: accepted ones are in
+the order of their tokens and times, none comes twice, and no sum ever falls.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass
 class Push:
-    """What one push said."""
+    """The content of one push."""
 
     token: int
     at: int
@@ -46,7 +46,7 @@
 
 @dataclass
 class Receiver:
-    """A stand-in for whoever takes samples; it remembers the highest token of each duty."""
+    """A stand-in for whoever takes samples; it remembers the highest token of each task."""
 
     fence: Fence = field(default_factory=Fence)
     pushes: list[Push] = field(default_factory=list)
@@ -80,7 +80,7 @@
                         return
 
     def _take(self, fence: str, payload: bytes) -> int:
-        duty, _, token = fence.partition(" ")
+        task, _, token = fence.partition(" ")
         request = messages.parse_v2(payload)
         symbols = list(request.symbols)
         totals, times = {}, set()
@@ -88,9 +88,9 @@
             (sample,) = series.samples
             totals[" ".join(symbols[ref] for ref in series.labels_refs)] = sample.value
             times.add(sample.timestamp)
-        why = self.fence.admit(duty, int(token))
-        self.pushes.append(Push(int(token), times.pop(), totals, not why))
-        return HTTP_FENCED if why else 200
+        rejected = self.fence.admit(task, int(token))
+        self.pushes.append(Push(int(token), times.pop(), totals, not rejected))
+        return HTTP_FENCED if rejected else 200
 
     @property
     def accepted(self) -> list[Push]:
@@ -101,7 +101,7 @@
 
     def judge(self) -> None:
         seen: list[Push] = self.accepted
-        assert [p.token for p in seen] == sorted(p.token for p in seen), "of two owners, interleaved"
+        assert [p.token for p in seen] == sorted(p.token for p in seen), "of two lease holders, interleaved"
         times = [p.at for p in seen]
         assert times == sorted(set(times)), "twice, or out of order"
         for before, after in pairwise(seen):
@@ -109,8 +109,8 @@
                 assert after.totals[series] >= value, f"{series} fell"
 
 
-class Crew:
-    """A rig with keepers and fronts that all would own the fleet's figures."""
+class TaskFleet:
+    """A rig with replicas and fronts that all offer to push the fleet's figures."""
 
     def __init__(self, r: Rig, receiver: Receiver, caches: list[StubCache]) -> None:
         self.r, self.receiver, self.caches = r, receiver, caches
@@ -124,8 +124,8 @@
         self.fronts.append(name)
         return await self.r.front(name, self.caches, port=port, duties=lines)
 
-    async def owner(self, *but: str) -> str:
-        """Whoever says that it acts on the duty now."""
+    async def holder(self, *but: str) -> str:
+        """Whoever says that it holds the lease now."""
 
         async def found() -> str:
             for name in self.fronts:
@@ -136,27 +136,32 @@
                     return name
             return ""
 
-        return str(await self.r.until("somebody owns the figures", found))
+        return str(await self.r.until("somebody holds the lease", found))
 
     async def more(self, count: int = 3, after: int = 0) -> None:
-        """Waits for so many more pushes that are accepted, under a token above that."""
+        """Waits for so many more accepted pushes under a newer token."""
         wanted = sum(p.token > after for p in self.receiver.accepted) + count
         await self.r.until(
             "pushes go on", lambda: sum(p.token > after for p in self.receiver.accepted) >= wanted
         )
 
-    def left(self) -> list[str]:
-        """Why duties were left, by the keepers' logs."""
+    def vacancies(self) -> list[str]:
+        """Why tasks became vacant, by the replicas' logs."""
         keepers = [p for n, p in self.r.processes.items() if n.startswith("k")]
-        return [line["left"] for p in keepers for line in p.events("duty") if line["left"]]
+        return [
+            line["vacancy_reason"]
+            for p in keepers
+            for line in p.events("task assignment")
+            if line["vacancy_reason"]
+        ]
 
     def newest(self) -> int:
         return self.receiver.tokens()[-1]
 
 
 @contextlib.asynccontextmanager
-async def crew(folder: Path, fronts: int = 3, drift: float = 0.0) -> AsyncIterator[Crew]:
-    """Three keepers, some fronts, traffic at all of them, and an owner that pushes."""
+async def task_fleet(folder: Path, fronts: int = 3, drift: float = 0.0) -> AsyncIterator[TaskFleet]:
+    """Three keepers, some fronts, traffic at all of them, and a lease holder that pushes."""
     async with rig(folder, drift) as r, anyio.create_task_group() as tasks:
         receiver = Receiver()
         # All say the same: where the cache is slow the front goes straight to the parent or the origin.
@@ -168,7 +173,7 @@
         for cache in caches:
             await tasks.start(cache.run)
         await r.keepers(3)
-        c = Crew(r, receiver, caches)
+        c = TaskFleet(r, receiver, caches)
         for n in range(fronts):
             await c.add(f"f{n}")
         Traffic(r, tasks, c.fronts, each=1, pause=0.05)
@@ -179,36 +184,36 @@
 
 
 async def test_one_front_pushes_for_all_and_another_goes_on_when_it_is_killed(tmp_path: Path) -> None:
-    async with crew(tmp_path) as c:
+    async with task_fleet(tmp_path) as c:
         for _ in range(3):  # the successor dies too
             before = c.newest()
-            owner = await c.owner()
-            c.r.processes[owner].kill()
-            with pytest.raises(OSError), socket.create_server(("127.0.0.1", c.r.ports[owner])):
+            holder = await c.holder()
+            c.r.processes[holder].kill()
+            with pytest.raises(OSError), socket.create_server(("127.0.0.1", c.r.ports[holder])):
                 pass  # its clients, who still go there, would take another's bytes for its answers
             await c.more(after=before)
-            assert await c.owner() != owner
-            await c.r.start_front(owner)
+            assert await c.holder() != holder
+            await c.r.start_front(holder)
 
 
-async def test_an_owner_that_slept_past_its_lease_does_no_harm_when_it_wakes(tmp_path: Path) -> None:
-    async with crew(tmp_path) as c:
-        old, before = await c.owner(), c.newest()
+async def test_a_holder_that_slept_past_its_lease_does_no_harm_when_it_wakes(tmp_path: Path) -> None:
+    async with task_fleet(tmp_path) as c:
+        old, before = await c.holder(), c.newest()
         process = c.r.processes[old]
         process.stop()
         await c.more(after=before)
         woken = len(c.receiver.pushes)
         process.go_on()
-        await c.r.until("it has stopped", lambda: process.events("duty ends"))
+        await c.r.until("it has stopped", lambda: process.events("task stopped"))
         await c.more(after=before)
         assert not [p for p in c.receiver.pushes[woken:] if p.token <= before]
 
 
-async def test_a_push_that_lay_in_a_buffer_when_its_lease_ended_is_refused_where_it_arrives(
+async def test_a_push_that_was_buffered_past_its_lease_is_rejected_where_it_arrives(
     tmp_path: Path,
 ) -> None:
-    async with crew(tmp_path) as c:
-        old, before = await c.owner(), c.newest()
+    async with task_fleet(tmp_path) as c:
+        old, before = await c.holder(), c.newest()
         way = c.r.relays[old, "receiver"]
         way.hold("to")
         await c.r.until("a push lies there", lambda: way.waiting)
@@ -221,15 +226,15 @@
         await c.more(after=before)
 
 
-def late(c: Crew, token: int) -> list[Push]:
+def late(c: TaskFleet, token: int) -> list[Push]:
     """Pushes under that token that came after one under a newer."""
     newer = next(n for n, p in enumerate(c.receiver.pushes) if p.token > token)
     return [p for p in c.receiver.pushes[newer:] if p.token <= token]
 
 
-async def test_progress_that_lay_in_a_buffer_is_refused_by_the_log(tmp_path: Path) -> None:
-    async with crew(tmp_path) as c:
-        old, before = await c.owner(), c.newest()
+async def test_a_checkpoint_that_was_buffered_past_its_lease_is_rejected_by_the_log(tmp_path: Path) -> None:
+    async with task_fleet(tmp_path) as c:
+        old, before = await c.holder(), c.newest()
         c.r.cut_front(old, "to")  # all that it says lies there: its askings, and its progress
         await c.more(after=before)
         c.r.cut_front(old)
@@ -242,35 +247,37 @@
 
 
 @pytest.mark.parametrize("ways", [("to",), ("back",), ("to", "back")], ids="-".join)
-async def test_an_owner_that_is_cut_off_stops_and_another_takes_over(
+async def test_a_holder_that_is_cut_off_stops_and_another_takes_over(
     tmp_path: Path, ways: tuple[str, ...]
 ) -> None:
-    async with crew(tmp_path) as c:
-        old, before = await c.owner(), c.newest()
+    async with task_fleet(tmp_path) as c:
+        old, before = await c.holder(), c.newest()
         c.r.cut_front(old, *ways)
         await c.more(after=before)
         c.r.cut_front(old)
-        assert await c.owner(old)
+        assert await c.holder(old)
         await c.more(after=before)
 
 
 @pytest.mark.parametrize("seed", range(2))
-async def test_kills_at_any_moment_lose_no_progress_and_push_nothing_twice(tmp_path: Path, seed: int) -> None:
+async def test_kills_at_any_moment_lose_no_checkpoint_and_push_nothing_twice(
+    tmp_path: Path, seed: int
+) -> None:
     # between keeping and pushing, between pushing and keeping, and anywhere else
     draw = random.Random(seed)
-    async with crew(tmp_path) as c:
+    async with task_fleet(tmp_path) as c:
         for _ in range(4):
-            before, owner = c.newest(), await c.owner()
+            before, holder = c.newest(), await c.holder()
             await anyio.sleep(draw.uniform(0, EVERY))
-            c.r.processes[owner].kill()
-            await c.r.start_front(owner)
+            c.r.processes[holder].kill()
+            await c.r.start_front(holder)
             await c.more(1, after=before)
 
 
-async def test_without_a_majority_nobody_owns_it_and_the_work_goes_on_later(
+async def test_without_a_majority_nobody_holds_the_lease_and_the_task_goes_on_later(
     tmp_path: Path,
 ) -> None:
-    async with crew(tmp_path) as c:
+    async with task_fleet(tmp_path) as c:
         served = c.r.processes["f0"]
         for name in ("k1", "k2"):
             c.r.processes[name].kill()
@@ -279,7 +286,7 @@
             told = [await c.r.told(name, b"STATS\n") for name in c.fronts]
             return all("app.duty_owned=0" in text for text in told)
 
-        await c.r.until("nobody owns it", nobody)
+        await c.r.until("nobody holds the lease", nobody)
         assert await c.r.ready("f0") == "SUCCESS" and served.popen is not None  # fronts go on serving
         stood, totals = len(c.receiver.pushes), c.receiver.accepted[-1].totals
         with pytest.raises((NoAnswer, Open)):
@@ -290,29 +297,29 @@
         assert all(c.receiver.accepted[-1].totals[s] >= v for s, v in totals.items())
 
 
-async def test_clocks_that_jump_and_drift_within_the_bound_make_no_second_owner(tmp_path: Path) -> None:
-    async with crew(tmp_path, drift=0.009) as c:
-        before, owner = c.newest(), await c.owner()
-        c.r.processes[owner].stop()
+async def test_clocks_that_jump_and_drift_within_the_bound_make_no_second_holder(tmp_path: Path) -> None:
+    async with task_fleet(tmp_path, drift=0.009) as c:
+        before, holder = c.newest(), await c.holder()
+        c.r.processes[holder].stop()
         await c.more(after=before)
-        c.r.processes[owner].go_on()
+        c.r.processes[holder].go_on()
         await c.more(after=before)
 
 
-async def test_an_orderly_end_hands_the_work_over_before_the_lease_is_over(tmp_path: Path) -> None:
-    async with crew(tmp_path) as c:
-        before, owner = c.newest(), await c.owner()
-        c.r.processes[owner].send(signal.SIGTERM)
+async def test_an_orderly_end_hands_the_task_over_before_the_lease_expires(tmp_path: Path) -> None:
+    async with task_fleet(tmp_path) as c:
+        before, holder = c.newest(), await c.holder()
+        c.r.processes[holder].send(signal.SIGTERM)
         await c.more(1, after=before)
-        assert c.left()[-1] == f"given back by {owner}"  # so nobody had to wait for its lease
-        assert await c.r.processes[owner].ended() == 0
+        assert c.vacancies()[-1] == f"given back by {holder}"  # so nobody had to wait for its lease
+        assert await c.r.processes[holder].ended() == 0
 
 
-async def test_an_upgrade_leaves_the_work_to_the_new_process_without_a_second_owner(tmp_path: Path) -> None:
-    async with crew(tmp_path, fronts=1) as c:
+async def test_an_upgrade_leaves_the_task_to_the_new_process_without_a_second_holder(tmp_path: Path) -> None:
+    async with task_fleet(tmp_path, fronts=1) as c:
         old = await c.add("up", port=free_port())
         c.r.processes["f0"].kill()
-        assert await c.owner() == "up"
+        assert await c.holder() == "up"
         await c.more()
         before = c.newest()
         new = c.r.processes["up-new"] = Process("up-new", tmp_path / "up-new", [], old.environ)
@@ -321,13 +328,13 @@
         c.fronts.append("up-new")
         old.send(signal.SIGTERM)
         await c.more(1, after=before)
-        assert c.left()[-1] == "given back by up"  # without a gap as long as a lease
+        assert c.vacancies()[-1] == "given back by up"  # without a gap as long as a lease
         assert await old.ended() == 0
-        assert await c.owner() == "up-new"
+        assert await c.holder() == "up-new"
 
 
-async def test_a_restart_of_all_fronts_ends_with_one_owner_that_keeps_it(tmp_path: Path) -> None:
-    async with crew(tmp_path, fronts=5) as c:
+async def test_a_restart_of_all_fronts_ends_with_one_holder_that_keeps_the_task(tmp_path: Path) -> None:
+    async with task_fleet(tmp_path, fronts=5) as c:
         before = c.newest()
         for name in c.fronts:
             c.r.processes[name].kill()
@@ -338,38 +345,38 @@
         assert len([t for t in c.receiver.tokens() if t > before]) == 1
 
 
-def command(c: Crew, *words: str) -> Process:
+def command(c: TaskFleet, *words: str) -> Process:
     places = [f"--at={n}=127.0.0.1:{p}" for n, p in c.r.ports.items() if n.startswith("k")]
     name = f"command-{len(c.r.processes)}"
     folder = c.r.processes["k1"].folder.parent / name
     folder.mkdir()
-    found = c.r.processes[name] = Process(name, folder, ["duties", "--group=test", *places, *words])
+    found = c.r.processes[name] = Process(name, folder, ["tasks", "--group=test", *places, *words])
     found.start()
     return found
 
 
-async def test_commands_show_move_pause_and_resume_a_duty(tmp_path: Path) -> None:
-    async with crew(tmp_path) as c:
+async def test_commands_show_move_pause_and_resume_a_task(tmp_path: Path) -> None:
+    async with task_fleet(tmp_path) as c:
 
         async def said(*words: str, status: int = 0) -> str:
             process = command(c, *words)
             assert await process.ended() == status, process.log_path.read_text()
             return process.log_path.read_text()
 
-        owner = await c.owner()
-        assert f'"owner": "{owner}"' in await said("status", "--json")
+        holder = await c.holder()
+        assert f'"owner": "{holder}"' in await said("status", "--json")
         assert "figures" in await said("status")
-        other = next(n for n in c.fronts if n != owner)
+        other = next(n for n in c.fronts if n != holder)
         await said("move", "figures", other)
-        assert await c.owner(owner) == other
+        assert await c.holder(holder) == other
         await said("pause", "figures")
 
         async def nobody() -> bool:
             return '"owner": ""' in await said("status", "--json")
 
-        await c.r.until("nobody owns it", nobody)
+        await c.r.until("nobody holds the lease", nobody)
         stood = len(c.receiver.pushes)
         assert '"paused": true' in await said("status", "--json")
         await said("resume", "figures")
         await c.r.until("it goes on", lambda: len(c.receiver.pushes) > stood)
-        assert "there is no duty 'nothing'" in await said("pause", "nothing", status=1)
+        assert "there is no task 'nothing'" in await said("pause", "nothing", status=1)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -104,8 +104,8 @@
     added = counter_sums.CounterSums()
     for _ in range(2):  # the first word of a process is where its counting begins
         for n in range(1500):
-            added.told(f"front{n}", "1", {"served": float(len(added.totals))})
-    assert len(added._last) == 1500
+            added.reported(f"front{n}", "1", {"served": float(len(added.totals))})
+    assert len(added._latest) == 1500
 
 
 def test_a_router_knows_600_servers_of_230_fronts() -> None:
--- a/zincladder/cli/tasks.py
+++ b/zincladder/cli/tasks.py
@@ -1,29 +1,38 @@
-"""`zincladder duties`: who does what for the fleet, and who is to."""
+"""`zincladder tasks`: which process runs each singleton task of the fleet, and which one is to."""
 
 from __future__ import annotations
 
 import json
 import sys
 import time
+from dataclasses import dataclass
 from typing import Any
 
 import click
 
 from zincladder.cli.keep import asking, group_options, run_call
 
-Group = tuple[str, dict[str, str]]
+Group = tuple[str, dict[str, str]]  # the group's name, and its replicas' addresses by name
 
 
 @click.group()
 @group_options
 @click.pass_context
 def tasks(context: click.Context, group: Group) -> None:
-    """Work on behalf of the fleet: each duty has one owner at a time."""
+    """Singleton tasks of the fleet: one process at a time runs each."""
     context.obj = group
 
 
-def _found(group: Group) -> tuple[dict[str, Any], dict[str, tuple[Any, int]], dict[str, int]]:
-    """What the leader sees, the duties with their registers' versions, and the sizes of their progress."""
+@dataclass(frozen=True)
+class StoredTasks:
+    """What the group tells of its tasks."""
+
+    leader_view: dict[str, Any]
+    assignments: dict[str, tuple[Any, int]]  # with the versions of their registers
+    checkpoint_sizes: dict[str, int]  # in bytes
+
+
+def _read_tasks(group: Group) -> StoredTasks:
     import msgspec
 
     from zincladder.agreement import calls
@@ -31,109 +40,116 @@
 
     client = asking(group)
 
-    async def both() -> Any:
-        said = await client.ask(calls.Progress())
-        return said, await client.get(TASK_PREFIX), await client.get(CHECKPOINT_PREFIX)
+    async def read() -> Any:
+        reply = await client.ask(calls.Progress())
+        return reply, await client.get(TASK_PREFIX), await client.get(CHECKPOINT_PREFIX)
 
-    said, registers, progress = run_call(both)
-    if not isinstance(said, calls.Told):
-        raise click.ClickException(str(getattr(said, "why", said)))
-    found: dict[str, tuple[Any, int]] = {
-        name.removeprefix(TASK_PREFIX): (
+    reply, registers, checkpoints = run_call(read)
+    if not isinstance(reply, calls.Told):
+        raise click.ClickException(str(getattr(reply, "why", reply)))
+    assignments: dict[str, tuple[Any, int]] = {
+        key.removeprefix(TASK_PREFIX): (
             msgspec.msgpack.decode(value.data, type=TaskAssignment),
             value.version,
         )
-        for name, value in registers.items()
+        for key, value in registers.items()
     }
-    kept = {name.removeprefix(CHECKPOINT_PREFIX): len(value.data) for name, value in progress.items()}
-    seen: dict[str, Any] = json.loads(said.data)
-    return seen, found, kept
+    sizes = {key.removeprefix(CHECKPOINT_PREFIX): len(value.data) for key, value in checkpoints.items()}
+    return StoredTasks(json.loads(reply.data), assignments, sizes)
 
 
 @tasks.command()
 @click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
 @click.pass_obj
 def status(group: Group, as_json: bool) -> None:
-    """Show each duty: owner, token, what is left of the lease. Exits with 1 if one has no owner."""
-    seen, found, kept = _found(group)
-    rows = []
-    for name, (duty, token) in sorted(found.items()):
-        leader = seen.get("duties", {}).get(name, {})
-        rows.append(
-            {
-                "duty": name,
-                "owner": duty.owner,
-                "token": token,
-                "lease_s": leader.get("lease_s", 0.0),
-                "linked": leader.get("linked", False),
-                "since": round(max(0.0, time.time() - duty.at), 1),
-                "progress_bytes": kept.get(name, 0),
-                "paused": duty.paused,
-                "left": duty.left,
-            }
-        )
+    """Show each task: lease holder, token, what is left of the lease. Exits with 1 if one has no holder."""
+    stored = _read_tasks(group)
+    rows = [_row(stored, task) for task in sorted(stored.assignments)]
+    runners = stored.leader_view.get("workers", [])
     if as_json:
-        click.echo(json.dumps({"duties": rows, "workers": seen.get("workers", [])}))
+        click.echo(json.dumps({"duties": rows, "workers": runners}))
     else:
-        _table(group, rows, seen.get("workers", []))
+        _print_table(group, rows, runners)
     sys.exit(1 if any(not row["owner"] and not row["paused"] for row in rows) else 0)
 
 
-def _table(group: Group, rows: list[dict[str, Any]], workers: list[str]) -> None:
+def _row(stored: StoredTasks, task: str) -> dict[str, Any]:
+    """A task's status. Scripts read the keys, so these do not follow the names of fields."""
+    assignment, token = stored.assignments[task]
+    seen = stored.leader_view.get("duties", {}).get(task, {})
+    return {
+        "duty": task,
+        "owner": assignment.lease_holder,
+        "token": token,
+        "lease_s": seen.get("lease_s", 0.0),
+        "linked": seen.get("linked", False),
+        "since": round(max(0.0, time.time() - assignment.changed_at), 1),
+        "progress_bytes": stored.checkpoint_sizes.get(task, 0),
+        "paused": assignment.paused,
+        "left": assignment.vacancy_reason,
+    }
+
+
+def _print_table(group: Group, rows: list[dict[str, Any]], runners: list[str]) -> None:
     from rich.console import Console
     from rich.table import Table
 
-    table = Table(title=f"{group[0]}: {len(workers)} workers")
-    for column in ("duty", "owner", "token", "lease s", "for s", "progress", "note"):
-        table.add_column(column, justify="left" if column in ("duty", "owner", "note") else "right")
+    table = Table(title=f"{group[0]}: {len(runners)} runners")
+    for column in ("task", "holder", "token", "lease s", "for s", "checkpoint", "note"):
+        table.add_column(column, justify="left" if column in ("task", "holder", "note") else "right")
     for row in rows:
         note = "paused" if row["paused"] else row["left"]
         if row["owner"] and not row["linked"]:
-            note = "its owner has no link to the leader"
-        owner = row["owner"] or "nobody"
-        progress = f"{row['progress_bytes']} B"
+            note = "its holder has no link to the leader"
         table.add_row(
-            row["duty"], owner, str(row["token"]), str(row["lease_s"]), str(row["since"]), progress, note
+            row["duty"],
+            row["owner"] or "nobody",
+            str(row["token"]),
+            str(row["lease_s"]),
+            str(row["since"]),
+            f"{row['progress_bytes']} B",
+            note,
         )
     Console().print(table)
 
 
-def _write(group: Group, name: str, **changes: Any) -> None:
-    """Sets a duty's register, without an owner: the leader asks whoever had it to stop, and waits for it."""
+def _write(group: Group, task: str, **changes: Any) -> None:
+    """Takes a task from its holder, which the leader then asks to stop, and waits for."""
     import msgspec
 
     from zincladder.agreement.registers import Swap, Swapped
     from zincladder.tasks.model import task_key
 
-    _, found, _ = _found(group)
-    if name not in found:
-        raise click.ClickException(f"there is no duty {name!r}, only {', '.join(sorted(found)) or 'none'}")
-    duty, version = found[name]
-    fields = {"owner": "", "process": "", "wish": "", "at": time.time()}
-    data = msgspec.msgpack.encode(msgspec.structs.replace(duty, **(fields | changes)))
-    said = run_call(lambda: asking(group).ask(Swap(task_key(name), version, data)))
-    if not isinstance(said, Swapped):
+    assignments = _read_tasks(group).assignments
+    if task not in assignments:
         raise click.ClickException(
-            f"nothing was done: {getattr(said, 'why', 'the duty has changed meanwhile')}"
+            f"there is no task {task!r}, only {', '.join(sorted(assignments)) or 'none'}"
         )
+    assignment, version = assignments[task]
+    vacant = {"lease_holder": "", "process": "", "preferred_runner": "", "changed_at": time.time()}
+    data = msgspec.msgpack.encode(msgspec.structs.replace(assignment, **(vacant | changes)))
+    result = run_call(lambda: asking(group).ask(Swap(task_key(task), version, data)))
+    if not isinstance(result, Swapped):
+        reason = getattr(result, "why", "the task has changed meanwhile")
+        raise click.ClickException(f"nothing was done: {reason}")
 
 
 @tasks.command()
 @click.argument("name")
-@click.argument("worker")
+@click.argument("runner")
 @click.pass_obj
-def move(group: Group, name: str, worker: str) -> None:
-    """Give the duty NAME to WORKER, if it is there and wants it; else to somebody else."""
-    _write(group, name, wish=worker, paused=False, left=f"to be moved to {worker}")
-    click.echo(f"{name} goes to {worker} once its owner has stopped")
+def move(group: Group, name: str, runner: str) -> None:
+    """Give the task NAME to RUNNER, if it is there and offers to run it; else to somebody else."""
+    _write(group, name, preferred_runner=runner, paused=False, vacancy_reason=f"to be moved to {runner}")
+    click.echo(f"{name} goes to {runner} once its holder has stopped")
 
 
 @tasks.command()
 @click.argument("name")
 @click.pass_obj
 def pause(group: Group, name: str) -> None:
-    """Let nobody do the duty NAME until it is resumed. Its progress is kept."""
-    _write(group, name, paused=True, left="paused")
+    """Let nobody run the task NAME until it is resumed. Its checkpoint is kept."""
+    _write(group, name, paused=True, vacancy_reason="paused")
     click.echo(f"{name} is paused")
 
 
@@ -141,6 +157,6 @@
 @click.argument("name")
 @click.pass_obj
 def resume(group: Group, name: str) -> None:
-    """Let somebody do the duty NAME again, from where it stopped."""
-    _write(group, name, paused=False, left="resumed")
+    """Let somebody run the task NAME again, from where it stopped."""
+    _write(group, name, paused=False, vacancy_reason="resumed")
     click.echo(f"{name} goes on")
--- a/zincladder/tasks/__init__.py
+++ b/zincladder/tasks/__init__.py
@@ -1,1 +1,1 @@
-"""Work on behalf of the fleet: one owner at a time, and fences against an owner that wakes up late."""
+"""Singleton tasks: one process of the fleet at a time runs each, and fences reject one that wakes up late."""
--- a/zincladder/tasks/counter_sums.py
+++ b/zincladder/tasks/counter_sums.py
@@ -1,8 +1,9 @@
-"""Counters of many processes as one: sums that only rise, through processes and leaders that go. No I/O.
+"""Counters of many processes as one: sums that only rise, through processes and leaders that end. No I/O.
 
-What is told by a process is a counter since its start. What a leader sums is counted from the first word that
-it hears of each process: what was counted before a leader changed is the former one's, and what came between
-is lost. So nothing is ever counted twice, and a change of leader or owner loses one interval at most.
+A process reports its counters since its start. A leader adds up what grew since the first report that it
+received of each process: what was counted before a change of leader is in the former one's sums, and what
+came between is lost. So nothing is ever counted twice, and a change of leader or lease holder loses one
+interval at most.
 """
 
 from __future__ import annotations
@@ -15,50 +16,59 @@
 
 MAX_SERIES = 4096
 MAX_PROCESSES = 4096  # of 2,048 fronts, each of which has a second one while it is upgraded
-MAX_COUNTERS_PER_PROCESS = 2048  # counters of one process
-MAX_NAME_LENGTH = 200
+MAX_COUNTERS_PER_PROCESS = 2048
+MAX_NAME_LENGTH = 200  # characters of a counter's name
+MAX_COUNTER_VALUE = 1e18
 
 
 class CounterSums:
-    """A leader's: added up from what it is told."""
+    """A leader's sums of what processes have reported in its term."""
 
     def __init__(self) -> None:
         self.totals: Counter[str] = Counter()
-        self._last: dict[tuple[str, str], Mapping[str, float]] = {}
-        self.left_out = 0  # series that there was no room for
+        self._latest: dict[tuple[str, str], Mapping[str, float]] = {}
+        self.dropped = 0  # series for which there was no room
 
-    def told(self, name: str, process: str, counters: Mapping[str, float]) -> None:
-        """All counters of one process, as they stand."""
-        before = self._last.get((name, process))
-        if before is None and len(self._last) >= MAX_PROCESSES:
+    def reported(self, name: str, process: str, counters: Mapping[str, float]) -> None:
+        """Adds what the counters of one process have grown by since its last report."""
+        before = self._latest.get((name, process))
+        if before is None and len(self._latest) >= MAX_PROCESSES:
             return
-        if len(counters) > MAX_COUNTERS_PER_PROCESS:  # names are what a process says they are
-            self.left_out += len(counters) - MAX_COUNTERS_PER_PROCESS
-            counters = dict(list(counters.items())[:MAX_COUNTERS_PER_PROCESS])
-        fit = {k: v for k, v in counters.items() if len(k) <= MAX_NAME_LENGTH and 0.0 <= v < 1e18}
-        self._last[name, process] = fit
-        for series, value in fit.items():
-            grown = value - before.get(series, 0.0) if before is not None else 0.0
+        accepted = self._accepted(counters)
+        self._latest[name, process] = accepted
+        for series, value in accepted.items():
+            growth = value - before.get(series, 0.0) if before is not None else 0.0
             if series not in self.totals and len(self.totals) >= MAX_SERIES:
-                self.left_out += 1
+                self.dropped += 1
             else:
-                self.totals[series] += max(0.0, grown)  # type: ignore[assignment]  # whole or not
+                self.totals[series] += max(0.0, growth)  # type: ignore[assignment]  # Counter is typed as int
+
+    def _accepted(self, counters: Mapping[str, float]) -> dict[str, float]:
+        """Guards the memory and the sums: names and values are a process's own claims."""
+        if len(counters) > MAX_COUNTERS_PER_PROCESS:
+            self.dropped += len(counters) - MAX_COUNTERS_PER_PROCESS
+            counters = dict(list(counters.items())[:MAX_COUNTERS_PER_PROCESS])
+        return {
+            name: value
+            for name, value in counters.items()
+            if len(name) <= MAX_NAME_LENGTH and 0.0 <= value < MAX_COUNTER_VALUE
+        }
 
-    def gone(self, name: str, process: str) -> None:
-        """A process that will tell nothing more on this link; should it come again, it counts from there."""
-        self._last.pop((name, process), None)
+    def forget(self, name: str, process: str) -> None:
+        """A process reports no more on its link; should it connect again, it counts from its first report."""
+        self._latest.pop((name, process), None)
 
 
 class FleetTotals(msgspec.Struct, frozen=True, array_like=True):
-    """An owner's, kept as its progress: whoever follows goes on from them."""
+    """A lease holder's totals, stored as its checkpoint: its successor goes on from them."""
 
     at: int = 0  # Unix milliseconds of the samples that go with them
-    epoch: str = ""  # whose sums were added last
-    seen: dict[str, float] = {}  # those sums, as they stood
+    epoch: str = ""  # of the leader's sums that were added last
+    seen: dict[str, float] = {}  # those sums
     totals: dict[str, float] = {}
 
-    def grown(self, epoch: str, sums: Mapping[str, float], at: int) -> FleetTotals:
-        """With the sums as they stand now; of another epoch they began at 0."""
+    def advanced(self, epoch: str, sums: Mapping[str, float], at: int) -> FleetTotals:
+        """With the growth of a leader's sums; the sums of another epoch began at 0."""
         before = self.seen if epoch == self.epoch else {}
         totals = dict(self.totals)
         for series, value in sums.items():
@@ -68,17 +78,20 @@
 
 
 def encode_totals(totals: FleetTotals) -> bytes:
-    """As progress: names that look alike take little room."""
+    """A checkpoint; compressed, as the names of series are alike."""
     return bytes(cramjam.snappy.compress_raw(msgspec.msgpack.encode(totals)))
 
 
 def decode_totals(data: bytes) -> FleetTotals:
-    """What was packed; nothing yet for no bytes."""
+    """The totals in a checkpoint; empty ones for no bytes."""
     if not data:
         return FleetTotals()
     return msgspec.msgpack.decode(bytes(cramjam.snappy.decompress_raw(data)), type=FleetTotals)
 
 
-def next_sample_at(last: int, now: int, every: int) -> int:
-    """The time of the next samples, ms: even, later than the last whatever a clock that was set says."""
-    return max(now // every * every, last + every)
+def next_sample_at(last: int, now: int, interval: int) -> int:
+    """The time of the next samples in ms: a multiple of the interval, and later than the last.
+
+    Guards the receiver's order of samples against a wall clock that is set back.
+    """
+    return max(now // interval * interval, last + interval)
--- a/zincladder/tasks/fence.py
+++ b/zincladder/tasks/fence.py
@@ -1,7 +1,7 @@
-"""The fence where an owner's effect arrives: whoever has seen a newer owner takes nothing from an older one.
+"""The fence where a lease holder's effect arrives: rejects older tokens than the newest one seen. No I/O.
 
-No I/O. Its host writes what `admit` has raised, and syncs it, before the effect: a fence that forgets over a
-restart would let the old owner in.
+Its host stores what `admit` has raised, and syncs it, before the effect: a fence that forgets over a restart
+would let a former lease holder in.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 
 
 class Fence:
-    """The highest token seen of each duty, at one receiver."""
+    """The highest token seen of each task, at one receiver."""
 
     def __init__(self, highest: Mapping[str, int] | None = None) -> None:
         self.highest = dict(highest or {})
-        self.refused = 0
-
-    def admit(self, duty: str, token: int) -> str:
-        """Empty where an effect under this token may be made, which bars all older ones; else why not."""
-        seen = self.highest.get(duty, 0)
-        if token < seen or token < 1:
-            self.refused += 1
-            return f"duty {duty!r}: token {token} is older than {seen}, which has worked here"
-        if seen == 0 and len(self.highest) >= MAX_TASKS:
-            self.refused += 1
-            return f"{MAX_TASKS} duties at most"
-        self.highest[duty] = token
+        self.rejected = 0
+
+    def admit(self, task: str, token: int) -> str:
+        """Empty where an effect under this token may be made, which bars all older ones; else the reason."""
+        newest = self.highest.get(task, 0)
+        if token < newest or token < 1:
+            self.rejected += 1
+            return f"task {task!r}: token {token} is older than {newest}, which was admitted here"
+        if newest == 0 and len(self.highest) >= MAX_TASKS:
+            self.rejected += 1
+            return f"{MAX_TASKS} tasks at most"
+        self.highest[task] = token
         return ""
--- a/zincladder/tasks/fleet_metrics.py
+++ b/zincladder/tasks/fleet_metrics.py
@@ -1,9 +1,9 @@
-"""The duty 'figures': one owner pushes the sums of all fronts' counters, instead of every front its own.
+"""The singleton task 'figures': one lease holder pushes the sums of all fronts' counters.
 
-Each interval: the sums are taken, kept as the group's progress under the owner's token, then pushed once.
-What was kept and not pushed when an owner went is left out, so no sample goes twice; the next one holds all
-of it. A push that arrives late is still what was true at its time. A receiver that knows fences is told the
-token.
+Each interval the sums are fetched, stored as the checkpoint under the lease holder's token, then pushed once.
+What was stored and not pushed when a lease holder failed is not sent again, so no sample is sent twice; the
+next push has all of it. A push that arrives late is still what was true at its time. A receiver that knows
+fences gets the token.
 """
 
 from __future__ import annotations
@@ -20,72 +20,70 @@
 from zincladder.export.delivery import Outcome
 from zincladder.export.push import FAILED, post
 from zincladder.metrics.registry import Sample
+from zincladder.tasks.context import TaskContext
 from zincladder.tasks.counter_sums import FleetTotals, decode_totals, encode_totals, next_sample_at
-from zincladder.tasks.runner import TaskContext
 
-FENCE_HEADER = (
-    "X-Zincladder-Fence"  # "DUTY TOKEN", for a receiver that remembers the highest token of each duty
-)
-HTTP_FENCED = 409  # what such a receiver answers to an older one
-LIMIT = 5.0  # seconds for one push
+FENCE_HEADER = "X-Zincladder-Fence"  # "TASK TOKEN", for a receiver that remembers the highest token of each
+HTTP_FENCED = 409  # what such a receiver answers to an older token
+PUSH_TIMEOUT_SECONDS = 5.0
 ANSWERS, ATTEMPTS = "zincladder_fleet_class_answers_total", "zincladder_fleet_cache_attempts_total"
+LABELS = {ANSWERS: ("class", "kind"), ATTEMPTS: ("cache", "end")}
 log = structlog.get_logger()
 
 
-def series(name: str, *labels: str) -> str:
-    """A counter's name among those that processes tell: the metric, then its labels' values."""
-    return "\0".join((name, *labels))
+def series(metric: str, *label_values: str) -> str:
+    """A counter's name in reports: the metric, then the values of its labels."""
+    return "\0".join((metric, *label_values))
 
 
 def samples(totals: dict[str, float]) -> list[Sample]:
-    """What is pushed of sums; names that nobody here tells are left out."""
-    found = []
+    """The samples of a push; counters that are not known here are left out."""
+    known = []
     for name, value in sorted(totals.items()):
-        metric, *labels = name.split("\0")
-        if metric == ANSWERS and len(labels) == 2:
-            found.append(Sample(metric, (("class", labels[0]), ("kind", labels[1])), value))
-        elif metric == ATTEMPTS and len(labels) == 2:
-            found.append(Sample(metric, (("cache", labels[0]), ("end", labels[1])), value))
-    return found
+        metric, *label_values = name.split("\0")
+        labels = LABELS.get(metric, ())
+        if labels and len(labels) == len(label_values):
+            known.append(Sample(metric, tuple(zip(labels, label_values, strict=True)), value))
+    return known
 
 
 class FleetMetricsTask:
-    """The work of the duty's owner."""
+    """What the lease holder of the task runs."""
 
-    def __init__(self, config: RemoteWriteConfig, clock: Callable[[], float] = time.time) -> None:
-        self._config, self._clock = config, clock
+    def __init__(self, config: RemoteWriteConfig, wall_clock: Callable[[], float] = time.time) -> None:
+        self._config, self._wall_clock = config, wall_clock
         self.pushed = 0
 
-    async def __call__(self, hand: TaskContext) -> None:
-        """Until it is cancelled, or Lost."""
-        every = int(1000 * self._config.every)
-        version, data = await hand.progress()
+    async def __call__(self, context: TaskContext) -> None:
+        """Runs until it is cancelled. Raises LeaseLostError."""
+        interval_ms = int(1000 * self._config.every)
+        version, data = await context.load_checkpoint()
         totals = decode_totals(data)
         while True:
-            at = next_sample_at(totals.at, int(1000 * self._clock()), every)
-            wait = min(at / 1000 - self._clock(), self._config.every)
+            at = next_sample_at(totals.at, int(1000 * self._wall_clock()), interval_ms)
+            wait = min(at / 1000 - self._wall_clock(), self._config.every)
             await anyio.sleep(max(0.0, wait))
-            sums = await hand.collect()
-            totals = totals.grown(sums.epoch, sums.totals, at)
-            version = await hand.keep(version, encode_totals(totals))
-            await self._push(hand, totals)
-
-    async def _push(self, hand: TaskContext, totals: FleetTotals) -> None:
-        found = samples(totals.totals)
-        if not found:
+            sums = await context.collect()
+            totals = totals.advanced(sums.epoch, sums.totals, at)
+            version = await context.store_checkpoint(version, encode_totals(totals))
+            await self._push(context, totals)
+
+    async def _push(self, context: TaskContext, totals: FleetTotals) -> None:
+        sent = samples(totals.totals)
+        if not sent:
             return
-        payload, _ = messages.batch(found, totals.at, 0)
-        body, kind, said = messages.on_the_wire(payload, self._config.version)
+        payload, _ = messages.batch(sent, totals.at, 0)
+        body, content_type, headers = messages.on_the_wire(payload, self._config.version)
 
         def fence() -> list[tuple[str, str]]:
-            return [(FENCE_HEADER, f"{hand.duty} {hand.token()}")]  # looked at when all awaits are over
+            return [(FENCE_HEADER, f"{context.task} {context.token()}")]  # read after the last await
 
         outcome = Outcome(0)
         try:
-            with anyio.fail_after(LIMIT):
-                outcome = await post(self._config, body, kind, said, fence)
-        except (*FAILED, h11.ProtocolError) as fault:
-            log.info("fleet's figures not pushed", why=str(fault) or type(fault).__name__)
+            with anyio.fail_after(PUSH_TIMEOUT_SECONDS):
+                outcome = await post(self._config, body, content_type, headers, fence)
+        except (*FAILED, h11.ProtocolError) as error:
+            log.info("fleet metrics not pushed", reason=str(error) or type(error).__name__)
         if outcome.status == HTTP_FENCED:
-            hand.fenced("receiver")
+            context.rejected_by_fence("receiver")
         self.pushed += 200 <= outcome.status < 300
--- a/zincladder/tasks/host.py
+++ b/zincladder/tasks/host.py
@@ -1,4 +1,7 @@
-"""The keepers' side of duties: the steward of whoever leads, its writes, the sums of figures. On anyio."""
+"""The replicas' side of singleton tasks: the lease manager of whoever leads, its writes, the fleet's sums.
+
+On anyio.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +15,17 @@
 
 from zincladder.agreement import calls
 from zincladder.agreement.host import Keeper, Undecided
-from zincladder.agreement.leading import AGAIN, Leading
+from zincladder.agreement.leading import AGAIN
 from zincladder.agreement.member import Busy, NotLeader
 from zincladder.agreement.registers import Registers, Swap, Swapped
 from zincladder.agreement.terms import Terms
+from zincladder.leases.service import LeaseService
 from zincladder.links.clocks import boottime
 from zincladder.tasks.counter_sums import CounterSums
-from zincladder.tasks.lease_manager import AssignmentWrite, LeaseManager
+from zincladder.tasks.lease_manager import AssignmentWrite, LeaseManager, LeaseManagerActions
 from zincladder.tasks.model import (
     CHECKPOINT_PREFIX,
     TASK_PREFIX,
-    Elsewhere,
     FromRunner,
     ReportCounters,
     TaskAssignment,
@@ -32,33 +35,37 @@
 log = structlog.get_logger()
 
 
-def duties_of(registers: Registers) -> dict[str, tuple[TaskAssignment, int]]:
-    """Each duty with the version of its register, which is its owner's token."""
+def read_assignments(registers: Registers) -> dict[str, tuple[TaskAssignment, int]]:
+    """Each task's assignment with the version of its register, which is the lease holder's token."""
     return {
-        name.removeprefix(TASK_PREFIX): (
+        key.removeprefix(TASK_PREFIX): (
             msgspec.msgpack.decode(value.data, type=TaskAssignment),
             value.version,
         )
-        for name, value in registers.under(TASK_PREFIX).items()
+        for key, value in registers.under(TASK_PREFIX).items()
     }
 
 
-def fault(swap: Swap) -> str:
-    """Why a caller's swap can't be taken, or nothing: owners are made by the leader, progress by owners."""
+def rejection_reason(swap: Swap) -> str:
+    """Why a caller's write can't be accepted; empty if it can.
+
+    Guards the rule of one lease holder: the leader alone assigns tasks, and only a lease holder stores a
+    checkpoint.
+    """
     if swap.key.startswith(CHECKPOINT_PREFIX) and swap.data is not None:
-        duty = swap.key.removeprefix(CHECKPOINT_PREFIX)
-        return "" if swap.guard and swap.guard.key == task_key(duty) else "progress needs its duty's token"
+        task = swap.key.removeprefix(CHECKPOINT_PREFIX)
+        return "" if swap.guard and swap.guard.key == task_key(task) else "progress needs its duty's token"
     if not swap.key.startswith(TASK_PREFIX):
         return ""
     try:
-        duty_now: TaskAssignment = msgspec.msgpack.decode(swap.data or b"", type=TaskAssignment)
-    except (msgspec.DecodeError, UnicodeDecodeError) as why:
-        return f"no duty: {why}"
-    return "the leader alone names owners" if duty_now.owner else ""
+        assignment: TaskAssignment = msgspec.msgpack.decode(swap.data or b"", type=TaskAssignment)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        return f"no duty: {error}"
+    return "the leader alone names owners" if assignment.lease_holder else ""
 
 
-class TaskLeaderService(Leading[LeaseManager]):
-    """Gives duties to workers while its keeper leads the group."""
+class TaskLeaderService(LeaseService[LeaseManager]):
+    """Assigns singleton tasks while its replica leads the group."""
 
     role = "worker"
     messages = FromRunner
@@ -66,62 +73,71 @@
     def __init__(self, keeper: Keeper, terms: Terms, clock: Callable[[], float] = boottime) -> None:
         super().__init__(keeper, terms, clock)
         self.sums = CounterSums()
-        self._names: dict[int, tuple[str, str]] = {}
-        keeper.faults.append(fault)
+        self._reporters: dict[int, tuple[str, str]] = {}  # names and processes, by the number of the link
+        keeper.faults.append(rejection_reason)
         keeper.collect = self.collect
 
     def begin(self, since: float, term: int) -> LeaseManager:
+        """The lease manager of a new term."""
         self.sums = CounterSums()
         return LeaseManager(self.terms, since, term)
 
-    def elsewhere(self, leader: str) -> Elsewhere:
-        return Elsewhere(leader)
-
     def learn(self, part: LeaseManager) -> None:
-        part.knows(duties_of(self.keeper.registers), self.clock())
-
-    def carry_out(self, part: LeaseManager, tasks: anyio.abc.TaskGroup) -> None:
-        wish = part.take()
-        for number, message in wish.say:
-            self.say(number, message)
-        for take in wish.write:
-            tasks.start_soon(self._write, take, part)
-
-    async def _write(self, take: AssignmentWrite, part: LeaseManager) -> None:
-        value = replace_time(take.value, time.time())
-        swap = Swap(task_key(take.duty), take.expected, msgspec.msgpack.encode(value))
-        open_ones = False
+        """Tells the lease manager what the registers hold."""
+        part.assignments_read(read_assignments(self.keeper.registers), self.clock())
+
+    def begin_writes(
+        self, actions: LeaseManagerActions, part: LeaseManager, tasks: anyio.abc.TaskGroup
+    ) -> None:
+        """Begins the lease manager's writes."""
+        for write in actions.writes:
+            tasks.start_soon(self._write, write, part)
+
+    async def _write(self, write: AssignmentWrite, part: LeaseManager) -> None:
+        # The time of day, which the lease manager doesn't know.
+        assignment = msgspec.structs.replace(write.assignment, changed_at=time.time())
+        swap = Swap(task_key(write.task), write.expected_version, msgspec.msgpack.encode(assignment))
+        undecided = False
         while self.part is part:
             try:
                 result = await self.keeper.swap(swap)
             except Undecided:
-                open_ones = True  # the log keeps their order: what becomes of the next tells of this one too
+                undecided = (
+                    True  # the log keeps their order: the outcome of the next attempt tells of this one
+                )
                 continue
             except (NotLeader, Busy):
                 await anyio.sleep(AGAIN)
-                if open_ones:
+                if undecided:
                     continue
             else:
-                if isinstance(result, Swapped) or open_ones:
-                    log.info("duty", duty=take.duty, owner=value.owner, left=value.left)
+                if isinstance(result, Swapped) or undecided:
+                    log.info(
+                        "task assignment",
+                        task=write.task,
+                        lease_holder=assignment.lease_holder,
+                        vacancy_reason=assignment.vacancy_reason,
+                    )
             self.learns(part)
-            part.wrote(take.duty, self.clock())
+            part.write_ended(write.task, self.clock())
             break
         self.wake()
 
     def hears(self, number: int, message: FromRunner) -> None:
+        """Adds up reported counters."""
         part = self.part
-        if isinstance(message, ReportCounters) and part is not None and number in part.workers:
-            worker = part.workers[number]
-            self._names[number] = (worker.name, worker.process)
-            self.sums.told(worker.name, worker.process, message.counters)
+        if isinstance(message, ReportCounters) and part is not None and number in part.runners:
+            runner = part.runners[number]
+            self._reporters[number] = (runner.name, runner.process)
+            self.sums.reported(runner.name, runner.process, message.counters)
 
     def gone(self, number: int) -> None:
-        if number in self._names:
-            self.sums.gone(*self._names.pop(number))
+        """A link has ended."""
+        if number in self._reporters:
+            self.sums.forget(*self._reporters.pop(number))
 
     def collect(self) -> calls.Collected:
-        """The sums so far, and whose they are: a leader's begin at 0."""
+        """The sums of this leader's term, which begin at 0. Raises Busy before the term has begun here."""
         if self.part is None:  # what was summed in an earlier term would be counted twice
             raise Busy("this keeper has only just begun to lead")
         return calls.Collected(f"{self.keeper.config.name}/{self.part.term}", dict(self.sums.totals))
@@ -129,36 +145,33 @@
     # Questions ------------------------------------------------------------------------------------
 
     def figures(self) -> dict[str, float]:
-        """For those who watch the leader."""
+        """The leader's metrics; empty elsewhere."""
         part = self.part
         if part is None:
             return {}
-        owned = [d for d, _ in part.duties.values() if d.owner]
-        open_ones = [d for d, _ in part.duties.values() if not d.owner and not d.paused]
+        assignments = [assignment for assignment, _ in part.assignments.values()]
+        assigned = [a for a in assignments if a.lease_holder]
+        vacant = [a for a in assignments if not a.lease_holder and not a.paused]
         return {
-            "workers": float(len(part.workers)),
-            "duties": float(len(owned)),
-            "orphans": float(len(open_ones)),
+            "workers": float(len(part.runners)),
+            "duties": float(len(assigned)),
+            "orphans": float(len(vacant)),
         }
 
     def progress(self) -> dict[str, object]:
+        """What `tasks status` shows of the leader's view; empty where this replica doesn't lead."""
         part, now = self.part, self.clock()
         if part is None:
             return {}
-        found = {
-            name: {
-                "owner": duty.owner,
+        tasks = {
+            task: {
+                "owner": assignment.lease_holder,
                 "token": token,
-                "lease_s": round(max(0.0, part.free_at(name) - now), 2),
-                "linked": bool(part.owner_link(name)),
-                "paused": duty.paused,
-                "left": duty.left,
+                "lease_s": round(max(0.0, part.free_at(task) - now), 2),
+                "linked": bool(part.holder_link(task)),
+                "paused": assignment.paused,
+                "left": assignment.vacancy_reason,
             }
-            for name, (duty, token) in part.duties.items()
+            for task, (assignment, token) in part.assignments.items()
         }
-        return {"duties": found, "workers": sorted({w.name for w in part.workers.values()})}
-
-
-def replace_time(duty: TaskAssignment, now: float) -> TaskAssignment:
-    """With the time of day, which the steward doesn't know."""
-    return msgspec.structs.replace(duty, at=now)
+        return {"duties": tasks, "workers": sorted({runner.name for runner in part.runners.values()})}
--- a/zincladder/tasks/lease_holder.py
+++ b/zincladder/tasks/lease_holder.py
@@ -1,7 +1,7 @@
-"""A worker's part: what it owns, and whether it may act on it now. No I/O.
+"""A process's part: which singleton tasks are assigned to it, and whether it may act on one now. No I/O.
 
-Before each effect its host asks `acting`, after the last await before it: a process may have slept for an
-hour between any two lines, and a token that was remembered over an await proves nothing.
+Before each effect its host reads `active_token`, after the last await before the effect: a process may have
+slept for an hour between any two lines, and a token that was remembered over an await proves nothing.
 """
 
 from __future__ import annotations
@@ -9,9 +9,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from zincladder.leases.model import NotLeaderReply
+from zincladder.leases.renewals import RenewalSchedule
 from zincladder.tasks.model import (
     Assigned,
-    Elsewhere,
     FromLeaseManager,
     FromRunner,
     LeaseGranted,
@@ -21,157 +22,153 @@
     Revoke,
 )
 
-RENEW = 1.0  # seconds, until the first lease says how often
-IDLE = 5  # times as long between two askings of one that owns nothing
-MAX_PENDING_RENEWALS = 16  # askings whose answers may still come
+IDLE_FACTOR = 5  # times as long between two renewals of a process without an assignment
 
 
 @dataclass(slots=True)
 class HeldLease:
-    """A duty of which this process was told that it is the owner."""
+    """The lease on a task that is assigned to this process."""
 
     token: int
-    until: float = -float("inf")  # when this process stops relying on it
-    since: int = 0  # askings up to here do not count for it
+    expires_at: float = -float("inf")
+    assigned_after_serial: int = 0  # requests up to this serial did not name the assignment
 
 
 @dataclass(slots=True)
-class Wish:
-    """What the host is to do: say these; begin or end work on these duties."""
+class LeaseHolderActions:
+    """What the host is to do: send these messages, and begin or end running these tasks."""
 
-    say: list[FromRunner] = field(default_factory=list)
+    messages: list[FromRunner] = field(default_factory=list)
     begin: list[str] = field(default_factory=list)
     end: list[str] = field(default_factory=list)
 
 
 class LeaseHolder:
-    """One process. Times are of a clock that goes on while the process or the machine sleeps."""
+    """One process. Times are of a clock that runs on while the process or the machine sleeps."""
 
-    def __init__(self, wants: Iterable[str], now: float) -> None:
-        self.wants = tuple(sorted(wants))
-        self.held: dict[str, HeldLease] = {}
+    def __init__(self, offered: Iterable[str], now: float) -> None:
+        self.offered = tuple(sorted(offered))
+        self.held: dict[str, HeldLease] = {}  # by task
         self.linked = False
-        self.renew = RENEW
-        self._serial = 0
-        self._asked: dict[int, float] = {}
-        self._renew_at = now
-        self._working: set[str] = set()
-        self._wish = Wish()
+        self.renewals = RenewalSchedule(now)
+        self._running: set[str] = set()
+        self._actions = LeaseHolderActions()
 
     # Before each effect ---------------------------------------------------------------------------
 
-    def acting(self, duty: str, now: float) -> int:
-        """The token under which to act on a duty at this moment; 0: not at all."""
-        held = self.held.get(duty)
-        return held.token if held is not None and now < held.until else 0
+    def active_token(self, task: str, now: float) -> int:
+        """The token under which to act on a task at this moment; 0: not at all."""
+        lease = self.held.get(task)
+        return lease.token if lease is not None and now < lease.expires_at else 0
 
-    def left(self, duty: str, now: float) -> float:
-        """Seconds for which this process relies on its lease."""
-        held = self.held.get(duty)
-        return max(0.0, held.until - now) if held else 0.0
+    def lease_seconds_left(self, task: str, now: float) -> float:
+        """How long this process may rely on its lease."""
+        lease = self.held.get(task)
+        return max(0.0, lease.expires_at - now) if lease else 0.0
 
     @property
-    def between(self) -> float:
-        """Seconds between two askings."""
-        return self.renew * (1 if self.held else IDLE)
+    def renewal_interval_seconds(self) -> float:
+        """Between two renewals."""
+        return self.renewals.interval_seconds * (1 if self.held else IDLE_FACTOR)
 
     # Events ---------------------------------------------------------------------------------------
 
     @property
     def next_at(self) -> float:
         """When `tick` is due."""
-        ends = [h.until for d, h in self.held.items() if d in self._working]
-        return min(self._renew_at if self.linked else float("inf"), *ends, float("inf"))
+        expiries = [lease.expires_at for task, lease in self.held.items() if task in self._running]
+        return min(self.renewals.next_at if self.linked else float("inf"), *expiries, float("inf"))
 
     def link(self, up: bool, now: float) -> None:
-        """The link to the leading keeper is there, or gone with all that was said on it."""
-        self.linked, self._renew_at = up, now
-        self._wish.say.clear()
+        """The link to the leader is up, or is down with all messages under way on it."""
+        self.linked, self.renewals.next_at = up, now
+        self._actions.messages.clear()
         if up:
-            self._wish.say.append(Offer(self.wants))
+            self._send(Offer(self.offered))
         self.tick(now)
 
     def tick(self, now: float) -> None:
-        """Asks for the leases anew when it is time, and ends work whose lease has run out."""
-        for duty, held in self.held.items():
-            if duty in self._working and now >= held.until:
-                self._stop_work(duty)  # it goes on with a new lease, if this process still is the owner
-        if self.linked and now >= self._renew_at:
+        """Renews the leases when that is due, and ends tasks whose lease has expired."""
+        for task, lease in self.held.items():
+            if task in self._running and now >= lease.expires_at:
+                self._end_running(task)  # begun again with a new lease, if it is still assigned
+        if self.linked and now >= self.renewals.next_at:
             self._renew(now)
 
+    def _send(self, message: FromRunner) -> None:
+        self._actions.messages.append(message)
+
     def _renew(self, now: float) -> None:
-        self._renew_at = now + self.between
-        self._serial += 1
-        self._asked[self._serial] = now
-        while len(self._asked) > MAX_PENDING_RENEWALS:
-            del self._asked[min(self._asked)]
-        self._wish.say.append(
-            RenewLease(self._serial, tuple((d, h.token) for d, h in sorted(self.held.items())))
-        )
+        serial = self.renewals.request(now, self.renewal_interval_seconds)
+        assigned = tuple((task, lease.token) for task, lease in sorted(self.held.items()))
+        self._send(RenewLease(serial, assigned))
 
     def heard(self, message: FromLeaseManager, now: float) -> None:
-        """What a keeper said."""
+        """Takes a message of the leader."""
         match message:
-            case Assigned(duty, token):
-                held = self.held.get(duty)
-                if duty in self.wants and (held is None or held.token < token):
-                    self._lose(duty)
-                    self.held[duty] = HeldLease(token, since=self._serial)
-                    self._renew(now)
+            case Assigned(task, token):
+                self._assigned(task, token, now)
             case LeaseGranted():
-                self._lent(message, now)
-            case Revoke(duty, token):
-                held = self.held.get(duty)
-                if held is None or held.token <= token:
-                    self.give_back(duty, token)
-            case Elsewhere():
-                pass  # the host goes there
-
-    def _lent(self, lent: LeaseGranted, now: float) -> None:
-        asked = self._asked.pop(lent.serial, None)
-        if asked is None:
+                self._granted(message, now)
+            case Revoke(task, token):
+                lease = self.held.get(task)
+                if lease is None or lease.token <= token:
+                    self.release(task, token)
+            case NotLeaderReply():
+                pass  # the host connects to the leader
+
+    def _assigned(self, task: str, token: int, now: float) -> None:
+        lease = self.held.get(task)
+        if task in self.offered and (lease is None or lease.token < token):
+            self._drop(task)
+            self.held[task] = HeldLease(token, assigned_after_serial=self.renewals.serial)
+            self._renew(now)
+
+    def _granted(self, granted: LeaseGranted, now: float) -> None:
+        requested_at = self.renewals.answered(granted.serial)
+        if requested_at is None:
             return
-        self.renew = lent.renew
-        self._renew_at = min(self._renew_at, now + self.between)
-        granted, until = dict(lent.held), asked + lent.believed
-        for duty, held in list(self.held.items()):
-            if held.since >= lent.serial:
-                continue  # it was not asked for then
-            if granted.get(duty) != held.token:
-                self._lose(duty)
-            elif until > held.until:
-                held.until = until
-                if now < until and duty not in self._working:
-                    self._working.add(duty)
-                    self._wish.begin.append(duty)
-
-    def _stop_work(self, duty: str) -> None:
-        if duty in self._working:
-            self._working.discard(duty)
-            self._wish.end.append(duty)
-
-    def _lose(self, duty: str) -> None:
-        self._stop_work(duty)
-        self.held.pop(duty, None)
-
-    # What the host wishes -------------------------------------------------------------------------
-
-    def give_back(self, duty: str, token: int | None = None) -> None:
-        """Does no more of it: somebody else may begin at once."""
-        held = self.held.get(duty)
-        token = held.token if held is not None and token is None else token
-        self._lose(duty)
+        self.renewals.interval_seconds = granted.renew_seconds
+        self.renewals.bring_forward(now + self.renewal_interval_seconds)
+        tokens, expires_at = dict(granted.granted), requested_at + granted.valid_seconds
+        for task, lease in list(self.held.items()):
+            if lease.assigned_after_serial >= granted.serial:
+                continue  # the request did not name it
+            if tokens.get(task) != lease.token:
+                self._drop(task)
+            elif expires_at > lease.expires_at:
+                lease.expires_at = expires_at
+                if now < expires_at and task not in self._running:
+                    self._running.add(task)
+                    self._actions.begin.append(task)
+
+    def _end_running(self, task: str) -> None:
+        if task in self._running:
+            self._running.discard(task)
+            self._actions.end.append(task)
+
+    def _drop(self, task: str) -> None:
+        self._end_running(task)
+        self.held.pop(task, None)
+
+    # Requests of the host -------------------------------------------------------------------------
+
+    def release(self, task: str, token: int | None = None) -> None:
+        """Ends a task and releases its lease: another process may begin at once."""
+        lease = self.held.get(task)
+        token = lease.token if lease is not None and token is None else token
+        self._drop(task)
         if token is not None:
-            self._wish.say.append(ReleaseLease(duty, token))
+            self._send(ReleaseLease(task, token))
 
     def leave(self) -> None:
-        """An orderly end: takes nothing more and gives all back."""
-        self.wants = ()
-        self._wish.say.append(Offer(()))
-        for duty in sorted(self.held):
-            self.give_back(duty)
+        """An orderly end: offers nothing more and releases every lease."""
+        self.offered = ()
+        self._send(Offer(()))
+        for task in sorted(self.held):
+            self.release(task)
 
-    def take(self) -> Wish:
+    def take_actions(self) -> LeaseHolderActions:
         """What is to be done since the last time."""
-        wish, self._wish = self._wish, Wish()
-        return wish
+        actions, self._actions = self._actions, LeaseHolderActions()
+        return actions
--- a/zincladder/tasks/lease_manager.py
+++ b/zincladder/tasks/lease_manager.py
@@ -1,14 +1,13 @@
-"""The leading keeper's part: who owns which duty. No I/O.
+"""The leader's part: assigns singleton tasks to runners, and grants leases on them. No I/O.
 
-Who owns a duty is in the group's registers, by compare and swap. Leases are in this keeper's memory:
-whoever comes to lead waits out what its predecessor may have granted before it gives a duty to anybody
-else. The owner itself goes on meanwhile. Every message that is handed in was followed by a confirmation
-that this one leads.
+Assignments are in the group's registers, which change by compare and swap. Leases are in this replica's
+memory: a new leader waits until all that its predecessor may have granted have expired before it assigns a
+task to anybody else. The lease holder itself goes on meanwhile. Every message handed in was followed by a
+confirmation that this replica leads.
 """
 
 from __future__ import annotations
 
-import hashlib
 import math
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -29,216 +28,234 @@
     Revoke,
     TaskAssignment,
 )
+from zincladder.tasks.runner_selection import LinkedRunner, choose_runner
 
 
-@dataclass(slots=True)
-class LinkedRunner:
-    """A process that has a link to this keeper."""
+@dataclass(frozen=True, slots=True)
+class TaskLease:
+    """Under which token, and until when, a process may act on a task."""
 
-    name: str
-    process: str
-    wants: frozenset[str] = frozenset()
-    lapsed: bool = False  # it let a lease run out and has said nothing since
+    token: int
+    expires_at: float
+
+
+@dataclass(frozen=True, slots=True)
+class Announcement:
+    """When, and on which link, a runner was told of its assignment under a token."""
+
+    token: int
+    link: int
+    sent_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class AssignmentWrite:
-    """A duty's register is to change, from the version that was seen."""
+    """A task's register is to be replaced, if it still has the expected version."""
 
-    duty: str
-    expected: int
-    value: TaskAssignment
+    task: str
+    expected_version: int
+    assignment: TaskAssignment
 
 
 @dataclass(slots=True)
-class Wish:
+class LeaseManagerActions:
     """What the host is to do."""
 
-    say: list[tuple[int, FromLeaseManager]] = field(default_factory=list)  # to a link
-    write: list[AssignmentWrite] = field(default_factory=list)
+    messages: list[tuple[int, FromLeaseManager]] = field(default_factory=list)  # with the number of the link
+    writes: list[AssignmentWrite] = field(default_factory=list)
+
+
+NEVER_ASSIGNED = (TaskAssignment(), 0)  # an assignment and the version of its register, which is the token
 
 
 class LeaseManager:
-    """While one keeper leads. Made anew at each election."""
+    """Decides for one leader in one term."""
 
     def __init__(self, terms: Terms, now: float, term: int = 0) -> None:
         self.terms, self.term = terms, term
-        self.workers: dict[int, LinkedRunner] = {}
-        self.duties: dict[str, tuple[TaskAssignment, int]] = {}  # with the version of the register
-        self.known = False
-        # Who may act on a duty, by token, and until when: its owner, or the one that it was taken from.
-        self.lent: dict[str, tuple[int, float]] = {}
-        self._unknown = now + terms.waited  # what a predecessor lent
-        self._told: dict[str, tuple[int, int, float]] = {}  # token, link and time at which an owner was told
-        self._writing: set[str] = set()
-        self._looked = now  # when all duties were gone through last
-        self._wish = Wish()
+        self.runners: dict[int, LinkedRunner] = {}  # by the number of the link
+        self.assignments: dict[str, tuple[TaskAssignment, int]] = {}  # by task, with the token
+        self.known = False  # whether the registers have been read in this term
+        self.leases: dict[str, TaskLease] = {}  # of the present or the last lease holder, by task
+        self._former_leases_expire_at = now + terms.waited  # what a predecessor may have granted
+        self._announced: dict[str, Announcement] = {}  # by task
+        self._pending_writes: set[str] = set()  # tasks
+        self._last_advanced_at = now
+        self._actions = LeaseManagerActions()
 
     # Questions ------------------------------------------------------------------------------------
 
-    def free_at(self, duty: str) -> float:
-        """When nobody can act on a duty any more, unless its owner renews."""
-        return self.lent.get(duty, (0, self._unknown))[1]
+    def free_at(self, task: str) -> float:
+        """When nobody can act on a task any more, unless its lease is renewed."""
+        lease = self.leases.get(task)
+        return lease.expires_at if lease else self._former_leases_expire_at
+
+    def assignment(self, task: str) -> tuple[TaskAssignment, int]:
+        """A task's assignment and its token."""
+        return self.assignments.get(task, NEVER_ASSIGNED)
 
-    def wanted(self) -> set[str]:
-        return {duty for worker in self.workers.values() for duty in worker.wants}
+    def _tasks(self) -> set[str]:
+        offered = {task for runner in self.runners.values() for task in runner.offered}
+        return offered | self.assignments.keys()
 
     @property
     def next_at(self) -> float:
         """When `tick` is due."""
-        again = [at + self.terms.renew for _, _, at in self._told.values()]
-        waits = [self.free_at(d) for d in self.wanted() | self.duties.keys() if d not in self._writing]
-        return min((t for t in (*waits, *again) if t > self._looked), default=math.inf)
+        moments = [self.free_at(task) for task in self._tasks() if task not in self._pending_writes]
+        moments += [announced.sent_at + self.terms.renew for announced in self._announced.values()]
+        return min((moment for moment in moments if moment > self._last_advanced_at), default=math.inf)
 
-    def owner_link(self, duty: str) -> int:
-        """The latest link of a duty's owner, as an older one may be dead unheard; 0 if there is none."""
-        found = self.duties.get(duty, (TaskAssignment(), 0))[0]
-        return max((n for n, worker in self.workers.items() if owns(worker, found)), default=0)
+    def holder_link(self, task: str) -> int:
+        """The latest link of a task's lease holder, as an older one may be dead unnoticed; 0 without a
+        link.
+        """
+        assignment, _ = self.assignment(task)
+        links = (number for number, runner in self.runners.items() if runner.holds(assignment))
+        return max(links, default=0)
 
     # Registers ------------------------------------------------------------------------------------
 
-    def knows(self, tasks: Mapping[str, tuple[TaskAssignment, int]], now: float) -> None:
-        """The duties as they stand, with the versions of their registers."""
-        for name, (duty, token) in tasks.items():
-            before, old = self.duties.get(name, (TaskAssignment(), 0))
-            if not self.known or old == token:
+    def assignments_read(self, assignments: Mapping[str, tuple[TaskAssignment, int]], now: float) -> None:
+        """Takes over what the registers hold, with their versions."""
+        for task, (assignment, token) in assignments.items():
+            before, token_before = self.assignment(task)
+            if not self.known or token_before == token:
                 continue
-            for number, worker in self.workers.items():
-                if owns(worker, before):  # moved or paused by a command, or its lease ran out
-                    self._wish.say.append((number, Revoke(name, old)))
-            if duty.owner:
-                self.lent[name] = (token, now + self.terms.waited)
-        self.duties, self.known = dict(tasks), True
-        self._go_on(now)
-
-    def wrote(self, duty: str, now: float) -> None:
-        """What was to be written of a duty has been decided, or will never be.
-
-        Until then nobody gets a lease on it: whom it is taken from would have one past its successor's turn.
+            for number, runner in self.runners.items():
+                if runner.holds(before):  # moved or paused by a command, or its lease has expired
+                    self._send(number, Revoke(task, token_before))
+            if assignment.lease_holder:
+                self.leases[task] = TaskLease(token, now + self.terms.waited)
+        self.assignments, self.known = dict(assignments), True
+        self._advance(now)
+
+    def write_ended(self, task: str, now: float) -> None:
+        """A write of a task's assignment has succeeded, or never will.
+
+        Until then nobody gets a lease on the task: its former holder could otherwise renew one past the
+        moment at which its successor may act.
         """
-        self._writing.discard(duty)
-        self._go_on(now)
+        self._pending_writes.discard(task)
+        self._advance(now)
+
+    def _write(self, task: str, assignment: TaskAssignment) -> None:
+        self._pending_writes.add(task)
+        _, version = self.assignment(task)
+        self._actions.writes.append(AssignmentWrite(task, version, assignment))
 
-    # Workers --------------------------------------------------------------------------------------
+    # Runners --------------------------------------------------------------------------------------
 
     def linked(self, number: int, name: str, process: str, now: float) -> str:
-        """A worker has come; why it can't take part, or nothing."""
-        if len(self.workers) >= MAX_RUNNERS:
-            return f"{MAX_RUNNERS} workers at most"
-        self.workers[number] = LinkedRunner(name, process)
+        """A runner has connected; the reason why it can't take part, or nothing."""
+        if len(self.runners) >= MAX_RUNNERS:
+            return f"{MAX_RUNNERS} runners at most"
+        self.runners[number] = LinkedRunner(name, process)
         return ""
 
     def unlinked(self, number: int, now: float) -> None:
-        """Its link is gone. Whether it is, nobody knows: its leases run on."""
-        self.workers.pop(number, None)
-        self._go_on(now)
+        """A link is gone. The runner may be alive all the same: its leases run on."""
+        self.runners.pop(number, None)
+        self._advance(now)
 
     def heard(self, number: int, message: FromRunner, now: float) -> None:
-        """What a worker said, before a moment at which this keeper was confirmed to lead."""
-        worker = self.workers.get(number)
-        if worker is None:
+        """Takes a runner's message, received before a moment at which this replica was confirmed to lead."""
+        runner = self.runners.get(number)
+        if runner is None:
             return
-        worker.lapsed = False
+        runner.lapsed = False
         match message:
             case Offer(tasks):
-                worker.wants = frozenset(d for d in tasks[:MAX_TASKS] if 0 < len(d) <= MAX_NAME_LENGTH)
-            case RenewLease(serial, asked):
-                self._lend(number, worker, serial, asked, now)
-            case ReleaseLease(duty, token):
-                self._given_back(worker, duty, token, now)
+                named = (task for task in tasks[:MAX_TASKS] if 0 < len(task) <= MAX_NAME_LENGTH)
+                runner.offered = frozenset(named)
+            case RenewLease():
+                self._renewal_requested(number, runner, message, now)
+            case ReleaseLease(task, token):
+                self._released(runner, task, token, now)
             case ReportCounters():
-                pass  # the host's
-        self._go_on(now)
-
-    def _given_back(self, worker: LinkedRunner, duty: str, token: int, now: float) -> None:
-        found, standing = self.duties.get(duty, (TaskAssignment(), 0))
-        if token == standing and owns(worker, found):
-            # Nobody else can hold a lease: this token was given when all older ones had run out.
-            self.lent[duty] = (token, now)
-            if duty not in self._writing:
-                self._write(duty, TaskAssignment(at=found.at, left=f"given back by {worker.name}"))
-        elif duty in self.lent and token == self.lent[duty][0]:
-            self.lent[duty] = (token, now)  # from whom a command took it, and who has stopped now
-
-    def _lend(
-        self, number: int, worker: LinkedRunner, serial: int, asked: tuple[tuple[str, int], ...], now: float
-    ) -> None:
-        granted = []
-        for duty, token in asked[:MAX_TASKS]:
-            found, standing = self.duties.get(duty, (TaskAssignment(), 0))
-            if owns(worker, found) and token == standing and duty not in self._writing:
-                self.lent[duty] = (token, max(self.free_at(duty), now + self.terms.waited))
-                granted.append((duty, token))
-        lent = LeaseGranted(serial, tuple(granted), self.terms.owned, self.terms.renew)
-        self._wish.say.append((number, lent))
+                pass  # the host adds them up
+        self._advance(now)
 
-    # Duties ---------------------------------------------------------------------------------------
+    def _send(self, number: int, message: FromLeaseManager) -> None:
+        self._actions.messages.append((number, message))
 
-    def tick(self, now: float) -> None:
-        self._go_on(now)
+    def _renewal_requested(self, number: int, runner: LinkedRunner, request: RenewLease, now: float) -> None:
+        granted = []
+        for task, token in request.assigned[:MAX_TASKS]:
+            assignment, current_token = self.assignment(task)
+            valid = runner.holds(assignment) and token == current_token
+            if valid and task not in self._pending_writes:
+                expires_at = max(self.free_at(task), now + self.terms.waited)
+                self.leases[task] = TaskLease(token, expires_at)
+                granted.append((task, token))
+        lease = LeaseGranted(request.serial, tuple(granted), self.terms.owned, self.terms.renew)
+        self._send(number, lease)
+
+    def _released(self, runner: LinkedRunner, task: str, token: int, now: float) -> None:
+        assignment, current_token = self.assignment(task)
+        lease = self.leases.get(task)
+        if token == current_token and runner.holds(assignment):
+            # Nobody else can hold a lease: the token was given when all older leases had expired.
+            self.leases[task] = TaskLease(token, now)
+            if task not in self._pending_writes:
+                vacancy = f"given back by {runner.name}"
+                self._write(task, TaskAssignment(changed_at=assignment.changed_at, vacancy_reason=vacancy))
+        elif lease is not None and token == lease.token:
+            self.leases[task] = TaskLease(token, now)  # by whom a command took it from
+
+    # Assignments ----------------------------------------------------------------------------------
 
-    def _write(self, duty: str, value: TaskAssignment) -> None:
-        self._writing.add(duty)
-        self._wish.write.append(AssignmentWrite(duty, self.duties.get(duty, (TaskAssignment(), 0))[1], value))
+    def tick(self, now: float) -> None:
+        """Takes the steps that are due."""
+        self._advance(now)
 
-    def _go_on(self, now: float) -> None:
-        """Tells owners what is theirs, and gives what nobody can act on any more to somebody."""
-        self._looked = now
+    def _advance(self, now: float) -> None:
+        """Announces assignments to their holders, and assigns what nobody can act on any more."""
+        self._last_advanced_at = now
         if not self.known:
             return
-        self._told = {name: told for name, told in self._told.items() if name in self.duties}
-        for name in sorted(self.wanted() | self.duties.keys()):
-            duty, token = self.duties.get(name, (TaskAssignment(), 0))
-            if name in self._writing or duty.paused:
-                self._told.pop(name, None)
-                continue
-            number = self.owner_link(name)
-            self._tell(name, number, token, now)
-            if now < self.free_at(name):
+        self._announced = {
+            task: announced for task, announced in self._announced.items() if task in self.assignments
+        }
+        for task in sorted(self._tasks()):
+            assignment, token = self.assignment(task)
+            if task in self._pending_writes or assignment.paused:
+                self._announced.pop(task, None)
                 continue
-            if name not in self.duties and len(self.duties) + len(self._writing) >= MAX_TASKS:
-                continue
-            chosen = self._chosen(name, duty, number)
-            if chosen is not None:
-                if number:
-                    self.workers[number].lapsed = True
-                self._write(name, TaskAssignment(chosen.name, chosen.process, now))
-            elif duty.owner and not number:
-                self._write(name, TaskAssignment(at=now, left=f"{duty.owner} is gone"))
-
-    def _tell(self, name: str, number: int, token: int, now: float) -> None:
-        """Its owner is told, and again while it doesn't ask for a lease."""
+            number = self.holder_link(task)
+            self._announce(task, number, token, now)
+            if now >= self.free_at(task):
+                self._reassign(task, assignment, number, now)
+
+    def _announce(self, task: str, number: int, token: int, now: float) -> None:
+        """Tells the holder of its assignment, and tells it again while it requests no lease."""
         if not number:
-            self._told.pop(name, None)
+            self._announced.pop(task, None)
             return
-        told, link, at = self._told.get(name, (0, 0, 0.0))
-        again = at + self.terms.renew <= now
-        if (told, link) != (token, number) or (again and now >= self.free_at(name)):
-            self._wish.say.append((number, Assigned(name, token)))
-        if (told, link) != (token, number) or again:
-            self._told[name] = (token, number, now)
-
-    def _chosen(self, name: str, duty: TaskAssignment, but: int) -> LinkedRunner | None:
-        """Whoever was wished for; else the one with the fewest duties, and among these by lot.
-
-        The lot is drawn from the names alone: all keepers draw the same one, and it spreads duties.
-        """
-        owned = [(d.owner, d.process) for d, _ in self.duties.values() if d.owner]
-        owned += [(t.value.owner, t.value.process) for t in self._wish.write if t.value.owner]
-
-        def order(worker: LinkedRunner) -> tuple[bool, bool, int, bytes]:
-            lot = hashlib.sha256(f"{name}\0{worker.name}\0{worker.process}".encode()).digest()
-            many = owned.count((worker.name, worker.process))
-            return (worker.lapsed, worker.name != duty.wish, many, lot)
-
-        found = [w for n, w in self.workers.items() if name in w.wants and n != but]
-        return min(found, key=order, default=None)
-
-    def take(self) -> Wish:
+        announced = self._announced.get(task, Announcement(0, 0, 0.0))
+        is_new = (announced.token, announced.link) != (token, number)
+        is_due = announced.sent_at + self.terms.renew <= now
+        if is_new or (is_due and now >= self.free_at(task)):
+            self._send(number, Assigned(task, token))
+        if is_new or is_due:
+            self._announced[task] = Announcement(token, number, now)
+
+    def _reassign(self, task: str, assignment: TaskAssignment, holder_link: int, now: float) -> None:
+        """Assigns a task without a valid lease to another runner, or to nobody if its holder is gone."""
+        if task not in self.assignments and len(self.assignments) + len(self._pending_writes) >= MAX_TASKS:
+            return
+        others = [runner for number, runner in self.runners.items() if number != holder_link]
+        assigned = [current for current, _ in self.assignments.values()]
+        assigned += [write.assignment for write in self._actions.writes]
+        chosen = choose_runner(task, assignment.preferred_runner, others, assigned)
+        if chosen is not None:
+            if holder_link:
+                self.runners[holder_link].lapsed = True
+            self._write(task, TaskAssignment(chosen.name, chosen.process, now))
+        elif assignment.lease_holder and not holder_link:
+            vacancy = f"{assignment.lease_holder} is gone"
+            self._write(task, TaskAssignment(changed_at=now, vacancy_reason=vacancy))
+
+    def take_actions(self) -> LeaseManagerActions:
         """What is to be done since the last time."""
-        wish, self._wish = self._wish, Wish()
-        return wish
-
-
-def owns(worker: LinkedRunner, duty: TaskAssignment) -> bool:
-    return bool(duty.owner) and (worker.name, worker.process) == (duty.owner, duty.process)
+        actions, self._actions = self._actions, LeaseManagerActions()
+        return actions
--- a/zincladder/tasks/model.py
+++ b/zincladder/tasks/model.py
@@ -1,8 +1,10 @@
-"""What a duty is, and what workers and keepers say to each other about it. Shapes only; times in seconds.
+"""Types of a singleton task, and of the messages between task runners and the lease manager.
 
-A duty is a piece of work that at most one process of the fleet does. The register `duty/NAME` names its
-owner; the version of that register is the owner's fencing token: it is the place of the entry that made it
-the owner in the group's log, so it only rises and is never given twice, whatever becomes of a keeper.
+A singleton task is run by at most one process of the fleet. The register `duty/NAME` names its lease
+holder. The version of that register is the holder's fencing token: the index of the log entry that assigned
+the task, so it only rises and is never given twice, whatever becomes of a replica. The structs are arrays
+on the wire and in the registers: the order of their fields and their tags stay as they are. Spans in
+seconds.
 """
 
 from __future__ import annotations
@@ -10,99 +12,99 @@
 import msgspec
 
 from zincladder.agreement.registers import Guard, Swap
+from zincladder.leases.model import NotLeaderReply
 
-TASK_PREFIX = "duty/"
-CHECKPOINT_PREFIX = "progress/"  # what an owner has done, kept for whoever follows
+TASK_PREFIX = "duty/"  # registers of the assignments, by task
+CHECKPOINT_PREFIX = "progress/"  # registers of what a lease holder stores for its successors, by task
 MAX_TASKS = 64
 MAX_RUNNERS = 2048
-MAX_NAME_LENGTH = 40
+MAX_NAME_LENGTH = 40  # characters of a task's name
 
 
 class TaskAssignment(msgspec.Struct, frozen=True, array_like=True):
-    """The register's value. No owner: it was given back, moved, or never taken."""
+    """The value of a task's register.
 
-    owner: str = ""  # the worker's name
+    Without a lease holder the task was released, moved, or never assigned.
+    """
+
+    lease_holder: str = ""  # the runner's name
     process: str = ""  # and which of its processes
-    at: float = 0.0  # Unix time at which it was taken or left
-    paused: bool = False  # nobody is to take it
-    wish: str = ""  # the worker that is to take it next, if it wants to
-    left: str = ""  # why nobody owns it
+    changed_at: float = 0.0  # Unix time
+    paused: bool = False  # to be assigned to nobody
+    preferred_runner: str = ""  # is assigned it next, if it offers to run it
+    vacancy_reason: str = ""  # why there is no lease holder
 
 
-def task_key(duty: str) -> str:
-    return TASK_PREFIX + duty
+def task_key(task: str) -> str:
+    """The register of a task's assignment."""
+    return TASK_PREFIX + task
 
 
-def checkpoint_key(duty: str) -> str:
-    return CHECKPOINT_PREFIX + duty
+def checkpoint_key(task: str) -> str:
+    """The register of a task's checkpoint."""
+    return CHECKPOINT_PREFIX + task
 
 
-def write_checkpoint(duty: str, token: int, expected: int, data: bytes) -> Swap:
-    """Keeps an owner's progress, if it still is the owner when the entry is applied: the fence in the log."""
-    return Swap(checkpoint_key(duty), expected, data, Guard(task_key(duty), token))
+def write_checkpoint(task: str, token: int, expected_version: int, data: bytes) -> Swap:
+    """Stores a checkpoint if the token is still valid when the entry is applied: the fence in the log."""
+    return Swap(checkpoint_key(task), expected_version, data, Guard(task_key(task), token))
 
 
-# From a worker -------------------------------------------------------------------------------------
+# From a runner -------------------------------------------------------------------------------------
 
 
 class Offer(msgspec.Struct, frozen=True, array_like=True, tag="wants"):
-    """The duties that this process would take; none when it is about to end."""
+    """The tasks that this process would run; none when it is about to end."""
 
-    duties: tuple[str, ...]
+    tasks: tuple[str, ...]
 
 
 class RenewLease(msgspec.Struct, frozen=True, array_like=True, tag="keeps"):
-    """Asks for a lease on what it owns: duties with their tokens."""
+    """Requests a lease on the tasks that were assigned to this process, each with its token."""
 
     serial: int
-    held: tuple[tuple[str, int], ...]
+    assigned: tuple[tuple[str, int], ...]
 
 
 class ReleaseLease(msgspec.Struct, frozen=True, array_like=True, tag="gives_back"):
-    """It does nothing more under this token, and takes no lease on it that it asked for."""
+    """This process does nothing more under the token, and ignores leases that it requested for it."""
 
-    duty: str
+    task: str
     token: int
 
 
 class ReportCounters(msgspec.Struct, frozen=True, array_like=True, tag="tells"):
-    """Counters of this process since its start, for whoever sums them."""
+    """Counters of this process since its start, for the fleet's sums."""
 
     counters: dict[str, float]
 
 
 FromRunner = Offer | RenewLease | ReleaseLease | ReportCounters
 
-# From a keeper -------------------------------------------------------------------------------------
+# From the leader -----------------------------------------------------------------------------------
 
 
 class Assigned(msgspec.Struct, frozen=True, array_like=True, tag="yours"):
-    """This process owns a duty, once it has a lease on it."""
+    """A task is assigned to this process, which may run it once it has a lease."""
 
-    duty: str
+    task: str
     token: int
 
 
 class LeaseGranted(msgspec.Struct, frozen=True, array_like=True, tag="lent"):
-    """The lease that was asked for with this serial; what was asked for and is not named is lost."""
+    """The lease requested with this serial; a task that was requested and is not granted is lost."""
 
     serial: int
-    held: tuple[tuple[str, int], ...]
-    believed: float
-    renew: float
+    granted: tuple[tuple[str, int], ...]  # tasks with their tokens
+    valid_seconds: float  # from the moment at which it was requested
+    renew_seconds: float  # between two renewals
 
 
 class Revoke(msgspec.Struct, frozen=True, array_like=True, tag="stop"):
-    """Asks an owner to give a duty back now."""
+    """Asks a lease holder to release a task at once."""
 
-    duty: str
+    task: str
     token: int
 
 
-class Elsewhere(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
-    """This keeper does not lead."""
-
-    leader: str
-
-
-FromLeaseManager = Assigned | LeaseGranted | Revoke | Elsewhere
+FromLeaseManager = Assigned | LeaseGranted | Revoke | NotLeaderReply
--- a/zincladder/tasks/runner.py
+++ b/zincladder/tasks/runner.py
@@ -1,149 +1,73 @@
-"""A process's part in the fleet's duties: its link to the leading keeper, and its work. On anyio.
+"""A process's part in the fleet's singleton tasks: its link to the leader, and the tasks that it runs. On
+anyio.
 
 Loaded only where the operator's file has [duties].
 """
 
 from __future__ import annotations
 
-import os
-import random
-from collections.abc import Awaitable, Callable, Mapping
+from collections.abc import Callable, Mapping
 
 import anyio
 import anyio.abc
 import structlog
 
-from zincladder.agreement import calls
 from zincladder.agreement.client import Client, NoAnswer, Open
-from zincladder.agreement.registers import Fenced, Full, Missed, Swapped
 from zincladder.config import DutiesConfig
+from zincladder.leases.client import LeaseClient
 from zincladder.links.clocks import boottime
-from zincladder.links.frames import VERSION, Hello
-from zincladder.links.leader import LeaderLink
+from zincladder.tasks.context import TaskContext, TaskFunction
+from zincladder.tasks.errors import LeaseLostError
 from zincladder.tasks.lease_holder import LeaseHolder
-from zincladder.tasks.model import (
-    Elsewhere,
-    FromLeaseManager,
-    ReportCounters,
-    checkpoint_key,
-    write_checkpoint,
-)
-
-SILENT = 2.5  # askings without a word after which another keeper is tried
-AGAIN = (0.2, 5.0)  # seconds after work that failed, doubled from the first to the second
-TELL = 2.0  # seconds between two words on what was counted
-log = structlog.get_logger()
-
-
-class LeaseLostError(Exception):
-    """This process may not act on the duty any more, or not now."""
-
-
-class CheckpointTooLargeError(Exception):
-    """The group can't keep so much progress; the text says what there is no room for."""
-
-
-class TaskContext:
-    """What a piece of work holds while its process owns the duty."""
+from zincladder.tasks.model import FromLeaseManager, ReportCounters
 
-    def __init__(self, task_runner: TaskRunner, duty: str) -> None:
-        self._worker, self.duty = task_runner, duty
-
-    def token(self) -> int:
-        """The token to act under, right before an effect; Lost if there is none at this moment.
-
-        To be asked after the last await before each effect, and never remembered over one.
-        """
-        if token := self._worker.acting(self.duty):
-            return token
-        raise LeaseLostError(self.duty)
-
-    async def progress(self) -> tuple[int, bytes]:
-        """What was kept last, by whomever, and the version to keep the next from; (0, b"") for nothing."""
-        self.token()
-        wanted = checkpoint_key(self.duty)
-        found = (await self._worker.client().get(wanted)).get(wanted)
-        return (found.version, found.data) if found else (0, b"")
+MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.2, 5.0  # after a task that failed
+REPORT_INTERVAL_SECONDS = 2.0
+log = structlog.get_logger()
 
-    async def keep(self, expected: int, data: bytes) -> int:
-        """Keeps progress, if this still is the owner when the group writes it; its version. Else Lost.
 
-        NoRoom where it is too much.
-        """
-        swap = write_checkpoint(self.duty, self.token(), expected, data)
-        while True:
-            try:
-                said = await self._worker.client().ask(swap)
-            except (NoAnswer, Open):
-                said = calls.Unknown("")
-            match said:
-                case Swapped(version):
-                    return version
-                case Fenced():
-                    self.fenced("log")
-                    raise LeaseLostError(self.duty)
-                case Full(why):
-                    raise CheckpointTooLargeError(why)
-                case Missed(version) if version != expected:
-                    # Perhaps this very write, whose answer was lost: nobody else writes under this token.
-                    if (await self.progress()) == (version, data):
-                        return version
-                    raise LeaseLostError(self.duty)
-            self.token()
-            await anyio.sleep(AGAIN[0])
-
-    def fenced(self, where: str) -> None:
-        """An effect of this owner's was refused because a newer one has worked there."""
-        self._worker.fenced += 1
-        log.warning("refused by a fence", duty=self.duty, at=where)
-
-    async def collect(self) -> calls.Collected:
-        """The sums of what all processes have told the leader."""
-        said = await self._worker.client().ask(calls.Collect())
-        if not isinstance(said, calls.Collected):
-            raise NoAnswer(str(said))
-        return said
-
-
-TaskFunction = Callable[[TaskContext], Awaitable[None]]
-
-
-class TaskRunner:
+class TaskRunner(LeaseClient[LeaseHolder]):
     """One process."""
 
+    role = "worker"
+    messages = FromLeaseManager
+
     def __init__(
         self,
         config: DutiesConfig,
         name: str,
-        works: Mapping[str, TaskFunction],
+        functions: Mapping[str, TaskFunction],
         counters: Callable[[], dict[str, float]],
         clock: Callable[[], float] = boottime,
     ) -> None:
-        self._config, self._name, self._works, self._clock = config, name, dict(works), clock
-        self._counters = counters
-        self.owner = LeaseHolder(self._works, clock())
-        hello = Hello(VERSION, config.group, "worker", name, os.urandom(8).hex())
-        self._random = random.Random(hello.birth)
-        self._leader = LeaderLink(config.keepers, hello, FromLeaseManager, self, self._random)
-        self._due = anyio.Event()
-        self._scopes: dict[str, anyio.CancelScope] = {}
+        self._config, self._name = config, name
+        self._functions, self._counters = dict(functions), counters
+        lease_holder = LeaseHolder(self._functions, clock())
+        super().__init__(lease_holder, config.group, config.keepers, name, clock)
+        self._scopes: dict[str, anyio.CancelScope] = {}  # of running tasks
         self._tasks: anyio.abc.TaskGroup | None = None
         self.failures = self.fenced = 0
 
-    def acting(self, duty: str) -> int:
-        return self.owner.acting(duty, self._clock())
+    def active_token(self, task: str) -> int:
+        """The token under which to act on a task at this moment; 0: not at all."""
+        return self.participant.active_token(task, self.clock())
 
     def client(self) -> Client:
+        """A client of the group."""
         return Client(self._config.group, self._config.keepers, self._name)
 
     def figures(self) -> dict[str, float]:
-        """For those who watch: duties owned now, the shortest lease left, work that failed or came late."""
-        now = self._clock()
-        left = [self.owner.left(d, now) for d in self.owner.held if self.owner.acting(d, now)]
+        """For STATS and metrics: tasks run now, the shortest lease left, tasks that failed or came late."""
+        now, lease_holder = self.clock(), self.participant
+        left = [
+            lease_holder.lease_seconds_left(task, now)
+            for task in lease_holder.held
+            if lease_holder.active_token(task, now)
+        ]
         return {
             "owned": float(len(left)),
             "lease": round(min(left, default=0.0), 3),
-            "linked": float(self.owner.linked),
+            "linked": float(lease_holder.linked),
             "failures": float(self.failures),
             "fenced": float(self.fenced),
         }
@@ -151,85 +75,57 @@
     # Running --------------------------------------------------------------------------------------
 
     async def run(self, stopping: anyio.Event) -> None:
-        """Until it is cancelled; from `stopping` on it gives back what it has, and takes nothing more."""
+        """Runs until it is cancelled; once `stopping` is set it releases every task and takes no more."""
         async with anyio.create_task_group() as self._tasks:
-            self._tasks.start_soon(self._renewing)
-            self._tasks.start_soon(self._telling)
-            self._tasks.start_soon(self._leave, stopping)
-            await self._leader.run()
+            self._tasks.start_soon(self.renew_when_due)
+            self._tasks.start_soon(self._report_counters)
+            self._tasks.start_soon(self._leave_when_stopping, stopping)
+            await self.leader.run()
 
-    async def _leave(self, stopping: anyio.Event) -> None:
+    async def _leave_when_stopping(self, stopping: anyio.Event) -> None:
         await stopping.wait()
-        self.owner.leave()
-        self._pump()
-
-    async def end(self, patience: float) -> None:
-        """The last word of a process that ends: what it gave back is told, also if it ends at once."""
-        self.owner.leave()
-        self._pump()
-        await self._leader.flush(patience)
-
-    def link(self, up: bool) -> None:
-        self.owner.link(up, self._clock())
-        self._pump()
-        self._due.set()  # it may be due sooner now
-
-    def heard(self, message: FromLeaseManager) -> str | None:
-        if isinstance(message, Elsewhere):
-            return message.leader
-        self.owner.heard(message, self._clock())
-        self._pump()
-        self._due.set()
-        return None
-
-    def silence(self) -> float:
-        return SILENT * self.owner.between
-
-    async def _renewing(self) -> None:
-        while True:
-            self._due = due = anyio.Event()
-            self.owner.tick(self._clock())
-            self._pump()
-            with anyio.move_on_after(max(0.0, self.owner.next_at - self._clock())):
-                await due.wait()
+        self.participant.leave()
+        self.carry_out()
 
-    async def _telling(self) -> None:
+    async def _report_counters(self) -> None:
         while True:
-            if self.owner.linked:
-                self._leader.outbox.put(ReportCounters(self._counters()))
-            await anyio.sleep(TELL * (0.9 + 0.2 * self._random.random()))  # not all of a fleet at once
-
-    def _pump(self) -> None:
-        wish = self.owner.take()
-        for duty in wish.end:
-            if scope := self._scopes.pop(duty, None):
+            if self.participant.linked:
+                self.leader.outbox.put(ReportCounters(self._counters()))
+            # Jitter, so that the reports of a fleet are spread.
+            await anyio.sleep(REPORT_INTERVAL_SECONDS * (0.9 + 0.2 * self.random.random()))
+
+    def carry_out(self) -> None:
+        """Carries out the lease holder's actions."""
+        actions = self.participant.take_actions()
+        for task in actions.end:
+            if scope := self._scopes.pop(task, None):
                 scope.cancel()
-        for message in wish.say:
-            self._leader.outbox.put(message)
-        for duty in wish.begin:
+        for message in actions.messages:
+            self.leader.outbox.put(message)
+        for task in actions.begin:
             assert self._tasks is not None
-            scope = self._scopes[duty] = anyio.CancelScope()
-            self._tasks.start_soon(self._work, duty, scope)
+            scope = self._scopes[task] = anyio.CancelScope()
+            self._tasks.start_soon(self._run_task, task, scope)
 
-    async def _work(self, duty: str, scope: anyio.CancelScope) -> None:
-        """Does a duty's work for as long as this process owns it; work that fails is begun anew."""
-        log.info("duty begins", duty=duty, token=self.acting(duty))
-        pause = AGAIN[0]
+    async def _run_task(self, task: str, scope: anyio.CancelScope) -> None:
+        """Runs a task for as long as this process holds its lease; one that fails is begun anew."""
+        log.info("task started", task=task, token=self.active_token(task))
+        backoff = MIN_BACKOFF_SECONDS
         with scope:
-            while self.acting(duty):
+            while self.active_token(task):
                 try:
-                    await self._works[duty](TaskContext(self, duty))
+                    await self._functions[task](TaskContext(self, task))
                 except LeaseLostError:
-                    # Its lease may have run out a moment before the word of it comes, or comes anew.
-                    await anyio.sleep(AGAIN[0])
+                    # The lease may have expired a moment before its end or its renewal is known here.
+                    await anyio.sleep(MIN_BACKOFF_SECONDS)
                     continue
-                except (NoAnswer, Open) as fault:
-                    log.info("duty waits for the group", duty=duty, why=str(fault))
+                except (NoAnswer, Open) as error:
+                    log.info("task waits for the group", task=task, reason=str(error))
                 except Exception:
                     self.failures += 1
-                    log.exception("duty's work failed", duty=duty)
-                await anyio.sleep(pause * (0.5 + self._random.random()))
-                pause = min(AGAIN[1], 2 * pause)
-        log.info("duty ends", duty=duty)
-        if self._scopes.get(duty) is scope:
-            del self._scopes[duty]
+                    log.exception("task failed", task=task)
+                await anyio.sleep(backoff * (0.5 + self.random.random()))
+                backoff = min(MAX_BACKOFF_SECONDS, 2 * backoff)
+        log.info("task stopped", task=task)
+        if self._scopes.get(task) is scope:
+            del self._scopes[task]
