--- a/tests/tasks/test_golden_bytes.py
+++ b/tests/tasks/test_golden_bytes.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from tests.support.golden import assert_same_bytes, fixtures
+from tests.support.encodings import assert_same_bytes, fixtures
 from zincladder.agreement.registers import Swap
 from zincladder.leases.model import NotLeaderReply
 from zincladder.tasks import fleet_metrics, model
--- a/zincladder/cli/keep.py
+++ b/zincladder/cli/keep.py
@@ -100,10 +100,10 @@
                 tasks.start_soon(policy_service.run)
                 tasks.start_soon(task_service.run)
                 if config.metrics:
-                    from zincladder.metrics.endpoint import Endpoint
+                    from zincladder.metrics.exporter import MetricsExporter
                     from zincladder.metrics.keeper import Few, KeeperRegistry
 
-                    told = Endpoint(
+                    told = MetricsExporter(
                         config.metrics, KeeperRegistry(keeper, policy_service, task_service), Few()
                     )
                     where = await tasks.start(told.run)
--- a/zincladder/cli/policy.py
+++ b/zincladder/cli/policy.py
@@ -29,8 +29,11 @@
     context.obj = group
 
 
+author_option = click.option("--author", default=getuser, help="Who; else the user that runs this.")
+
+
 def following_options(command: Any) -> Any:
-    """The options of commands that propose a change and follow it."""
+    """The options of commands that follow a change."""
     for option in (
         click.option("--json", "as_json", is_flag=True, help="Print JSON, a line for each step."),
         click.option(
@@ -40,7 +43,6 @@
             show_default=True,
             help="Seconds to follow the change.",
         ),
-        click.option("--author", default=getuser, help="Who; else the user that runs this."),
     ):
         command = option(command)
     return command
@@ -60,6 +62,7 @@
 @policy.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--note", required=True, help="Why, for the history.")
+@author_option
 @click.option("--base", type=int, help="The version that it was made from; else the one in force now.")
 @following_options
 @click.pass_obj
@@ -84,6 +87,7 @@
 @policy.command()
 @click.argument("version", type=int)
 @click.option("--note", default="", help="Why, for the history.")
+@author_option
 @following_options
 @click.pass_obj
 def back(group: Group, version: int, note: str, author: str, wait_seconds: float, as_json: bool) -> None:
--- a/zincladder/leases/client.py
+++ b/zincladder/leases/client.py
@@ -81,8 +81,9 @@
         self.wake()
 
     def heard(self, message: Any) -> str | None:
-        """Takes a message; the name of the leader, or "" for an unknown one, where this replica does not
-        lead.
+        """Takes a message.
+
+        Returns None, or the leader's name ("" if it is unknown) where this replica does not lead.
         """
         if isinstance(message, NotLeaderReply):
             return message.leader
@@ -107,9 +108,7 @@
                 await wakeup.wait()
 
     async def end(self, timeout_seconds: float) -> None:
-        """An orderly end: releases every lease, and waits until that is on its way, also if the process
-        ends.
-        """
+        """Releases every lease, and waits until that is on its way, as the process may end right after."""
         self.participant.leave()
         self.carry_out()
         await self.leader.flush(timeout_seconds)
--- a/zincladder/policy/front.py
+++ b/zincladder/policy/front.py
@@ -22,9 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyHooks:
-    """How a front validates a document (the reasons against it) and applies one (the reason of its
-    failure).
-    """
+    """What a front does with a document: gives the reasons against it; applies it, or gives the reason."""
 
     validate: Callable[[bytes], tuple[str, ...]]
     apply: Callable[[bytes], str]
@@ -46,7 +44,7 @@
 
     # Asked by the front ---------------------------------------------------------------------------
 
-    def hold_off(self) -> float:
+    def decisions_paused_for(self) -> float:
         """0 while this front may serve; else the seconds after which a client may come back."""
         now = self.clock()
         if self.participant.serving_version(now):
--- a/zincladder/policy/wiring.py
+++ b/zincladder/policy/wiring.py
@@ -63,5 +63,5 @@
 
     policy = FleetPolicy(policy_config, config.name, PolicyHooks(validate, apply))
     reload.overlay = overlay
-    core.hold_off = policy.hold_off
+    core.decisions_paused_for = policy.decisions_paused_for
     return policy
--- a/zincladder/tasks/lease_manager.py
+++ b/zincladder/tasks/lease_manager.py
@@ -106,9 +106,7 @@
         return min((moment for moment in moments if moment > self._last_advanced_at), default=math.inf)
 
     def holder_link(self, task: str) -> int:
-        """The latest link of a task's lease holder, as an older one may be dead unnoticed; 0 without a
-        link.
-        """
+        """The latest link of a task's lease holder, as an older one may be dead unnoticed; 0 for none."""
         assignment, _ = self.assignment(task)
         links = (number for number, runner in self.runners.items() if runner.holds(assignment))
         return max(links, default=0)
--- a/zincladder/tasks/runner.py
+++ b/zincladder/tasks/runner.py
@@ -1,7 +1,6 @@
-"""A process's part in the fleet's singleton tasks: its link to the leader, and the tasks that it runs. On
-anyio.
+"""A process's part in the fleet's singleton tasks: its link to the leader, and the tasks that it runs.
 
-Loaded only where the operator's file has [duties].
+On anyio. Loaded only where the operator's file has [duties].
 """
 
 from __future__ import annotations
--- a/zincladder/tasks/wiring.py
+++ b/zincladder/tasks/wiring.py
@@ -1,6 +1,4 @@
-"""Joins the fleet's singleton tasks to a front: what it counts, and the tasks that its operator's file
-offers.
-"""
+"""Joins the fleet's singleton tasks to a front: its counters, and the tasks in its operator's file."""
 
 from __future__ import annotations
 
@@ -13,10 +11,10 @@
 
 def front_counters(core: Core) -> dict[str, float]:
     """A front's answers by class and attempts by cache, since its start."""
-    counters = {series(ANSWERS, *key): float(count) for key, count in core.figures.answers.items()}
-    for member, figures in core.figures.members.items():
-        for end, count in figures.ends.items():
-            counters[series(ATTEMPTS, member.decode("latin-1"), end)] = float(count)
+    counters = {series(ANSWERS, *key): float(count) for key, count in core.statistics.answers.items()}
+    for cache, statistics in core.statistics.endpoints.items():
+        for end, count in statistics.ends.items():
+            counters[series(ATTEMPTS, cache.decode("latin-1"), end)] = float(count)
     return counters
 
 
