--- a/tests/tasks/test_golden_bytes.py
+++ b/tests/tasks/test_golden_bytes.py
@@ -9,8 +9,9 @@
 
 from tests.support.encodings import assert_same_bytes, fixtures
 from zincladder.agreement.registers import Swap
+from zincladder.export import fleet_metrics
 from zincladder.leases.model import NotLeaderReply
-from zincladder.tasks import fleet_metrics, model
+from zincladder.tasks import model
 from zincladder.tasks.counter_sums import FleetTotals, decode_totals, encode_totals
 from zincladder.tasks.model import (
     Assigned,
--- a/tests/tasks/test_task_processes.py
+++ b/tests/tasks/test_task_processes.py
@@ -26,8 +26,8 @@
 from zincladder.agreement.client import NoAnswer, Open
 from zincladder.agreement.registers import Fenced
 from zincladder.export import messages
+from zincladder.export.fleet_metrics import HTTP_FENCED
 from zincladder.tasks.fence import Fence
-from zincladder.tasks.fleet_metrics import HTTP_FENCED
 from zincladder.tasks.model import write_checkpoint
 
 pytestmark = pytest.mark.anyio
--- a/zincladder/tasks/wiring.py
+++ b/zincladder/tasks/wiring.py
@@ -4,8 +4,8 @@
 
 from zincladder.config import DutiesConfig
 from zincladder.core.engine import Core
+from zincladder.export.fleet_metrics import ANSWERS, ATTEMPTS, FleetMetricsTask, series
 from zincladder.tasks.context import TaskFunction
-from zincladder.tasks.fleet_metrics import ANSWERS, ATTEMPTS, FleetMetricsTask, series
 from zincladder.tasks.runner import TaskRunner
 
 
