--- a/tests/policy/test_state_space.py
+++ b/tests/policy/test_state_space.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.simulated import Broken
-from tests.small import Scope, search, walk
-from tests.support.policy_states import SmallFleet, in_force
+from tests.support.policy_states import PolicyStateSpace, in_force
+from tests.support.state_space import Scope, search, walk
 from zincladder.policy.coordinator import ChangeCoordinator
 from zincladder.policy.model import PolicyLeaseGranted, RevokePolicyLease
 from zincladder.policy.participant import ChangeParticipant
@@ -22,14 +22,14 @@
 )
 
 
-def play(seed: int) -> SmallFleet:
-    state = SmallFleet(WIDE_SCOPES[seed % 2], 2 + seed // 2 % 2)
+def play(seed: int) -> PolicyStateSpace:
+    state = PolicyStateSpace(WIDE_SCOPES[seed % 2], 2 + seed // 2 % 2)
     walk(state, seed, 500)
     return state
 
 
 def test_no_order_of_events_breaks_a_rule_with_one_front() -> None:
-    states, activated = search(SmallFleet(Scope(changes=1, until=3), 1), good=in_force)  # exhaustive
+    states, activated = search(PolicyStateSpace(Scope(changes=1, until=3), 1), good=in_force)  # exhaustive
     assert states > 2000 and activated > 10
 
 
--- a/tests/support/task_states.py
+++ b/tests/support/task_states.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from tests.simulated import Broken
-from tests.small import Event, Place, Scope, Small
+from tests.support.state_space import Event, ProcessState, Scope, StateSpace
 from zincladder.agreement.terms import Terms
 from zincladder.tasks.fence import Fence
 from zincladder.tasks.lease_holder import LeaseHolder
@@ -23,7 +23,7 @@
 TASK = "figures"
 
 
-class SmallTasks(Small):
+class TaskStateSpace(StateSpace):
     """One task that all processes offer to run; `effects` bounds how many are sent in all."""
 
     def __init__(self, scope: Scope, processes: int = 2, effects: int = 2, fenced: bool = True) -> None:
@@ -35,41 +35,41 @@
         self.arrived: list[int] = []  # tokens of what was admitted, in order
         self.acted = 0  # the highest token under which anybody could act
         super().__init__(scope, processes)
-        self.knows()
+        self.read_registers()
         for n in range(processes):
             self.link(n)
 
-    def begin(self, since: float) -> LeaseManager:
+    def new_leader(self, since: float) -> LeaseManager:
         return LeaseManager(TERMS, since, self.term)
 
-    def mind(self, now: float) -> LeaseHolder:
+    def new_participant(self, now: float) -> LeaseHolder:
         return LeaseHolder([TASK], now)
 
-    def knows(self) -> None:
+    def read_registers(self) -> None:
         assignment, version = self.register
-        self.part.assignments_read({TASK: (assignment, version)} if version else {}, self.time)
+        self.leader.assignments_read({TASK: (assignment, version)} if version else {}, self.time)
 
-    def land(self, write: AssignmentWrite) -> None:
+    def apply_write(self, write: AssignmentWrite) -> None:
         if write.expected_version == self.register[1]:
             self.index += 1
             self.register = (write.assignment, self.index)
 
-    def landed(self, write: AssignmentWrite) -> None:
-        self.part.write_ended(write.task, self.time)
+    def write_applied(self, write: AssignmentWrite) -> None:
+        self.leader.write_ended(write.task, self.time)
 
-    def wishes(self) -> tuple[list[tuple[int, Any]], list[Any]]:
-        actions = self.part.take_actions()
+    def leader_actions(self) -> tuple[list[tuple[int, Any]], list[Any]]:
+        actions = self.leader.take_actions()
         return actions.messages, actions.writes
 
-    def settle(self, place: Place) -> None:
-        actions = place.mind.take_actions()
-        place.to += actions.messages if place.number else []
+    def carry_out(self, process: ProcessState) -> None:
+        actions = process.participant.take_actions()
+        process.to_leader += actions.messages if process.link else []
 
     # Effects and commands -----------------------------------------------------------------------------
 
     def sends_effect(self, n: int) -> None:
         self.effects -= 1
-        self.under_way.append(self.places[n].mind.active_token(TASK, self.time))
+        self.under_way.append(self.processes[n].participant.active_token(TASK, self.time))
 
     def effect_arrives(self, n: int) -> None:
         token = self.under_way.pop(n)
@@ -81,44 +81,45 @@
         self.spend(changes=-1)
         self.index += 1
         self.register = (TaskAssignment(vacancy_reason="moved"), self.index)
-        self.knows()
-        self.conduct()
+        self.read_registers()
+        self.advance_leader()
 
     def released(self, n: int) -> None:
         self.spend(changes=-1)
-        self.places[n].mind.release(TASK)
-        self.settle(self.places[n])
+        self.processes[n].participant.release(TASK)
+        self.carry_out(self.processes[n])
 
-    def more(self) -> Iterator[Event]:
-        for n, place in enumerate(self.places):
-            if self.effects and place.mind.active_token(TASK, self.time):
+    def own_events(self) -> Iterator[Event]:
+        for n, process in enumerate(self.processes):
+            if self.effects and process.participant.active_token(TASK, self.time):
                 yield partial(type(self).sends_effect, n=n)
-            if self.left.changes and TASK in place.mind.held:
+            if self.remaining.changes and TASK in process.participant.held:
                 yield partial(type(self).released, n=n)
         for n in range(len(self.under_way)):
             yield partial(type(self).effect_arrives, n=n)
-        if self.left.changes and self.register[0].lease_holder:
+        if self.remaining.changes and self.register[0].lease_holder:
             yield type(self).moved_by_command
 
     def key(self) -> Any:
-        holders = [self._holder_key(place) for place in self.places]
-        return repr((self.now, self.register, self.index, self.pending, self.left, self.lost, self.under_way,
-                     self.fence.highest, self.arrived, self.acted, self.effects, self._manager_key(),
-                     holders))  # fmt: skip
+        holders = [self._holder_key(process) for process in self.processes]
+        return repr((self.now, self.register, self.index, self.pending, self.remaining, self.lost_links,
+                     self.under_way, self.fence.highest, self.arrived, self.acted, self.effects,
+                     self._manager_key(), holders))  # fmt: skip
 
     def _manager_key(self) -> Any:
-        part = self.part
-        return (part.assignments, part.leases, part._former_leases_expire_at, part._announced,
-                sorted(part._pending_writes), part.known, sorted(part.runners.items()))  # fmt: skip
+        leader = self.leader
+        return (leader.assignments, leader.leases, leader._former_leases_expire_at, leader._announced,
+                sorted(leader._pending_writes), leader.known, sorted(leader.runners.items()))  # fmt: skip
 
     @staticmethod
-    def _holder_key(place: Place) -> Any:
-        mind, renewals = place.mind, place.mind.renewals
-        return (place.process, place.number, place.to, place.back, mind.held, renewals.serial,
-                renewals.requested_at, renewals.next_at, mind.linked, sorted(mind._running))  # fmt: skip
+    def _holder_key(process: ProcessState) -> Any:
+        holder, renewals = process.participant, process.participant.renewals
+        return (process.generation, process.link, process.to_leader, process.from_leader, holder.held,
+                renewals.serial, renewals.requested_at, renewals.next_at, holder.linked,
+                sorted(holder._running))  # fmt: skip
 
     def judge(self) -> None:
-        acting = [token for p in self.places if (token := p.mind.active_token(TASK, self.time))]
+        acting = [token for p in self.processes if (token := p.participant.active_token(TASK, self.time))]
         if len(acting) > 1:
             raise Broken(f"two processes may act on the task: tokens {acting}")
         for token in acting:
@@ -129,6 +130,6 @@
             raise Broken(f"effects were admitted in this order: {self.arrived}")
 
 
-def taken_over(state: SmallTasks) -> bool:
+def taken_over(state: TaskStateSpace) -> bool:
     """Whether a second lease holder could act."""
     return state.acted > 2
--- a/tests/tasks/test_state_space.py
+++ b/tests/tasks/test_state_space.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.simulated import Broken
-from tests.small import Scope, search, walk
-from tests.support.task_states import SmallTasks, taken_over
+from tests.support.state_space import Scope, search, walk
+from tests.support.task_states import TaskStateSpace, taken_over
 from zincladder.tasks.fence import Fence
 from zincladder.tasks.lease_holder import LeaseHolder
 from zincladder.tasks.lease_manager import LeaseManager
@@ -23,8 +23,8 @@
 )
 
 
-def play(seed: int) -> SmallTasks:
-    state = SmallTasks(WIDE_SCOPES[seed % 2], processes=2 + seed // 2 % 2, effects=30)
+def play(seed: int) -> TaskStateSpace:
+    state = TaskStateSpace(WIDE_SCOPES[seed % 2], processes=2 + seed // 2 % 2, effects=30)
     walk(state, seed, 400)
     return state
 
@@ -32,7 +32,7 @@
 def test_no_order_of_events_makes_two_lease_holders_or_admits_an_outdated_effect() -> None:
     # One process and its successors, one effect: exhaustive, 7,000 states.
     scope = Scope(changes=0, kills=1, until=3)
-    states, count = search(SmallTasks(scope, processes=1, effects=1), good=taken_over)
+    states, count = search(TaskStateSpace(scope, processes=1, effects=1), good=taken_over)
     assert states > 2000 and count > 10
 
 
@@ -95,13 +95,13 @@
 
 
 def token_is_given_twice(patch: pytest.MonkeyPatch) -> None:
-    land = SmallTasks.land
+    apply_write = TaskStateSpace.apply_write
 
-    def again(self: SmallTasks, write: Any) -> None:
-        land(self, write)
+    def again(self: TaskStateSpace, write: Any) -> None:
+        apply_write(self, write)
         self.register = (self.register[0], self.register[1] // 3 + 1)
 
-    patch.setattr(SmallTasks, "land", again)
+    patch.setattr(TaskStateSpace, "apply_write", again)
 
 
 MUTATIONS: list[Callable[[pytest.MonkeyPatch], None]] = [
