--- a/tests/policy/test_change_processes.py
+++ b/tests/policy/test_change_processes.py
@@ -1,7 +1,7 @@
-"""Changes of a fleet's policy with real keepers and fronts, clients at every front, and faults between them.
+"""Changes of a fleet's policy with real replicas and fronts, clients at every front, and faults between them.
 
-Each answer says under which policy it was decided, and the judge holds them against each other: whoever asks
-after an answer gets no older one, at whichever front.
+Each answer tells under which policy it was decided, and the judge compares them: a request that was sent
+after an answer gets no older version, at whichever front.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Fleet:
-    """A rig with keepers, stub caches and fronts that serve under version 1."""
+    """A rig with replicas, stub caches and fronts that serve under version 1."""
 
     def __init__(self, r: Rig, caches: list[StubCache], tasks: anyio.abc.TaskGroup) -> None:
         self.r, self.caches, self._tasks = r, caches, tasks
@@ -71,7 +71,7 @@
         assert not [name for name, times in written.items() if times > 1]  # no booking ran twice
 
 
-async def test_without_a_policy_a_front_is_not_ready_and_refuses_at_once(tmp_path: Path) -> None:
+async def test_without_a_policy_a_front_is_not_ready_and_rejects_at_once(tmp_path: Path) -> None:
     async with fleet(tmp_path, fronts=1, begun=False) as f:
 
         async def told() -> bool:
@@ -86,12 +86,14 @@
         await f.everywhere(traffic, 1)
 
 
-async def test_changes_take_hold_at_all_fronts_and_no_client_sees_an_older_one_again(tmp_path: Path) -> None:
+async def test_changes_are_activated_at_all_fronts_and_no_client_sees_an_older_version_again(
+    tmp_path: Path,
+) -> None:
     async with fleet(tmp_path) as f:
         traffic = f.traffic()
         for mark in range(2, 8):
-            past = await f.r.change(mark)
-            assert (past.outcome, past.absent) == (ChangeOutcome.ACTIVATED, ())
+            entry = await f.r.change(mark)
+            assert (entry.outcome, entry.absent) == (ChangeOutcome.ACTIVATED, ())
             await f.everywhere(traffic, mark)
         traffic.judge()
         assert {a.kind for a in traffic.history} <= {"served", "booked", "Throttled"}
@@ -99,7 +101,7 @@
 
 
 def pause(traffic: Traffic) -> float:
-    """The longest time for which a front that serves again had refused all that came, in seconds."""
+    """The longest time for which a front that serves again had rejected every request, in seconds."""
     longest, since = 0.0, dict[str, float]()
     for asked in sorted(traffic.history, key=lambda a: a.ended):
         if asked.kind == "served":
@@ -113,8 +115,8 @@
     async with fleet(tmp_path, fronts=3) as f:
         traffic = f.traffic("f0", "f1")
         f.r.processes["f2"].kill()
-        past = await f.r.change(2)
-        assert (past.outcome, past.absent) == (ChangeOutcome.ACTIVATED, ("f2",))
+        entry = await f.r.change(2)
+        assert (entry.outcome, entry.absent) == (ChangeOutcome.ACTIVATED, ("f2",))
         await f.everywhere(traffic, 2, "f0", "f1")
         await f.r.start_front("f2")
         late = f.traffic("f2")
@@ -126,18 +128,18 @@
         traffic.judge()
 
 
-async def test_a_front_that_slept_over_a_change_refuses_when_it_wakes_under_load(tmp_path: Path) -> None:
+async def test_a_front_that_slept_over_a_change_rejects_when_it_wakes_under_load(tmp_path: Path) -> None:
     async with fleet(tmp_path) as f:
         traffic = f.traffic()
         await f.everywhere(traffic, 1)
         f.r.processes["f1"].stop()
-        past = await f.r.change(2)
-        assert past.outcome is ChangeOutcome.ACTIVATED
+        entry = await f.r.change(2)
+        assert entry.outcome is ChangeOutcome.ACTIVATED
         await f.everywhere(traffic, 2, "f0", "f2")
         woke = anyio.current_time()
         f.r.processes["f1"].go_on()
         await f.everywhere(traffic, 2, "f1")
-        # requests that it had taken before it slept keep their rules; none that came later does
+        # Requests that it had accepted before it slept keep their rules; none that came later does.
         after = [a for a in traffic.history if a.front == "f1" and a.began > woke]
         assert after and {a.mark for a in after if a.kind == "served"} == {2}
         traffic.history = [a for a in traffic.history if a.front != "f1" or a.began > woke]
@@ -145,7 +147,7 @@
 
 
 @pytest.mark.parametrize("ways", [("to",), ("back",), ("to", "back")], ids="-".join)
-async def test_a_front_that_is_cut_off_in_the_middle_serves_nothing_old(
+async def test_a_front_that_is_cut_off_during_a_change_serves_no_old_version(
     tmp_path: Path, ways: tuple[str, ...]
 ) -> None:
     async with fleet(tmp_path) as f:
@@ -161,7 +163,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-async def test_a_leader_that_is_killed_at_any_moment_leaves_no_change_half_made(
+async def test_a_leader_that_is_killed_at_any_moment_leaves_no_partial_change(
     tmp_path: Path, seed: int
 ) -> None:
     draw = random.Random(seed)
@@ -182,7 +184,7 @@
         )
 
 
-async def test_a_front_whose_limits_forbid_a_change_stops_it_everywhere_and_says_why(tmp_path: Path) -> None:
+async def test_a_front_that_objects_stops_a_change_everywhere_and_gives_the_reason(tmp_path: Path) -> None:
     async with fleet(tmp_path, fronts=2) as f:
         # its own file lacks what the others' have: a class that the policy rules over can't be read there
         page = {"name": "page", "onTime": 0.3, "deadline": 2.5, "effect": "idempotent"}
@@ -190,10 +192,10 @@
         await f.r.front("odd", f.caches, "stop", categories=own)
         await f.r.serving("odd")
         traffic = f.traffic("f0", "f1", "odd")
-        past = await f.r.change(2, categories=[{"name": "page", "onTime": 0.3, "deadline": 2.5,
+        entry = await f.r.change(2, categories=[{"name": "page", "onTime": 0.3, "deadline": 2.5,
                                                 "effect": "idempotent"}])  # fmt: skip
-        assert past.outcome is ChangeOutcome.WITHDRAWN
-        assert past.reasons == ("odd: 'settings.categories[0].aimStretch' is missing",)
+        assert entry.outcome is ChangeOutcome.WITHDRAWN
+        assert entry.reasons == ("odd: 'settings.categories[0].aimStretch' is missing",)
         after = anyio.current_time()
         for name in ("f0", "f1"):
             await f.r.until("all go on", partial(traffic.served, name, 1))
@@ -206,27 +208,27 @@
     async with fleet(tmp_path) as f:
         for name in ("f1", "f2"):
             f.r.processes[name].stop()
-        past = await f.r.change(2)
-        assert past.outcome is ChangeOutcome.WITHDRAWN
-        assert past.reasons == ("only 1 of 3 fronts answered",) and past.absent == ("f1", "f2")
+        entry = await f.r.change(2)
+        assert entry.outcome is ChangeOutcome.WITHDRAWN
+        assert entry.reasons == ("only 1 of 3 fronts answered",) and entry.absent == ("f1", "f2")
         for name in ("f1", "f2"):
             f.r.processes[name].go_on()
         traffic = f.traffic()
         await f.everywhere(traffic, 1)
 
 
-async def test_of_two_commands_at_once_one_wins_and_the_other_is_told(tmp_path: Path) -> None:
+async def test_of_two_commands_at_once_one_wins_and_the_other_is_rejected(tmp_path: Path) -> None:
     async with fleet(tmp_path, fronts=1) as f:
-        said: list[tuple[int, str]] = []
+        results: list[tuple[int, str]] = []
 
         async def propose(mark: int) -> None:
-            said.append(await f.r.propose(mark))
+            results.append(await f.r.propose(mark))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(propose, 2)
             tasks.start_soon(propose, 3)
-        won = [version for version, _ in said if version]
-        lost = [why for version, why in said if not version]
+        won = [version for version, _ in results if version]
+        lost = [reason for version, reason in results if not version]
         assert len(won) == 1 and len(lost) == 1 and ("came first" in lost[0] or "under way" in lost[0])
         assert (await f.r.outcome(won[0])).outcome is ChangeOutcome.ACTIVATED
 
@@ -241,7 +243,7 @@
     return found
 
 
-async def test_commands_propose_follow_and_go_back(tmp_path: Path) -> None:
+async def test_commands_propose_follow_and_revert(tmp_path: Path) -> None:
     async with fleet(tmp_path, fronts=2) as f:
         file = tmp_path / "two.json"
         file.write_bytes(canonical({"settings": marked(2)}))
@@ -258,9 +260,9 @@
             (("show",), "1002"),
             (("check", str(file)), "0 keys differ from version 2"),
         ):
-            said = command(f, *words)
-            assert await said.ended() == 0
-            assert text in said.log_path.read_text()
+            process = command(f, *words)
+            assert await process.ended() == 0
+            assert text in process.log_path.read_text()
         again = command(f, "propose", str(file), "--note", "late", "--base", "1")
         assert await again.ended() == 1
         assert "version 2 is in force, not 1" in again.log_path.read_text()
@@ -271,9 +273,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-async def test_a_command_that_is_killed_in_the_middle_leaves_no_change_half_made(
-    tmp_path: Path, seed: int
-) -> None:
+async def test_a_command_that_is_killed_leaves_no_partial_change(tmp_path: Path, seed: int) -> None:
     async with fleet(tmp_path, fronts=2) as f:
         file = tmp_path / "two.json"
         file.write_bytes(canonical({"settings": marked(2)}))
@@ -291,7 +291,7 @@
         traffic.judge()
 
 
-async def test_a_front_that_is_told_to_end_lets_go_and_holds_up_nobody(tmp_path: Path) -> None:
+async def test_a_front_that_ends_in_order_releases_its_lease_and_blocks_nobody(tmp_path: Path) -> None:
     async with fleet(tmp_path) as f:
         f.r.processes["f2"].send(signal.SIGTERM)
         assert await f.r.processes["f2"].ended() == 0
@@ -311,7 +311,7 @@
         assert pause(traffic) < 0.8  # less than the lease of the one that is gone
 
 
-async def test_two_processes_of_one_front_both_have_to_agree_and_to_let_go(tmp_path: Path) -> None:
+async def test_two_processes_of_one_front_both_have_to_agree_and_to_release(tmp_path: Path) -> None:
     async with fleet(tmp_path, fronts=1) as f:
         old = f.r.processes["f0"]
         new = f.r.processes["f0-new"] = Process("f0-new", tmp_path / "f0-new", [], old.environ)
@@ -334,7 +334,7 @@
 
 
 @pytest.mark.parametrize("cut_off", ["stop", "go_on"])
-async def test_without_a_majority_of_keepers_fronts_stop_or_go_on_as_their_file_says(
+async def test_without_a_majority_of_replicas_fronts_stop_or_serve_on_as_configured(
     tmp_path: Path, cut_off: str
 ) -> None:
     async with fleet(tmp_path, fronts=2, cut_off=cut_off) as f:
@@ -370,7 +370,7 @@
         traffic.judge()
 
 
-async def test_sighup_of_a_key_that_the_policy_has_is_turned_down_by_name(tmp_path: Path) -> None:
+async def test_sighup_of_a_key_that_the_policy_sets_is_rejected_by_name(tmp_path: Path) -> None:
     async with fleet(tmp_path, fronts=1) as f:
         await f.r.change(2, ceilings={"attemptsCap": 5})
         traffic = f.traffic()
@@ -381,8 +381,8 @@
         path.write_text(json.dumps(own))
         process.send(signal.SIGHUP)
         turned = "bad configuration, the old one is kept"
-        (said,) = await f.r.until("it is turned down", lambda: process.events(turned))
-        assert "'settings.ceilings.attemptsCap' is part of the fleet's policy" in said["why"]
+        (line,) = await f.r.until("it is rejected", lambda: process.events(turned))
+        assert "'settings.ceilings.attemptsCap' is part of the fleet's policy" in line["why"]
         own["settings"]["ceilings"] |= {"attemptsCap": 8, "maxRetryAfter": 0.7}
         path.write_text(json.dumps(own))
         process.send(signal.SIGHUP)
@@ -417,15 +417,15 @@
 
 
 @pytest.mark.parametrize("step", [*ChangePhase, ChangeOutcome.ACTIVATED])
-async def test_a_leader_that_is_killed_right_after_each_step_leaves_no_change_half_made(
+async def test_a_leader_that_is_killed_right_after_each_state_leaves_no_partial_change(
     tmp_path: Path, step: ChangePhase | ChangeOutcome
 ) -> None:
     async with fleet(tmp_path) as f:
         traffic = f.traffic("f0", "f1")
         await f.everywhere(traffic, 1, "f0", "f1")
-        f.r.processes["f2"].stop()  # so that checking, and what is decided, last
+        f.r.processes["f2"].stop()  # so that it stays VALIDATING, and then COMMITTED, for a while
         for (front, _), relay in f.r.relays.items():
-            relay.delay = 0.07 if front == "f0" else 0.0  # and letting go
+            relay.delay = 0.07 if front == "f0" else 0.0  # and REVOKING
         leader = await f.r.leader()
         version, why = await f.r.propose(2)
         assert version == 2, why
@@ -438,21 +438,23 @@
         await f.r.until(f"it is {step}", reached)
         f.r.processes[leader].kill()
         f.r.processes["f2"].go_on()
-        past = await f.r.outcome(2)
-        assert past.outcome is ChangeOutcome.ACTIVATED or step is ChangePhase.VALIDATING  # decided is decided
-        await f.everywhere(traffic, 2 if past.outcome is ChangeOutcome.ACTIVATED else 1, "f0", "f1")
+        entry = await f.r.outcome(2)
+        assert (
+            entry.outcome is ChangeOutcome.ACTIVATED or step is ChangePhase.VALIDATING
+        )  # committed is committed
+        await f.everywhere(traffic, 2 if entry.outcome is ChangeOutcome.ACTIVATED else 1, "f0", "f1")
         traffic.judge()
-        if past.outcome is ChangeOutcome.ACTIVATED:
+        if entry.outcome is ChangeOutcome.ACTIVATED:
             late = f.traffic("f2")
             await f.everywhere(late, 2, "f2")
             assert 1 not in {a.mark for a in late.history}
 
 
 @pytest.mark.parametrize("drift, kept", [(0.009, True), (0.5, False)], ids=["within", "past"])
-async def test_clocks_that_jump_change_nothing_and_those_that_drift_only_past_the_bound(
+async def test_clocks_that_jump_or_drift_break_a_rule_only_past_the_bound(
     tmp_path: Path, drift: float, kept: bool
 ) -> None:
-    # the bound is 1%: fronts that count slowly and keepers that count fast are the worst that it allows
+    # the bound is 1%: fronts that count slowly and replicas that count fast are the worst that it allows
     async with fleet(tmp_path, drift=drift) as f:
         traffic = f.traffic()
         await f.everywhere(traffic, 1)
@@ -472,7 +474,7 @@
                 traffic.judge()
 
 
-async def test_an_upgrade_during_changes_loses_no_request_and_serves_nothing_old(tmp_path: Path) -> None:
+async def test_an_upgrade_during_changes_loses_no_request_and_serves_no_old_version(tmp_path: Path) -> None:
     async with fleet(tmp_path, fronts=2) as f:
         old = await f.r.front("up", f.caches, port=free_port())
         f.fronts.append("up")
@@ -498,7 +500,7 @@
         assert {a.kind for a in traffic.history} == {"served", "booked", "Throttled"}
 
 
-async def test_a_flood_of_clients_during_a_switch_gets_one_answer_each_and_nothing_old(
+async def test_a_flood_of_clients_during_a_change_gets_one_answer_each_and_no_old_version(
     tmp_path: Path,
 ) -> None:
     async with fleet(tmp_path, fronts=2) as f:
@@ -511,18 +513,18 @@
         assert {a.kind for a in flood.history} <= {"served", "booked", "Throttled"}
 
 
-async def test_no_majority_in_the_middle_of_a_change_leaves_it_decided(tmp_path: Path) -> None:
+async def test_a_majority_lost_during_a_change_leaves_it_committed(tmp_path: Path) -> None:
     async with fleet(tmp_path, fronts=3) as f:
         traffic = f.traffic("f0")
         await f.everywhere(traffic, 1, "f0")
         f.r.processes["f1"].stop()  # its lease is what the change waits for
         assert (await f.r.propose(2))[0] == 2
 
-        async def decided() -> bool:
+        async def committed() -> bool:
             found = (await f.r.record()).open_change
             return found is not None and found.phase is ChangePhase.COMMITTED
 
-        await f.r.until("it is decided", decided)
+        await f.r.until("it is committed", committed)
         for name in ("k1", "k2"):
             f.r.processes[name].kill()
         cut = anyio.current_time()
