--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -26,8 +26,8 @@
 
 if TYPE_CHECKING:
     from zincladder.export.sender import RemoteWrite
-    from zincladder.ownership.worker import Worker
     from zincladder.policy.front import FleetPolicy
+    from zincladder.tasks.runner import TaskRunner
 
 STARTED_AT = time.monotonic()  # before the event loop runs; only the interpreter and the imports come earlier
 FLUSH_TIMEOUT_SECONDS = 0.5  # after the last answer, for the last samples and releases to be sent
@@ -72,7 +72,7 @@
         self.listening = ListeningAddresses(self.clients.address)
         self.watch: Feed | None = None
         self.policy: FleetPolicy | None = None
-        self.tasks: Worker | None = None
+        self.tasks: TaskRunner | None = None
         self.remote_writes: list[RemoteWrite] = []
 
     def _build_handover(self, folder: str | None) -> Handover | None:
@@ -144,9 +144,9 @@
 
     def _start_tasks(self, group: TaskGroup, stopping: anyio.Event) -> None:
         if self.operator.duties:
-            from zincladder.ownership.wiring import work_for_fleet
+            from zincladder.tasks.wiring import build_task_runner
 
-            self.tasks = work_for_fleet(self.operator.duties, self.config.name, self.core)
+            self.tasks = build_task_runner(self.operator.duties, self.config.name, self.core)
             group.start_soon(self.tasks.run, stopping)
 
     def _start_status_server(self, group: TaskGroup) -> None:
