--- /dev/null
+++ b/tests/support/task_states.py
@@ -0,0 +1,135 @@
+"""A singleton task at small scope: a lease manager and lease holders, and effects that arrive at any later
+time.
+
+A lease holder that may act sends an effect, which is then under way for as long as anybody likes: in a
+socket's buffer, or between two lines of a process that sleeps. It arrives at a receiver with a fence.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from functools import partial
+from typing import Any
+
+from tests.simulated import Broken
+from tests.support.state_space import Event, ProcessState, Scope, StateSpace
+from zincladder.agreement.terms import Terms
+from zincladder.tasks.fence import Fence
+from zincladder.tasks.lease_holder import LeaseHolder
+from zincladder.tasks.lease_manager import AssignmentWrite, LeaseManager
+from zincladder.tasks.model import TaskAssignment
+
+TERMS = Terms(lease=3.0, renew=2.0, drift=0.0, act=0.0)
+TASK = "figures"
+
+
+class TaskStateSpace(StateSpace):
+    """One task that all processes offer to run; `effects` bounds how many are sent in all."""
+
+    def __init__(self, scope: Scope, processes: int = 2, effects: int = 2, fenced: bool = True) -> None:
+        self.register: tuple[TaskAssignment, int] = (TaskAssignment(), 0)
+        self.index = 1
+        self.effects, self.fenced = effects, fenced
+        self.under_way: list[int] = []  # tokens
+        self.fence = Fence()
+        self.arrived: list[int] = []  # tokens of what was admitted, in order
+        self.acted = 0  # the highest token under which anybody could act
+        super().__init__(scope, processes)
+        self.read_registers()
+        for n in range(processes):
+            self.link(n)
+
+    def new_leader(self, since: float) -> LeaseManager:
+        return LeaseManager(TERMS, since, self.term)
+
+    def new_participant(self, now: float) -> LeaseHolder:
+        return LeaseHolder([TASK], now)
+
+    def read_registers(self) -> None:
+        assignment, version = self.register
+        self.leader.assignments_read({TASK: (assignment, version)} if version else {}, self.time)
+
+    def apply_write(self, write: AssignmentWrite) -> None:
+        if write.expected_version == self.register[1]:
+            self.index += 1
+            self.register = (write.assignment, self.index)
+
+    def write_applied(self, write: AssignmentWrite) -> None:
+        self.leader.write_ended(write.task, self.time)
+
+    def leader_actions(self) -> tuple[list[tuple[int, Any]], list[Any]]:
+        actions = self.leader.take_actions()
+        return actions.messages, actions.writes
+
+    def carry_out(self, process: ProcessState) -> None:
+        actions = process.participant.take_actions()
+        process.to_leader += actions.messages if process.link else []
+
+    # Effects and commands -----------------------------------------------------------------------------
+
+    def sends_effect(self, n: int) -> None:
+        self.effects -= 1
+        self.under_way.append(self.processes[n].participant.active_token(TASK, self.time))
+
+    def effect_arrives(self, n: int) -> None:
+        token = self.under_way.pop(n)
+        if not self.fenced or not self.fence.admit(TASK, token):
+            self.arrived.append(token)
+
+    def moved_by_command(self) -> None:
+        """An operator takes the task from whoever holds it."""
+        self.spend(changes=-1)
+        self.index += 1
+        self.register = (TaskAssignment(vacancy_reason="moved"), self.index)
+        self.read_registers()
+        self.advance_leader()
+
+    def released(self, n: int) -> None:
+        self.spend(changes=-1)
+        self.processes[n].participant.release(TASK)
+        self.carry_out(self.processes[n])
+
+    def own_events(self) -> Iterator[Event]:
+        for n, process in enumerate(self.processes):
+            if self.effects and process.participant.active_token(TASK, self.time):
+                yield partial(type(self).sends_effect, n=n)
+            if self.remaining.changes and TASK in process.participant.held:
+                yield partial(type(self).released, n=n)
+        for n in range(len(self.under_way)):
+            yield partial(type(self).effect_arrives, n=n)
+        if self.remaining.changes and self.register[0].lease_holder:
+            yield type(self).moved_by_command
+
+    def key(self) -> Any:
+        holders = [self._holder_key(process) for process in self.processes]
+        return repr((self.now, self.register, self.index, self.pending, self.remaining, self.lost_links,
+                     self.under_way, self.fence.highest, self.arrived, self.acted, self.effects,
+                     self._manager_key(), holders))  # fmt: skip
+
+    def _manager_key(self) -> Any:
+        leader = self.leader
+        return (leader.assignments, leader.leases, leader._former_leases_expire_at, leader._announced,
+                sorted(leader._pending_writes), leader.known, sorted(leader.runners.items()))  # fmt: skip
+
+    @staticmethod
+    def _holder_key(process: ProcessState) -> Any:
+        holder, renewals = process.participant, process.participant.renewals
+        return (process.generation, process.link, process.to_leader, process.from_leader, holder.held,
+                renewals.serial, renewals.requested_at, renewals.next_at, holder.linked,
+                sorted(holder._running))  # fmt: skip
+
+    def judge(self) -> None:
+        acting = [token for p in self.processes if (token := p.participant.active_token(TASK, self.time))]
+        if len(acting) > 1:
+            raise Broken(f"two processes may act on the task: tokens {acting}")
+        for token in acting:
+            if token < self.acted:
+                raise Broken(f"token {token} acts after {self.acted} could")
+            self.acted = token
+        if self.arrived != sorted(self.arrived):
+            raise Broken(f"effects were admitted in this order: {self.arrived}")
+
+
+def taken_over(state: TaskStateSpace) -> bool:
+    """Whether a second lease holder could act."""
+    return state.acted > 2
--- /dev/null
+++ b/zincladder/policy/change_log.py
@@ -0,0 +1,109 @@
+"""The policy as a group's registers hold it: reading them, and the writes that change them. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+import msgspec
+
+from zincladder.agreement.registers import MOST_VALUE, Swap, Value
+from zincladder.agreement.terms import TERMS
+from zincladder.policy.errors import InvalidPolicyError
+from zincladder.policy.model import (
+    DOCUMENT_PREFIX,
+    EXPECTED_FRONT_PREFIX,
+    MAX_RETAINED_DOCUMENT_BYTES,
+    POLICY_KEY,
+    PolicyRecord,
+    document_id,
+)
+
+encode = msgspec.msgpack.encode
+
+
+@dataclass(frozen=True, slots=True)
+class ChangeLog:
+    """All registers of the policy, as of one moment."""
+
+    record: PolicyRecord
+    record_version: int  # of the record's register
+    expected_fronts: frozenset[str]
+    documents: dict[str, Value]
+
+    @property
+    def contents(self) -> dict[str, bytes]:
+        """The content of each stored document, by its id."""
+        return {name: value.data for name, value in self.documents.items()}
+
+
+def read(registers: Mapping[str, Value]) -> ChangeLog:
+    """The policy's part of all registers."""
+    stored = registers.get(POLICY_KEY)
+    record = msgspec.msgpack.decode(stored.data, type=PolicyRecord) if stored else PolicyRecord()
+    expected = frozenset(
+        key.removeprefix(EXPECTED_FRONT_PREFIX) for key in registers if key.startswith(EXPECTED_FRONT_PREFIX)
+    )
+    documents = {
+        key.removeprefix(DOCUMENT_PREFIX): value
+        for key, value in registers.items()
+        if key.startswith(DOCUMENT_PREFIX)
+    }
+    return ChangeLog(record, stored.version if stored else 0, expected, documents)
+
+
+def rejection_reason(swap: Swap) -> str:
+    """Why a caller's write can't be accepted; empty if it can.
+
+    Guards the replicas: a record that cannot be decoded would end every one that comes to lead.
+    """
+    if swap.key == TERMS:
+        return f"{TERMS!r} is the keepers' own"
+    if swap.key == POLICY_KEY:
+        try:
+            msgspec.msgpack.decode(swap.data or b"", type=PolicyRecord)
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            return f"no record of a policy: {error}"
+    name = swap.key.removeprefix(DOCUMENT_PREFIX)
+    if name != swap.key and swap.data is not None and name != document_id(swap.data):
+        return "a document is named by its content"
+    return ""
+
+
+def write_record(expected_version: int, record: PolicyRecord) -> Swap:
+    """Replaces the record, if its register still has the expected version."""
+    return Swap(POLICY_KEY, expected_version, encode(record))
+
+
+def write_document(content: bytes) -> Swap:
+    """Stores a document. A version mismatch is as good as success: the register then has the same content.
+
+    Raises InvalidPolicyError for one that is too large for a register.
+    """
+    if len(content) > MOST_VALUE:
+        raise InvalidPolicyError(f"a policy of {len(content)} bytes, {MOST_VALUE} at most")
+    return Swap(DOCUMENT_PREFIX + document_id(content), 0, content)
+
+
+def write_expected_front(front: str) -> Swap:
+    """Expects a front to take part from now on."""
+    return Swap(EXPECTED_FRONT_PREFIX + front, 0, b"")
+
+
+def delete_unreferenced(change_log: ChangeLog) -> list[Swap]:
+    """Removes documents that nothing but the oldest log entries names; none while a change is open."""
+    record = change_log.record
+    if record.open_change is not None:
+        return []
+    retained, size = {record.document}, 0
+    for entry in reversed(record.log):
+        if entry.document in change_log.documents and entry.document not in retained:
+            size += len(change_log.documents[entry.document].data)
+        if size > MAX_RETAINED_DOCUMENT_BYTES:
+            break
+        retained.add(entry.document)
+    return [
+        Swap(DOCUMENT_PREFIX + name, value.version, None)
+        for name, value in change_log.documents.items()
+        if name not in retained
+    ]
--- a/zincladder/simulator/wire.py
+++ b/zincladder/simulator/wire.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, BinaryIO
 
-from zincladder.config import ConfigError, settings_from
+from zincladder.config import ConfigError, parse_settings
 from zincladder.routing import interface as api
 
 BATCH_HEADER = struct.Struct("<II")
@@ -248,7 +248,7 @@
     text = reader.take(reader.number("I"))
     reader.finish()
     try:
-        return InstanceStarted(instance, seed, settings_from(text))
+        return InstanceStarted(instance, seed, parse_settings(text))
     except ConfigError as error:
         raise WireError(f"settings cannot be read: {error}") from error
 
