--- a/tests/test_odd_events.py
+++ b/tests/routing/test_random_events.py
@@ -1,4 +1,4 @@
-"""Seeded mixes of odd but legal events; the five rules are asserted on every action."""
+"""Seeded mixes of odd but legal events; the rules of the contract are asserted on every action."""
 
 from __future__ import annotations
 
@@ -6,15 +6,18 @@
 
 import pytest
 
-from tests.conftest import CACHE, FLEET, ORIGIN, PARENT, Driver, cache, parent, settings
+from tests.support.routing import CACHE, FLEET, ORIGIN, PARENT, Driver, cache, parent, settings
 from zincladder.routing import interface as api
 
-R = api.AttemptOutcome
-NEVER_RAN = {R.REJECTED, R.UNREACHABLE, R.NOT_SENT, R.MISS}
+Outcome = api.AttemptOutcome
+Fill = api.FillOutcome
 
 
-class Referee:
-    """Plays the world with a seed, keeps its own books, and checks each action against the rules."""
+NEVER_RAN = {Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT, Outcome.MISS}
+
+
+class RuleChecker:
+    """Plays the world with a seed, keeps its own record, and checks each action against the rules."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -33,7 +36,7 @@
         self.next_id = 0
 
     def give(self, event: api.Event) -> None:
-        for action in self.driver.give(event):
+        for action in self.driver.handle(event):
             self.log.append(action)
             self.check(action)
 
@@ -56,7 +59,7 @@
     def check_attempt(self, action: api.Fetch | api.Lookup, now: float) -> None:
         request = self.open[action.request]  # rule 1: nothing is sent for a request that is over
         request_class = self.settings.classes[request.request_class]
-        assert not [n for r, n in self.out if r == request.id]  # no second copy
+        assert not [n for r, n in self.out if r == request.id]  # no hedged request
         ran = self.may_have_run.get(request.id, [])
         if request_class.idempotency is api.Idempotency.NONE:
             assert not ran
@@ -121,15 +124,15 @@
 
     def finish(self, which: tuple[int, int]) -> None:
         action, sent_at = self.out.pop(which)
-        result = self.random.choice([r for r in R if r is not R.NOT_SENT])
+        result = self.random.choice([r for r in Outcome if r is not Outcome.NOT_SENT])
         closed = which[0] in self.over
-        if result is R.OK and which[0] in self.open:
+        if result is Outcome.OK and which[0] in self.open:
             closed = True
             del self.open[which[0]]
             self.over.add(which[0])
         if result not in NEVER_RAN:
             self.may_have_run.setdefault(which[0], []).append(sent_at)
-        note = self.random.choice(list(api.FillOutcome))
+        note = self.random.choice(list(Fill))
         report = self.random.choice(((), (0.5,), (7.0,), (1.0, 2.0)))
         self.give(api.AttemptEnded(*which, action.endpoint, result, 0.1, closed, note, 0.0, report))
 
@@ -151,28 +154,28 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_no_mix_of_odd_events_breaks_a_rule(seed: int) -> None:
-    referee = Referee(seed)
+    checker = RuleChecker(seed)
     for _ in range(1500):
-        referee.step()
+        checker.step()
     for _ in range(1000):  # let everything end: nothing may stay unanswered
-        if not referee.out:
+        if not checker.out:
             break
-        referee.finish(min(referee.out))
-    assert not referee.open and not referee.driver.router.pending and not referee.driver.router.attempts
-    again = Referee(seed)
+        checker.finish(min(checker.out))
+    assert not checker.open and not checker.driver.router.pending and not checker.driver.router.attempts
+    again = RuleChecker(seed)
     for _ in range(1500):
         again.step()
-    assert again.log == referee.log[: len(again.log)]
+    assert again.log == checker.log[: len(again.log)]
 
 
-def test_the_referee_can_fail() -> None:
-    referee = Referee(1)
-    referee.open[1] = api.Request(1, 7, 3, 0, 0, 10.0, 999.0)
-    referee.listed = {m.id: m for m in (*FLEET, cache(5, state=api.EndpointState.DRAINING))}
+def test_the_rule_checker_can_fail() -> None:
+    checker = RuleChecker(1)
+    checker.open[1] = api.Request(1, 7, 3, 0, 0, 10.0, 999.0)
+    checker.listed = {m.id: m for m in (*FLEET, cache(5, state=api.EndpointState.DRAINING))}
     with pytest.raises(AssertionError):
-        referee.check(api.Fetch(1, b"cache5", b"paren0", 1))
-    referee.check(api.Reject(1))
+        checker.check(api.Fetch(1, b"cache5", b"paren0", 1))
+    checker.check(api.Reject(1))
     with pytest.raises(KeyError):
-        referee.check(api.Fail(1))
+        checker.check(api.Fail(1))
     with pytest.raises(KeyError):
-        referee.check(api.Fetch(1, b"cache0", b"paren0", 1))
+        checker.check(api.Fetch(1, b"cache0", b"paren0", 1))
--- a/tests/test_ring.py
+++ b/tests/routing/test_ring.py
@@ -1,31 +1,31 @@
-"""The design's ordinary path: stable, shared, near-even rings."""
+"""The ordinary path: stable, shared, near-even rings."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-from tests.conftest import FLEET, ORIGIN_MEMBER, Driver, cache, parent
+from tests.support.routing import FLEET, ORIGIN_ENDPOINT, Driver, cache, parent
 from zincladder.routing.ring import Ring, ring_position
 
 KEYS = range(3000)
 
 
-def homes(driver: Driver) -> dict[int, bytes]:
+def cache_of_each(driver: Driver) -> dict[int, bytes]:
     return {key: driver.serve(key + 1, key).endpoint for key in KEYS}
 
 
-def sources(driver: Driver) -> dict[int, bytes]:
+def source_of_each(driver: Driver) -> dict[int, bytes]:
     return {key: driver.serve(key + 1, key).source for key in KEYS}
 
 
 def test_every_router_and_a_restarted_one_has_the_same_rings() -> None:
-    assert homes(Driver(seed=1)) == homes(Driver(reversed(FLEET), seed=99))
+    assert cache_of_each(Driver(seed=1)) == cache_of_each(Driver(reversed(FLEET), seed=99))
 
 
-def test_each_part_has_a_home_of_its_own_and_all_fill_from_one_parent() -> None:
-    # one cache for all parts of a hot object was more than its link could carry
-    d = Driver()
-    sent = {n: d.serve(n, key=5, part=n) for n in range(1, 20)}
+def test_each_part_has_a_cache_of_its_own_and_all_fill_from_one_parent() -> None:
+    # All parts of a hot object are more than the link of one cache carries.
+    driver = Driver()
+    sent = {n: driver.serve(n, key=5, part=n) for n in range(1, 20)}
     again = {n: Driver(seed=9).serve(n, key=5, part=n) for n in range(1, 20)}
     assert sent == again
     assert len({s.endpoint for s in sent.values()}) == 4
@@ -34,38 +34,38 @@
 
 def test_the_parent_of_an_object_is_the_same_from_every_location() -> None:
     elsewhere = Driver((cache(8, zone=2), *FLEET), zone=2)
-    assert sources(Driver()) == sources(elsewhere)
+    assert source_of_each(Driver()) == source_of_each(elsewhere)
 
 
-def test_a_lost_member_moves_only_its_own_objects() -> None:
-    before = homes(Driver())
-    d = Driver()
-    d.change(cache(2, state=0))
-    after = homes(d)
+def test_a_lost_cache_moves_only_its_own_objects() -> None:
+    before = cache_of_each(Driver())
+    driver = Driver()
+    driver.update_endpoints(cache(2, state=0))
+    after = cache_of_each(driver)
     assert b"cache2" in before.values() and b"cache2" not in after.values()
     assert all(after[k] == home for k, home in before.items() if home != b"cache2")
 
 
-def test_a_new_member_takes_only_what_becomes_its_own() -> None:
-    before, d = homes(Driver()), Driver()
-    d.change(cache(9))
-    after = homes(d)
+def test_a_new_cache_takes_only_what_becomes_its_own() -> None:
+    before, driver = cache_of_each(Driver()), Driver()
+    driver.update_endpoints(cache(9))
+    after = cache_of_each(driver)
     moved = {k for k in KEYS if before[k] != after[k]}
     assert moved and {after[k] for k in moved} == {b"cache9"}
     assert len(moved) < 0.3 * len(KEYS)
 
 
 def test_a_lost_parent_moves_only_its_own_objects() -> None:
-    before, d = sources(Driver()), Driver()
-    d.change(parent(0, state=0))
-    after = sources(d)
+    before, driver = source_of_each(Driver()), Driver()
+    driver.update_endpoints(parent(0, state=0))
+    after = source_of_each(driver)
     assert all(after[k] == s for k, s in before.items() if s != b"paren0")
     assert b"paren0" not in after.values()
 
 
 def test_shares_are_near_even_at_real_sizes() -> None:
     for size in (3, 5, 9):
-        counts = Counter(homes(Driver((*(cache(n) for n in range(size)), parent(0)))).values())
+        counts = Counter(cache_of_each(Driver((*(cache(n) for n in range(size)), parent(0)))).values())
         fair = len(KEYS) / size
         assert len(counts) == size
         assert all(0.7 * fair < n < 1.3 * fair for n in counts.values()), counts
@@ -73,8 +73,8 @@
 
 def test_shares_follow_listed_weights_only_where_weights_are_listed() -> None:
     endpoints = (cache(0, weight=5.0), cache(1, weight=10.0), parent(0))
-    big = Counter(homes(Driver(endpoints)).values())[b"cache1"] / len(KEYS)
-    even = Counter(homes(Driver(endpoints, weights_known=False)).values())[b"cache1"] / len(KEYS)
+    big = Counter(cache_of_each(Driver(endpoints)).values())[b"cache1"] / len(KEYS)
+    even = Counter(cache_of_each(Driver(endpoints, weights_known=False)).values())[b"cache1"] / len(KEYS)
     assert 0.58 < big < 0.75
     assert 0.4 < even < 0.6
 
@@ -88,18 +88,18 @@
         assert next(ring.walk(place)) == owner
 
 
-def test_a_ring_is_kept_while_its_membership_stays() -> None:
-    d = Driver()
-    ring = d.endpoints.caches
-    d.change(cache(1, weight=9.0), cache(7, zone=2))
-    assert d.endpoints.caches is ring
+def test_a_ring_is_kept_while_its_endpoints_stay() -> None:
+    driver = Driver()
+    ring = driver.endpoints.caches
+    driver.update_endpoints(cache(1, weight=9.0), cache(7, zone=2))
+    assert driver.endpoints.caches is ring
 
 
 def test_with_no_parent_up_the_source_is_the_origin() -> None:
-    d = Driver((cache(0), ORIGIN_MEMBER))
-    assert d.serve(1).source == b"origin"
+    driver = Driver((cache(0), ORIGIN_ENDPOINT))
+    assert driver.serve(1).source == b"origin"
 
 
-def test_cacheable_fills_are_kept_at_one_rank() -> None:
-    d = Driver()
-    assert {d.serve(n, key=n, request_class=n % 2, kb=10.0 * n).cache_rank for n in range(1, 60)} == {1}
+def test_cacheable_fills_are_cached_at_one_rank() -> None:
+    driver = Driver()
+    assert {driver.serve(n, key=n, request_class=n % 2, kb=10.0 * n).cache_rank for n in range(1, 60)} == {1}
--- a/tests/smoke.py
+++ b/tests/smoke.py
@@ -7,7 +7,7 @@
 import tomllib
 from pathlib import Path
 
-from tests.test_wire import STORE, born, endpoints, entry, frame, query
+from tests.simulator.test_wire import STORE, born, endpoints, entry, frame, query
 
 
 def main() -> int:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -12,7 +12,7 @@
 import anyio.lowlevel
 import pytest
 
-from tests.conftest import FLEET, cache, settings
+from tests.support.routing import FLEET, cache, settings
 from zincladder.core.attempt import AbortReason, AttemptRequest, ClientRequest
 from zincladder.core.ends import RESULTS, AttemptEnd, EndReason
 from zincladder.core.engine import READ_AGAIN, Answer, Core
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -12,8 +12,8 @@
 import dns.rcode
 import pytest
 
-from tests.conftest import FLEET, settings
 from tests.stands import Fetch, Resolver, StubCache, World, places, serve, world
+from tests.support.routing import FLEET, settings
 from tests.test_core import Carrier
 from zincladder.config import DnsConfig, DnsHost
 from zincladder.core.engine import Core
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,12 +1,10 @@
-"""The module's own limits: its length, its width, its imports, and where decisions may stand."""
+"""What the core may import, and how many fronts and endpoints the fleet may have."""
 
 from __future__ import annotations
 
 import ast
-import sys
 from pathlib import Path
 
-from tests.conftest import Driver, cache, parent
 from zincladder.agreement import host
 from zincladder.policy import coordinator
 from zincladder.tasks import counter_sums
@@ -30,81 +28,6 @@
     return found
 
 
-# The modules of the decisions, each with those of the package that it imports, from the bottom up.
-DECISIONS = {
-    "budgets": "interface",
-    "capacity": "",
-    "fill_throttle": "interface",
-    "purges": "",
-    "requests": "interface",
-    "ring": "interface",
-    "endpoints": "budgets interface ring",
-    "load_shedding": "requests",
-    "retry": "interface requests",
-    "state": "budgets capacity endpoints fill_throttle interface purges",
-    "freshness": "requests state",
-    "health_checks": "interface state",
-    "outlier_ejection": "endpoints interface requests retry state",
-    "utilization": "endpoints state",
-    "outcomes": "endpoints fill_throttle health_checks interface outlier_ejection requests retry state",
-    "slow_start": "budgets endpoints state utilization",
-    "selection": (
-        "endpoints interface load_shedding outlier_ejection requests ring slow_start state utilization"
-    ),
-    "router": (
-        "endpoints freshness health_checks interface load_shedding outcomes outlier_ejection requests retry"
-        " ring selection slow_start state"
-    ),
-}
-
-
-def test_each_module_of_the_decisions_imports_the_standard_library_and_its_rules_only() -> None:
-    inputs = {"time", "os", "io", "socket", "sys", "datetime", "threading", "asyncio", "pathlib", "random"}
-    present = {path.stem for path in (PACKAGE / "routing").glob("*.py")}
-    assert present == {*DECISIONS, "__init__", "interface"}
-    below = {"interface"}
-    for name, allowed in DECISIONS.items():
-        modules = imported(f"routing/{name}.py")
-        ours = {module for module in modules if module.split(".")[0] not in sys.stdlib_module_names}
-        assert ours == {f"zincladder.routing.{module}" for module in allowed.split()}
-        assert set(allowed.split()) <= below  # imports run downwards
-        below.add(name)
-        assert not (inputs - ({"random"} if name == "state" else set())) & modules
-
-
-def test_the_interface_holds_no_logic() -> None:
-    tree = ast.parse((PACKAGE / "routing/interface.py").read_text())
-    logic = (ast.FunctionDef, ast.AsyncFunctionDef, ast.Lambda, ast.If, ast.For, ast.While)
-    assert not [n for n in ast.walk(tree) if isinstance(n, logic)]
-
-
-def test_the_adapter_does_not_reach_into_a_router() -> None:
-    for name in ("simulator/adapter.py", "simulator/wire.py"):
-        tree = ast.parse((PACKAGE / name).read_text())
-        calls = {n.attr for n in ast.walk(tree) if isinstance(n, ast.Attribute)}
-        assert not calls & {
-            "state",
-            "endpoints",
-            "pending",
-            "attempts",
-            "timers",
-            "caches",
-            "parents",
-            "purges",
-        }
-
-
-def test_the_decisions_and_the_adapter_need_the_standard_library_only() -> None:
-    for name in (
-        *(f"routing/{module}.py" for module in (*DECISIONS, "interface")),
-        "simulator/wire.py",
-        "simulator/adapter.py",
-        "config/__init__.py",
-    ):
-        roots = {n.split(".")[0] for n in imported(name)}
-        assert roots <= set(sys.stdlib_module_names) | {"zincladder"}
-
-
 def test_the_core_knows_no_wire_and_no_front() -> None:
     for path in (PACKAGE / "core").glob("*.py"):
         ours = {n for n in imported(f"core/{path.name}") if n.startswith("zincladder")}
@@ -141,10 +64,3 @@
         for n in range(1500):
             added.reported(f"front{n}", "1", {"served": float(len(added.totals))})
     assert len(added._latest) == 1500
-
-
-def test_a_router_knows_600_servers_of_230_fronts() -> None:
-    caches = [cache(n, zone=n % 32, id=b"cache%03d" % n) for n in range(560)]
-    d = Driver([*caches, *(parent(n, id=b"paren%02d" % n) for n in range(40))], routers=230)
-    assert len(d.endpoints.stats) == 600 and len(d.endpoints.parents.ids) == 40
-    assert {d.serve(n, key=n).endpoint for n in range(400)} == {m.id for m in caches if m.zone == 1}
--- a/tests/test_operating_day.py
+++ b/tests/test_operating_day.py
@@ -22,7 +22,6 @@
 import anyio.lowlevel
 import pytest
 
-from tests.conftest import ORIGIN_MEMBER, Driver, cache, finals, get, sends, settings
 from tests.processes import free_port
 from tests.stands import (
     SETTINGS,
@@ -36,6 +35,15 @@
     serve,
     world,
 )
+from tests.support.routing import (
+    ORIGIN_ENDPOINT,
+    Driver,
+    attempts_in,
+    cache,
+    final_answers,
+    only_fetch,
+    settings,
+)
 from tests.test_endings import rest
 from zincladder import config as configs
 from zincladder.admission.seats import SETTLED
@@ -196,35 +204,42 @@
 
 
 def test_the_router_keeps_attempts_and_effect_of_what_is_open_and_what_it_has_learned() -> None:
-    d = Driver(max_attempts=4)
+    driver = Driver(max_attempts=4)
     for n in range(1, 20):
-        d.serve(n, key=n, request_class=1, kb=50.0)
-    learned = d.state.transfer_times[1].mean_seconds
-    sent = get(d.ask(100, request_class=0))
-    fewer = settings(max_attempts=1, classes=(*d.state.settings.classes[:3], READ, WRITE))
-    d.give(api.SettingsChanged(fewer, (0, 1, 2, -1, -1)))
+        driver.serve(n, key=n, request_class=1, kb=50.0)
+    learned = driver.state.transfer_times[1].mean_seconds
+    sent = only_fetch(driver.request(100, request_class=0))
+    fewer = settings(max_attempts=1, classes=(*driver.state.settings.classes[:3], READ, WRITE))
+    driver.handle(api.SettingsChanged(fewer, (0, 1, 2, -1, -1)))
     assert (
-        d.state.transfer_times[1].mean_seconds == learned > 0 and d.state.transfer_times[3].mean_seconds == 0
+        driver.state.transfer_times[1].mean_seconds == learned > 0
+        and driver.state.transfer_times[3].mean_seconds == 0
     )
-    again = sends(d.end(100, 0, sent.endpoint, api.AttemptOutcome.UNREACHABLE))
+    again = attempts_in(driver.end_attempt(100, 0, sent.endpoint, api.AttemptOutcome.UNREACHABLE))
     assert len(again) == 1  # it was taken when four were allowed
-    first = get(d.ask(101, request_class=0))
-    assert finals(d.end(101, 0, first.endpoint, api.AttemptOutcome.UNREACHABLE))  # one now
-    write = sends(d.ask(102, request_class=4))
-    assert [a.endpoint for a in write] == [ORIGIN_MEMBER.id]
-    assert isinstance(finals(d.end(102, 0, ORIGIN_MEMBER.id, api.AttemptOutcome.RESET))[0], api.Fail)
+    first = only_fetch(driver.request(101, request_class=0))
+    assert final_answers(
+        driver.end_attempt(101, 0, first.endpoint, api.AttemptOutcome.UNREACHABLE)
+    )  # one now
+    write = attempts_in(driver.request(102, request_class=4))
+    assert [a.endpoint for a in write] == [ORIGIN_ENDPOINT.id]
+    assert isinstance(
+        final_answers(driver.end_attempt(102, 0, ORIGIN_ENDPOINT.id, api.AttemptOutcome.RESET))[0], api.Fail
+    )
 
 
 def test_a_process_more_at_this_front_halves_what_a_cold_cache_is_sent() -> None:
     def sent(processes: int) -> int:
-        d = Driver([cache(0, started_at=99.0), ORIGIN_MEMBER], may_bypass_caches=False)
-        s = d.state.settings
+        driver = Driver([cache(0, started_at=99.0), ORIGIN_ENDPOINT], may_bypass_caches=False)
+        s = driver.state.settings
         seats = (0, s.routers_by_zone[1] + 2 * (processes - 1), 2)
-        d.give(api.SettingsChanged(settings(may_bypass_caches=False, routers_by_zone=seats), tuple(range(4))))
+        driver.handle(
+            api.SettingsChanged(settings(may_bypass_caches=False, routers_by_zone=seats), tuple(range(4)))
+        )
         count = 0
         for n in range(400):
-            d.now += 0.01
-            count += bool(sends(d.ask(n, key=n, kb=30.0)))
+            driver.now += 0.01
+            count += bool(attempts_in(driver.request(n, key=n, kb=30.0)))
         return count
 
     assert sent(1) > 0 and sent(2) == pytest.approx(sent(1) / 2, rel=0.2)
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -18,8 +18,8 @@
 import yaml
 from click.testing import CliRunner
 
-from tests.conftest import FLEET, settings
 from tests.support.golden import assert_matches
+from tests.support.routing import FLEET, settings
 from zincladder.admission.gate import Gate
 from zincladder.admission.interface import Bounds
 from zincladder.admission.ledger import PLAIN, SHARED, Ledger
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -19,8 +19,8 @@
 import dns.rcode
 import pytest
 
-from tests.conftest import FLEET, settings
 from tests.support.golden import DATA, assert_matches, positional
+from tests.support.routing import FLEET, settings
 from zincladder.config import DnsConfig, DnsHost
 from zincladder.core.attempt import AttemptRequest, ClientRequest
 from zincladder.core.engine import Core
--- a/tests/wiring/test_coordinator.py
+++ b/tests/wiring/test_coordinator.py
@@ -7,7 +7,7 @@
 import pytest
 import structlog.testing
 
-from tests.conftest import settings
+from tests.support.routing import settings
 from zincladder.core.engine import Core
 from zincladder.net.events import Listed, Purge
 from zincladder.routing import interface as api
