--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -14,7 +14,7 @@
 
 from tests.conftest import FLEET, cache, settings
 from zincladder.core.attempt import AbortReason, AttemptRequest, ClientRequest
-from zincladder.core.ends import RESULTS, AttemptEnd, EndReason
+from zincladder.core.attempt_end import OUTCOME_OF_END, AttemptEnd, EndReason
 from zincladder.core.engine import READ_AGAIN, Answer, Core
 from zincladder.core.statistics import Statistics
 from zincladder.net.stream import Ended, Inbox, Outbox
@@ -45,8 +45,8 @@
             await self.news.wait()
         return self.ends[n]
 
-    def end(self, n: int, how: EndReason) -> None:
-        self.ends[n] = AttemptEnd(how)
+    def end(self, n: int, reason: EndReason) -> None:
+        self.ends[n] = AttemptEnd(reason)
         self._stir()
 
     def _stir(self) -> None:
@@ -58,8 +58,8 @@
             while not fits():
                 await self.news.wait()
 
-    async def probe(self, endpoint: api.EndpointId) -> AttemptEnd:
-        return AttemptEnd(EndReason.SILENT)
+    async def check_health(self, endpoint: api.EndpointId) -> AttemptEnd:
+        return AttemptEnd(EndReason.TIMED_OUT)
 
     def close_idle(self, endpoint: api.EndpointId) -> None:
         pass
@@ -93,12 +93,12 @@
         tasks.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize("how", list(EndReason))
-async def test_a_write_is_sent_again_only_after_an_end_that_proves_it_never_ran(how: EndReason) -> None:
+@pytest.mark.parametrize("reason", list(EndReason))
+async def test_a_write_is_sent_again_only_after_an_end_that_proves_it_never_ran(reason: EndReason) -> None:
     async with case(request_class=3) as (c, _):
-        c.carrier.end(0, how)
+        c.carrier.end(0, reason)
         await c.carrier.until(lambda: c.answer is not None or len(c.carrier.orders) > 1)
-        again = RESULTS[how] in PROVED and how is not EndReason.TOO_LATE
+        again = OUTCOME_OF_END[reason] in PROVED and reason is not EndReason.DEADLINE_EXCEEDED
         assert (len(c.carrier.orders) == 2) == again
         assert again or c.answer
 
@@ -177,7 +177,7 @@
 
 async def test_a_fault_in_a_probe_ends_it_and_no_attempt() -> None:
     async with case() as (c, _):
-        c.carrier.probe = fault  # type: ignore[method-assign, assignment]
+        c.carrier.check_health = fault  # type: ignore[method-assign, assignment]
         c.core._probes.append(b"cache1")
         with anyio.fail_after(5):
             while not c.core.counts["probes", "silent"]:
@@ -195,17 +195,17 @@
     # guards rules 3 and 5 while a connection comes up: the decision is older than the notice
     async with case() as (c, _):
         (order,) = c.carrier.orders
-        assert order.may_go() and order.age_now() == 0.0
+        assert order.may_start() and order.max_age_now() == 0.0
         c.core.purge(None, 3, c.core.clock.now() - 0.2)
-        assert 0.2 <= order.age_now() < 1.0
+        assert 0.2 <= order.max_age_now() < 1.0
         lost = order.source if as_source else order.endpoint
         (endpoint,) = [m for m in FLEET if m.id == lost]
         c.core.listed(api.UpdateKind.DELTA, 2, (cache(0, id=lost, kind=endpoint.kind, state=state),))
-        assert not order.may_go()
+        assert not order.may_start()
         blamed = (
-            AbortReason.SOURCE_DRAINS if as_source else AbortReason.MEMBER_DRAINS
+            AbortReason.SOURCE_NOT_READY if as_source else AbortReason.ENDPOINT_NOT_READY
         )  # and so the other is not
-        assert order.hold() is blamed
+        assert order.abort_reason() is blamed
 
 
 async def test_steering_tells_the_router_of_no_outcome() -> None:
@@ -249,7 +249,7 @@
         ours.sendall(data)
         with pytest.raises(Ended) as caught:
             await Inbox(theirs).line(4096)
-        assert caught.value.how is EndReason.GARBLED
+        assert caught.value.reason is EndReason.PROTOCOL_ERROR
 
 
 def test_silence_is_told_of_who_is_asked_and_says_nothing() -> None:
@@ -258,9 +258,9 @@
     for i in range(50):  # both are asked all the time; one says nothing, of the other a copy is called off
         now = 10.0 + i * 0.1
         figures.asked(one, now, "page")
-        figures.ended(one, EndReason.SILENT)
+        figures.ended(one, EndReason.TIMED_OUT)
         figures.asked(other, now, "page")
-        figures.ended(other, EndReason.CALLED_OFF if i % 2 else EndReason.SERVED)
+        figures.ended(other, EndReason.CANCELLED if i % 2 else EndReason.SERVED)
     assert figures.silent(one, 15.0) == pytest.approx(4.9) and figures.silent(other, 15.0) == 0.0
     # Called off and then not asked any more: the time stands still, and is forgotten.
     assert figures.silent(other, 20.0) == 0.0 and figures.silent(one, 20.0) == pytest.approx(4.9)
@@ -268,6 +268,6 @@
     figures.probed(one, EndReason.SERVED, 0.001, (0.5,), 20.0)
     assert figures.silent(one, 20.0) == 0.0 and figures.endpoints[one].probe_seconds == 0.001
     figures.keep_only({other: api.Endpoint(other, 0, 0)})  # gone, with an attempt that ends later
-    figures.ended(one, EndReason.CUT)
+    figures.ended(one, EndReason.CONNECTION_LOST)
     figures.asked(one, 21.0, "page")
     assert list(figures.endpoints) == [other]
--- a/tests/test_late_attempts.py
+++ b/tests/test_late_attempts.py
@@ -60,7 +60,7 @@
 
 def less_is_left_than_a_member_can_be_told(core: Core, _: socket.socket) -> None:
     (context,) = core.open_requests.values()
-    core.clock._offset += context.ask.deadline - core.clock.now() - LEAST_TIME / 2
+    core.clock._offset += context.request.deadline - core.clock.now() - LEAST_TIME / 2
 
 
 def it_is_answered_and_called_off(core: Core, _: socket.socket) -> None:
@@ -182,7 +182,7 @@
     now = [1000.0]
     async with wire(now=lambda: now[0]) as w:
         await w.send(b"x" * LARGE, order("a" * 16))
-        until = order("b" * 16, until=now[0] + 2.0)
+        until = order("b" * 16, deadline=now[0] + 2.0)
         await w.attempt("b" * 16, lambda: w.caches._fetch(until), until)
         w.link.outbox._flush()  # written down, and not taken
         now[0] += 1.5
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -78,7 +78,7 @@
             "zincladder.core.arrival",
             "zincladder.core.attempt",
             "zincladder.core.classes",
-            "zincladder.core.ends",
+            "zincladder.core.attempt_end",
             "zincladder.core.statistics",
             "zincladder.discovery.freshness",
             "zincladder.support.rate_limited_log",
--- a/tests/test_member_links.py
+++ b/tests/test_member_links.py
@@ -21,7 +21,7 @@
 from zincladder.admission.ledger import SHARED, Ledger, Use
 from zincladder.config import REPORTS, Config, config_of
 from zincladder.core.attempt import AbortReason, AttemptRequest, ClientRequest, NoAttemptGuard
-from zincladder.core.ends import AttemptEnd, EndReason
+from zincladder.core.attempt_end import AttemptEnd, EndReason
 from zincladder.decide import NEVER_RAN
 from zincladder.net import caches as cache_side
 from zincladder.net.caches import Caches, _Link
@@ -75,7 +75,7 @@
 
     async def send(self, message: bytes, asks: AttemptRequest) -> anyio.CancelScope:
         """Begins an attempt; its end is added to `ends`, and cancelling what is given back gives it up."""
-        return await self.attempt(asks.ask.trace, lambda: [message], asks)
+        return await self.attempt(asks.request.trace, lambda: [message], asks)
 
     async def attempt(
         self, name: str, write: Callable[[], Sequence[bytes]], asks: AttemptRequest
@@ -259,26 +259,26 @@
 
 
 @pytest.mark.parametrize(
-    ("hold", "how", "fill_outcome"),
+    ("abort", "reason", "fill_outcome"),
     [
-        (AbortReason.CALLED_OFF, EndReason.CALLED_OFF, api.FillOutcome.NONE),
-        (AbortReason.TIME_OVER, EndReason.TOO_LATE, api.FillOutcome.NONE),
-        (AbortReason.CLIENT_LEFT, EndReason.CALLED_OFF, api.FillOutcome.NONE),
-        (AbortReason.WINDOW_OVER, EndReason.TOO_LATE, api.FillOutcome.NONE),
-        (AbortReason.MEMBER_DRAINS, EndReason.TURNED, api.FillOutcome.NONE),
-        (AbortReason.SOURCE_DRAINS, EndReason.TURNED, api.FillOutcome.SOURCE_FAILED),
+        (AbortReason.CANCELLED, EndReason.CANCELLED, api.FillOutcome.NONE),
+        (AbortReason.DEADLINE_EXCEEDED, EndReason.DEADLINE_EXCEEDED, api.FillOutcome.NONE),
+        (AbortReason.CLIENT_DISCONNECTED, EndReason.CANCELLED, api.FillOutcome.NONE),
+        (AbortReason.DEDUPLICATION_EXPIRED, EndReason.DEADLINE_EXCEEDED, api.FillOutcome.NONE),
+        (AbortReason.ENDPOINT_NOT_READY, EndReason.DRAINING, api.FillOutcome.NONE),
+        (AbortReason.SOURCE_NOT_READY, EndReason.DRAINING, api.FillOutcome.SOURCE_FAILED),
     ],
 )
 async def test_an_attempt_that_may_not_begin_ends_as_one_that_never_ran(
-    hold: AbortReason, how: EndReason, fill_outcome: api.FillOutcome
+    abort: AbortReason, reason: EndReason, fill_outcome: api.FillOutcome
 ) -> None:
     class Held(NoAttemptGuard):
-        def hold(self, order: AttemptRequest) -> AbortReason | None:
-            return hold
+        def abort_reason(self, attempt: AttemptRequest) -> AbortReason | None:
+            return abort
 
     caches = Caches(config_of(configuration([])), time.time, Ledger(100, SHARED), ["page"])
     end = await caches.send(order(guard=Held()))
-    assert (end.how, end.fill_outcome, end.why) == (how, fill_outcome, hold.value)
+    assert (end.reason, end.fill_outcome, end.detail) == (reason, fill_outcome, abort.description)
     assert end.outcome in (*NEVER_RAN, api.AttemptOutcome.CANCELLED)
 
 
@@ -304,9 +304,9 @@
     made: list[Caches] = []
     init = Caches.__init__
 
-    def keep(self: Caches, *how: Any) -> None:
+    def keep(self: Caches, *reason: Any) -> None:
         made.append(self)
-        init(self, *how)
+        init(self, *reason)
 
     monkeypatch.setattr(Caches, "__init__", keep)
     return made
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -37,8 +37,8 @@
 from zincladder.control.figures import figures
 from zincladder.control.readiness import Readiness
 from zincladder.core.attempt import AbortReason
+from zincladder.core.attempt_end import EndReason
 from zincladder.core.classes import Classes
-from zincladder.core.ends import EndReason
 from zincladder.core.engine import Core
 from zincladder.metrics import registry as front_metrics
 from zincladder.metrics.keeper import NAMES as NAMES_OF_A_REPLICA
@@ -70,13 +70,13 @@
     core.statistics.keep_classes(("video", "page"), ())
     member = FLEET[0].id
     for end in EndReason:
-        core.counts["attempts", end.name.lower()] += 1
-        core.counts["probes", end.name.lower()] += 1
-        core.counts["client_ends", end.name.lower()] += 1
+        core.counts["attempts", end.value] += 1
+        core.counts["probes", end.value] += 1
+        core.counts["client_ends", end.value] += 1
         core.statistics.ended(member, end)
         core.statistics.probed(member, end, 0.5, (1.0,), 1.0)
     for reason in AbortReason:
-        core.counts["held_back", reason.name.lower()] += 1
+        core.counts["held_back", reason.value] += 1
     for group in sorted(front_metrics.COUNTERS):
         core.counts[group, "one"] += 1
     for kind in ("served", "refused", "failed"):
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -157,7 +157,7 @@
         {"meter": "util:nan"}, {"meter": "util"}, {"meter": "util:-1"}, {"fill": "x"}, {"since": "-1"},
     ]  # fmt: skip
     found = [[fields, outcome(partial(answer_values, fields), ValueError)] for fields in answers]
-    words = [[word.decode(), end.name.lower()] for word, end in protocol.WORDS.items()]
+    words = [[word.decode(), end.value] for word, end in protocol.WORDS.items()]
     assert_matches("wires/cache_answer.json", {"fields": found, "words": words})
 
 
--- /dev/null
+++ b/zincladder/core/attempt_end.py
@@ -0,0 +1,73 @@
+"""How connections and attempts end, and the outcome that the router learns from each end."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from enum import Enum
+
+from zincladder.routing import interface as api
+
+
+class EndReason(Enum):
+    """Every way in which a connection, or an attempt on one, can end.
+
+    The value is the published label: metrics, `STATS` and the fleet's counters carry it.
+    """
+
+    SERVED = "served"  # a complete answer
+    NOT_MODIFIED = "same"  # a complete answer: the client's own copy is current
+    MISS = "lacking"  # the endpoint has no suitable copy and does not fill one
+    REJECTED = "full"  # rejected by the endpoint or by its source
+    SERVER_ERROR = "faulted"  # the endpoint answered with an error
+    DEADLINE_EXCEEDED = "too_late"  # too late to run: the deadline, or the deduplication window, is over
+    TIMED_OUT = "silent"  # no answer within the attempt's time
+    CONNECT_FAILED = "no_connection"  # refused, or not established in time
+    NOT_SENT = "not_written"  # the connection was lost or found congested before a byte was written
+    DRAINING = "turned"  # endpoint or source stopped being ready between the decision and the send
+    CONNECTION_LOST = "cut"  # the connection was lost after bytes of the request were written
+    PROTOCOL_ERROR = "garbled"  # the peer violated its protocol; whether the request ran is unknown
+    CANCELLED = "called_off"  # cancelled by the router or by the client
+    CLOSED_BY_PEER = "closed"  # a peer closed a connection without open requests
+    IDLE_CLOSED = "idle"  # this side closed an unused connection
+    PEER_STALLED = "stalled"  # a peer left a message unfinished, or does not read
+
+
+# Outcomes that claim a request never ran (REJECTED, UNREACHABLE, NOT_SENT, MISS) need proof: no byte was
+# written, or the endpoint said so. A wrong claim here would let a write run twice.
+OUTCOME_OF_END: dict[EndReason, api.AttemptOutcome] = {
+    EndReason.SERVED: api.AttemptOutcome.OK,
+    EndReason.NOT_MODIFIED: api.AttemptOutcome.OK,
+    EndReason.MISS: api.AttemptOutcome.MISS,
+    EndReason.REJECTED: api.AttemptOutcome.REJECTED,
+    EndReason.SERVER_ERROR: api.AttemptOutcome.ERROR,
+    EndReason.DEADLINE_EXCEEDED: api.AttemptOutcome.NOT_SENT,
+    EndReason.TIMED_OUT: api.AttemptOutcome.TIMED_OUT,
+    EndReason.CONNECT_FAILED: api.AttemptOutcome.UNREACHABLE,
+    EndReason.NOT_SENT: api.AttemptOutcome.UNREACHABLE,
+    EndReason.DRAINING: api.AttemptOutcome.REJECTED,
+    EndReason.CONNECTION_LOST: api.AttemptOutcome.RESET,
+    EndReason.PROTOCOL_ERROR: api.AttemptOutcome.RESET,
+    EndReason.CANCELLED: api.AttemptOutcome.CANCELLED,
+    EndReason.CLOSED_BY_PEER: api.AttemptOutcome.RESET,
+    EndReason.IDLE_CLOSED: api.AttemptOutcome.RESET,
+    EndReason.PEER_STALLED: api.AttemptOutcome.RESET,
+}
+
+
+@dataclass(slots=True)
+class AttemptEnd:
+    """The end of one attempt, health check or connection, and what came with it."""
+
+    reason: EndReason
+    body: bytes | bytearray = b""
+    fill_outcome: api.FillOutcome = api.FillOutcome.NONE
+    fill_wait: float = 0.0  # seconds for which the endpoint waited for its source
+    report: tuple[float, ...] = ()  # load report, in the order of the settings' report names
+    fields: Mapping[str, str] = field(default_factory=dict)
+    detail: str = ""  # for the log
+
+    @property
+    def outcome(self) -> api.AttemptOutcome:
+        """What the router is notified of."""
+        return OUTCOME_OF_END[self.reason]
--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -13,7 +13,6 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field, replace
 from time import monotonic
-from typing import Protocol
 
 import anyio
 import anyio.lowlevel
@@ -21,9 +20,9 @@
 from anyio.abc import TaskGroup
 
 from zincladder.core.arrival import LoopTurns
-from zincladder.core.attempt import AbortReason, AttemptRequest, ClientRequest
+from zincladder.core.attempt import AbortReason, AttemptRequest, ClientRequest, Transport
+from zincladder.core.attempt_end import AttemptEnd, EndReason
 from zincladder.core.classes import Classes
-from zincladder.core.ends import AttemptEnd, EndReason
 from zincladder.core.statistics import Statistics
 from zincladder.decide import NEVER_RAN, Router
 from zincladder.discovery.freshness import Freshness
@@ -44,19 +43,6 @@
 log = structlog.get_logger()
 
 
-class Transport(Protocol):
-    """What reaches the members."""
-
-    async def send(self, order: AttemptRequest) -> AttemptEnd:
-        """Makes one attempt. Cancelling it gives the attempt up."""
-
-    async def probe(self, endpoint: api.EndpointId) -> AttemptEnd:
-        """Asks a member for its load."""
-
-    def close_idle(self, endpoint: api.EndpointId) -> None:
-        """Closes idle connections to a member."""
-
-
 @dataclass(slots=True)
 class Answer:
     """The final answer: a served end, or a refusal (harmless to repeat) or a failure."""
@@ -70,7 +56,7 @@
 class RequestContext:
     """What the core keeps of a request while it is owed its answer."""
 
-    ask: ClientRequest
+    request: ClientRequest
     sends: int = 0
     out: dict[int, tuple[AttemptRequest, anyio.CancelScope, float]] = field(default_factory=dict)
     ends: list[tuple[int, AttemptEnd]] = field(default_factory=list)
@@ -219,7 +205,7 @@
         """Answers these as failed at once, or all that is open: whoever asks cannot wait any longer."""
         these = None if asks is None else {id(ask) for ask in asks}
         for number, context in self.open_requests.items():
-            if context.final is None and (these is None or id(context.ask) in these):
+            if context.final is None and (these is None or id(context.request) in these):
                 self._notify(api.ClientDisconnected(number))
                 self._finish(number, Answer("failed"))
         self.news_of_fleet()  # those that wait for a current list are among them
@@ -242,10 +228,10 @@
             n, end = context.ends.pop(0)
             order, _, sent_at = context.out.pop(n)
             served = end.outcome is api.AttemptOutcome.OK
-            rules = self.classes.rules[context.ask.request_class]
+            rules = self.classes.rules[context.request.request_class]
             if rules.idempotency is api.Idempotency.WITH_KEY and end.outcome not in NEVER_RAN:
                 context.repeat_by = min(context.repeat_by, sent_at + rules.deduplication_window)
-            if end.how is EndReason.TOO_LATE:
+            if end.reason is EndReason.DEADLINE_EXCEEDED:
                 self._log_too_late(order, end, sent_at)
             if served:
                 context.final = Answer("served", end)
@@ -257,11 +243,11 @@
         now = self.clock.now()
         self._lines.warning(
             "attempt was over before it ran",
-            why=end.why or "the member's word",
-            trace=order.ask.trace,
+            reason=end.detail or "reported by the endpoint",
+            trace=order.request.trace,
             endpoint=order.endpoint.decode("latin-1"),
             decided_s_ago=round(now - sent_at, 3),
-            client_has_s=round(order.ask.deadline - now, 3),
+            client_has_s=round(order.request.deadline - now, 3),
             loop_lag=round(self.loop_lag, 3),
         )
 
@@ -271,25 +257,27 @@
         # Guards rule 1: an attempt ends by its own limit, but a request held without one has none.
         with anyio.CancelScope() as waiting:
             if not context.out:
-                waiting.deadline = anyio.current_time() + max(0.0, context.ask.deadline - self.clock.now())
+                waiting.deadline = anyio.current_time() + max(
+                    0.0, context.request.deadline - self.clock.now()
+                )
             await context.news.wait()
         return bool(context.ends or context.next_attempt or context.final or not waiting.cancelled_caught)
 
     async def _attempt(
         self, number: int, context: RequestContext, n: int, order: AttemptRequest, scope: anyio.CancelScope
     ) -> None:
-        end = AttemptEnd(EndReason.CALLED_OFF)
+        end = AttemptEnd(EndReason.CANCELLED)
         try:
             with scope:
                 await anyio.lowlevel.checkpoint_if_cancelled()  # called off before it began
                 end = await self._carried(context, order)
         except Exception:  # guards all other attempts, which share their task group
-            log.exception("attempt failed", trace=order.ask.trace)
-            end = AttemptEnd(EndReason.FAULTED, why="a fault of the carrier")
+            log.exception("attempt failed", trace=order.request.trace)
+            end = AttemptEnd(EndReason.SERVER_ERROR, detail="the transport failed")
         if scope.cancelled_caught:
             # Guards the member's name: where the timer itself is late, its answer may lie here unread.
-            silent = 0.0 <= self.clock.now() - order.until <= HALT
-            end = AttemptEnd(EndReason.SILENT if silent else EndReason.CALLED_OFF, why="patience")
+            silent = 0.0 <= self.clock.now() - order.deadline <= HALT
+            end = AttemptEnd(EndReason.TIMED_OUT if silent else EndReason.CANCELLED, detail="timeout")
         context.ends.append((n, end))
         if (
             context.running_attempt and context.running_attempt[0] != n
@@ -302,7 +290,7 @@
     async def _carried(self, context: RequestContext, order: AttemptRequest) -> AttemptEnd:
         if await self._current(context, HELD_ATTEMPT):
             return await self.transport.send(order)
-        return AttemptEnd(EndReason.TOO_LATE, why=AbortReason.OUT_OF_DATE.value)
+        return AttemptEnd(EndReason.DEADLINE_EXCEEDED, detail=AbortReason.LIST_OUT_OF_DATE.description)
 
     def _forget(self, number: int) -> None:
         """Closes the books of a request: the module hears of each attempt's end exactly once."""
@@ -312,7 +300,7 @@
             self._notify(api.ClientDisconnected(number))
         for n, (order, scope, sent_at) in context.out.items():
             _call_off(order, scope)  # second copies that are still out, or all where the client left
-            self._notify(self._ended(number, n, order, AttemptEnd(EndReason.CALLED_OFF), sent_at, True))
+            self._notify(self._ended(number, n, order, AttemptEnd(EndReason.CANCELLED), sent_at, True))
 
     def route_only(self, ask: ClientRequest) -> api.EndpointId | None:
         """The member to which a client is sent that goes there itself; None: the module gave up.
@@ -358,10 +346,10 @@
     def _ended(
         self, number: int, n: int, order: AttemptRequest, end: AttemptEnd, sent_at: float, closed: bool
     ) -> api.AttemptEnded:
-        self.counts["attempts", end.how.name.lower()] += 1
-        self.statistics.ended(order.endpoint, end.how)
+        self.counts["attempts", end.reason.value] += 1
+        self.statistics.ended(order.endpoint, end.reason)
         # Guards the member's name, and what is judged of sending times: this process's halts are not its own.
-        latency = max(0.0, self.clock.now() - sent_at - (self.stalled_seconds - order.stalled_before))
+        latency = max(0.0, self.clock.now() - sent_at - (self.stalled_seconds - order.stalled_seconds_before))
         return api.AttemptEnded(
             number,
             n,
@@ -378,7 +366,7 @@
 
     def retune(self, settings: api.Settings, names: Sequence[str]) -> None:
         """Other settings from now on. What is open keeps the rules under which it was taken."""
-        held = {context.ask.request_class for context in self.open_requests.values()}
+        held = {context.request.request_class for context in self.open_requests.values()}
         learned = self.classes.take(names, settings.classes, held, self.clock.now())
         self.statistics.keep_classes(names, (self.classes.names[n] for n in held))
         self.settings = replace(settings, classes=tuple(self.classes.rules))
@@ -466,10 +454,12 @@
     def _send(self, action: api.Fetch | api.Lookup) -> None:
         context = self.open_requests[action.request]
         n, context.sends = context.sends, context.sends + 1
-        ask, now = context.ask, self.clock.now()
+        ask, now = context.request, self.clock.now()
         until = min(ask.deadline, now + (action.time_out or math.inf))
-        order = AttemptRequest(ask, action.endpoint, until=until, begin_by=context.repeat_by, guard=self)
-        order.stalled_before = self.stalled_seconds
+        order = AttemptRequest(
+            ask, action.endpoint, deadline=until, start_before=context.repeat_by, guard=self
+        )
+        order.stalled_seconds_before = self.stalled_seconds
         if isinstance(action, api.Fetch):
             order.source = None if action.source == action.endpoint else action.source
             order.cache_rank, order.max_age, order.coalesce = (
@@ -491,37 +481,37 @@
 
     # What may change before an attempt's first byte (the attempt's guard) --------------------------
 
-    def hold(self, order: AttemptRequest) -> AbortReason | None:
+    def abort_reason(self, order: AttemptRequest) -> AbortReason | None:
         """Why an attempt may not begin at this moment; `None` where it may."""
         # Timers and cancellations come late where the event loop does, so both are asked for here.
         if order.cancelled:
-            return AbortReason.CALLED_OFF
+            return AbortReason.CANCELLED
         now = self.clock.now()
-        if now > order.until - LEAST_TIME:
-            return AbortReason.TIME_OVER
+        if now > order.deadline - LEAST_TIME:
+            return AbortReason.DEADLINE_EXCEEDED
         self.look_at_news()
-        if not order.ask.wanted():
-            return AbortReason.CLIENT_LEFT
-        if now >= order.begin_by:
-            return AbortReason.WINDOW_OVER
+        if not order.request.client_is_waiting():
+            return AbortReason.CLIENT_DISCONNECTED
+        if now >= order.start_before:
+            return AbortReason.DEDUPLICATION_EXPIRED
         if not self._ready(order.endpoint):
-            return AbortReason.MEMBER_DRAINS
-        return None if self._ready(order.source) else AbortReason.SOURCE_DRAINS
+            return AbortReason.ENDPOINT_NOT_READY
+        return None if self._ready(order.source) else AbortReason.SOURCE_NOT_READY
 
-    def aborted_before_send(self, order: AttemptRequest, hold: AbortReason) -> None:
+    def aborted_before_send(self, attempt: AttemptRequest, reason: AbortReason) -> None:
         """Counts and logs an attempt that was not sent."""
-        self.counts["held_back", hold.name.lower()] += 1
+        self.counts["held_back", reason.value] += 1
         self._lines.info(
-            "attempt held back",
-            why=hold.value,
-            trace=order.ask.trace,
-            endpoint=order.endpoint.decode("latin-1"),
-            source=order.source and order.source.decode("latin-1"),
+            "attempt aborted before send",
+            reason=reason.description,
+            trace=attempt.request.trace,
+            endpoint=attempt.endpoint.decode("latin-1"),
+            source=attempt.source and attempt.source.decode("latin-1"),
         )
 
-    def oldest_copy(self, order: AttemptRequest) -> float:
+    def max_copy_age(self, order: AttemptRequest) -> float:
         """Guards rule 5 against a purge that was told between the decision and the send."""
-        ask = order.ask
+        ask = order.request
         age = self.purges.age(ask.object, ask.group, self.clock.now())
         if age > self.settings.purge_done:
             return order.max_age
@@ -573,11 +563,11 @@
         started = self.clock.now()
         self.statistics.asked(endpoint, started)
         try:
-            end = await self.transport.probe(endpoint)
+            end = await self.transport.check_health(endpoint)
         except Exception:  # guards all attempts, which share its task group
             log.exception("probe failed", endpoint=endpoint.decode("latin-1"))
-            end = AttemptEnd(EndReason.SILENT)
-        self.counts["probes", end.how.name.lower()] += 1
+            end = AttemptEnd(EndReason.TIMED_OUT)
+        self.counts["probes", end.reason.value] += 1
         now = self.clock.now()
-        self.statistics.probed(endpoint, end.how, now - started, end.report, now)
+        self.statistics.probed(endpoint, end.reason, now - started, end.report, now)
         self._notify(api.ProbeEnded(endpoint, end.outcome, now - started, end.report))
--- a/zincladder/core/statistics.py
+++ b/zincladder/core/statistics.py
@@ -6,18 +6,18 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from zincladder.core.ends import EndReason
+from zincladder.core.attempt_end import EndReason
 from zincladder.routing import interface as api
 
 # Ends by which a member has shown that it is there: it said something that could be read.
 ANSWERED = frozenset(
     (
         EndReason.SERVED,
-        EndReason.SAME,
-        EndReason.LACKING,
-        EndReason.FULL,
-        EndReason.FAULTED,
-        EndReason.TOO_LATE,
+        EndReason.NOT_MODIFIED,
+        EndReason.MISS,
+        EndReason.REJECTED,
+        EndReason.SERVER_ERROR,
+        EndReason.DEADLINE_EXCEEDED,
     )
 )
 MOST_CLASSES = 64  # that are counted, with those dropped
@@ -86,33 +86,33 @@
         if found.owes_since is None:
             found.owes_since = now
 
-    def ended(self, endpoint: api.EndpointId, how: EndReason) -> None:
+    def ended(self, endpoint: api.EndpointId, reason: EndReason) -> None:
         """An attempt has ended."""
         found = self.endpoints.get(endpoint)
         if found is None:
             return
-        found.ends[how.name.lower()] += 1
+        found.ends[reason.value] += 1
         # A member that went and came back under its id begins anew, with what was open before.
         found.open = max(0, found.open - 1)
-        self._heard(found, how)
+        self._heard(found, reason)
 
     def probed(
-        self, endpoint: api.EndpointId, how: EndReason, took: float, report: tuple[float, ...], now: float
+        self, endpoint: api.EndpointId, reason: EndReason, took: float, report: tuple[float, ...], now: float
     ) -> None:
         found = self.endpoints.get(endpoint)
         if found is None:
             return
-        found.probes[how.name.lower()] += 1
+        found.probes[reason.value] += 1
         found.probe_seconds += took
         if report:
             found.report, found.reported_at = report, now
-        self._heard(found, how)
+        self._heard(found, reason)
 
     @staticmethod
-    def _heard(found: EndpointStatistics, how: EndReason) -> None:
-        if how in ANSWERED:
+    def _heard(found: EndpointStatistics, reason: EndReason) -> None:
+        if reason in ANSWERED:
             found.owes_since = None
-        elif how in (EndReason.NOT_WRITTEN, EndReason.TURNED) and not found.open:
+        elif reason in (EndReason.NOT_SENT, EndReason.DRAINING) and not found.open:
             found.owes_since = None  # it was never asked
 
     def silent(self, endpoint: api.EndpointId, now: float) -> float:
--- a/zincladder/dns/server.py
+++ b/zincladder/dns/server.py
@@ -14,7 +14,7 @@
 from zincladder.admission.model import Why
 from zincladder.admission.responses import Response
 from zincladder.config import Address
-from zincladder.core.ends import EndReason
+from zincladder.core.attempt_end import EndReason
 from zincladder.core.engine import Clock
 from zincladder.dns.answers import MOST_SIZE, Answers
 from zincladder.net.client_listener import turn_away
@@ -131,10 +131,10 @@
                             data = bytes(await inbox.exactly(size))
                         response = self._respond(data, None)
                         if response is None:
-                            raise Ended(EndReason.GARBLED, "a message that cannot be answered")
+                            raise Ended(EndReason.PROTOCOL_ERROR, "a message that cannot be answered")
                         outbox.put([len(response).to_bytes(2, "big"), response])
                 except (Ended, TimeoutError) as end:
-                    if isinstance(end, Ended) and end.how is EndReason.GARBLED:
+                    if isinstance(end, Ended) and end.reason is EndReason.PROTOCOL_ERROR:
                         log.info("dns connection ended", why=str(end))
                 tasks.cancel_scope.cancel()
         finally:
--- a/zincladder/net/caches.py
+++ b/zincladder/net/caches.py
@@ -19,7 +19,7 @@
 from zincladder.admission.ledger import Ledger, Use
 from zincladder.config import BODY, Address, Config
 from zincladder.core.attempt import AbortReason, AttemptRequest
-from zincladder.core.ends import AttemptEnd, EndReason
+from zincladder.core.attempt_end import AttemptEnd, EndReason
 from zincladder.net import protocol
 from zincladder.net.stream import Ended, Entry, Inbox, Outbox, connect, left, unsent
 from zincladder.routing import interface as api
@@ -87,7 +87,7 @@
 
     async def run(self) -> AttemptEnd:
         """Reads answers until the connection ends; what is open ends with it."""
-        how, why = EndReason.IDLE, ""
+        reason, detail = EndReason.IDLE_CLOSED, ""
         try:
             with self.scope:
                 async with anyio.create_task_group() as tasks:
@@ -98,25 +98,31 @@
             while isinstance(first, BaseExceptionGroup):
                 first = first.exceptions[0]
             assert isinstance(first, Ended)
-            how, why = first.how, str(first)
+            reason, detail = first.reason, str(first)
         finally:
             self.closed = True
             for waiting in list(self.open.values()):
                 # Only an id of which no byte was written is proved never to have run.
                 unwritten = waiting.entry is not None and not waiting.entry.begun
-                cut = EndReason.CUT if how in (EndReason.CLOSED, EndReason.IDLE) else how
-                waiting.finish(AttemptEnd(EndReason.NOT_WRITTEN if unwritten else cut, why=why))
+                cut = (
+                    EndReason.CONNECTION_LOST
+                    if reason in (EndReason.CLOSED_BY_PEER, EndReason.IDLE_CLOSED)
+                    else reason
+                )
+                waiting.finish(AttemptEnd(EndReason.NOT_SENT if unwritten else cut, detail=detail))
             try:
                 if unsent(self.sock):
                     # Guards requests that were given up: after a usual end the system goes on sending them.
                     with contextlib.suppress(OSError):
                         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-                elif how is EndReason.IDLE:  # this side's own end: the member may be in the middle of a line
+                elif (
+                    reason is EndReason.IDLE_CLOSED
+                ):  # this side's own end: the member may be in the middle of a line
                     with self.lingering:
                         await lingering_close(self.sock, LINGER)
             finally:
                 self.sock.close()
-        return AttemptEnd(how, why=why)
+        return AttemptEnd(reason, detail=detail)
 
     async def _read(self) -> None:
         while True:
@@ -129,18 +135,18 @@
                 continue
             words = line.split(b" ")
             if len(words) < 2 or words[1] not in protocol.WORDS:
-                raise Ended(EndReason.GARBLED, f"not an answer: {line[:60]!r}")
+                raise Ended(EndReason.PROTOCOL_ERROR, f"not an answer: {line[:60]!r}")
             length, fields = 0, b"-"
             if len(words) > 2:
                 fields = words[2]
                 if len(words) != 4 or not words[3].isdigit() or int(words[3]) > MOST_BODY:
-                    raise Ended(EndReason.GARBLED, f"not an answer: {line[:60]!r}")
+                    raise Ended(EndReason.PROTOCOL_ERROR, f"not an answer: {line[:60]!r}")
                 length = int(words[3])
             body = bytearray()
             if length:
                 body = await self.inbox.exactly(length, BROKEN_OFF)
                 if await self.inbox.exactly(2, BROKEN_OFF) != b"\r\n":
-                    raise Ended(EndReason.GARBLED, "a body without its end")
+                    raise Ended(EndReason.PROTOCOL_ERROR, "a body without its end")
             self.used_at = monotonic()
             waiting = self.open.get(words[0])
             if waiting is None or waiting.entry is None or not waiting.entry.begun:
@@ -177,24 +183,27 @@
             for pair in raw.decode("latin-1").split(","):
                 name, equals, value = pair.partition("=")
                 if not equals or not FIELD.fullmatch(name) or not value.isprintable():
-                    raise Ended(EndReason.GARBLED, f"a field that is none: {pair[:40]!r}")
+                    raise Ended(EndReason.PROTOCOL_ERROR, f"a field that is none: {pair[:40]!r}")
                 fields[name] = value
-        how = protocol.WORDS[word]
+        reason = protocol.WORDS[word]
         # Guards the client's copy: it is the one only if the member named it, by the tag that it was sent.
-        named = how is not EndReason.SAME or (waiting.tag != "" and fields.get("rev") == waiting.tag)
+        named = reason is not EndReason.NOT_MODIFIED or (
+            waiting.tag != "" and fields.get("rev") == waiting.tag
+        )
         fits = (word in (b"alive", b"dead")) == waiting.probe and named
-        if not fits or (body and how is not EndReason.SERVED):
+        if not fits or (body and reason is not EndReason.SERVED):
             raise Ended(
-                EndReason.GARBLED, f"{word.decode()} with {len(body)} bytes is no answer to what was asked"
+                EndReason.PROTOCOL_ERROR,
+                f"{word.decode()} with {len(body)} bytes is no answer to what was asked",
             )
         try:
             told = protocol.read_answer(fields)
         except ValueError as fault:
-            raise Ended(EndReason.GARBLED, str(fault)) from None
+            raise Ended(EndReason.PROTOCOL_ERROR, str(fault)) from None
         # A load report counts whole or not at all, in the order of the settings that are in force by now.
         report, names = told.pop("report", {}), self._names()
         figures = tuple(report[n] for n in names) if report.keys() >= set(names) else ()
-        return AttemptEnd(how, body, report=figures, **told)
+        return AttemptEnd(reason, body, report=figures, **told)
 
 
 @dataclass(slots=True, eq=False)
@@ -206,22 +215,22 @@
     link: _Link | None = None
 
 
-HELD_BACK = {
-    AbortReason.CALLED_OFF: EndReason.CALLED_OFF,
-    AbortReason.TIME_OVER: EndReason.TOO_LATE,
-    AbortReason.CLIENT_LEFT: EndReason.CALLED_OFF,
-    AbortReason.WINDOW_OVER: EndReason.TOO_LATE,
-    AbortReason.MEMBER_DRAINS: EndReason.TURNED,
-    AbortReason.OUT_OF_DATE: EndReason.TOO_LATE,
-    AbortReason.SOURCE_DRAINS: EndReason.TURNED,
+END_OF_ABORT = {
+    AbortReason.CANCELLED: EndReason.CANCELLED,
+    AbortReason.DEADLINE_EXCEEDED: EndReason.DEADLINE_EXCEEDED,
+    AbortReason.CLIENT_DISCONNECTED: EndReason.CANCELLED,
+    AbortReason.DEDUPLICATION_EXPIRED: EndReason.DEADLINE_EXCEEDED,
+    AbortReason.ENDPOINT_NOT_READY: EndReason.DRAINING,
+    AbortReason.LIST_OUT_OF_DATE: EndReason.DEADLINE_EXCEEDED,
+    AbortReason.SOURCE_NOT_READY: EndReason.DRAINING,
 }
 
 
 def _held_back(order: AttemptRequest, hold: AbortReason) -> AttemptEnd:
     """The end of an attempt that was not sent: what it was decided by has changed since."""
     order.guard.aborted_before_send(order, hold)
-    note = api.FillOutcome.SOURCE_FAILED if hold is AbortReason.SOURCE_DRAINS else api.FillOutcome.NONE
-    return AttemptEnd(HELD_BACK[hold], fill_outcome=note, why=hold.value)
+    note = api.FillOutcome.SOURCE_FAILED if hold is AbortReason.SOURCE_NOT_READY else api.FillOutcome.NONE
+    return AttemptEnd(END_OF_ABORT[hold], fill_outcome=note, detail=hold.description)
 
 
 class Caches:
@@ -280,23 +289,23 @@
                 link.end()
 
     async def send(self, order: AttemptRequest) -> AttemptEnd:
-        if hold := order.hold():
+        if hold := order.abort_reason():
             return _held_back(order, hold)
         try:
-            link = await self._link(order.endpoint, order.ask.trace.encode())
+            link = await self._link(order.endpoint, order.request.trace.encode())
         except (OSError, TimeoutError) as fault:
-            return AttemptEnd(EndReason.NO_CONNECTION, why=str(fault))
-        return await self._exchange(link, order.ask.trace.encode(), partial(self._fetch, order), order)
+            return AttemptEnd(EndReason.CONNECT_FAILED, detail=str(fault))
+        return await self._exchange(link, order.request.trace.encode(), partial(self._fetch, order), order)
 
-    async def probe(self, endpoint: api.EndpointId) -> AttemptEnd:
+    async def check_health(self, endpoint: api.EndpointId) -> AttemptEnd:
         self._probes += 1
         tag = b"p%d" % self._probes
-        end = AttemptEnd(EndReason.SILENT)
+        end = AttemptEnd(EndReason.TIMED_OUT)
         with anyio.move_on_after(PROBE_LIMIT):
             try:
                 link = await self._link(endpoint, tag)
             except (OSError, TimeoutError) as fault:
-                return AttemptEnd(EndReason.NO_CONNECTION, why=str(fault))
+                return AttemptEnd(EndReason.CONNECT_FAILED, detail=str(fault))
             end = await self._exchange(link, tag, lambda: [b"stats " + tag + b"\r\n"], None)
         return end
 
@@ -307,7 +316,7 @@
 
         `write` gives the message as of the moment in which its first byte goes.
         """
-        waiting = link.open[name] = _Waiting(order is None, order.ask.tag if order else "")
+        waiting = link.open[name] = _Waiting(order is None, order.request.tag if order else "")
         link.take(name)
         began, received = monotonic(), link.inbox.received
 
@@ -316,10 +325,10 @@
                 order.guard.written()
             elif order is not None:
                 # Guards the request: it was held back at the last look, and nobody else says so.
-                waiting.finish(_held_back(order, order.hold() or AbortReason.MEMBER_DRAINS))
+                waiting.finish(_held_back(order, order.abort_reason() or AbortReason.ENDPOINT_NOT_READY))
 
         # Guards the time that the member is told: it is what is left as the first byte goes.
-        entry = waiting.entry = link.outbox.put((), order.may_go if order else None, gone, write)
+        entry = waiting.entry = link.outbox.put((), order.may_start if order else None, gone, write)
         try:
             while waiting.end is None:
                 await waiting.news.wait()
@@ -349,8 +358,10 @@
 
     def _fetch(self, order: AttemptRequest) -> list[bytes]:
         """The attempt as of this moment: the time that is left, and the oldest copy that a purge allows."""
-        ask = order.ask
-        fields = protocol.write_fetch(order, self._class_names[ask.request_class], order.until - self._now())
+        ask = order.request
+        fields = protocol.write_fetch(
+            order, self._class_names[ask.request_class], order.deadline - self._now()
+        )
         head = f"fetch {ask.trace} {fields} {len(ask.body)}\r\n".encode()
         return [head, ask.body, b"\r\n"]
 
@@ -486,12 +497,14 @@
             end = await link.run()
         except Exception:  # guards all other connections: what goes wrong with one ends that one only
             log.exception("cache connection failed", endpoint=endpoint.decode("latin-1"))
-            end = AttemptEnd(EndReason.CUT)
+            end = AttemptEnd(EndReason.CONNECTION_LOST)
         self._ledger.give(Use.CACHES)
         links = self._links[endpoint]
         links.remove(link)
         if not links:
             del self._links[endpoint]
-        if end.how in (EndReason.GARBLED, EndReason.STALLED):
+        if end.reason in (EndReason.PROTOCOL_ERROR, EndReason.PEER_STALLED):
             name = endpoint.decode()
-            self._warn.warning("cache connection ended", endpoint=name, how=end.how.name, why=end.why)
+            self._warn.warning(
+                "cache connection ended", endpoint=name, reason=end.reason.name, detail=end.detail
+            )
--- a/zincladder/net/clients.py
+++ b/zincladder/net/clients.py
@@ -21,7 +21,7 @@
 from zincladder.config import Config
 from zincladder.core.arrival import NOTICED, ArrivalBound
 from zincladder.core.attempt import ClientRequest
-from zincladder.core.ends import EndReason
+from zincladder.core.attempt_end import EndReason
 from zincladder.core.engine import DUE_MARGIN, Answer, Core
 from zincladder.net import protocol, thrift
 from zincladder.net.client_connection import ClientConnection, TakenRequest, UnreadAnswers
@@ -125,7 +125,7 @@
         self._accepting.cancel()
 
     def _retire(
-        self, client: ClientConnection, why: str = EndReason.IDLE.name.lower(), linger: float = LINGER
+        self, client: ClientConnection, why: str = EndReason.IDLE_CLOSED.value, linger: float = LINGER
     ) -> bool:
         """Closes a connection on which nothing is open, unwritten or unread; whether it was one.
 
@@ -217,7 +217,7 @@
                 if self._said_too_little(c, now):
                     self._warn.warning("client sent no whole message", open=len(c.open))
                     self._admission.did(c.seat, Act.STALLED, now)
-                    self._core.counts["client_ends", EndReason.STALLED.name.lower()] += 1
+                    self._core.counts["client_ends", EndReason.PEER_STALLED.value] += 1
                     self._end(c, LINGER)
                 elif now - c.used_at > IDLE:
                     self._retire(c)
@@ -242,10 +242,13 @@
                     try:
                         await self._reader(client, tasks)
                     except Ended as end:
-                        self._core.counts["client_ends", end.how.name.lower()] += 1
-                        if client.open and end.how in (EndReason.CLOSED, EndReason.CUT):
+                        self._core.counts["client_ends", end.reason.value] += 1
+                        if client.open and end.reason in (
+                            EndReason.CLOSED_BY_PEER,
+                            EndReason.CONNECTION_LOST,
+                        ):
                             self._admission.did(client.seat, Act.ABANDONED, monotonic())
-                        if end.how is EndReason.GARBLED:
+                        if end.reason is EndReason.PROTOCOL_ERROR:
                             self._end(client, LINGER)
                             self._admission.did(client.seat, Act.GARBLED, monotonic())
                             self._warn.warning("client ended", why=str(end), open=len(client.open))
@@ -270,8 +273,8 @@
         try:
             await client.outbox.run(STALL)
         except Ended as end:
-            self._core.counts["client_ends", end.how.name.lower()] += 1
-            if end.how is EndReason.STALLED:
+            self._core.counts["client_ends", end.reason.value] += 1
+            if end.reason is EndReason.PEER_STALLED:
                 self._admission.did(client.seat, Act.STALLED, monotonic())
                 self._warn.warning("client does not read", why=str(end), open=len(client.open))
             client.end()
@@ -301,12 +304,12 @@
             await inbox.some(FRAME_HEAD)  # looks ahead of the reader begin at a whole head
             size = int.from_bytes(await inbox.exactly(FRAME_HEAD), "big")
             if not 0 < size <= thrift.MOST_FRAME:
-                raise Ended(EndReason.GARBLED, f"a frame of {size} bytes")
+                raise Ended(EndReason.PROTOCOL_ERROR, f"a frame of {size} bytes")
             frame = await inbox.exactly(size)
             try:
                 call = thrift.read_call(frame)
             except thrift.Malformed as fault:
-                raise Ended(EndReason.GARBLED, str(fault)) from None
+                raise Ended(EndReason.PROTOCOL_ERROR, str(fault)) from None
             client.frame_at, client.spoke, client.used_at = 0.0, True, monotonic()
             if client.ended:
                 return  # it came after this side's end: it goes again on another connection
@@ -324,13 +327,13 @@
                         thrift.application_exception(call.verb, call.seq, thrift.UNKNOWN_METHOD, text)
                     )
             elif call.kind != thrift.CALL:
-                raise Ended(EndReason.GARBLED, f"a 'handle' of message type {call.kind}")
+                raise Ended(EndReason.PROTOCOL_ERROR, f"a 'handle' of message type {call.kind}")
             elif call.seq <= last:
                 # Guards against two requests under one number: nobody could tell their answers apart.
-                raise Ended(EndReason.GARBLED, f"sequence number {call.seq} after {last}")
+                raise Ended(EndReason.PROTOCOL_ERROR, f"sequence number {call.seq} after {last}")
             elif len(client.open) >= OPEN_AT_MOST:
                 # Guards the usual clients: what has not begun is never passed on, and the rest is given up.
-                raise Ended(EndReason.GARBLED, f"more than {OPEN_AT_MOST} requests open")
+                raise Ended(EndReason.PROTOCOL_ERROR, f"more than {OPEN_AT_MOST} requests open")
             else:
                 last = call.seq
                 self._take(client, call, came - self._age(client, noticed), tasks)
@@ -356,7 +359,9 @@
         # Guards usual clients, who take back what has run out of time, however many they are.
         client.taken_back += not taken.begun
         if client.taken_back > TAKEN_BACK_MOST:
-            raise Ended(EndReason.GARBLED, f"{client.taken_back} requests taken back before they began")
+            raise Ended(
+                EndReason.PROTOCOL_ERROR, f"{client.taken_back} requests taken back before they began"
+            )
 
     def _take(self, client: ClientConnection, call: thrift.Call, came: float, tasks: TaskGroup) -> None:
         try:
@@ -388,7 +393,7 @@
             return
         self._admission.opened(client.seat)
         taken = client.open[call.seq] = TakenRequest(call.seq, ask)
-        ask.wanted = partial(client.waits, taken)
+        ask.client_is_waiting = partial(client.waits, taken)
         self._traces.add(ask.trace)
         tasks.start_soon(self._request, client, call.seq, ask, taken)
 
@@ -451,7 +456,7 @@
 
 def _reply(seq: int, answer: Answer) -> list[bytes | bytearray]:
     if answer.end is not None:
-        if answer.end.how is EndReason.SAME:
+        if answer.end.reason is EndReason.NOT_MODIFIED:
             return thrift.answer("handle", seq, b"", {"current": "1"}, True)
         return thrift.answer("handle", seq, answer.end.body, {}, True)
     if answer.kind == "refused":
--- a/zincladder/net/events.py
+++ b/zincladder/net/events.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from zincladder.config import Address, Config, ConfigError, Node, address
-from zincladder.core.ends import EndReason
+from zincladder.core.attempt_end import EndReason
 from zincladder.net.protocol import STATE_NAMES, STATES
 from zincladder.net.stream import Ended
 from zincladder.routing import interface as api
@@ -51,7 +51,7 @@
             while len(self._buffer) - start >= HEAD.size:
                 length, number, kind = HEAD.unpack_from(self._buffer, start)
                 if not HEAD.size - LENGTH_SIZE <= length <= MOST_FRAME:
-                    raise Ended(EndReason.GARBLED, f"a frame of {length} bytes")
+                    raise Ended(EndReason.PROTOCOL_ERROR, f"a frame of {length} bytes")
                 end = start + LENGTH_SIZE + length
                 if end > len(self._buffer):
                     break
@@ -88,7 +88,7 @@
     try:
         if kind in (WHOLE, CHANGES):
             if len(payload) % RECORD.size:
-                raise Ended(EndReason.GARBLED, f"a list of {len(payload)} bytes")
+                raise Ended(EndReason.PROTOCOL_ERROR, f"a list of {len(payload)} bytes")
             return Listed(kind == WHOLE, number, tuple(map(_member, RECORD.iter_unpack(payload))))
         if kind == OBJECT:
             obj, made = OBJECT_PURGE.unpack(payload)
@@ -97,7 +97,7 @@
             group, made = GROUP_PURGE.unpack(payload)
             return Purge(None, group, made / 1000)
     except (struct.error, IndexError) as fault:
-        raise Ended(EndReason.GARBLED, f"a frame of kind {kind}: {fault}") from None
+        raise Ended(EndReason.PROTOCOL_ERROR, f"a frame of kind {kind}: {fault}") from None
     return None  # kind 0, or one of a newer coordinator
 
 
--- a/zincladder/net/feed.py
+++ b/zincladder/net/feed.py
@@ -11,7 +11,7 @@
 import structlog
 
 from zincladder.config import Address
-from zincladder.core.ends import EndReason
+from zincladder.core.attempt_end import EndReason
 from zincladder.discovery.freshness import Freshness
 from zincladder.net.events import Frame, FrameReader, News, read_frame
 from zincladder.net.stream import Ended, Outbox, connect
@@ -70,7 +70,7 @@
                 self._watch.fail(end)  # its own task ends it
             except Exception:  # guards the request that looked, which has no part in it
                 log.exception("coordinator lost", last=self.last)
-                self._watch.fail(Ended(EndReason.GARBLED, "an event that could not be told"))
+                self._watch.fail(Ended(EndReason.PROTOCOL_ERROR, "an event that could not be told"))
 
     async def run(self) -> None:
         self._freshness.trying(monotonic())
@@ -174,9 +174,9 @@
             except (BlockingIOError, InterruptedError):
                 break
             except OSError as fault:
-                raise Ended(EndReason.CUT, str(fault)) from None
+                raise Ended(EndReason.CONNECTION_LOST, str(fault)) from None
             if not data:
-                raise Ended(EndReason.CLOSED)
+                raise Ended(EndReason.CLOSED_BY_PEER)
             for frame in self._frames.take(data):
                 self._frame_at = monotonic()
                 self._frame(frame, self._frame_at - self._began)
--- a/zincladder/net/protocol.py
+++ b/zincladder/net/protocol.py
@@ -14,7 +14,7 @@
 
 from zincladder.config import REPORTS
 from zincladder.core.attempt import AttemptRequest
-from zincladder.core.ends import EndReason
+from zincladder.core.attempt_end import EndReason
 from zincladder.routing import interface as api
 
 ID = re.compile(r"[0-9a-f]{16}", re.ASCII)
@@ -144,22 +144,22 @@
 
 
 def _cap(order: AttemptRequest) -> str:
-    age = order.age_now()
+    age = order.max_age_now()
     return f"{max(1, math.floor(age * 1000))}" if 0 < age < math.inf else ""
 
 
 # Each field of a `fetch`, from the order, the class's name and the seconds that are left; "" leaves it out.
 FETCH: dict[str, Callable[[AttemptRequest, str, float], str]] = {
     "cls": lambda order, name, left: name,
-    "item": lambda order, name, left: f"{order.ask.object:016x}",
-    "chunk": lambda order, name, left: "" if order.ask.part is None else str(order.ask.part),
+    "item": lambda order, name, left: f"{order.request.object:016x}",
+    "chunk": lambda order, name, left: "" if order.request.part is None else str(order.request.part),
     "limit": lambda order, name, left: str(max(1, math.floor(left * 1000))),
-    "nonce": lambda order, name, left: order.ask.key,
+    "nonce": lambda order, name, left: order.request.key,
     "up": lambda order, name, left: "" if order.source is None else order.source.decode(),
     "store": lambda order, name, left: str(order.cache_rank) if order.cache_rank else "",
     "cap": lambda order, name, left: _cap(order),
     "do": lambda order, name, left: _how(order),
-    "inm": lambda order, name, left: order.ask.tag,
+    "inm": lambda order, name, left: order.request.tag,
 }
 
 
@@ -200,13 +200,13 @@
 }
 WORDS = {
     b"200": EndReason.SERVED,
-    b"304": EndReason.SAME,
-    b"404": EndReason.LACKING,
-    b"503": EndReason.FULL,
-    b"500": EndReason.FAULTED,
-    b"504": EndReason.TOO_LATE,
+    b"304": EndReason.NOT_MODIFIED,
+    b"404": EndReason.MISS,
+    b"503": EndReason.REJECTED,
+    b"500": EndReason.SERVER_ERROR,
+    b"504": EndReason.DEADLINE_EXCEEDED,
     b"alive": EndReason.SERVED,
-    b"dead": EndReason.FULL,
+    b"dead": EndReason.REJECTED,
 }
 
 
--- a/zincladder/net/stream.py
+++ b/zincladder/net/stream.py
@@ -17,7 +17,7 @@
 
 import anyio
 
-from zincladder.core.ends import EndReason
+from zincladder.core.attempt_end import EndReason
 
 Part = bytes | bytearray | memoryview
 Looked = TypeVar("Looked")
@@ -34,9 +34,9 @@
 class Ended(Exception):
     """The connection has ended; `how` says in which way."""
 
-    def __init__(self, how: EndReason, why: str = "") -> None:
-        super().__init__(why or how.name.lower())
-        self.how = how
+    def __init__(self, reason: EndReason, why: str = "") -> None:
+        super().__init__(why or reason.value)
+        self.reason = reason
 
 
 class Inbox:
@@ -63,10 +63,10 @@
                 self._drained = True
                 continue
             except OSError as fault:
-                raise Ended(EndReason.CUT, str(fault)) from None
+                raise Ended(EndReason.CONNECTION_LOST, str(fault)) from None
             self._drained = got < len(into)
             if not got:
-                raise Ended(EndReason.CLOSED)
+                raise Ended(EndReason.CLOSED_BY_PEER)
             self.received += got
             return got
 
@@ -81,9 +81,9 @@
             # Guards the peer against a halt of this process, whose timers go before what lies there unread.
             lies = unread(self._sock, 1)
             if not (lies.data or lies.ended):
-                raise Ended(EndReason.GARBLED, "a message that broke off") from None
+                raise Ended(EndReason.PROTOCOL_ERROR, "a message that broke off") from None
         except (OSError, ValueError, anyio.ClosedResourceError):
-            raise Ended(EndReason.CUT) from None
+            raise Ended(EndReason.CONNECTION_LOST) from None
 
     async def _more(self, most: int, patience: float = math.inf) -> None:
         """Reads on, making room first: the unread part moves to the front or the buffer grows."""
@@ -95,7 +95,7 @@
                 self._buffer[: len(unread)] = unread
                 self._start, self._end = 0, len(unread)
             elif len(self._buffer) >= most:
-                raise Ended(EndReason.GARBLED, f"a head of over {most} bytes")
+                raise Ended(EndReason.PROTOCOL_ERROR, f"a head of over {most} bytes")
             else:
                 self._buffer.extend(bytes(len(self._buffer)))
         with memoryview(self._buffer) as view:
@@ -121,7 +121,7 @@
                 return found
             seen = max(0, self.buffered() - 1)
             if seen >= most:
-                raise Ended(EndReason.GARBLED, f"a line of over {most} bytes")
+                raise Ended(EndReason.PROTOCOL_ERROR, f"a line of over {most} bytes")
             await self._more(2 * most, patience)
 
     async def exactly(self, size: int, patience: float = math.inf) -> bytearray:
@@ -262,7 +262,7 @@
         except (BlockingIOError, InterruptedError):
             return False
         except OSError as fault:
-            self.ended = Ended(EndReason.CUT, str(fault))
+            self.ended = Ended(EndReason.CONNECTION_LOST, str(fault))
             return False
         entry.take(sent)
         if entry.parts:
@@ -300,7 +300,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as fault:
-                self.ended = Ended(EndReason.CUT, str(fault))
+                self.ended = Ended(EndReason.CONNECTION_LOST, str(fault))
                 return
             self._sent(sent)
 
@@ -357,11 +357,11 @@
                 try:
                     await anyio.wait_writable(self._sock)
                 except (OSError, ValueError, anyio.ClosedResourceError):
-                    raise Ended(EndReason.CUT) from None
+                    raise Ended(EndReason.CONNECTION_LOST) from None
             before = self.written
             self._flush()
             if waiting.cancelled_caught and self._queue and self.written == before:
-                raise Ended(EndReason.STALLED, "the peer does not read")
+                raise Ended(EndReason.PEER_STALLED, "the peer does not read")
 
 
 class Unread(NamedTuple):
