--- a/benchmarks/difference.py
+++ b/benchmarks/difference.py
@@ -26,14 +26,14 @@
 import anyio
 
 from tests.stands import SETTINGS, Client, Fetch, StubCache, World, client, world
-from zincladder.config import config_of
+from zincladder.config import parse_config
 from zincladder.core import engine
 from zincladder.core.answers import ANSWER_MARGIN_SECONDS
 from zincladder.core.arrival import ArrivalBound
 from zincladder.core.clock import Clock
 from zincladder.core.loop_monitor import LoopMonitor
-from zincladder.decide import Router
 from zincladder.routing import interface as api
+from zincladder.routing.router import Router
 
 PATIENCE = 5.0  # seconds that a client waits: longer than any wait here
 LIMIT = 3.0  # seconds of real time for an event to arrive
@@ -92,9 +92,8 @@
     prompt = mock.patch.object(
         LoopMonitor, "lag_seconds", property(lambda _: 0.0, lambda _, late: None), create=True
     )
-    at_once = mock.patch.object(
-        ArrivalBound, "unread_seconds", lambda *_: 0.0
-    )  # real time has no part in the history
+    # Real time has no part in the history.
+    at_once = mock.patch.object(ArrivalBound, "unread_seconds", lambda *_: 0.0)
     with mock.patch.object(engine, "Router", Recording), held, prompt, at_once:
         yield
 
@@ -137,11 +136,11 @@
         endpoints += [StubCache("s-000000b0", 2, self.hold)]
         with recorded(self.recorder):
             async with world(endpoints=endpoints, settings=self.settings) as w, client(w) as c:
-                config = config_of({"listen": "127.0.0.1:0", "settings": self.settings})
+                config = parse_config({"listen": "127.0.0.1:0", "settings": self.settings})
                 self.parts = config.settings
                 assert self.recorder.router is not None
                 self.alone = Router(self.parts, 0)
-                self.alone.random.setstate(self.recorder.router.random.getstate())
+                self.alone.state.random.setstate(self.recorder.router.state.random.getstate())
                 self.names = config.names.classes
                 first, _ = await self.recorder.next("the list")
                 self.act(self.alone.handle(first, self.recorder.now))
@@ -238,7 +237,7 @@
                     heapq.heappush(self.timers, (self.recorder.now + delay, token))
                 case api.Fetch() | api.Lookup():
                     trace = f"{action.request:016x}"
-                    attempt = self.alone.jobs[action.request].sends - 1
+                    attempt = self.alone.pending[action.request].attempts_sent - 1
                     self.sent[trace] = (action.request, attempt, self.recorder.now, action.endpoint)
 
 
--- a/tests/test_late_attempts.py
+++ b/tests/test_late_attempts.py
@@ -35,13 +35,13 @@
 from zincladder.core.arrival import PROMPT_READ_SECONDS, ArrivalBound, LoopTurns
 from zincladder.core.attempt_guard import MIN_ATTEMPT_SECONDS
 from zincladder.core.engine import Core
-from zincladder.decide import Router
 from zincladder.net import caches as cache_side
 from zincladder.net import client_connection, clients, stream, thrift
 from zincladder.net.client_listener import ClientListener
 from zincladder.net.clients import Clients
 from zincladder.net.stream import unsent
 from zincladder.routing import interface as api
+from zincladder.routing.router import Router
 
 pytestmark = pytest.mark.anyio
 PATIENCE = 1.0  # seconds of the request that is not to be sent
@@ -368,7 +368,7 @@
         await c.ask(patience=str(round(1000 * patience)))
         assert (await c.reply()).kind == kind
         assert len([fetch for stub in w.caches for fetch in stub.fetches]) == 1
-        assert {seen.failing for seen in cores[0].router.seen.values()} == {0.0}
+        assert {stats.failure_rate for stats in cores[0].router.state.endpoints.stats.values()} == {0.0}
 
 
 async def test_a_halt_of_the_process_is_no_part_of_what_a_member_took(
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,9 +8,9 @@
 
 from tests.conftest import Driver, cache, parent
 from zincladder.agreement import host
-from zincladder.ownership import model as duties
-from zincladder.ownership import sums
-from zincladder.policy import conductor
+from zincladder.policy import coordinator
+from zincladder.tasks import counter_sums
+from zincladder.tasks import model as tasks
 
 PACKAGE = Path(__file__).resolve().parent.parent / "zincladder"
 
@@ -30,23 +30,46 @@
     return found
 
 
-DECISIONS = ("decide.py", "capacity.py", "overload.py", "purges.py", "throttle.py")
-
-
-def test_the_module_and_its_limits_import_the_standard_library_and_the_interface_only() -> None:
+# The modules of the decisions, each with those of the package that it imports, from the bottom up.
+DECISIONS = {
+    "budgets": "interface",
+    "capacity": "",
+    "fill_throttle": "interface",
+    "purges": "",
+    "requests": "interface",
+    "ring": "interface",
+    "endpoints": "budgets interface ring",
+    "load_shedding": "requests",
+    "retry": "interface requests",
+    "state": "budgets capacity endpoints fill_throttle interface purges",
+    "freshness": "requests state",
+    "health_checks": "interface state",
+    "outlier_ejection": "endpoints interface requests retry state",
+    "utilization": "endpoints state",
+    "outcomes": "endpoints fill_throttle health_checks interface outlier_ejection requests retry state",
+    "slow_start": "budgets endpoints state utilization",
+    "selection": (
+        "endpoints interface load_shedding outlier_ejection requests ring slow_start state utilization"
+    ),
+    "router": (
+        "endpoints freshness health_checks interface load_shedding outcomes outlier_ejection requests retry"
+        " ring selection slow_start state"
+    ),
+}
+
+
+def test_each_module_of_the_decisions_imports_the_standard_library_and_its_rules_only() -> None:
     inputs = {"time", "os", "io", "socket", "sys", "datetime", "threading", "asyncio", "pathlib", "random"}
-    interface = {"zincladder.routing.interface"}
-    limits = {f"zincladder.{name}" for name in ("capacity", "overload", "purges", "throttle")}
-    for name, theirs in (
-        ("decide.py", interface | limits),
-        ("capacity.py", set()),
-        ("overload.py", interface),
-        ("purges.py", set()),
-        ("throttle.py", interface),
-    ):
-        ours = {n for n in imported(name) if n.split(".")[0] not in sys.stdlib_module_names}
-        assert ours == theirs
-        assert not (inputs - ({"random"} if name == "decide.py" else set())) & imported(name)
+    present = {path.stem for path in (PACKAGE / "routing").glob("*.py")}
+    assert present == {*DECISIONS, "__init__", "interface"}
+    below = {"interface"}
+    for name, allowed in DECISIONS.items():
+        modules = imported(f"routing/{name}.py")
+        ours = {module for module in modules if module.split(".")[0] not in sys.stdlib_module_names}
+        assert ours == {f"zincladder.routing.{module}" for module in allowed.split()}
+        assert set(allowed.split()) <= below  # imports run downwards
+        below.add(name)
+        assert not (inputs - ({"random"} if name == "state" else set())) & modules
 
 
 def test_the_interface_holds_no_logic() -> None:
@@ -56,14 +79,28 @@
 
 
 def test_the_adapter_does_not_reach_into_a_router() -> None:
-    for name in ("drill.py", "wire.py"):
+    for name in ("simulator/adapter.py", "simulator/wire.py"):
         tree = ast.parse((PACKAGE / name).read_text())
         calls = {n.attr for n in ast.walk(tree) if isinstance(n, ast.Attribute)}
-        assert not calls & {"seen", "jobs", "caches", "parents", "purges"}
+        assert not calls & {
+            "state",
+            "endpoints",
+            "pending",
+            "attempts",
+            "timers",
+            "caches",
+            "parents",
+            "purges",
+        }
 
 
 def test_the_decisions_and_the_adapter_need_the_standard_library_only() -> None:
-    for name in (*DECISIONS, "routing/interface.py", "wire.py", "drill.py", "config/__init__.py"):
+    for name in (
+        *(f"routing/{module}.py" for module in (*DECISIONS, "interface")),
+        "simulator/wire.py",
+        "simulator/adapter.py",
+        "config/__init__.py",
+    ):
         roots = {n.split(".")[0] for n in imported(name)}
         assert roots <= set(sys.stdlib_module_names) | {"zincladder"}
 
@@ -73,8 +110,9 @@
         ours = {n for n in imported(f"core/{path.name}") if n.startswith("zincladder")}
         assert ours <= {
             "zincladder.routing.interface",
-            "zincladder.decide",
-            "zincladder.purges",
+            "zincladder.routing.router",
+            "zincladder.routing.retry",
+            "zincladder.routing.purges",
             "zincladder.core.answers",
             "zincladder.core.arrival",
             "zincladder.core.attempt",
@@ -95,7 +133,7 @@
         }
         assert not {"socket", "struct", "h11", "dns"} & imported(f"core/{path.name}")
     for file in (
-        "purges.py",
+        "routing/purges.py",
         "discovery/freshness.py",
         "support/rate_limited_log.py",
     ):  # what it may use knows none either
@@ -103,20 +141,20 @@
 
 
 def test_no_cap_on_fronts_or_servers_is_under_1024() -> None:
-    caps = (host.MOST_LINKS, sums.MOST_PROCESSES, conductor.MOST_FRONTS, duties.MOST_WORKERS)
-    assert min(caps) >= 1024 and host.MOST_LINKS >= 2 * conductor.MOST_FRONTS
+    caps = (host.MOST_LINKS, counter_sums.MAX_PROCESSES, coordinator.MAX_FRONTS, tasks.MAX_RUNNERS)
+    assert min(caps) >= 1024 and host.MOST_LINKS >= 2 * coordinator.MAX_FRONTS
 
 
 def test_the_sums_take_what_1500_fronts_tell() -> None:
-    added = sums.Sums()
+    added = counter_sums.CounterSums()
     for _ in range(2):  # the first word of a process is where its counting begins
         for n in range(1500):
-            added.told(f"front{n}", "1", {"served": float(len(added.totals))})
-    assert len(added._last) == 1500
+            added.reported(f"front{n}", "1", {"served": float(len(added.totals))})
+    assert len(added._latest) == 1500
 
 
 def test_a_router_knows_600_servers_of_230_fronts() -> None:
     caches = [cache(n, zone=n % 32, id=b"cache%03d" % n) for n in range(560)]
     d = Driver([*caches, *(parent(n, id=b"paren%02d" % n) for n in range(40))], routers=230)
-    assert len(d.router.seen) == 600 and len(d.router.parents.ids) == 40
+    assert len(d.endpoints.stats) == 600 and len(d.endpoints.parents.ids) == 40
     assert {d.serve(n, key=n).endpoint for n in range(400)} == {m.id for m in caches if m.zone == 1}
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -30,12 +30,12 @@
 from zincladder.agreement.store import Store
 from zincladder.agreement.terms import Terms
 from zincladder.cli import main
-from zincladder.config import Config, DutiesConfig, PolicyConfig, config_of
+from zincladder.config import Config, DutiesConfig, PolicyConfig, parse_config
 from zincladder.config.keeper import KeeperTable, LeaseTable, keeper_of
 from zincladder.config.operator import TABLES, RemoteWriteTable
-from zincladder.control.calls import Calls
-from zincladder.control.figures import figures
 from zincladder.control.readiness import Readiness
+from zincladder.control.statistics import front_statistics
+from zincladder.control.status_calls import StatusCalls
 from zincladder.core.answers import AnswerKind
 from zincladder.core.attempt import AbortReason
 from zincladder.core.attempt_end import EndReason
@@ -45,11 +45,11 @@
 from zincladder.metrics.keeper import NAMES as NAMES_OF_A_REPLICA
 from zincladder.metrics.keeper import KeeperRegistry
 from zincladder.metrics.registry import Registry, Sample
-from zincladder.ownership.host import Stewarding
-from zincladder.ownership.worker import Worker
-from zincladder.policy.front import FleetPolicy, Parts
-from zincladder.policy.host import Conducting
+from zincladder.policy.front import FleetPolicy, PolicyHooks
+from zincladder.policy.host import PolicyLeaderService
 from zincladder.routing import interface as api
+from zincladder.tasks.host import TaskLeaderService
+from zincladder.tasks.runner import TaskRunner
 
 ROOT = Path(__file__).resolve().parent.parent
 REPLICAS = {"r1": "127.0.0.1:1"}
@@ -57,11 +57,11 @@
 
 
 def fleet_policy() -> FleetPolicy:
-    return FleetPolicy(PolicyConfig("g", REPLICAS), "n0", Parts(lambda _: (), lambda _: ""))
+    return FleetPolicy(PolicyConfig("g", REPLICAS), "n0", PolicyHooks(lambda _: (), lambda _: ""))
 
 
-def worker() -> Worker:
-    return Worker(DutiesConfig("g", REPLICAS, ()), "n0", {}, dict)
+def task_runner() -> TaskRunner:
+    return TaskRunner(DutiesConfig("g", REPLICAS, ()), "n0", {}, dict)
 
 
 def counting_core() -> Core:
@@ -93,7 +93,7 @@
 
 def test_names_and_labels_of_a_fronts_metrics() -> None:
     core = counting_core()
-    policy, tasks = fleet_policy(), worker()
+    policy, tasks = fleet_policy(), task_runner()
     found: dict[str, Any] = {}
     for name, admission in (
         ("by source", Gate(Limits(), Bounds(8, 8), Ledger(64, SHARED), 1)),
@@ -119,7 +119,7 @@
     lease = config.lease
     terms = Terms(lease.seconds, lease.renew_s, lease.drift, lease.check_s, lease.clear_s, lease.least,
                   lease.patient_s, lease.act_s)  # fmt: skip
-    coordinating, assigning = Conducting(replica, terms), Stewarding(replica, terms)
+    coordinating, assigning = PolicyLeaderService(replica, terms), TaskLeaderService(replica, terms)
     registry = KeeperRegistry(replica, coordinating, assigning)
     found = {"follows": series(registry.samples())}
     async with anyio.create_task_group() as tasks:
@@ -150,8 +150,12 @@
 def test_answers_of_the_operators_address() -> None:
     core = counting_core()
     ready, settled, stopping = [0], [False], [True]
-    readiness = Readiness(lambda: ready[0], lambda: settled[0], lambda: stopping[0])
-    calls = Calls(readiness.lacks, lambda: figures(core, policy=fleet_policy(), duty=worker()))
+    missing = [""]
+    readiness = Readiness(
+        lambda: ready[0], lambda: settled[0], lambda: stopping[0], policy_missing=lambda: missing[0]
+    )
+    sections = {"policy": fleet_policy().figures, "duty": task_runner().figures}
+    calls = StatusCalls(readiness.missing, lambda: front_statistics(core, sections))
     found = {"stopping": calls.answer(b"READY")}
     stopping[0] = False
     found["no member"] = calls.answer(b"READY")
@@ -159,12 +163,12 @@
     found["not settled"] = calls.answer(b"READY")
     settled[0] = True
     found["ready"] = calls.answer(b"READY")
-    readiness.more = fleet_policy().lacks
+    missing[0] = fleet_policy().not_ready_reason()
     found["no policy"] = calls.answer(b"READY\r")
     found["unknown"] = calls.answer(b"NO SUCH CALL AS THIS ONE IS")
     found["statistics"] = re.sub(rb"=\d+\n", b"=\n", calls.answer(b"STATS"))
     found["statistics of a front alone"] = re.sub(
-        rb"=\d+\n", b"=\n", Calls(str, lambda: figures(core)).answer(b"STATS")
+        rb"=\d+\n", b"=\n", StatusCalls(str, lambda: front_statistics(core, {})).answer(b"STATS")
     )
     assert_matches("published/operators_address.json", {k: v.decode().split("\n") for k, v in found.items()})
 
@@ -212,8 +216,8 @@
     "admission --socket /nowhere top --most 0",
     "admission --socket /nowhere show x", "admission --socket /nowhere block x", "admission block",
     "admission --socket /nowhere unblock x", "admission --socket /nowhere trust x", "keep",
-    "keepers", "keepers status", "duties", "duties status", "policy", "policy status", "policy show",
-    "policy set /nowhere",
+    "keepers", "keepers status", "duties", "duties status", "tasks", "tasks status", "policy",
+    "policy status", "policy show", "policy set /nowhere",
 )  # fmt: skip
 
 
@@ -317,5 +321,5 @@
     from tests.test_configuration_reading import FULL
 
     seen: dict[str, None] = {}
-    assert isinstance(config_of(Recorder(FULL, seen)), Config)
+    assert isinstance(parse_config(Recorder(FULL, seen)), Config)
     assert_matches("published/configuration.json", sorted(seen))
--- a/zincladder/core/attempt_guard.py
+++ b/zincladder/core/attempt_guard.py
@@ -9,8 +9,8 @@
 from zincladder.core.clock import Clock
 from zincladder.core.endpoint_list import EndpointList
 from zincladder.core.statistics import Statistics
-from zincladder.purges import Purges
 from zincladder.routing import interface as api
+from zincladder.routing.purges import Purges
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 MIN_ATTEMPT_SECONDS = 0.001  # the shortest limit that the wire can name
--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -31,9 +31,10 @@
 from zincladder.core.router_events import attempt_ended_event, request_event
 from zincladder.core.statistics import Statistics
 from zincladder.core.timers import TimerQueue
-from zincladder.decide import NEVER_RAN, Router
-from zincladder.purges import Purges
 from zincladder.routing import interface as api
+from zincladder.routing.purges import Purges
+from zincladder.routing.retry import NEVER_RAN
+from zincladder.routing.router import Router
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 LIST_WAIT_SHARE = 0.45  # of its time that a request waits for a current list: its client can still retry
@@ -335,12 +336,12 @@
     def purge(self, obj: int | None, group: int, purged_at: float) -> None:
         """A purge of one object, or of a whole group (`obj` is None), at a Unix time."""
         now = self.clock.now()
-        self.purges.told(obj, group, purged_at, now, self.settings.purge_done)
+        self.purges.record(obj, group, purged_at, now, self.settings.purge_done)
         self._notify_router(api.Purged(obj, group, max(0.0, now - purged_at)))
 
     def ejected_count(self) -> int:
         """Caches on the list that the router has ejected."""
-        return sum(self.router.seen[i].off for i in self.router.caches.ids)
+        return self.router.ejected_count()
 
     # Events and actions ---------------------------------------------------------------------------
 
--- /dev/null
+++ b/zincladder/tasks/runner.py
@@ -0,0 +1,130 @@
+"""A process's part in the fleet's singleton tasks: its link to the leader, and the tasks that it runs.
+
+On anyio. Loaded only where the operator's file has [duties].
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+import anyio
+import anyio.abc
+import structlog
+
+from zincladder.agreement.client import Client, NoAnswer, Open
+from zincladder.config import DutiesConfig
+from zincladder.leases.client import LeaseClient
+from zincladder.links.clocks import boottime
+from zincladder.tasks.context import TaskContext, TaskFunction
+from zincladder.tasks.errors import LeaseLostError
+from zincladder.tasks.lease_holder import LeaseHolder
+from zincladder.tasks.model import FromLeaseManager, ReportCounters
+
+MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.2, 5.0  # after a task that failed
+REPORT_INTERVAL_SECONDS = 2.0
+log = structlog.get_logger()
+
+
+class TaskRunner(LeaseClient[LeaseHolder]):
+    """One process."""
+
+    role = "worker"
+    messages = FromLeaseManager
+
+    def __init__(
+        self,
+        config: DutiesConfig,
+        name: str,
+        functions: Mapping[str, TaskFunction],
+        counters: Callable[[], dict[str, float]],
+        clock: Callable[[], float] = boottime,
+    ) -> None:
+        self._config, self._name = config, name
+        self._functions, self._counters = dict(functions), counters
+        lease_holder = LeaseHolder(self._functions, clock())
+        super().__init__(lease_holder, config.group, config.keepers, name, clock)
+        self._scopes: dict[str, anyio.CancelScope] = {}  # of running tasks
+        self._tasks: anyio.abc.TaskGroup | None = None
+        self.failures = self.fenced = 0
+
+    def active_token(self, task: str) -> int:
+        """The token under which to act on a task at this moment; 0: not at all."""
+        return self.participant.active_token(task, self.clock())
+
+    def client(self) -> Client:
+        """A client of the group."""
+        return Client(self._config.group, self._config.keepers, self._name)
+
+    def figures(self) -> dict[str, float]:
+        """For STATS and metrics: tasks run now, the shortest lease left, tasks that failed or came late."""
+        now, lease_holder = self.clock(), self.participant
+        left = [
+            lease_holder.lease_seconds_left(task, now)
+            for task in lease_holder.held
+            if lease_holder.active_token(task, now)
+        ]
+        return {
+            "owned": float(len(left)),
+            "lease": round(min(left, default=0.0), 3),
+            "linked": float(lease_holder.linked),
+            "failures": float(self.failures),
+            "fenced": float(self.fenced),
+        }
+
+    # Running --------------------------------------------------------------------------------------
+
+    async def run(self, stopping: anyio.Event) -> None:
+        """Runs until it is cancelled; once `stopping` is set it releases every task and takes no more."""
+        async with anyio.create_task_group() as self._tasks:
+            self._tasks.start_soon(self.renew_when_due)
+            self._tasks.start_soon(self._report_counters)
+            self._tasks.start_soon(self._leave_when_stopping, stopping)
+            await self.leader.run()
+
+    async def _leave_when_stopping(self, stopping: anyio.Event) -> None:
+        await stopping.wait()
+        self.participant.leave()
+        self.carry_out()
+
+    async def _report_counters(self) -> None:
+        while True:
+            if self.participant.linked:
+                self.leader.outbox.put(ReportCounters(self._counters()))
+            # Jitter, so that the reports of a fleet are spread.
+            await anyio.sleep(REPORT_INTERVAL_SECONDS * (0.9 + 0.2 * self.random.random()))
+
+    def carry_out(self) -> None:
+        """Carries out the lease holder's actions."""
+        actions = self.participant.take_actions()
+        for task in actions.end:
+            if scope := self._scopes.pop(task, None):
+                scope.cancel()
+        for message in actions.messages:
+            self.leader.outbox.put(message)
+        for task in actions.begin:
+            assert self._tasks is not None
+            scope = self._scopes[task] = anyio.CancelScope()
+            self._tasks.start_soon(self._run_task, task, scope)
+
+    async def _run_task(self, task: str, scope: anyio.CancelScope) -> None:
+        """Runs a task for as long as this process holds its lease; one that fails is begun anew."""
+        log.info("task started", task=task, token=self.active_token(task))
+        backoff = MIN_BACKOFF_SECONDS
+        with scope:
+            while self.active_token(task):
+                try:
+                    await self._functions[task](TaskContext(self, task))
+                except LeaseLostError:
+                    # The lease may have expired a moment before its end or its renewal is known here.
+                    await anyio.sleep(MIN_BACKOFF_SECONDS)
+                    continue
+                except (NoAnswer, Open) as error:
+                    log.info("task waits for the group", task=task, reason=str(error))
+                except Exception:
+                    self.failures += 1
+                    log.exception("task failed", task=task)
+                await anyio.sleep(backoff * (0.5 + self.random.random()))
+                backoff = min(MAX_BACKOFF_SECONDS, 2 * backoff)
+        log.info("task stopped", task=task)
+        if self._scopes.get(task) is scope:
+            del self._scopes[task]
