--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -157,7 +157,7 @@
         {"meter": "util:nan"}, {"meter": "util"}, {"meter": "util:-1"}, {"fill": "x"}, {"since": "-1"},
     ]  # fmt: skip
     found = [[fields, outcome(partial(answer_values, fields), ValueError)] for fields in answers]
-    words = [[word.decode(), end.name.lower()] for word, end in protocol.WORDS.items()]
+    words = [[word.decode(), end.value] for word, end in protocol.WORDS.items()]
     assert_matches("wires/cache_answer.json", {"fields": found, "words": words})
 
 
@@ -206,7 +206,7 @@
 
 def test_answers_over_dns() -> None:
     core = Core(settings(), 1, None)  # type: ignore[arg-type]
-    core.listed(api.UpdateKind.FULL, 1, FLEET)
+    core.update_endpoints(api.UpdateKind.FULL, 1, FLEET)
     table = DnsConfig(
         ("127.0.0.1", 0), "main.example.org", 0.25, (DnsHost("papers.main.example.org", 0, 7, 3),)
     )
