--- a/tests/stands.py
+++ b/tests/stands.py
@@ -17,7 +17,7 @@
 import dns.rdatatype
 
 from zincladder.config import parse_config
-from zincladder.config.operator import operator_of
+from zincladder.config.operator import parse_operator
 from zincladder.net import thrift
 from zincladder.wiring.front import ListeningAddresses, run_front
 
@@ -263,7 +263,7 @@
         known = [h for h in DNS_HOSTS if h["class"] in config.names.classes]  # another site names others
         table = ({"dns": DNS | {"host": known + (hosts or [])}} if known else {}) | (operator or {})
         stopping = anyio.Event()
-        listening = await tasks.start(run_front, config, operator_of(table, config.names), stopping)
+        listening = await tasks.start(run_front, config, parse_operator(table, config.names), stopping)
         yield World(caches, coordinator, listening, tasks, stopping)
         tasks.cancel_scope.cancel()
 
--- a/tests/test_configuration_reading.py
+++ b/tests/test_configuration_reading.py
@@ -24,9 +24,9 @@
     parse_config,
     parse_settings,
 )
-from zincladder.config.check import faults_of_config
+from zincladder.config.check import config_faults, operator_faults
 from zincladder.config.keeper import keeper_of
-from zincladder.config.operator import faults_of, operator_of
+from zincladder.config.operator import parse_operator
 
 ROOT = Path(__file__).resolve().parent.parent
 NAMES = Names(("video", "page", "booking"), (), ())
@@ -152,8 +152,8 @@
         "none": positional(cut[1]),
         "one of three processes": positional(replace(divide_limits(full, 3), raw={}, known={})),
         "simulator": positional(parse_settings(json.dumps(FULL["settings"]).encode())),
-        "operator's": positional(operator_of(OPERATOR, NAMES)),
-        "operator's, none": positional(operator_of({}, NAMES)),
+        "operator's": positional(parse_operator(OPERATOR, NAMES)),
+        "operator's, none": positional(parse_operator({}, NAMES)),
         "replica's": [
             str(v) if isinstance(v, Path) else positional(_plain(v)) for v in _values(keeper_of(REPLICA))
         ],
@@ -184,7 +184,7 @@
 
 
 def test_texts_on_faults_of_an_operators_file() -> None:
-    found = faults(lambda data: operator_of(data, NAMES), OPERATOR)
+    found = faults(lambda data: parse_operator(data, NAMES), OPERATOR)
     more: list[dict[str, Any]] = [
         {"dns": OPERATOR["dns"] | {"host": [{"name": "a.org", "class": "page"}]}},
         {"admission": {"known_share": 0.8, "new_share": 0.8}},
@@ -197,8 +197,10 @@
         {"duties": {"group": "g", "keepers": {"a": "127.0.0.1:1"}, "wants": ["figures"]}},
         {"tables": {}},
     ]
-    found["more"] = [said(lambda data: operator_of(data, NAMES), data) for data in more]
-    found["all at once"] = faults_of({key: value for data in more for key, value in data.items()}, NAMES)
+    found["more"] = [said(lambda data: parse_operator(data, NAMES), data) for data in more]
+    found["all at once"] = operator_faults(
+        {key: value for data in more for key, value in data.items()}, NAMES
+    )
     assert_matches("configuration/operator_faults.json", found)
 
 
@@ -258,7 +260,7 @@
     config = load(named | {"RELAY_LISTEN": "127.0.0.9:9", "RELAY_NAME": "n9", "RELAY_CONTROL": "127.0.0.9:8"})
     assert (config.name, config.listen, config.control) == ("n9", ("127.0.0.9", 9), ("127.0.0.9", 8))
     assert load(named) == parse_config(FULL)
-    assert load_operator(NAMES, {}) == operator_of({}, NAMES)
+    assert load_operator(NAMES, {}) == parse_operator({}, NAMES)
     assert load_operator(NAMES, {"ZINCLADDER_OPERATOR": str(table)}).control == "/tmp/x"
     found = []
     nothing: dict[str, str] = {}
@@ -282,14 +284,14 @@
     data["settings"]["domain"]["detail"] = "some"
     data["settings"]["categories"][1]["effect"] = 3
     data["settings"]["ceilings"]["mayCancel"] = "yes"
-    found, names = faults_of_config(data)
+    found, names = config_faults(data)
     assert_matches("configuration/check.json", [found, positional(names)])
 
 
 def test_shipped_files_are_read_to_the_same_values() -> None:
     example = parse_config(json.loads((ROOT / "example/config.json").read_text()))
     shipped = {
-        name: positional(operator_of(tomllib.loads((ROOT / "deploy" / name).read_text()), NAMES))
+        name: positional(parse_operator(tomllib.loads((ROOT / "deploy" / name).read_text()), NAMES))
         for name in ("operator.toml", "admission.toml")
     }
     found = {"example": positional(replace(example, raw={}, known={})), **shipped}
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -16,7 +16,7 @@
 from zincladder.admission.ledger import PLAIN, Ledger
 from zincladder.admission.plain import Plain
 from zincladder.config import ConfigError, Names
-from zincladder.config.operator import operator_of
+from zincladder.config.operator import parse_operator
 from zincladder.core.engine import Core
 from zincladder.metrics.keeper import NAMES as KEEPER_NAMES
 from zincladder.metrics.registry import NAMES, Registry
@@ -78,16 +78,16 @@
 )
 def test_a_fault_in_the_operators_file_is_named(data: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError, match=re.escape(key)):
-        operator_of(data, Names(("page",), (), ()))
+        parse_operator(data, Names(("page",), (), ()))
 
 
 def test_the_operators_file_that_is_shipped_can_be_used() -> None:
     import tomllib
 
     data = tomllib.loads((ROOT / "deploy/operator.toml").read_text())
-    found = operator_of(data, Names(("video", "page", "booking"), (), ()))
+    found = parse_operator(data, Names(("video", "page", "booking"), (), ()))
     assert found.dns and len(found.dns.hosts) >= 2
-    assert operator_of({}, Names((), (), ())) == type(found)()
+    assert parse_operator({}, Names((), (), ())) == type(found)()
 
 
 async def test_a_cache_that_takes_requests_and_answers_none_is_told_by_name() -> None:
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -32,7 +32,7 @@
 from zincladder.cli import main
 from zincladder.config import Config, DutiesConfig, PolicyConfig, parse_config
 from zincladder.config.keeper import KeeperTable, LeaseTable, keeper_of
-from zincladder.config.operator import TABLES, RemoteWriteTable
+from zincladder.config.operator_tables import TABLES, RemoteWriteTable
 from zincladder.control.readiness import Readiness
 from zincladder.control.statistics import front_statistics
 from zincladder.control.status_calls import StatusCalls
--- a/tests/wiring/test_front.py
+++ b/tests/wiring/test_front.py
@@ -13,7 +13,7 @@
 
 from tests.stands import client, configuration, serve, world
 from zincladder.config import parse_config
-from zincladder.config.operator import operator_of
+from zincladder.config.operator import parse_operator
 from zincladder.config.reload import Reload
 from zincladder.wiring.front import Front
 
@@ -67,7 +67,7 @@
 async def test_subscribers_to_reloads_are_told_in_the_order_of_start() -> None:
     config = parse_config(configuration([], 4222))
     reload = Reload(config)
-    front = Front(config, operator_of({}, config.names), reload, None)
+    front = Front(config, parse_operator({}, config.names), reload, None)
     front.clients.listener.close()
     async with anyio.create_task_group() as tasks:
         front._start_watch(tasks)
--- a/zincladder/cli/__init__.py
+++ b/zincladder/cli/__init__.py
@@ -46,8 +46,7 @@
 def _all_valid(files: tuple[Path, ...]) -> bool:
     """Print the faults of each file, the operator's files last, as they refer to the others' classes."""
     from zincladder.config import ConfigError, Names, read_operator
-    from zincladder.config.check import faults_of_config
-    from zincladder.config.operator import faults_of
+    from zincladder.config.check import config_faults, operator_faults
 
     all_valid = True
     names: Names | None = None
@@ -55,9 +54,9 @@
     for path in sorted(files, key=lambda path: path.suffix == ".toml"):
         try:
             if path.suffix == ".toml":
-                faults = faults_of(read_operator(path), names)
+                faults = operator_faults(read_operator(path), names)
             else:
-                faults, names = faults_of_config(json.loads(path.read_bytes()))
+                faults, names = config_faults(json.loads(path.read_bytes()))
         except (OSError, ValueError, ConfigError) as error:
             faults = [str(error)]
         for fault in faults:
--- a/zincladder/config/environment.py
+++ b/zincladder/config/environment.py
@@ -43,9 +43,9 @@
     if not path:
         return Operator()
     # Imported here: a front without such a file starts sooner after a restart, and holds a megabyte less.
-    from zincladder.config.operator import operator_of
+    from zincladder.config.operator import parse_operator
 
-    return operator_of(read_operator(path), names)
+    return parse_operator(read_operator(path), names)
 
 
 def read_operator(path: str | Path) -> dict[str, Any]:
--- a/zincladder/config/keeper.py
+++ b/zincladder/config/keeper.py
@@ -10,7 +10,7 @@
 from msgspec import Meta
 
 from zincladder.config import Address, ConfigError, parse_address
-from zincladder.config.operator import fault_at
+from zincladder.config.operator_tables import faulty_key
 
 T = TypeVar("T")
 Name = Annotated[str, Meta(pattern=r"^[0-9A-Za-z_.-]{1,64}$")]
@@ -76,7 +76,7 @@
     try:
         return msgspec.convert(data.get(name, {}), kind)
     except msgspec.ValidationError as fault:
-        path, said = fault_at(fault, name)
+        path, said = faulty_key(fault, name)
         raise ConfigError(f"'{path}': {said}") from None
 
 
--- a/zincladder/config/reload.py
+++ b/zincladder/config/reload.py
@@ -8,74 +8,91 @@
 
 import structlog
 
-from zincladder import config as configuration
 from zincladder.admission.model import Limits
-from zincladder.config import Config, ConfigError, Operator
+from zincladder.config.changes import merge_reloaded
+from zincladder.config.environment import load, load_operator
+from zincladder.config.errors import ConfigError
+from zincladder.config.limits import divide_limits
+from zincladder.config.model import Config, Operator
 
 log = structlog.get_logger()
 
 
 class Overlay(Protocol):
-    """A policy of the fleet, which goes before what a front's own files say."""
+    """The fleet's policy, which goes before what a front's own files say."""
 
     def over(self, config: Config, operator: Operator) -> tuple[Config, Operator]:
-        """What is in force with this front's own files as they are now. ConfigError names the key."""
+        """The configuration in force for the front's own files as given. Raises ConfigError."""
 
     def read_again(self) -> None:
-        """The files are read again. ConfigError names a key that was changed there and is the policy's."""
+        """Read the front's own files again. Raises ConfigError for a changed key that the policy sets."""
 
 
 class Reload:
-    """One configuration at a time, shared with the other processes of this front."""
+    """Holds one configuration at a time, shared with the other processes of this front.
+
+    A call reads the files again. Subscribers are called with each new configuration, in their order.
+    """
 
     def __init__(self, config: Config) -> None:
-        self._own = self._config = config
-        self.processes = 1
+        self._own = self._in_force = config
+        self.processes = 1  # of this front, that run now
         self.subscribers: list[Callable[[Config], None]] = []
-        self.limits: Callable[[Limits], None] | None = None  # admission's, where it takes other ones
+        self.limits: Callable[[Limits], None] | None = None  # of admission by source, where it is on
         self.counts: Counter[tuple[str, str]] = Counter()  # the core's
         self.overlay: Overlay | None = None
 
     @property
     def own(self) -> Config:
-        """As this front's own file says."""
+        """The configuration as this front's own file has it."""
         return self._own
 
     def __call__(self) -> None:
-        """Guards a running front against a file that cannot be used: it goes on with what it has, whole."""
+        """Read the files again; guards a running front against a file that cannot be used.
+
+        It goes on with the configuration that it has, all of it, and logs the faulty key.
+        """
         try:
-            if self.overlay:
-                self.overlay.read_again()
-            config, waiting = configuration.merge_reloaded(self._own, configuration.load())
-            operator = configuration.load_operator(config.names)
-            if bool(self.limits) != bool(operator.admission):
-                waiting.append("admission")
-            self.take(config, operator)
-        except ConfigError as fault:
+            config, pending = self._read_files()
+        except ConfigError as error:
             self.counts["reloads", "rejected"] += 1
-            log.error("configuration rejected, the old one is kept", reason=str(fault))
+            log.error("configuration rejected, the old one is kept", reason=str(error))
             return
-        if waiting:
-            log.warning("keys that take effect at the next start only", keys=waiting)
+        if pending:
+            log.warning("keys that take effect at the next start only", keys=pending)
         self.counts["reloads", "applied"] += 1
         log.info("configuration reloaded", coordinator=config.coordinator, classes=config.names.classes)
 
+    def _read_files(self) -> tuple[Config, list[str]]:
+        """Take what the files say now, and give the keys that wait for the next start."""
+        if self.overlay:
+            self.overlay.read_again()
+        config, pending = merge_reloaded(self._own, load())
+        operator = load_operator(config.names)
+        if bool(self.limits) != bool(operator.admission):
+            pending.append("admission")
+        self.take(config, operator)
+        return config, pending
+
     def take(self, own: Config, operator: Operator) -> None:
-        """Puts in force what the files say, under the policy if there is one; or ConfigError, and nothing."""
+        """Put in force what the files say, under the policy if there is one.
+
+        Raises ConfigError, and nothing changes then.
+        """
         config = own
         if self.overlay:
             config, operator = self.overlay.over(own, operator)
-        self._own, self._config = own, config
+        self._own, self._in_force = own, config
         self._apply()
         if self.limits and operator.admission:
             self.limits(operator.admission)
 
     def share(self, processes: int) -> None:
-        """So many processes of this front run from now on."""
+        """So many processes of this front run from now on, and share its limits."""
         self.processes = processes
         self._apply()
 
     def _apply(self) -> None:
-        config = configuration.divide_limits(self._config, self.processes)
-        for apply in self.subscribers:
-            apply(config)
+        config = divide_limits(self._in_force, self.processes)
+        for subscriber in self.subscribers:
+            subscriber(config)
--- a/zincladder/policy/document.py
+++ b/zincladder/policy/document.py
@@ -84,9 +84,9 @@
     )
     if waiting:
         raise ConfigError(f"'{waiting[0]}' takes effect at a front's next start only")
-    from zincladder.config.operator import operator_of
+    from zincladder.config.operator import parse_operator
 
-    operator = operator_of(laid_over(files.operator, policy.get("operator", {})), config.names)
+    operator = parse_operator(laid_over(files.operator, policy.get("operator", {})), config.names)
     return config, operator
 
 
