--- a/example/receiver.py
+++ b/example/receiver.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from zincladder.ownership.fence import Fence
+from zincladder.tasks.fence import Fence
 
 FENCE = Fence()
 
@@ -13,10 +13,10 @@
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
     fields = dict(line.split(": ", 1) for line in head.split("\r\n")[1:] if line)
     size = len(await reader.readexactly(int(fields["content-length"])))
-    duty, _, token = fields["x-zincladder-fence"].partition(" ")
-    why = FENCE.admit(duty, int(token))
-    print(why or f"{duty}, token {token}: {size} bytes", flush=True)
-    writer.write(f"HTTP/1.1 {409 if why else 204} -\r\nContent-Length: 0\r\n\r\n".encode())
+    task, _, token = fields["x-zincladder-fence"].partition(" ")
+    rejection = FENCE.admit(task, int(token))
+    print(rejection or f"{task}, token {token}: {size} bytes", flush=True)
+    writer.write(f"HTTP/1.1 {409 if rejection else 204} -\r\nContent-Length: 0\r\n\r\n".encode())
     await writer.drain()
     writer.close()
 
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -44,11 +44,11 @@
 from zincladder.metrics.keeper import NAMES as NAMES_OF_A_REPLICA
 from zincladder.metrics.keeper import KeeperRegistry
 from zincladder.metrics.registry import Registry, Sample
-from zincladder.ownership.host import Stewarding
-from zincladder.ownership.worker import Worker
-from zincladder.policy.front import FleetPolicy, Parts
-from zincladder.policy.host import Conducting
+from zincladder.policy.front import FleetPolicy, PolicyHooks
+from zincladder.policy.host import PolicyLeaderService
 from zincladder.routing import interface as api
+from zincladder.tasks.host import TaskLeaderService
+from zincladder.tasks.runner import TaskRunner
 
 ROOT = Path(__file__).resolve().parent.parent
 REPLICAS = {"r1": "127.0.0.1:1"}
@@ -56,11 +56,11 @@
 
 
 def fleet_policy() -> FleetPolicy:
-    return FleetPolicy(PolicyConfig("g", REPLICAS), "n0", Parts(lambda _: (), lambda _: ""))
+    return FleetPolicy(PolicyConfig("g", REPLICAS), "n0", PolicyHooks(lambda _: (), lambda _: ""))
 
 
-def worker() -> Worker:
-    return Worker(DutiesConfig("g", REPLICAS, ()), "n0", {}, dict)
+def task_runner() -> TaskRunner:
+    return TaskRunner(DutiesConfig("g", REPLICAS, ()), "n0", {}, dict)
 
 
 def counting_core() -> Core:
@@ -92,7 +92,7 @@
 
 def test_names_and_labels_of_a_fronts_metrics() -> None:
     core = counting_core()
-    policy, tasks = fleet_policy(), worker()
+    policy, tasks = fleet_policy(), task_runner()
     found: dict[str, Any] = {}
     for name, admission in (
         ("by source", Gate(Limits(), Bounds(8, 8), Ledger(64, SHARED), 1)),
@@ -118,7 +118,7 @@
     lease = config.lease
     terms = Terms(lease.seconds, lease.renew_s, lease.drift, lease.check_s, lease.clear_s, lease.least,
                   lease.patient_s, lease.act_s)  # fmt: skip
-    coordinating, assigning = Conducting(replica, terms), Stewarding(replica, terms)
+    coordinating, assigning = PolicyLeaderService(replica, terms), TaskLeaderService(replica, terms)
     registry = KeeperRegistry(replica, coordinating, assigning)
     found = {"follows": series(registry.samples())}
     async with anyio.create_task_group() as tasks:
@@ -153,7 +153,7 @@
     readiness = Readiness(
         lambda: ready[0], lambda: settled[0], lambda: stopping[0], policy_missing=lambda: missing[0]
     )
-    sections = {"policy": fleet_policy().figures, "duty": worker().figures}
+    sections = {"policy": fleet_policy().figures, "duty": task_runner().figures}
     calls = StatusCalls(readiness.missing, lambda: front_statistics(core, sections))
     found = {"stopping": calls.answer(b"READY")}
     stopping[0] = False
@@ -162,7 +162,7 @@
     found["not settled"] = calls.answer(b"READY")
     settled[0] = True
     found["ready"] = calls.answer(b"READY")
-    missing[0] = fleet_policy().lacks()
+    missing[0] = fleet_policy().not_ready_reason()
     found["no policy"] = calls.answer(b"READY\r")
     found["unknown"] = calls.answer(b"NO SUCH CALL AS THIS ONE IS")
     found["statistics"] = re.sub(rb"=\d+\n", b"=\n", calls.answer(b"STATS"))
@@ -215,8 +215,8 @@
     "admission --socket /nowhere top --most 0",
     "admission --socket /nowhere show x", "admission --socket /nowhere block x", "admission block",
     "admission --socket /nowhere unblock x", "admission --socket /nowhere trust x", "keep",
-    "keepers", "keepers status", "duties", "duties status", "policy", "policy status", "policy show",
-    "policy set /nowhere",
+    "keepers", "keepers status", "duties", "duties status", "tasks", "tasks status", "policy",
+    "policy status", "policy show", "policy set /nowhere",
 )  # fmt: skip
 
 
--- a/tests/wiring/test_front.py
+++ b/tests/wiring/test_front.py
@@ -18,7 +18,7 @@
 from zincladder.wiring.front import Front
 
 pytestmark = pytest.mark.anyio
-OPTIONAL_PACKAGES = ("policy", "ownership", "dns", "metrics", "export", "control", "cli")
+OPTIONAL_PACKAGES = ("policy", "tasks", "dns", "metrics", "export", "control", "cli")
 
 
 def imported_packages(config: dict[str, Any], tmp_path: Path) -> set[str]:
--- a/zincladder/wiring/metrics.py
+++ b/zincladder/wiring/metrics.py
@@ -15,8 +15,8 @@
 if TYPE_CHECKING:
     from zincladder.export.sender import RemoteWrite
     from zincladder.metrics.exporter import MetricsExporter
-    from zincladder.ownership.worker import Worker
     from zincladder.policy.front import FleetPolicy
+    from zincladder.tasks.runner import TaskRunner
 
 
 def build_registry(
@@ -26,7 +26,7 @@
     reload: Reload,
     watch: Feed | None,
     policy: FleetPolicy | None,
-    tasks: Worker | None,
+    tasks: TaskRunner | None,
 ) -> Registry:
     """The samples of the front `name`, read off its parts."""
     return Registry(
--- a/zincladder/wiring/status.py
+++ b/zincladder/wiring/status.py
@@ -16,8 +16,8 @@
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 if TYPE_CHECKING:
-    from zincladder.ownership.worker import Worker
     from zincladder.policy.front import FleetPolicy
+    from zincladder.tasks.runner import TaskRunner
 
 # Sections of STATS; each goes before the names of its values.
 POLICY_SECTION, TASKS_SECTION = "policy", "duty"
@@ -29,11 +29,11 @@
     clients: Clients,
     admission: Admission,
     policy: FleetPolicy | None,
-    tasks: Worker | None,
+    tasks: TaskRunner | None,
 ) -> StatusServer:
     """A server that listens already; its `run` answers."""
     readiness = Readiness(
-        core.ready, core.has_synced, lambda: clients.stopping, policy.lacks if policy else str
+        core.ready, core.has_synced, lambda: clients.stopping, policy.not_ready_reason if policy else str
     )
     sections: dict[str, Section] = {}
     if policy:
