--- a/zincladder/policy/coordinator.py
+++ b/zincladder/policy/coordinator.py
@@ -17,9 +17,9 @@
 
 from zincladder.agreement.terms import Terms
 from zincladder.policy import change_states
-from zincladder.policy.granted_leases import FrontProcess, GrantedLeases
+from zincladder.policy.fronts import LinkedFront, agreement
+from zincladder.policy.granted_leases import GrantedLeases
 from zincladder.policy.model import (
-    MAX_ABSENT_NAMES,
     ChangePhase,
     DocumentContent,
     DocumentValidated,
@@ -37,26 +37,6 @@
 )
 
 MAX_FRONTS = 2048
-SILENCE_RENEWALS = 2  # renewal intervals without a request after which a front counts as silent
-
-
-@dataclass(slots=True)
-class LinkedFront:
-    """A front that has a link to this replica."""
-
-    name: str
-    process: str
-    renewed_at: float
-    deferred_renewal: RenewPolicyLease | None = None  # answered once there is a version to grant a lease on
-    asked_about: int = 0  # the version that it was asked to validate
-    validation: DocumentValidated | None = None
-    applied_document: str = ""
-    asked_to_release: int = 0  # the version for which it was asked to release its lease
-
-    @property
-    def identity(self) -> FrontProcess:
-        """Whose leases its requests are for."""
-        return FrontProcess(self.name, self.process)
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,7 +95,7 @@
 
     def is_silent(self, front: LinkedFront, now: float) -> bool:
         """Whether a front has missed its renewals, so that it may not hear either."""
-        return now - front.renewed_at > SILENCE_RENEWALS * self.terms.renew
+        return front.is_silent(now, self.terms.renew)
 
     @property
     def next_at(self) -> float:
@@ -281,17 +261,15 @@
         if self._objections:
             self._withdraw(change, sorted(reason for _, reason in self._objections))
             return
-        unanswered = [front for front in self.fronts.values() if not front.validation]
-        agreed = {front.name for front in self.fronts.values() if front.validation}
-        expected = self.expected_fronts | agreed
-        enough = len(agreed) > self.terms.least * len(expected) or not expected
-        if (unanswered or not enough) and now < self.phase_entered_at + self.terms.check:
-            return
-        missing = tuple(sorted(expected - agreed))[:MAX_ABSENT_NAMES]
-        if not enough:
-            self._withdraw(change, [f"only {len(agreed)} of {len(expected)} fronts answered"], missing)
+        answers = agreement(self.fronts.values(), self.expected_fronts)
+        enough = answers.suffices(self.terms.least)
+        if not (answers.all_answered and enough) and now < self.phase_entered_at + self.terms.check:
             return
-        self._write(change_states.commit(self.record, change, missing))
+        if enough:
+            self._write(change_states.commit(self.record, change, answers.absent))
+        else:
+            reason = f"only {answers.agreed} of {answers.expected} fronts answered"
+            self._withdraw(change, [reason], answers.absent)
 
     def _ask_to_validate(self, change: PolicyChange, content: bytes) -> None:
         for number, front in self.fronts.items():
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -14,12 +14,8 @@
 from zincladder.leases.service import LeaseService
 from zincladder.links.clocks import boottime
 from zincladder.policy import change_log
-from zincladder.policy.coordinator import (
-    ChangeCoordinator,
-    CoordinatorActions,
-    LinkedFront,
-    RecordWrite,
-)
+from zincladder.policy.coordinator import ChangeCoordinator, CoordinatorActions, RecordWrite
+from zincladder.policy.fronts import LinkedFront
 from zincladder.policy.model import ChangePhase, FromParticipant
 
 REREAD = -1  # as the place in the log that was read: the coordinator is told again what stands
