--- a/benchmarks/difference.py
+++ b/benchmarks/difference.py
@@ -26,7 +26,7 @@
 import anyio
 
 from tests.stands import SETTINGS, Client, Fetch, StubCache, World, client, world
-from zincladder.config import config_of
+from zincladder.config import parse_config
 from zincladder.core import engine
 from zincladder.core.arrival import ArrivalBound
 from zincladder.routing import interface as api
@@ -132,11 +132,11 @@
         endpoints += [StubCache("s-000000b0", 2, self.hold)]
         with recorded(self.recorder):
             async with world(endpoints=endpoints, settings=self.settings) as w, client(w) as c:
-                config = config_of({"listen": "127.0.0.1:0", "settings": self.settings})
+                config = parse_config({"listen": "127.0.0.1:0", "settings": self.settings})
                 self.parts = config.settings
                 assert self.recorder.router is not None
                 self.alone = Router(self.parts, 0)
-                self.alone.random.setstate(self.recorder.router.random.getstate())
+                self.alone.state.random.setstate(self.recorder.router.state.random.getstate())
                 self.names = config.names.classes
                 first, _ = await self.recorder.next("the list")
                 self.act(self.alone.handle(first, self.recorder.now))
@@ -233,7 +233,7 @@
                     heapq.heappush(self.timers, (self.recorder.now + delay, token))
                 case api.Fetch() | api.Lookup():
                     trace = f"{action.request:016x}"
-                    attempt = self.alone.jobs[action.request].sends - 1
+                    attempt = self.alone.pending[action.request].attempts_sent - 1
                     self.sent[trace] = (action.request, attempt, self.recorder.now, action.endpoint)
 
 
--- a/tests/policy/test_document.py
+++ b/tests/policy/test_document.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.stands import SETTINGS, configuration
-from zincladder.config import ConfigError, config_of
+from zincladder.config import ConfigError, parse_config
 from zincladder.policy.document import (
     FrontFiles,
     difference,
@@ -18,7 +18,7 @@
     validation_reasons,
 )
 
-OWN = config_of(configuration([]))
+OWN = parse_config(configuration([]))
 FILES = FrontFiles(OWN.raw, {"admission": {"rate": 5.0}})
 
 
--- a/zincladder/policy/document.py
+++ b/zincladder/policy/document.py
@@ -86,8 +86,8 @@
     Raises ConfigError for a key that it can't apply as it runs.
     """
     settings = merged(files.platform.get("settings", {}), policy.get("settings", {}))
-    config, deferred = configuration.renewed(
-        current, configuration.config_of(files.platform | {"settings": settings})
+    config, deferred = configuration.merge_reloaded(
+        current, configuration.parse_config(files.platform | {"settings": settings})
     )
     if deferred:
         raise ConfigError(f"'{deferred[0]}' takes effect at a front's next start only")
