--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -25,19 +25,19 @@
 from benchmarks.policy import spread, used
 from tests.processes import LEASE
 from tests.test_duties_processes import Crew, crew
-from zincladder.agreement.terms import Terms
+from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.ownership.model import Duty
 from zincladder.ownership.owner import Owner
 from zincladder.ownership.steward import Steward
 
-FAULTS = ("kill", "stop", "cut", "hear nothing", "end")
+COMMIT_ERRORS = ("kill", "stop", "cut", "hear nothing", "end")
 
 
 async def takeovers(c: Crew, times: int, seed: int) -> dict[str, Any]:
     """The owner fails so often, and each time another one has to push."""
     draw, gaps = random.Random(seed), dict[str, list[float]]()
     for _ in range(times):
-        name, before, kind = await c.owner(), c.newest(), draw.choice(FAULTS)
+        name, before, kind = await c.owner(), c.newest(), draw.choice(COMMIT_ERRORS)
         process = c.r.processes[name]
         await anyio.sleep(draw.uniform(0, 0.2))
         began = anyio.current_time()
@@ -90,7 +90,7 @@
 
 def messages(workers: int, seconds: int) -> dict[str, Any]:
     """Messages a second that a leader hears and says, idle and in the first second after all came at once."""
-    terms = Terms()
+    terms = LeaseTiming()
     now, index = 0.0, 1
     registers: dict[str, tuple[Duty, int]] = {}
     steward = Steward(terms, -100.0)
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -27,9 +27,9 @@
 
 from tests.processes import Asked, Rig, Traffic
 from tests.test_policy_processes import Fleet, fleet
-from zincladder.agreement.client import NoAnswer, Open
-from zincladder.agreement.model import Entry, Kind, Members, Output
-from zincladder.agreement.store import Store
+from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.model import Entry, EntryKind, Membership, Output
+from zincladder.consensus.store import ReplicaStore
 from zincladder.policy.model import Outcome
 
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -190,7 +190,7 @@
             try:
                 await f.r.write(f"x/{n}", b"1", *rest)
                 break
-            except (NoAnswer, Open):
+            except (RequestFailedError, OutcomeUnknownError):
                 continue
         found.append(1000 * (time.monotonic() - began))
         await f.r.start(leader)
@@ -200,20 +200,20 @@
 def recovery(entries: int) -> dict[str, float]:
     """Opening a directory whose journal holds so many entries, none of them in a snapshot."""
     with tempfile.TemporaryDirectory() as folder:
-        members = Members({"a": "127.0.0.1:1"})
-        store = Store(Path(folder) / "s", "g", "a", members)
+        members = Membership({"a": "127.0.0.1:1"})
+        store = ReplicaStore(Path(folder) / "s", "g", "a", members)
         for first in range(1, entries + 1, 1000):
-            batch = tuple(Entry(1, Kind.DATA, b"x" * 100) for _ in range(1000))
+            batch = tuple(Entry(1, EntryKind.DATA, b"x" * 100) for _ in range(1000))
             store.write(Output(first=first, entries=batch))
         size = store.size
         store.close()
         began = time.monotonic()
-        store = Store(Path(folder) / "s", "g", "a", members)
+        store = ReplicaStore(Path(folder) / "s", "g", "a", members)
         seconds = time.monotonic() - began
         assert len(store.stored.entries) == entries
         began = time.monotonic()
         for n in range(200):
-            store.write(Output(first=entries + 1 + n, entries=(Entry(1, Kind.DATA, b"x" * 100),)))
+            store.write(Output(first=entries + 1 + n, entries=(Entry(1, EntryKind.DATA, b"x" * 100),)))
         write = (time.monotonic() - began) / 200
         store.close()
     return {"entries": entries, "mb": round(size / 1e6, 1), "open_s": round(seconds, 2),
@@ -249,7 +249,7 @@
 async def main(wanted: argparse.Namespace) -> dict[str, Any]:
     found: dict[str, Any] = {"keepers": wanted.keepers, "fronts": wanted.fronts}
     with tempfile.TemporaryDirectory() as folder:
-        async with fleet(Path(folder), fronts=wanted.fronts, keepers=wanted.keepers) as f:
+        async with fleet(Path(folder), fronts=wanted.fronts, replicas=wanted.keepers) as f:
             found["quiet"] = await quiet(f, wanted.changes, 10)
             found["troubled"] = await troubled(f, wanted.changes, 1_000, wanted.seed)
             found["leader_lost_ms"] = spread(await leaders(f, 3 if wanted.quick else 20))
--- a/tests/test_agreement.py
+++ b/tests/consensus/test_raft.py
@@ -12,33 +12,39 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.simulated import Broken, Disk, World
-from zincladder.agreement.member import Member, Role
-from zincladder.agreement.model import (
-    Append,
-    Appended,
-    Ask,
+from tests.support.raft_simulation import Broken, Disk, World
+from zincladder.consensus.key_value_state import (
+    CapacityExceeded,
+    CompareAndSwap,
+    KeyValueState,
+    Swapped,
+    VersionMismatch,
+)
+from zincladder.consensus.model import (
+    AppendEntries,
+    AppendEntriesResponse,
     Entry,
-    Hard,
-    Kind,
-    Members,
+    EntryKind,
+    HardState,
+    Membership,
     Output,
+    RequestVote,
+    RequestVoteResponse,
     Snapshot,
-    Stored,
-    Vote,
+    StoredState,
 )
-from zincladder.agreement.registers import Full, Missed, Registers, Swap, Swapped
-from zincladder.agreement.store import Store
-from zincladder.durable.files import Files
+from zincladder.consensus.raft import RaftNode, Role
+from zincladder.consensus.store import ReplicaStore
+from zincladder.durable.files import FileSystem
 from zincladder.durable.journal import Journal, JournalError
-from zincladder.links.frames import Frames, Spoilt, frame
+from zincladder.links.frames import FrameDecoder, FrameError, encode_frame
 from zincladder.policy.book import encode
 
-FOUNDERS = Members({"a": "127.0.0.1:1", "b": "127.0.0.1:2", "c": "127.0.0.1:3"})
+FOUNDERS = Membership({"a": "127.0.0.1:1", "b": "127.0.0.1:2", "c": "127.0.0.1:3"})
 
 
 def some(*terms: int) -> tuple[Entry, ...]:
-    return tuple(Entry(term, Kind.DATA, b"entry %d" % i) for i, term in enumerate(terms))
+    return tuple(Entry(term, EntryKind.DATA, b"entry %d" % i) for i, term in enumerate(terms))
 
 
 def play(seed: int) -> World:
@@ -99,27 +105,27 @@
             self.entries = self.entries[:-1]
 
     monkeypatch.setattr(Disk, "write", spoilt)
-    monkeypatch.setattr(Disk, "stored", property(lambda s: Stored(s.hard, s.snapshot, tuple(s.entries))))
+    monkeypatch.setattr(Disk, "stored", property(lambda s: StoredState(s.hard, s.snapshot, tuple(s.entries))))
 
 
 def reads_unconfirmed(monkeypatch: pytest.MonkeyPatch) -> None:
-    def spoilt(self: Member) -> None:
+    def spoilt(self: RaftNode) -> None:
         self._ready += [read.ticket for read in self._reads]
         self._reads.clear()
 
-    monkeypatch.setattr(Member, "_confirm", spoilt)
+    monkeypatch.setattr(RaftNode, "_confirm", spoilt)
 
 
 def votes_for_anybody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Member, "_current", lambda self, m: True)
+    monkeypatch.setattr(RaftNode, "_current", lambda self, m: True)
 
 
 def half_is_a_majority(monkeypatch: pytest.MonkeyPatch) -> None:
-    def spoilt(self: Member, names: object) -> bool:
+    def spoilt(self: RaftNode, names: object) -> bool:
         voters = self.members.voters
         return 2 * len(voters.keys() & set(names)) >= len(voters) - 1  # type: ignore[call-overload]
 
-    monkeypatch.setattr(Member, "_majority", spoilt)
+    monkeypatch.setattr(RaftNode, "_majority", spoilt)
 
 
 Breaking = Callable[[pytest.MonkeyPatch], None]
@@ -146,13 +152,13 @@
 
     def write(self, output: Output) -> None:
         super().write(output)
-        self.hard = Hard(self.hard.term, "")
+        self.hard = HardState(self.hard.term, "")
 
 
 def elected(disk: Disk) -> int:
     """Two candidates of one term ask the same voter, which is killed and starts again between them."""
-    others = {n: Member(n, Disk(Hard(), Snapshot(0, 0, FOUNDERS)).stored, 0.0, ord(n)) for n in "ac"}
-    voter = Member("b", disk.stored, 0.0, 1)
+    others = {n: RaftNode(n, Disk(HardState(), Snapshot(0, 0, FOUNDERS)).stored, 0.0, ord(n)) for n in "ac"}
+    voter = RaftNode("b", disk.stored, 0.0, 1)
     for pre in (True, False):
         asks = {}
         for name, member in others.items():
@@ -161,57 +167,57 @@
             asks[name] = [m for to, m in member.take().messages if to == "b"]
         for name, messages in asks.items():
             for message in messages:
-                assert isinstance(message, Ask) and message.pre is pre
+                assert isinstance(message, RequestVote) and message.pre is pre
                 voter.receive(name, message, 10.0)
                 output = voter.take()
                 disk.write(output)
                 for to, answer in output.messages:
                     others[to].receive("b", answer, 10.0)
-            voter = Member("b", disk.stored, 10.0, 1)
+            voter = RaftNode("b", disk.stored, 10.0, 1)
     leading = [m for m in others.values() if m.role is Role.LEADER]
     assert {m.term for m in leading} == {1}
     return len(leading)
 
 
 def test_a_vote_outlives_a_kill_and_one_that_does_not_elects_two() -> None:
-    assert elected(Disk(Hard(), Snapshot(0, 0, FOUNDERS))) == 1
-    assert elected(Forgetful(Hard(), Snapshot(0, 0, FOUNDERS))) == 2
+    assert elected(Disk(HardState(), Snapshot(0, 0, FOUNDERS))) == 1
+    assert elected(Forgetful(HardState(), Snapshot(0, 0, FOUNDERS))) == 2
 
 
 def test_an_old_leader_changes_nothing_and_learns_that_its_time_is_over() -> None:
-    disk = Disk(Hard(3, "c"), Snapshot(0, 0, FOUNDERS), list(some(3, 3)))
-    member = Member("b", disk.stored, 0.0, 1)
-    member.receive("a", Append(2, 1, 1, 3, 2, some(2, 2)), 0.0)
+    disk = Disk(HardState(3, "c"), Snapshot(0, 0, FOUNDERS), list(some(3, 3)))
+    member = RaftNode("b", disk.stored, 0.0, 1)
+    member.receive("a", AppendEntries(2, 1, 1, 3, 2, some(2, 2)), 0.0)
     output = member.take()
     assert not output.writes and not output.committed
     ((to, answer),) = output.messages
-    assert to == "a" and answer == Appended(3, 1, False, 0)
+    assert to == "a" and answer == AppendEntriesResponse(3, 1, False, 0)
 
 
 def test_an_entry_of_an_older_term_is_committed_by_one_of_its_leaders_own_only() -> None:
     # guards what figure 8 of the paper shows: a majority has it, and a later leader takes it back
-    disk = Disk(Hard(2, "b"), Snapshot(0, 0, FOUNDERS), list(some(1, 2)))
-    member = Member("b", disk.stored, 0.0, 1)
+    disk = Disk(HardState(2, "b"), Snapshot(0, 0, FOUNDERS), list(some(1, 2)))
+    member = RaftNode("b", disk.stored, 0.0, 1)
     for answers in ({"pre": True}, {"pre": False}):
         if answers["pre"]:
             member.tick(10.0)
-        member.receive("a", Vote(3, True, **answers), 10.0)
+        member.receive("a", RequestVoteResponse(3, True, **answers), 10.0)
     assert member.role is Role.LEADER and member.log.last == 3
     member.take()
-    member.receive("a", Appended(3, 99, True, 2), 10.1)
+    member.receive("a", AppendEntriesResponse(3, 99, True, 2), 10.1)
     assert member.commit == 0
-    member.receive("a", Appended(3, 100, True, 3), 10.2)
+    member.receive("a", AppendEntriesResponse(3, 100, True, 3), 10.2)
     assert member.commit == 3
 
 
-def led_by_b() -> Member:
+def led_by_b() -> RaftNode:
     """A leader of three whose first entry is committed."""
-    member = Member("b", Disk(Hard(), Snapshot(0, 0, FOUNDERS)).stored, 0.0, 1)
+    member = RaftNode("b", Disk(HardState(), Snapshot(0, 0, FOUNDERS)).stored, 0.0, 1)
     member.tick(10.0)
     for pre in (True, False):
-        member.receive("a", Vote(1, True, pre), 10.0)
+        member.receive("a", RequestVoteResponse(1, True, pre), 10.0)
     member.take()
-    member.receive("a", Appended(1, 1, True, 1), 10.0)
+    member.receive("a", AppendEntriesResponse(1, 1, True, 1), 10.0)
     assert member.role is Role.LEADER and member.commit == 1
     member.take()
     return member
@@ -219,65 +225,65 @@
 
 def test_a_leader_that_removes_itself_lets_nobody_wait_for_a_reading() -> None:
     member = led_by_b()
-    member.change(Members({n: w for n, w in FOUNDERS.voters.items() if n != "b"}))
+    member.change(Membership({n: w for n, w in FOUNDERS.voters.items() if n != "b"}))
     member.read(7)  # asked before its removal is decided
     member.take()
     for name in "ac":  # an answer to what was sent before the reading was asked for
-        member.receive(name, Appended(1, 1, True, 2), 10.1)
+        member.receive(name, AppendEntriesResponse(1, 1, True, 2), 10.1)
     assert member.role is Role.FOLLOWER and member.take().lost == (7,)
 
 
 def test_an_answer_to_an_earlier_term_makes_no_directory_an_older_one() -> None:
     # seen on a busy machine: a keeper that was only late was set aside until it would have been added anew
     member = led_by_b()
-    member.receive("c", Appended(1, 1, False, 0), 10.1)  # to what b sent when it led before
+    member.receive("c", AppendEntriesResponse(1, 1, False, 0), 10.1)  # to what b sent when it led before
     assert member.older == []
-    member.receive("c", Appended(1, 2, True, 1), 10.2)
-    member.receive("c", Appended(1, 3, False, 1), 10.3)  # it had stored that
+    member.receive("c", AppendEntriesResponse(1, 2, True, 1), 10.2)
+    member.receive("c", AppendEntriesResponse(1, 3, False, 1), 10.3)  # it had stored that
     assert member.older == ["c"]
 
 
 # On disk ------------------------------------------------------------------------------------------
 
 
-def reopened(store: Store, folder: Path) -> Store:
+def reopened(store: ReplicaStore, folder: Path) -> ReplicaStore:
     store.close()
-    return Store(folder, "g", "a", FOUNDERS)
+    return ReplicaStore(folder, "g", "a", FOUNDERS)
 
 
 def test_a_store_gives_back_what_was_written_and_later_entries_take_the_place_of_earlier(
     tmp_path: Path,
 ) -> None:
-    store = Store(tmp_path / "s", "g", "a", FOUNDERS)
-    assert store.stored == Stored(Hard(), Snapshot(0, 0, FOUNDERS))
-    store.write(Output(hard=Hard(1, "b"), first=1, entries=some(1, 1, 1)))
+    store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
+    assert store.stored == StoredState(HardState(), Snapshot(0, 0, FOUNDERS))
+    store.write(Output(hard=HardState(1, "b"), first=1, entries=some(1, 1, 1)))
     store.write(Output(first=2, entries=some(2)))
     store = reopened(store, tmp_path / "s")
-    assert store.stored.hard == Hard(1, "b")
+    assert store.stored.hard == HardState(1, "b")
     assert [e.term for e in store.stored.entries] == [1, 2]
     assert store.met("b", "first") and not store.met("b", "second")
     store.write(Output(snapshot=Snapshot(2, 2, FOUNDERS, b"state"), first=3, entries=some(2)))
     store = reopened(store, tmp_path / "s")
     assert store.stored.snapshot == Snapshot(2, 2, FOUNDERS, b"state")
-    assert [e.term for e in store.stored.entries] == [2] and store.stored.hard == Hard(1, "b")
+    assert [e.term for e in store.stored.entries] == [2] and store.stored.hard == HardState(1, "b")
     assert not store.met("b", "second")
     assert len(list((tmp_path / "s").glob("*.log"))) == 1
 
 
 def test_a_store_cut_at_any_byte_holds_all_that_was_written_before_the_last_batch(tmp_path: Path) -> None:
-    store = Store(tmp_path / "s", "g", "a", FOUNDERS)
-    store.write(Output(hard=Hard(3, "b"), first=1, entries=some(1, 1)))
+    store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
+    store.write(Output(hard=HardState(3, "b"), first=1, entries=some(1, 1)))
     before = store.size
-    store.write(Output(hard=Hard(4, "c"), first=3, entries=some(4, 4, 4)))
+    store.write(Output(hard=HardState(4, "c"), first=3, entries=some(4, 4, 4)))
     store.close()
     (path,) = (tmp_path / "s").glob("*.log")
     whole = path.read_bytes()
     for cut in range(before, len(whole)):
         path.write_bytes(whole[:cut])
-        again = Store(tmp_path / "s", "g", "a", FOUNDERS)
+        again = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
         found = again.stored
         again.close()
-        assert found.hard in (Hard(3, "b"), Hard(4, "c"))
+        assert found.hard in (HardState(3, "b"), HardState(4, "c"))
         assert [e.term for e in found.entries] == [1, 1, 4, 4, 4][: len(found.entries)]
         assert len(found.entries) >= 2
 
@@ -306,7 +312,7 @@
             found.close()
 
 
-class Failing(Files):
+class Failing(FileSystem):
     """A disk that fails at its nth call, and works again after it."""
 
     def __init__(self, at: int, half: bool = False) -> None:
@@ -338,28 +344,31 @@
     tmp_path: Path, call: int, half: bool
 ) -> None:
     # a failed sync is a lost vote, not a retry: the kernel may have dropped what it could not write
-    store = Store(tmp_path / "s", "g", "a", FOUNDERS)
-    store.write(Output(hard=Hard(1, "b"), first=1, entries=some(1)))
+    store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
+    store.write(Output(hard=HardState(1, "b"), first=1, entries=some(1)))
     store.close()
-    store = Store(tmp_path / "s", "g", "a", FOUNDERS, Failing(call, half))
-    told = [Hard(1, "b")]
+    store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS, Failing(call, half))
+    told = [HardState(1, "b")]
     with pytest.raises(JournalError, match=r"input/output error"):
         for n in range(2, 9):
             snapshot = Snapshot(1, 1, FOUNDERS, b"state") if n % 3 == 0 else None
-            store.write(Output(hard=Hard(n, "c"), snapshot=snapshot, first=2))
-            told.append(Hard(n, "c"))
+            store.write(Output(hard=HardState(n, "c"), snapshot=snapshot, first=2))
+            told.append(HardState(n, "c"))
     with pytest.raises(JournalError):
-        store.write(Output(hard=Hard(99, "c")))
-    found = Store(tmp_path / "s", "g", "a", FOUNDERS)
-    assert found.stored.hard in (told[-1], Hard(told[-1].term + 1, "c"))
+        store.write(Output(hard=HardState(99, "c")))
+    found = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
+    assert found.stored.hard in (told[-1], HardState(told[-1].term + 1, "c"))
     found.close()
 
 
 @pytest.mark.parametrize(
     "spoil, said",
     [
-        (lambda folder: Store(folder, "other", "a", FOUNDERS).close(), "'a''s of 'other'|'a'.s of 'other'"),
-        (lambda folder: Store(folder, "g", "b", FOUNDERS).close(), "'b'.s of 'g', not 'a'.s"),
+        (
+            lambda folder: ReplicaStore(folder, "other", "a", FOUNDERS).close(),
+            "'a''s of 'other'|'a'.s of 'other'",
+        ),
+        (lambda folder: ReplicaStore(folder, "g", "b", FOUNDERS).close(), "'b'.s of 'g', not 'a'.s"),
         (lambda folder: _file(folder, f"{1:020d}.log", b"ZCSPOOL1" + bytes(8)), "no journal"),
         (lambda folder: _file(folder, "notes.txt", b"mine"), "none of a journal's files"),
     ],
@@ -369,7 +378,7 @@
 ) -> None:
     spoil(tmp_path / "s")
     with pytest.raises(JournalError, match=said):
-        Store(tmp_path / "s", "g", "a", FOUNDERS)
+        ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
 
 
 def _file(folder: Path, name: str, data: bytes) -> None:
@@ -381,39 +390,39 @@
 
 
 def test_a_register_changes_only_from_the_version_that_was_seen_and_versions_never_come_twice() -> None:
-    registers = Registers()
-    assert registers.apply(5, encode(Swap("a", 0, b"1"))) == Swapped(5)
-    assert registers.apply(6, encode(Swap("a", 0, b"2"))) == Missed(5)
-    assert registers.apply(7, encode(Swap("a", 5, None))) == Swapped(7)
-    assert registers.apply(8, encode(Swap("a", 0, b"3"))) == Swapped(8)
-    again = Registers(registers.dump())
-    assert again.under("") == registers.under("") and again.size == registers.size == 2
-    assert isinstance(registers.apply(9, b"\xff\xff"), Full)
+    registers = KeyValueState()
+    assert registers.apply(5, encode(CompareAndSwap("a", 0, b"1"))) == Swapped(5)
+    assert registers.apply(6, encode(CompareAndSwap("a", 0, b"2"))) == VersionMismatch(5)
+    assert registers.apply(7, encode(CompareAndSwap("a", 5, None))) == Swapped(7)
+    assert registers.apply(8, encode(CompareAndSwap("a", 0, b"3"))) == Swapped(8)
+    again = KeyValueState(registers.dump())
+    assert again.with_prefix("") == registers.with_prefix("") and again.size == registers.size == 2
+    assert isinstance(registers.apply(9, b"\xff\xff"), CapacityExceeded)
 
 
 def test_registers_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("zincladder.agreement.registers.MOST_KEYS", 3)
-    monkeypatch.setattr("zincladder.agreement.registers.MOST_ALL", 30)
-    registers = Registers()
+    monkeypatch.setattr("zincladder.consensus.key_value_state.MAX_KEYS", 3)
+    monkeypatch.setattr("zincladder.consensus.key_value_state.MAX_TOTAL_BYTES", 30)
+    registers = KeyValueState()
     for n in range(3):
-        assert registers.apply(n + 1, encode(Swap(f"k{n}", 0, b"12345"))) == Swapped(n + 1)
-    assert isinstance(registers.apply(4, encode(Swap("k3", 0, b""))), Full)
-    assert isinstance(registers.apply(5, encode(Swap("k0", 1, bytes(20)))), Full)
+        assert registers.apply(n + 1, encode(CompareAndSwap(f"k{n}", 0, b"12345"))) == Swapped(n + 1)
+    assert isinstance(registers.apply(4, encode(CompareAndSwap("k3", 0, b""))), CapacityExceeded)
+    assert isinstance(registers.apply(5, encode(CompareAndSwap("k0", 1, bytes(20)))), CapacityExceeded)
     assert registers.get("k0") is not None and registers.size == 21
-    assert isinstance(registers.apply(6, encode(Swap("x" * 300, 0, b""))), Full)
+    assert isinstance(registers.apply(6, encode(CompareAndSwap("x" * 300, 0, b""))), CapacityExceeded)
 
 
 @given(st.lists(st.binary(max_size=200), max_size=8), st.integers(1, 40))
 def test_frames_come_back_whole_however_they_are_cut(bodies: list[bytes], step: int) -> None:
-    data = b"".join(map(frame, bodies))
-    frames = Frames()
+    data = b"".join(map(encode_frame, bodies))
+    frames = FrameDecoder()
     found = [body for at in range(0, len(data), step) for body in frames.feed(data[at : at + step])]
     assert found == bodies
 
 
 @given(st.binary(min_size=1, max_size=60), st.data())
 def test_a_frame_with_a_changed_byte_is_never_taken_for_a_message(body: bytes, data: st.DataObject) -> None:
-    spoilt = bytearray(frame(body))
+    spoilt = bytearray(encode_frame(body))
     spoilt[data.draw(st.integers(0, len(spoilt) - 1))] ^= data.draw(st.integers(1, 255))
-    with contextlib.suppress(Spoilt):
-        assert Frames().feed(bytes(spoilt)) == []  # it waits for more, by a length that grew
+    with contextlib.suppress(FrameError):
+        assert FrameDecoder().feed(bytes(spoilt)) == []  # it waits for more, by a length that grew
--- a/tests/test_keepers.py
+++ b/tests/consensus/test_replica_processes.py
@@ -12,16 +12,16 @@
 import pytest
 
 from tests.processes import Rig, rig
-from zincladder.agreement import calls
-from zincladder.agreement.client import Client, NoAnswer, Open
-from zincladder.agreement.registers import Missed, Swapped
+from zincladder.consensus import rpc
+from zincladder.consensus.client import Client, OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.key_value_state import Swapped, VersionMismatch
 
 pytestmark = pytest.mark.anyio
 
 
 async def test_what_was_answered_outlives_every_keepers_kill(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
-        names = await r.keepers(3)
+        names = await r.replicas(3)
         version = await r.write("a", b"1")
         for name in names:
             r.processes[name].kill()
@@ -33,7 +33,7 @@
 
 async def test_a_write_holds_when_the_leader_is_killed_the_moment_it_was_answered(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
-        await r.keepers(3)
+        await r.replicas(3)
         for n in range(3):
             leader = await r.leader()
             await r.write(f"key{n}", b"%d" % n)
@@ -45,32 +45,32 @@
 
 async def test_one_of_two_writers_that_saw_the_same_version_is_told_what_it_missed(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
-        await r.keepers(3)
+        await r.replicas(3)
         said: list[object] = []
 
         async def write(value: bytes) -> None:
-            said.append(await r.client().swap("x", 0, value))
+            said.append(await r.client().compare_and_swap("x", 0, value))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(write, b"one")
             tasks.start_soon(write, b"two")
         (won,) = [s for s in said if isinstance(s, Swapped)]
-        assert [s for s in said if isinstance(s, Missed)] == [Missed(won.version)]
+        assert [s for s in said if isinstance(s, VersionMismatch)] == [VersionMismatch(won.version)]
 
 
 async def test_a_keeper_takes_no_record_that_it_cannot_read(tmp_path: Path) -> None:
     # seen: one such write ended every keeper that came to lead, one after the other
     async with rig(tmp_path) as r:
-        await r.keepers(1)
+        await r.replicas(1)
         for key, said in (("policy", "no record"), ("terms", "own"), ("document/1", "by its content")):
-            with pytest.raises(NoAnswer, match=said):
-                await r.client().swap(key, 0, b"1")
-        assert isinstance(await r.client().swap("x", 0, b"1"), Swapped)
+            with pytest.raises(RequestFailedError, match=said):
+                await r.client().compare_and_swap(key, 0, b"1")
+        assert isinstance(await r.client().compare_and_swap("x", 0, b"1"), Swapped)
 
 
 async def test_a_leader_that_was_stopped_answers_nothing_old_when_it_wakes(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
-        await r.keepers(3)
+        await r.replicas(3)
         old = await r.leader()
         await r.write("a", b"before")
         r.processes[old].stop()
@@ -82,21 +82,21 @@
         try:
             found = await Client("test", place, "late").get("a", 2.0)
             assert found["a"].data == b"after"
-        except NoAnswer as fault:
+        except RequestFailedError as fault:
             assert new in str(fault) or "knows no leader" in str(fault)
 
 
 async def test_a_minority_decides_nothing_and_says_so(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
-        names = await r.keepers(3)
+        names = await r.replicas(3)
         leader = await r.leader()
         await r.write("a", b"1")
         rest = [n for n in names if n != leader]
         for name in rest:
             r.processes[name].kill()
-        with pytest.raises((Open, NoAnswer)):
-            await r.client(leader).swap("a", 1, b"2", 3.0)
-        with pytest.raises(NoAnswer):
+        with pytest.raises((OutcomeUnknownError, RequestFailedError)):
+            await r.client(leader).compare_and_swap("a", 1, b"2", 3.0)
+        with pytest.raises(RequestFailedError):
             await r.client(leader).get("a", 2.0)
         await r.start(rest[0])
         assert (await r.client().get("a"))["a"].data in (b"1", b"2")
@@ -108,14 +108,14 @@
 ) -> None:
     # cut off both ways, or one way: it hears and isn't heard, or is heard and hears nothing
     async with rig(tmp_path) as r:
-        names = await r.keepers(3)
+        names = await r.replicas(3)
         old = await r.leader()
         first = await r.write("a", b"1")
         r.cut(old, heard=heard, hears=hears)
         try:
-            said = await r.client(old).swap("a", first, b"2", 3.0)
+            said = await r.client(old).compare_and_swap("a", first, b"2", 3.0)
             taken = isinstance(said, Swapped)
-        except (Open, NoAnswer):
+        except (OutcomeUnknownError, RequestFailedError):
             taken = False
         if heard:  # its word gets through to nobody: the others elect
             new = await r.leader(old)
@@ -139,7 +139,7 @@
     tmp_path: Path,
 ) -> None:
     async with rig(tmp_path) as r:
-        await r.keepers(3)
+        await r.replicas(3)
         for n in range(12):
             for i, relay in enumerate(r.relays.values()):
                 if n % 3 == 0:
@@ -156,7 +156,7 @@
 ) -> None:
     # guards votes: one that forgot its own could elect a leader that lacks what was answered
     async with rig(tmp_path) as r:
-        names = await r.keepers(3)
+        names = await r.replicas(3)
         leader = await r.leader()
         lost = next(n for n in names if n != leader)
         await r.write("a", b"1")
@@ -169,7 +169,7 @@
         found = await r.standing(lost)
         assert found is not None and found.last == 0
         client = r.client()
-        assert await client.ask(calls.Change(remove=lost)) == calls.Done()
+        assert await client.ask(rpc.ChangeMembership(remove=lost)) == rpc.Done()
         r.processes[lost].kill()
         shutil.rmtree(r.processes[lost].folder / "kept")
         file = r.processes[lost].folder / "keeper.toml"  # it no longer founds: it is added
@@ -177,7 +177,7 @@
         before, _, after = text.partition("[keeper.members]")
         file.write_text(before + "[keeper.via]" + after.partition("[keeper.via]")[2])
         await r.start(lost)
-        assert await client.ask(calls.Change(add={lost: "127.0.0.1:1"})) == calls.Done()
+        assert await client.ask(rpc.ChangeMembership(add={lost: "127.0.0.1:1"})) == rpc.Done()
 
         async def votes() -> bool:
             found = await r.standing(lost)
@@ -193,7 +193,7 @@
     tmp_path: Path,
 ) -> None:
     async with rig(tmp_path) as r:
-        names = await r.keepers(3)
+        names = await r.replicas(3)
         leader = await r.leader()
         late = next(n for n in names if n != leader)
         process = r.processes[late]
@@ -208,7 +208,7 @@
         async def stored() -> bool:
             leader = await r.leader()
             if leader == late:  # elected on a busy machine; what it has stored only another leader can tell
-                await r.client().ask(calls.HandOver())
+                await r.client().ask(rpc.TransferLeadership())
                 return False
             found = await r.standing(leader)
             return found is not None and found.stored.get(late) == found.last
@@ -243,7 +243,7 @@
     tmp_path: Path,
 ) -> None:
     async with rig(tmp_path) as r:
-        await r.keepers(3)
+        await r.replicas(3)
         full = r.processes[await r.leader()]
         await r.write("big", bytes(50_000))  # its journal is larger than its log then
         size = max(path.stat().st_size for path in (full.folder / "kept").iterdir())
@@ -261,27 +261,27 @@
 
 async def test_more_than_a_message_holds_is_told_and_ends_no_link(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
-        await r.keepers(1)
+        await r.replicas(1)
         for n in range(6):
             await r.write(f"big/{n}", bytes(200_000))
-        with pytest.raises(NoAnswer, match="ask for less"):
+        with pytest.raises(RequestFailedError, match="ask for less"):
             await r.client().get("big/")
         assert len(await r.client().get("big/1")) == 1
 
 
 async def test_a_keeper_of_another_group_or_name_is_refused_by_name(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
-        await r.keepers(1)
+        await r.replicas(1)
         where = f"127.0.0.1:{r.ports['k1']}"
-        with pytest.raises(NoAnswer, match="group 'other', not 'test'"):
+        with pytest.raises(RequestFailedError, match="group 'other', not 'test'"):
             await Client("other", {"k1": where}, "x").get("a", 0.5)
-        with pytest.raises(NoAnswer, match="'stranger' is no member"):
+        with pytest.raises(RequestFailedError, match="'stranger' is no member"):
             await Client("test", {"k1": where}, "stranger", "keeper").get("a", 0.5)
 
 
 async def test_a_torn_tail_is_cut_off_and_a_spoilt_middle_is_refused_by_name(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
-        await r.keepers(1)
+        await r.replicas(1)
         for n in range(5):
             await r.write(f"x/{n}", b"x" * 100)
         process = r.processes["k1"]
@@ -304,7 +304,7 @@
 
 async def test_two_processes_never_share_a_directory(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
-        await r.keepers(1)
+        await r.replicas(1)
         second = r.processes["k1"]
         twin = type(second)("twin", tmp_path / "twin", second.command)
         twin.folder.mkdir()
@@ -316,7 +316,7 @@
 
 async def test_a_leader_that_is_told_to_end_hands_over_first(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
-        names = await r.keepers(3)
+        names = await r.replicas(3)
         old = await r.leader()
         await r.write("a", b"1")
         r.processes[old].send(signal.SIGTERM)
@@ -332,14 +332,14 @@
 
 async def test_a_keeper_far_behind_takes_a_snapshot_in(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
-        names = await r.keepers(3)
+        names = await r.replicas(3)
         leader = await r.leader()
         late = next(n for n in names if n != leader)
         r.processes[late].kill()
         client = r.client()
         for n in range(12):  # each write takes 200 KB of journal, and a snapshot is due after 1 MB
             version = getattr(client, "_seen", 0)
-            said = await client.swap("big", version, b"%02d" % n + bytes(200_000))
+            said = await client.compare_and_swap("big", version, b"%02d" % n + bytes(200_000))
             assert isinstance(said, Swapped)
             client._seen = said.version  # type: ignore[attr-defined]
 
@@ -362,7 +362,7 @@
 
 async def test_a_keepers_metrics_tell_who_leads_and_who_is_silent(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
-        for name in await r.keepers(3):
+        for name in await r.replicas(3):
             process = r.processes[name]
             process.kill()
             file = process.folder / "keeper.toml"
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -26,10 +26,10 @@
 
 from tests import stands
 from tests.stands import KEY, SETTINGS, Fetch, StubCache, configuration
-from zincladder.agreement import calls
-from zincladder.agreement.client import Client, NoAnswer, Open
-from zincladder.agreement.registers import Missed
-from zincladder.links.host import FAILED
+from zincladder.consensus import rpc
+from zincladder.consensus.client import Client, OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.key_value_state import VersionMismatch
+from zincladder.links.connection import LINK_ERRORS
 from zincladder.policy import book
 from zincladder.policy.conductor import proposed
 from zincladder.policy.document import canonical, laid_over
@@ -250,10 +250,10 @@
         hour_ago = int((time.time() - 3600) * 1000)
         data["known"]["updates"].append({"index": 2, "evict": {"ref": KEY, "shard": 0, "unix_ms": hour_ago}})
         (folder / "config.json").write_text(json.dumps(data))
-        keepers = sorted(n for n in self.ports if n.startswith("k"))
-        places = [f'{k} = "127.0.0.1:{(await self.relay(name, k)).port}"' for k in keepers]
-        for keeper in keepers:
-            self.relays[name, keeper].target = self.ports[keeper]
+        replicas = sorted(n for n in self.ports if n.startswith("k"))
+        places = [f'{k} = "127.0.0.1:{(await self.relay(name, k)).port}"' for k in replicas]
+        for replica in replicas:
+            self.relays[name, replica].target = self.ports[replica]
         table, first = ("duties", duties) if duties else ("policy", (f'cut_off = "{cut_off}"',))
         lines = [f"[{table}]", f'group = "{GROUP}"', *first, f"[{table}.keepers]", *places]
         (folder / "operator.toml").write_text("\n".join(lines))
@@ -317,14 +317,14 @@
     # Changes --------------------------------------------------------------------------------------
 
     async def record(self) -> Record:
-        return book.read(await self.client_of_keepers().get("")).record
+        return book.read(await self.client_of_replicas().get("")).record
 
-    def client_of_keepers(self) -> Client:
+    def client_of_replicas(self) -> Client:
         return self.client(*(n for n in self.ports if n.startswith("k") and not self.processes[n].stopped))
 
     async def propose(self, mark: int, **settings: Any) -> tuple[int, str]:
         """Proposes a policy whose mark shows in each answer; its version, or 0 and why not."""
-        client = self.client_of_keepers()
+        client = self.client_of_replicas()
         data = canonical({"settings": laid_over(marked(mark), settings)})
         found = book.read(await client.get(""))
         new = proposed(found.record, found.record.version, document_id(data), "test", f"mark {mark}", 0.0)
@@ -332,8 +332,8 @@
             return 0, new
         assert new.open is not None
         for swap in (book.document_swap(data), book.record_swap(found.at, new)):
-            said = await client.swap(swap.key, swap.expected, swap.data)
-            if isinstance(said, Missed) and swap.key == RECORD:
+            said = await client.compare_and_swap(swap.key, swap.expected, swap.data)
+            if isinstance(said, VersionMismatch) and swap.key == RECORD:
                 return 0, "another came first"
         return new.open.version, ""
 
@@ -343,7 +343,7 @@
         async def ended() -> Past | None:
             try:
                 record = await self.record()
-            except (NoAnswer, Open):
+            except (RequestFailedError, OutcomeUnknownError):
                 return None
             return next((p for p in record.history if p.version == version), None)
 
@@ -355,7 +355,7 @@
         while True:
             try:
                 version, _ = await self.propose(mark, **settings)
-            except (NoAnswer, Open):
+            except (RequestFailedError, OutcomeUnknownError):
                 version = 0
             if version:
                 return await self.outcome(version)
@@ -375,7 +375,7 @@
 
     # Keepers --------------------------------------------------------------------------------------
 
-    async def keeper(self, name: str, founders: list[str], others: list[str]) -> Process:
+    async def replica(self, name: str, founders: list[str], others: list[str]) -> Process:
         """A keeper that reaches each of the others through a relay; its file is written, it isn't started."""
         folder = self._folder / name
         folder.mkdir()
@@ -394,11 +394,11 @@
         self.processes[name] = process
         return process
 
-    async def keepers(self, count: int, spare: int = 0) -> list[str]:
+    async def replicas(self, count: int, spare: int = 0) -> list[str]:
         """Starts a group of so many; the spare ones have files, and are not started."""
         names = [f"k{n}" for n in range(1, count + spare + 1)]
         for name in names:
-            await self.keeper(name, names[:count] if name in names[:count] else [], names)
+            await self.replica(name, names[:count] if name in names[:count] else [], names)
         for name in names[:count]:
             await self.start(name)
         return names
@@ -439,12 +439,12 @@
         places = {n: f"127.0.0.1:{p}" for n, p in self.ports.items() if not names or n in names}
         return Client(GROUP, places, "test")
 
-    async def standing(self, name: str) -> calls.Standing | None:
+    async def standing(self, name: str) -> rpc.ReplicaStatus | None:
         try:
-            said = await self.client().ask_at(f"127.0.0.1:{self.ports[name]}", calls.Status(), 1.0)
-        except FAILED:
+            said = await self.client().ask_at(f"127.0.0.1:{self.ports[name]}", rpc.GetStatus(), 1.0)
+        except LINK_ERRORS:
             return None
-        assert isinstance(said, calls.Standing)
+        assert isinstance(said, rpc.ReplicaStatus)
         return said
 
     async def leader(self, *but: str) -> str:
@@ -469,8 +469,8 @@
                 old = (await client.get(key)).get(key)
                 if old and old.data == data:
                     return old.version
-                said = await client.swap(key, old.version if old else 0, data)
-            except (NoAnswer, Open):
+                said = await client.compare_and_swap(key, old.version if old else 0, data)
+            except (RequestFailedError, OutcomeUnknownError):
                 continue
             if hasattr(said, "version") and type(said).__name__ == "Swapped":
                 return int(said.version)
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -6,17 +6,23 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from tests.simulated import Broken, Process, World
-from zincladder.agreement.member import Busy, NotLeader, Role
-from zincladder.agreement.model import Entry, Kind, Snapshot
-from zincladder.agreement.registers import Registers, Swap
-from zincladder.agreement.terms import Terms
+from tests.support.raft_simulation import Broken, Process, World
+from zincladder.consensus.key_value_state import CompareAndSwap, KeyValueState
+from zincladder.consensus.lease_timing import LeaseTiming
+from zincladder.consensus.model import Entry, EntryKind, Snapshot
+from zincladder.consensus.raft import BusyError, NotLeaderError, Role
 from zincladder.policy import book
 from zincladder.policy.conductor import Conductor, proposed
 from zincladder.policy.holder import Holder
 from zincladder.policy.model import RECORD, Checked, FromFront, FromKeeper, Outcome, Phase, document_id
 
-TERMS = Terms(lease=2.5, renew=0.5, drift=0.1, check=1.0, clear=0.4)
+TERMS = LeaseTiming(
+    lease_seconds=2.5,
+    renew_seconds=0.5,
+    clock_drift=0.1,
+    check_timeout_seconds=1.0,
+    release_timeout_seconds=0.4,
+)
 
 
 @dataclass
@@ -25,7 +31,7 @@
 
     number: int
     front: str
-    keeper: str
+    replica: str
     life: int  # the keeper's
     up: bool = True
     free: dict[str, float] = field(default_factory=lambda: {"to": 0.0, "back": 0.0})
@@ -49,9 +55,9 @@
 class FleetWorld(World):
     """A group of keepers with fronts; the judge looks after every event."""
 
-    def __init__(self, seed: int, voters: int = 3, fronts: int = 4, terms: Terms = TERMS) -> None:
+    def __init__(self, seed: int, voters: int = 3, fronts: int = 4, terms: LeaseTiming = TERMS) -> None:
         self.terms = terms
-        self.registers: dict[str, Registers] = {}
+        self.registers: dict[str, KeyValueState] = {}
         self.conductors: dict[str, Conductor] = {}
         self.inbox: dict[str, deque[tuple[int, Line, FromFront | None]]] = {}
         self.read_at: dict[str, int] = {}
@@ -67,7 +73,7 @@
         super().__init__(seed, voters)
         self.figures |= {"held": 0, "withdrawn": 0, "grants": 0, "served": 0, "asked": 0, "retreats": 0}
         for n in range(fronts):
-            drift = terms.drift
+            drift = terms.clock_drift
             rate = self.random.choice((1 - drift, 1.0, 1 + drift))
             front = self.fronts[f"f{n}"] = Front(f"f{n}", rate, self.random.uniform(0, 100))
             self.begin(front)
@@ -131,7 +137,7 @@
                 front.holder.link(False, self.front_clock(front))
 
     def _keeper_lost(self, line: Line) -> None:
-        process, conductor = self.processes[line.keeper], self.conductors.get(line.keeper)
+        process, conductor = self.processes[line.replica], self.conductors.get(line.replica)
         if conductor is not None and process.member is not None and process.lives == line.life:
             conductor.unlinked(line.number, self.clock(process))
             if not process.asleep:
@@ -161,9 +167,9 @@
         """In order, as a connection does; what is under way when it breaks may still come."""
         if way in self.alone.get(line.front, ()):
             return None  # nobody learns of it
-        if (line.front, line.keeper) in self.cut and way == "to":
+        if (line.front, line.replica) in self.cut and way == "to":
             return self.break_line(line)
-        if (line.keeper, line.front) in self.cut and way == "back":
+        if (line.replica, line.front) in self.cut and way == "back":
             return self.break_line(line)
         at = max(
             line.free[way], self.now + self.random.choice((0.01, 0.02, 0.05, 0.3, 1.0 if self.loss else 0.05))
@@ -176,7 +182,7 @@
         return None
 
     def _to_keeper(self, line: Line, message: FromFront) -> None:
-        process = self.processes[line.keeper]
+        process = self.processes[line.replica]
         if process.member is None or process.lives != line.life:
             return
         if process.asleep:
@@ -190,7 +196,7 @@
         ticket = next(self._tickets)
         try:
             process.member.read(ticket)
-        except (Busy, NotLeader):
+        except (BusyError, NotLeaderError):
             self.break_line(line)
             return
         self.inbox.setdefault(process.name, deque()).append((ticket, line, message))
@@ -211,7 +217,7 @@
 
     def restore(self, process: Process, snapshot: Snapshot) -> None:
         process.index = snapshot.index
-        self.registers[process.name] = Registers(snapshot.state)
+        self.registers[process.name] = KeyValueState(snapshot.state)
 
     def dump(self, process: Process) -> bytes:
         return self.registers[process.name].dump()
@@ -221,7 +227,7 @@
         self.conductors.pop(process.name, None)
         self.inbox.pop(process.name, None)
         for front in self.fronts.values():
-            if front.line and front.line.keeper == process.name:
+            if front.line and front.line.replica == process.name:
                 self.break_line(front.line)
 
     def apply(self, process: Process, entry: Entry) -> None:
@@ -229,12 +235,12 @@
         first = self.log.setdefault(process.index, entry)
         if first != entry:
             raise Broken(f"{process.name} applies another entry at {process.index}")
-        if entry.kind is Kind.DATA:
+        if entry.kind is EntryKind.DATA:
             self.registers[process.name].apply(process.index, entry.data)
             registers = self.registers[process.name]
             found = registers.get(RECORD)
             if found is not None and found.version == process.index:
-                self.judge_record(book.read(registers.under("")))
+                self.judge_record(book.read(registers.with_prefix("")))
 
     def settle(self, process: Process) -> None:
         super().settle(process)
@@ -255,7 +261,7 @@
                 conductor.heard(line.number, message, self.clock(process))
 
     def learn(self, process: Process, conductor: Conductor) -> None:
-        found = book.read(self.registers[process.name].under(""))
+        found = book.read(self.registers[process.name].with_prefix(""))
         if self.read_at.get(process.name) != process.index:
             self.read_at[process.name] = process.index
             conductor.knows(found.record, found.at, found.roster, found.contents, self.clock(process))
@@ -270,7 +276,7 @@
                 del self.conductors[process.name]
                 self.inbox.pop(process.name, None)
                 for front in self.fronts.values():
-                    if front.line and front.line.keeper == process.name:
+                    if front.line and front.line.replica == process.name:
                         self.break_line(front.line)
             return
         if conductor is None or conductor.term != member.term:
@@ -305,11 +311,11 @@
         if swaps:
             self.settle(process)
 
-    def put(self, process: Process, swap: Swap) -> None:
+    def put(self, process: Process, swap: CompareAndSwap) -> None:
         assert process.member is not None
         try:
             process.member.propose(book.encode(swap))
-        except (Busy, NotLeader):
+        except (BusyError, NotLeaderError):
             return
 
     def _wake(self, process: Process, life: int) -> None:
@@ -325,7 +331,7 @@
         process = self.leader()
         if process is None or process.member is None:
             return
-        found = book.read(self.registers[process.name].under(""))  # perhaps an old one
+        found = book.read(self.registers[process.name].with_prefix(""))  # perhaps an old one
         data = b"policy %d" % next(self.proposals)
         if self.random.random() < 0.2:
             self.random.choice(list(self.fronts.values())).against.add(document_id(data))
@@ -355,8 +361,8 @@
             self.alone[front.name] = r.choice(({"to"}, {"back"}, {"to", "back"}))
             self.at(r.uniform(1, 9), lambda: self.reached(front))
         elif kind == 3:
-            keeper = r.choice(sorted(self.processes))
-            self.cut.add(r.choice(((front.name, keeper), (keeper, front.name))))
+            replica = r.choice(sorted(self.processes))
+            self.cut.add(r.choice(((front.name, replica), (replica, front.name))))
 
     def reached(self, front: Front) -> None:
         self.alone.pop(front.name, None)
@@ -404,7 +410,7 @@
             self.decided[change.version] = change.document
             names = {n for n, d in self.said_yes if d == change.document}
             expected = self.expected.get(change.version, 0)
-            if expected and len(names) <= self.terms.least * expected:
+            if expected and len(names) <= self.terms.min_agreeing_share * expected:
                 raise Broken(f"version {change.version} was decided with {len(names)} of {expected}")
         for past in record.history:
             if past.version in self.decided and past.outcome is Outcome.WITHDRAWN:
@@ -425,7 +431,7 @@
             leader = self.leader()
             if leader is None:
                 continue
-            record = book.read(self.registers[leader.name].under("")).record
+            record = book.read(self.registers[leader.name].with_prefix("")).record
             versions = {
                 f.holder.serving(self.front_clock(f)) if f.holder else 0 for f in self.fronts.values()
             }
--- a/tests/small_duties.py
+++ b/tests/small_duties.py
@@ -11,15 +11,15 @@
 from functools import partial
 from typing import Any
 
-from tests.simulated import Broken
 from tests.small import Event, Place, Scope, Small
-from zincladder.agreement.terms import Terms
+from tests.support.raft_simulation import Broken
+from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.ownership.fence import Fence
 from zincladder.ownership.model import Duty
 from zincladder.ownership.owner import Owner
 from zincladder.ownership.steward import Steward, Take
 
-TERMS = Terms(lease=3.0, renew=2.0, drift=0.0, act=0.0)
+TERMS = LeaseTiming(lease_seconds=3.0, renew_seconds=2.0, clock_drift=0.0, max_action_seconds=0.0)
 DUTY = "figures"
 
 
--- a/tests/small_policy.py
+++ b/tests/small_policy.py
@@ -5,14 +5,20 @@
 from collections.abc import Iterator
 from typing import Any
 
-from tests.simulated import Broken
 from tests.small import Event, Place, Scope, Small
-from zincladder.agreement.terms import Terms
+from tests.support.raft_simulation import Broken
+from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.policy.conductor import Conductor, Write, proposed
 from zincladder.policy.holder import Holder
 from zincladder.policy.model import Phase, Record
 
-TERMS = Terms(lease=3.0, renew=2.0, drift=0.0, check=1.0, clear=1.0)
+TERMS = LeaseTiming(
+    lease_seconds=3.0,
+    renew_seconds=2.0,
+    clock_drift=0.0,
+    check_timeout_seconds=1.0,
+    release_timeout_seconds=1.0,
+)
 DOCUMENTS = {f"d{n}": b"%d" % n for n in range(1, 9)}
 
 
--- a/tests/simulated.py
+++ b/tests/support/raft_simulation.py
@@ -11,12 +11,21 @@
 
 import msgspec
 
-from zincladder.agreement import member as rules
-from zincladder.agreement.member import Busy, Member, NotLeader, Role, Timing
-from zincladder.agreement.model import Entry, Hard, Kind, Members, Message, Output, Snapshot, Stored
-
-TIMING = Timing(heartbeat=0.5, election=2.0)
-rules.PIECE = 24  # bytes: snapshots go in several pieces, and the log goes on meanwhile
+from zincladder.consensus import raft as rules
+from zincladder.consensus.model import (
+    Entry,
+    EntryKind,
+    HardState,
+    Membership,
+    Message,
+    Output,
+    Snapshot,
+    StoredState,
+)
+from zincladder.consensus.raft import BusyError, NotLeaderError, RaftNode, RaftTiming, Role
+
+TIMING = RaftTiming(heartbeat=0.5, election=2.0)
+rules.SNAPSHOT_CHUNK_BYTES = 24  # bytes: snapshots go in several pieces, and the log goes on meanwhile
 
 
 class Broken(AssertionError):
@@ -27,7 +36,7 @@
 class Disk:
     """What a member has written, as its journal would give it back."""
 
-    hard: Hard
+    hard: HardState
     snapshot: Snapshot
     entries: list[Entry] = field(default_factory=list)
 
@@ -41,8 +50,8 @@
             self.entries[at:] = output.entries
 
     @property
-    def stored(self) -> Stored:
-        return Stored(self.hard, self.snapshot, tuple(self.entries))
+    def stored(self) -> StoredState:
+        return StoredState(self.hard, self.snapshot, tuple(self.entries))
 
 
 @dataclass
@@ -51,7 +60,7 @@
 
     name: str
     disk: Disk
-    member: Member | None = None
+    member: RaftNode | None = None
     state: list[str] = field(default_factory=list)
     index: int = 0
     lives: int = 0
@@ -71,8 +80,8 @@
         self.now, self._order = 0.0, itertools.count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         names = [f"k{n}" for n in range(voters + spare)]
-        self.founders = Members({n: n for n in names[:voters]})
-        self.processes = {n: Process(n, Disk(Hard(), Snapshot(0, 0, self.founders))) for n in names}
+        self.founders = Membership({n: n for n in names[:voters]})
+        self.processes = {n: Process(n, Disk(HardState(), Snapshot(0, 0, self.founders))) for n in names}
         self.cut: set[tuple[str, str]] = set()
         self.loss = 0.0
         self.leaders: dict[int, str] = {}
@@ -105,7 +114,7 @@
             return
         process.lives += 1
         seed = self.random.getrandbits(32)
-        process.member = Member(process.name, process.disk.stored, self.clock(process), seed, TIMING)
+        process.member = RaftNode(process.name, process.disk.stored, self.clock(process), seed, TIMING)
         self.restore(process, process.disk.snapshot)
         self._wake(process, process.lives)
 
@@ -178,7 +187,7 @@
         first = self.log.setdefault(process.index, entry)
         if first != entry:
             raise Broken(f"{process.name} applies another entry at {process.index}")
-        if entry.kind is Kind.DATA:
+        if entry.kind is EntryKind.DATA:
             process.state.append(entry.data.decode())
         value = process.open.pop((process.index, entry.term), None)
         if value is not None:
@@ -226,8 +235,8 @@
                 self.read(process)
                 return
             else:
-                process.member.step_aside(self.clock(process))
-        except (Busy, NotLeader):
+                process.member.transfer_leadership(self.clock(process))
+        except (BusyError, NotLeaderError):
             return
         self.settle(process)
 
@@ -236,7 +245,7 @@
         value = f"v{next(self._values)}"
         if process.member is None or process.member.role is not Role.LEADER:
             return
-        with contextlib.suppress(Busy, NotLeader):
+        with contextlib.suppress(BusyError, NotLeaderError):
             process.open[process.member.propose(value.encode())] = value
             self.settle(process)
 
@@ -245,7 +254,7 @@
         ticket = next(self._tickets)
         if process.member is None or process.member.role is not Role.LEADER:
             return
-        with contextlib.suppress(Busy, NotLeader):
+        with contextlib.suppress(BusyError, NotLeaderError):
             process.member.read(ticket)
             process.reads[ticket] = frozenset(self.told)
             self.settle(process)
@@ -257,15 +266,15 @@
         members = process.member.members
         outside = sorted(self.processes.keys() - members.all.keys())
         if outside and (len(members.voters) < 3 or self.random.random() < 0.5):
-            new = Members(members.voters, members.learners | {outside[0]: outside[0]})
+            new = Membership(members.voters, members.learners | {outside[0]: outside[0]})
         elif len(members.voters) > 2:
             gone = self.random.choice(sorted(members.voters))
-            new = Members({n: w for n, w in members.voters.items() if n != gone}, members.learners)
+            new = Membership({n: w for n, w in members.voters.items() if n != gone}, members.learners)
         else:
             return
         try:
             process.member.change(new)
-        except (Busy, NotLeader):
+        except (BusyError, NotLeaderError):
             return
         self.figures["changes"] += 1
         self.settle(process)
--- a/tests/test_duties_processes.py
+++ b/tests/test_duties_processes.py
@@ -23,8 +23,8 @@
 
 from tests.processes import Process, Rig, Traffic, free_port, marking, rig
 from tests.stands import StubCache
-from zincladder.agreement.client import NoAnswer, Open
-from zincladder.agreement.registers import Fenced
+from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.key_value_state import FencingTokenRejected
 from zincladder.export import messages
 from zincladder.ownership.fence import Fence
 from zincladder.ownership.figures import FENCED
@@ -147,8 +147,8 @@
 
     def left(self) -> list[str]:
         """Why duties were left, by the keepers' logs."""
-        keepers = [p for n, p in self.r.processes.items() if n.startswith("k")]
-        return [line["left"] for p in keepers for line in p.events("duty") if line["left"]]
+        replicas = [p for n, p in self.r.processes.items() if n.startswith("k")]
+        return [line["left"] for p in replicas for line in p.events("duty") if line["left"]]
 
     def newest(self) -> int:
         return self.receiver.tokens()[-1]
@@ -167,7 +167,7 @@
         await tasks.start(receiver.run)
         for cache in caches:
             await tasks.start(cache.run)
-        await r.keepers(3)
+        await r.replicas(3)
         c = Crew(r, receiver, caches)
         for n in range(fronts):
             await c.add(f"f{n}")
@@ -233,9 +233,11 @@
         c.r.cut_front(old, "to")  # all that it says lies there: its askings, and its progress
         await c.more(after=before)
         c.r.cut_front(old)
-        client = c.r.client_of_keepers()
+        client = c.r.client_of_replicas()
         kept = (await client.get("progress/figures"))["progress/figures"]
-        assert await client.ask(checkpoint("figures", before, kept.version, b"late")) == Fenced(c.newest())
+        assert await client.ask(checkpoint("figures", before, kept.version, b"late")) == FencingTokenRejected(
+            c.newest()
+        )
         await c.more(after=before)
 
 
@@ -280,8 +282,8 @@
         await c.r.until("nobody owns it", nobody)
         assert await c.r.ready("f0") == "SUCCESS" and served.popen is not None  # fronts go on serving
         stood, totals = len(c.receiver.pushes), c.receiver.accepted[-1].totals
-        with pytest.raises((NoAnswer, Open)):
-            await c.r.client_of_keepers().swap("x", 0, b"", 1.0)
+        with pytest.raises((RequestFailedError, OutcomeUnknownError)):
+            await c.r.client_of_replicas().compare_and_swap("x", 0, b"", 1.0)
         assert len(c.receiver.pushes) == stood
         await c.r.start("k1")
         await c.more()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from tests.conftest import Driver, cache, parent
-from zincladder.agreement import host
+from zincladder.consensus import server
 from zincladder.ownership import model as duties
 from zincladder.ownership import sums
 from zincladder.policy import conductor
@@ -96,8 +96,8 @@
 
 
 def test_no_cap_on_fronts_or_servers_is_under_1024() -> None:
-    caps = (host.MOST_LINKS, sums.MOST_PROCESSES, conductor.MOST_FRONTS, duties.MOST_WORKERS)
-    assert min(caps) >= 1024 and host.MOST_LINKS >= 2 * conductor.MOST_FRONTS
+    caps = (server.MAX_LINKS, sums.MOST_PROCESSES, conductor.MOST_FRONTS, duties.MOST_WORKERS)
+    assert min(caps) >= 1024 and server.MAX_LINKS >= 2 * conductor.MOST_FRONTS
 
 
 def test_the_sums_take_what_1500_fronts_tell() -> None:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -19,8 +19,8 @@
 from zincladder.config.operator import operator_of
 from zincladder.core.engine import Core
 from zincladder.interface import Settings
-from zincladder.metrics.keeper import NAMES as KEEPER_NAMES
 from zincladder.metrics.registry import NAMES, Registry
+from zincladder.metrics.replica import NAMES as KEEPER_NAMES
 
 pytestmark = pytest.mark.anyio
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -11,11 +11,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.simulated import Broken
 from tests.small import Scope, search, walk
 from tests.small_duties import TERMS, SmallDuties, taken_over
-from zincladder.agreement.registers import MOST_VALUE, Fenced, Missed, Registers, Swap, Swapped
+from tests.support.raft_simulation import Broken
 from zincladder.config import DutiesConfig
+from zincladder.consensus.key_value_state import (
+    MAX_VALUE_BYTES,
+    CompareAndSwap,
+    FencingTokenRejected,
+    KeyValueState,
+    Swapped,
+    VersionMismatch,
+)
 from zincladder.ownership.fence import MOST_DUTIES, Fence
 from zincladder.ownership.host import fault
 from zincladder.ownership.model import Duty, GivesBack, Keeps, Lent, Stop, Wants, Yours, checkpoint, key
@@ -214,9 +221,12 @@
 
 def test_the_sum_of_a_lease_leaves_time_to_act() -> None:
     # asked, believed and acted at the latest, by a slow clock; heard and waited out by a fast one
-    for terms in (TERMS, msgspec.structs.replace(TERMS, lease=5.0, drift=0.01, act=0.2)):
-        slowest = terms.owned / (1 - terms.drift) + terms.act
-        assert slowest <= terms.waited / (1 + terms.drift) + 1e-9
+    for terms in (
+        TERMS,
+        msgspec.structs.replace(TERMS, lease_seconds=5.0, clock_drift=0.01, max_action_seconds=0.2),
+    ):
+        slowest = terms.holder_seconds / (1 - terms.clock_drift) + terms.max_action_seconds
+        assert slowest <= terms.expiry_seconds / (1 + terms.clock_drift) + 1e-9
 
 
 # The steward, step by step ------------------------------------------------------------------------
@@ -260,11 +270,11 @@
 def test_one_that_is_silent_with_its_link_up_loses_its_duty_when_its_lease_is_over() -> None:
     lead = Lead("x", "y")
     first = lead.owner()
-    lead.settle(TERMS.waited - 0.1)
+    lead.settle(TERMS.expiry_seconds - 0.1)
     assert lead.owner() == first
     lead.settle(0.2)
     assert lead.owner() != first and lead.owner()
-    lead.settle(TERMS.waited + 0.1)  # the other is silent too: it goes round, and never to nobody
+    lead.settle(TERMS.expiry_seconds + 0.1)  # the other is silent too: it goes round, and never to nobody
     assert lead.owner() == first
 
 
@@ -272,18 +282,20 @@
     # any entry that was learned of ended the wait for this one: both would have acted
     lead = Lead("x", "y")
     number, token = lead.steward.owner_link("a"), lead.registers["a"][1]
-    lead.now += TERMS.waited + 0.1
+    lead.now += TERMS.expiry_seconds + 0.1
     lead.steward.tick(lead.now)
     (take,) = lead.steward.take().write
     lead.steward.knows(lead.registers, lead.now)  # of something else
     lead.steward.heard(number, Keeps(1, (("a", token),)), lead.now)
     wish = lead.steward.take()
-    assert not wish.write and [m for _, m in wish.say] == [Lent(1, (), TERMS.owned, TERMS.renew)]
+    assert not wish.write and [m for _, m in wish.say] == [
+        Lent(1, (), TERMS.holder_seconds, TERMS.renew_seconds)
+    ]
     lead.registers["a"] = (take.value, token + 1)
     lead.steward.knows(lead.registers, lead.now)
     lead.steward.wrote("a", lead.now)
     lead.hears(3 - number, Keeps(1, (("a", token + 1),)))
-    assert lead.said[-1][1] == Lent(1, (("a", token + 1),), TERMS.owned, TERMS.renew)
+    assert lead.said[-1][1] == Lent(1, (("a", token + 1),), TERMS.holder_seconds, TERMS.renew_seconds)
 
 
 def test_the_only_one_there_is_keeps_its_duty_however_long_it_says_nothing() -> None:
@@ -292,7 +304,7 @@
     lead.settle(100.0)
     assert (lead.owner(), lead.registers["a"][1]) == ("x", token)
     lead.hears(1, Keeps(1, (("a", token),)))
-    assert Lent(1, (("a", token),), TERMS.owned, TERMS.renew) in [m for _, m in lead.said]
+    assert Lent(1, (("a", token),), TERMS.holder_seconds, TERMS.renew_seconds) in [m for _, m in lead.said]
 
 
 def test_an_owner_that_is_gone_is_waited_for_and_one_that_gave_back_is_not() -> None:
@@ -301,7 +313,7 @@
     number = lead.steward.owner_link("a")
     lead.hears(number, Keeps(1, (("a", lead.registers["a"][1]),)))
     lead.steward.unlinked(number, lead.now)
-    lead.settle(TERMS.waited - 0.1)
+    lead.settle(TERMS.expiry_seconds - 0.1)
     assert lead.owner() == first
     lead.settle(0.2)
     second = lead.owner()
@@ -323,7 +335,7 @@
     for name in ("a", "b", "c"):
         steward.heard(1, GivesBack(name, 0), 100.0)
     assert not steward.lent and not steward.take().write
-    steward.tick(100.0 + TERMS.waited)
+    steward.tick(100.0 + TERMS.expiry_seconds)
     assert steward.take().write
 
 
@@ -386,16 +398,16 @@
 
 
 def test_progress_is_written_only_under_the_token_that_stands_when_the_entry_is_applied() -> None:
-    registers = Registers()
+    registers = KeyValueState()
 
-    def put(index: int, swap: Swap) -> object:
+    def put(index: int, swap: CompareAndSwap) -> object:
         return registers.apply(index, msgspec.msgpack.encode(swap))
 
-    put(3, Swap(key("a"), 0, msgspec.msgpack.encode(Duty("x", "p"))))
+    put(3, CompareAndSwap(key("a"), 0, msgspec.msgpack.encode(Duty("x", "p"))))
     assert put(4, checkpoint("a", 3, 0, b"one")) == Swapped(4)
-    put(5, Swap(key("a"), 3, msgspec.msgpack.encode(Duty("y", "q"))))
-    assert put(6, checkpoint("a", 3, 4, b"late")) == Fenced(5)
-    assert put(7, checkpoint("a", 5, 0, b"two")) == Missed(4)
+    put(5, CompareAndSwap(key("a"), 3, msgspec.msgpack.encode(Duty("y", "q"))))
+    assert put(6, checkpoint("a", 3, 4, b"late")) == FencingTokenRejected(5)
+    assert put(7, checkpoint("a", 5, 0, b"two")) == VersionMismatch(4)
     assert put(8, checkpoint("a", 5, 4, b"two")) == Swapped(8)
     value = registers.get("progress/a")
     assert value is not None and value.data == b"two"
@@ -403,12 +415,12 @@
 
 def test_no_caller_names_an_owner_or_writes_progress_without_a_token() -> None:
     mine = msgspec.msgpack.encode(Duty("me", "p"))
-    assert fault(Swap(key("a"), 0, mine)) == "the leader alone names owners"
-    assert fault(Swap(key("a"), 0, b"\xc1")).startswith("no duty")
-    assert fault(Swap("progress/a", 0, b"x")) == "progress needs its duty's token"
-    assert fault(checkpoint("b", 3, 0, b"x")) == "" and fault(Swap("x", 0, b"x")) == ""
-    assert fault(Swap("progress/a", 0, b"x", checkpoint("b", 3, 0, b"").guard)) != ""
-    assert fault(Swap(key("a"), 4, msgspec.msgpack.encode(Duty(paused=True)))) == ""
+    assert fault(CompareAndSwap(key("a"), 0, mine)) == "the leader alone names owners"
+    assert fault(CompareAndSwap(key("a"), 0, b"\xc1")).startswith("no duty")
+    assert fault(CompareAndSwap("progress/a", 0, b"x")) == "progress needs its duty's token"
+    assert fault(checkpoint("b", 3, 0, b"x")) == "" and fault(CompareAndSwap("x", 0, b"x")) == ""
+    assert fault(CompareAndSwap("progress/a", 0, b"x", checkpoint("b", 3, 0, b"").guard)) != ""
+    assert fault(CompareAndSwap(key("a"), 4, msgspec.msgpack.encode(Duty(paused=True)))) == ""
 
 
 # Sums ---------------------------------------------------------------------------------------------
@@ -448,7 +460,7 @@
         ]
         sums.told("x", "p", {name: 1e6 * turn + i for i, name in enumerate(names)})
     kept = Totals().grown("k1/7", sums.totals, 1)
-    assert len(kept.totals) == 2000 and len(packed(kept)) < MOST_VALUE // 2
+    assert len(kept.totals) == 2000 and len(packed(kept)) < MAX_VALUE_BYTES // 2
     assert unpacked(packed(kept)) == kept and unpacked(b"") == Totals()
     for process in range(2 * MOST_PROCESSES):
         sums.told(
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -12,14 +12,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.simulated import Broken
 from tests.simulated_fleet import TERMS, FleetWorld
 from tests.small import Scope, search, walk
 from tests.small_policy import SmallFleet, in_force
 from tests.stands import SETTINGS, configuration
-from zincladder.agreement.registers import MOST_VALUE, Value
-from zincladder.agreement.terms import Terms
+from tests.support.raft_simulation import Broken
 from zincladder.config import ConfigError, config_of
+from zincladder.consensus.key_value_state import MAX_VALUE_BYTES, VersionedValue
+from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.policy import book
 from zincladder.policy.conductor import Conductor, _in, proposed
 from zincladder.policy.document import Files, difference, faults, laid_over, parsed, taken
@@ -268,7 +268,13 @@
 
 # The leader's part, step by step ------------------------------------------------------------------
 
-LEASES = Terms(lease=5.0, renew=1.0, drift=0.01, check=3.0, clear=0.3)
+LEASES = LeaseTiming(
+    lease_seconds=5.0,
+    renew_seconds=1.0,
+    clock_drift=0.01,
+    check_timeout_seconds=3.0,
+    release_timeout_seconds=0.3,
+)
 DECIDED = Record(1, "d1", Change(2, "d2", "ana", "", 0.0, Phase.DECIDED))
 TEXTS = {"d1": b"1", "d2": b"2"}
 
@@ -315,7 +321,7 @@
     leader = Leader(DECIDED, 0)
     leader.step(6.0)
     assert [phase for _, phase in leader.phases] == ["clearing", "in force"]
-    assert leader.phases[0][0] >= LEASES.waited
+    assert leader.phases[0][0] >= LEASES.expiry_seconds
 
 
 def test_one_that_is_gone_is_waited_for_before_any_other_has_to_let_go() -> None:
@@ -331,7 +337,7 @@
         serial += 1
         assert [type(m) for _, m in leader.hears(1, Renew(serial, "d1"))] == [Granted]  # it goes on meanwhile
         leader.step(0.5)
-    assert leader.now - began >= LEASES.waited - 1.0
+    assert leader.now - began >= LEASES.expiry_seconds - 1.0
     assert leader.phases[0][1] == "clearing"
 
 
@@ -352,7 +358,7 @@
             if any(isinstance(m, Release) for m in said):
                 leader.hears(1, Released(2, serial))  # the other one hears nothing
     assert leader.record.version == 2
-    assert leader.now - began < LEASES.waited + 2.0
+    assert leader.now - began < LEASES.expiry_seconds + 2.0
     assert [phase for _, phase in leader.phases] == ["clearing", "decided", "clearing", "in force"]
 
 
@@ -382,8 +388,12 @@
         leader.step(0.5)
         refused += 0.5 * (leader.record.open is not None and leader.record.open.phase is Phase.CLEARING)
     assert leader.record.version == 2
-    assert LEASES.patient < leader.now - began < LEASES.patient + LEASES.waited + 1.0
-    assert refused < LEASES.waited + 1.0  # what it costs the clients: a lease, once
+    assert (
+        LEASES.max_deferral_seconds
+        < leader.now - began
+        < LEASES.max_deferral_seconds + LEASES.expiry_seconds + 1.0
+    )
+    assert refused < LEASES.expiry_seconds + 1.0  # what it costs the clients: a lease, once
 
 
 def test_a_front_that_has_said_no_and_is_gone_has_said_no_all_the_same() -> None:
@@ -404,9 +414,9 @@
     leader = Leader(Record(1, "d1", Change(103, "d2", "ana", "", 0.0), history=tuple(past)), 1)
     leader.hears(1, Checked(103, "d2", ("it can't",)))
     assert leader.record.open is None and leader.record.history[-1].version == 103
-    assert len(book.encode(leader.record)) < MOST_VALUE
+    assert len(book.encode(leader.record)) < MAX_VALUE_BYTES
     data = bytes(200 << 10)
-    kept = {f"o{n}": Value(n, data) for n in range(3, 103)} | {"d1": Value(1, data)}
+    kept = {f"o{n}": VersionedValue(n, data) for n in range(3, 103)} | {"d1": VersionedValue(1, data)}
     gone = {s.key for s in book.unneeded(book.Book(leader.record, 1, frozenset(), kept))}
     assert 0 < (len(kept) - len(gone)) * len(data) < 5 << 20
     assert "document/d1" not in gone and "document/o102" not in gone
@@ -494,5 +504,8 @@
 
 
 def test_the_terms_leave_a_front_less_than_a_keeper_waits() -> None:
-    assert TERMS.believed * (1 + TERMS.drift) <= TERMS.waited
-    assert TERMS.believed / (1 - TERMS.drift) <= TERMS.waited / (1 + TERMS.drift) + 1e-9
+    assert TERMS.trusted_seconds * (1 + TERMS.clock_drift) <= TERMS.expiry_seconds
+    assert (
+        TERMS.trusted_seconds / (1 - TERMS.clock_drift)
+        <= TERMS.expiry_seconds / (1 + TERMS.clock_drift) + 1e-9
+    )
--- a/tests/test_policy_processes.py
+++ b/tests/test_policy_processes.py
@@ -20,7 +20,7 @@
 
 from tests.processes import Process, Rig, Traffic, free_port, marked, marking, rig
 from tests.stands import StubCache
-from zincladder.agreement.client import NoAnswer, Open
+from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
 from zincladder.policy.document import canonical
 from zincladder.policy.model import Outcome, Phase
 
@@ -47,7 +47,7 @@
 async def fleet(
     folder: Path,
     fronts: int = 3,
-    keepers: int = 3,
+    replicas: int = 3,
     cut_off: str = "stop",
     begun: bool = True,
     drift: float = 0.0,
@@ -57,7 +57,7 @@
         caches += [StubCache("s-000000a0", 1, marking), StubCache("s-000000b0", 2, marking)]
         for cache in caches:
             await tasks.start(cache.run)
-        await r.keepers(keepers)
+        await r.replicas(replicas)
         f = Fleet(r, caches, tasks)
         for n in range(fronts):
             f.fronts.append(f"f{n}")
@@ -349,7 +349,7 @@
 
         await f.r.until("a lease is over", lambda: len(late()) > 20)
         assert set(late()) == ({"Throttled"} if cut_off == "stop" else {"served", "booked"})
-        with pytest.raises((NoAnswer, Open)):
+        with pytest.raises((RequestFailedError, OutcomeUnknownError)):
             await f.r.propose(2)
         await f.r.start("k1")
         await f.r.insist(3)
@@ -401,8 +401,8 @@
         await f.everywhere(traffic, 1)
         old = await f.r.leader()
         f.r.processes[old].stop()
-        for (front, keeper), relay in f.r.relays.items():
-            if front == "f0" and keeper != old:
+        for (front, replica), relay in f.r.relays.items():
+            if front == "f0" and replica != old:
                 relay.hold("to", "back")
         await f.r.leader(old)
         await f.r.insist(2)
--- a/zincladder/cli/__init__.py
+++ b/zincladder/cli/__init__.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import copy
 import json
 import os
 import sys
@@ -13,8 +14,8 @@
 from zincladder.cli.admission import admission
 from zincladder.cli.day import ready, stats
 from zincladder.cli.duties import duties
-from zincladder.cli.keep import keep, keepers
 from zincladder.cli.policy import policy
+from zincladder.cli.replica import replica, replicas
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -63,5 +64,14 @@
     sys.exit(0 if good else 1)
 
 
-for command in (admission, duties, keep, keepers, policy, ready, stats):
+def _hidden_alias(command: click.Command, name: str) -> click.Command:
+    """The same command under an earlier name, which the help does not list."""
+    alias = copy.copy(command)
+    alias.name, alias.hidden = name, True
+    return alias
+
+
+for command in (admission, duties, policy, ready, replica, replicas, stats):
     main.add_command(command)
+for command, earlier_name in ((replica, "keep"), (replicas, "keepers")):
+    main.add_command(_hidden_alias(command, earlier_name))
--- a/zincladder/cli/duties.py
+++ b/zincladder/cli/duties.py
@@ -9,7 +9,7 @@
 
 import click
 
-from zincladder.cli.keep import asking, group_options, run_call
+from zincladder.cli.replica import group_client, group_options, run_call
 
 Group = tuple[str, dict[str, str]]
 
@@ -26,17 +26,17 @@
     """What the leader sees, the duties with their registers' versions, and the sizes of their progress."""
     import msgspec
 
-    from zincladder.agreement import calls
+    from zincladder.consensus import rpc
     from zincladder.ownership.model import DUTIES, PROGRESS, Duty
 
-    client = asking(group)
+    client = group_client(group)
 
     async def both() -> Any:
-        said = await client.ask(calls.Progress())
+        said = await client.ask(rpc.GetProgress())
         return said, await client.get(DUTIES), await client.get(PROGRESS)
 
     said, registers, progress = run_call(both)
-    if not isinstance(said, calls.Told):
+    if not isinstance(said, rpc.ProgressReport):
         raise click.ClickException(str(getattr(said, "why", said)))
     found: dict[str, tuple[Any, int]] = {
         name.removeprefix(DUTIES): (msgspec.msgpack.decode(value.data, type=Duty), value.version)
@@ -99,7 +99,7 @@
     """Sets a duty's register, without an owner: the leader asks whoever had it to stop, and waits for it."""
     import msgspec
 
-    from zincladder.agreement.registers import Swap, Swapped
+    from zincladder.consensus.key_value_state import CompareAndSwap, Swapped
     from zincladder.ownership.model import key
 
     _, found, _ = _found(group)
@@ -108,7 +108,7 @@
     duty, version = found[name]
     fields = {"owner": "", "process": "", "wish": "", "at": time.time()}
     data = msgspec.msgpack.encode(msgspec.structs.replace(duty, **(fields | changes)))
-    said = run_call(lambda: asking(group).ask(Swap(key(name), version, data)))
+    said = run_call(lambda: group_client(group).ask(CompareAndSwap(key(name), version, data)))
     if not isinstance(said, Swapped):
         raise click.ClickException(
             f"nothing was done: {getattr(said, 'why', 'the duty has changed meanwhile')}"
--- a/zincladder/cli/policy.py
+++ b/zincladder/cli/policy.py
@@ -13,7 +13,7 @@
 
 import click
 
-from zincladder.cli.keep import asking, group_options, run_call
+from zincladder.cli.replica import group_client, group_options, run_call
 
 EVERY = 0.1  # seconds between two looks at a change
 Group = tuple[str, dict[str, str]]
@@ -45,7 +45,7 @@
     from zincladder.policy import book
     from zincladder.policy.model import RECORD
 
-    return book.read(run_call(lambda: asking(group).get(RECORD)))
+    return book.read(run_call(lambda: group_client(group).get(RECORD)))
 
 
 def _content(group: Group, document: str) -> dict[str, Any]:
@@ -54,7 +54,7 @@
     if not document:
         return {}
     key = DOCUMENTS + document
-    found = run_call(lambda: asking(group).get(key)).get(key)
+    found = run_call(lambda: group_client(group).get(key)).get(key)
     if found is None:
         raise click.ClickException(f"document {document} is not kept any more")
     content: dict[str, Any] = json.loads(found.data)
@@ -140,13 +140,13 @@
     wait: float,
     as_json: bool,
 ) -> None:
-    from zincladder.agreement.registers import Full, Missed
+    from zincladder.consensus.key_value_state import CapacityExceeded, VersionMismatch
     from zincladder.policy import book
     from zincladder.policy.conductor import proposed
     from zincladder.policy.document import canonical
     from zincladder.policy.model import document_id
 
-    client, data = asking(group), canonical(content)
+    client, data = group_client(group), canonical(content)
     found = _book(group)
     base = found.record.version if base is None else base
     try:
@@ -158,16 +158,16 @@
     if isinstance(new, str):
         raise click.ClickException(f"not proposed: {new}")
     assert new.open is not None
-    said = run_call(lambda: client.swap(document.key, document.expected, document.data))
-    if isinstance(said, Full):
+    said = run_call(lambda: client.compare_and_swap(document.key, document.expected, document.data))
+    if isinstance(said, CapacityExceeded):
         raise click.ClickException(f"not proposed: {said.why}")
     swap = book.record_swap(found.at, new)
-    said = run_call(lambda: client.swap(swap.key, swap.expected, swap.data))
-    if isinstance(said, Missed):
+    said = run_call(lambda: client.compare_and_swap(swap.key, swap.expected, swap.data))
+    if isinstance(said, VersionMismatch):
         now = _book(group).record
         what = f"version {now.open.version} by {now.open.author} is under way" if now.open else ""
         raise click.ClickException(f"not proposed: {what or f'version {now.version} came first'}")
-    if isinstance(said, Full):
+    if isinstance(said, CapacityExceeded):
         raise click.ClickException(f"not proposed: {said.why}")
     _follow(group, new.open.version, name, wait, as_json)
 
@@ -220,10 +220,10 @@
 
 
 def _progress(group: Group) -> dict[str, Any]:
-    from zincladder.agreement import calls
+    from zincladder.consensus import rpc
 
-    said = run_call(lambda: asking(group).ask(calls.Progress()))
-    found: dict[str, Any] = json.loads(said.data) if isinstance(said, calls.Told) else {}
+    said = run_call(lambda: group_client(group).ask(rpc.GetProgress()))
+    found: dict[str, Any] = json.loads(said.data) if isinstance(said, rpc.ProgressReport) else {}
     return found
 
 
@@ -304,10 +304,10 @@
     """Expect a FRONT no more: it is counted as absent no longer. One that comes back is expected again."""
     from zincladder.policy.model import ROSTER
 
-    client = asking(group)
+    client = group_client(group)
     key = ROSTER + front
     found = run_call(lambda: client.get(key)).get(key)
     if found is None:
         raise click.ClickException(f"{front!r} is not expected")
-    run_call(lambda: client.swap(key, found.version, None))
+    run_call(lambda: client.compare_and_swap(key, found.version, None))
     click.echo(f"{front} is expected no more")
--- a/zincladder/cli/keep.py
+++ b/zincladder/cli/replica.py
@@ -13,22 +13,22 @@
 import click
 
 from zincladder.config import ConfigError
-from zincladder.config.keeper import KeeperConfig, keeper_of
+from zincladder.config.replica import ReplicaConfig, parse_replica_config
 
 ASIDE = 2.0  # seconds at most for another to take the lead, at an orderly end
 
 
-def read_keeper(path: Path) -> KeeperConfig:
+def read_replica_config(path: Path) -> ReplicaConfig:
     """A keeper's file; a ClickException names its fault."""
     try:
-        return keeper_of(tomllib.loads(path.read_text()))
+        return parse_replica_config(tomllib.loads(path.read_text()))
     except (OSError, ValueError, ConfigError) as fault:
         raise click.ClickException(f"{path}: {fault}") from None
 
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
-def keep(file: Path) -> None:
+def replica(file: Path) -> None:
     """Run a keeper in the foreground, as FILE says. SIGTERM ends it; its directory holds what it promised.
 
     Exits with 1 if the directory cannot be used or fails: a keeper that can't write has no vote.
@@ -49,11 +49,11 @@
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
     )
-    config = read_keeper(file)
+    config = read_replica_config(file)
     import anyio
 
     try:
-        anyio.run(_keep, config)
+        anyio.run(_run_replica, config)
     except* (JournalError, OSError) as faults:
         structlog.get_logger().error("the keeper ends", why=str(_first(faults)))
         sys.exit(1)
@@ -66,23 +66,23 @@
     return fault
 
 
-async def _keep(config: KeeperConfig) -> None:
+async def _run_replica(config: ReplicaConfig) -> None:
     import signal
 
     import anyio
     import structlog
 
-    from zincladder.agreement.host import Keeper
-    from zincladder.agreement.model import Members
-    from zincladder.agreement.store import Store
-    from zincladder.agreement.terms import Terms
+    from zincladder.consensus.lease_timing import LeaseTiming
+    from zincladder.consensus.model import Membership
+    from zincladder.consensus.server import ReplicaServer
+    from zincladder.consensus.store import ReplicaStore
     from zincladder.ownership.host import Stewarding
     from zincladder.policy.host import Conducting
 
-    store = Store(config.directory, config.group, config.name, Members(config.founders))
+    store = ReplicaStore(config.directory, config.group, config.name, Membership(config.founders))
     try:
-        keeper, lease = Keeper(config, store), config.lease
-        terms = Terms(
+        server, lease = ReplicaServer(config, store), config.lease
+        terms = LeaseTiming(
             lease.seconds,
             lease.renew_s,
             lease.drift,
@@ -92,27 +92,29 @@
             lease.patient_s,
             lease.act_s,
         )
-        conducting = Conducting(keeper, terms)
-        stewarding = Stewarding(keeper, terms)
+        conducting = Conducting(server, terms)
+        stewarding = Stewarding(server, terms)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async with anyio.create_task_group() as tasks:
-                await tasks.start(keeper.run)
+                await tasks.start(server.run)
                 tasks.start_soon(conducting.run)
                 tasks.start_soon(stewarding.run)
                 if config.metrics:
                     from zincladder.metrics.endpoint import Endpoint
-                    from zincladder.metrics.keeper import Few, KeeperRegistry
+                    from zincladder.metrics.replica import ConnectionLimit, ReplicaRegistry
 
-                    told = Endpoint(config.metrics, KeeperRegistry(keeper, conducting, stewarding), Few())
+                    told = Endpoint(
+                        config.metrics, ReplicaRegistry(server, conducting, stewarding), ConnectionLimit()
+                    )
                     where = await tasks.start(told.run)
                     structlog.get_logger().info("metrics", listen=where)
                 async for _ in signals:
                     break
-                await keeper.step_aside(ASIDE)
+                await server.transfer_leadership(ASIDE)
                 tasks.cancel_scope.cancel()
     finally:
         store.close()
-    structlog.get_logger().info("ended", entries=keeper.applied, led=keeper.leads)
+    structlog.get_logger().info("ended", entries=server.applied_index, led=server.is_leader)
 
 
 def group_options(command: Any) -> Any:
@@ -121,7 +123,7 @@
     @functools.wraps(command)
     def wrapped(*args: Any, file: Path | None, at: tuple[str, ...], group: str | None, **more: Any) -> Any:
         if file is not None:
-            config = read_keeper(file)
+            config = read_replica_config(file)
             found = (config.group, config.founders | config.via)
         elif group and at:
             found = (group, dict(place.partition("=")[::2] for place in at))
@@ -141,14 +143,14 @@
 @click.group()
 @group_options
 @click.pass_context
-def keepers(context: click.Context, group: tuple[str, dict[str, str]]) -> None:
+def replicas(context: click.Context, group: tuple[str, dict[str, str]]) -> None:
     """Who keeps a fleet's state: who leads, how far each one is, and who belongs to the group."""
     context.obj = group
 
 
-def asking(context: tuple[str, dict[str, str]]) -> Any:
+def group_client(context: tuple[str, dict[str, str]]) -> Any:
     """A client of the group."""
-    from zincladder.agreement.client import Client
+    from zincladder.consensus.client import Client
 
     return Client(*context, name="keepers")
 
@@ -157,33 +159,33 @@
     """What an async call returns; a ClickException says whether nothing, or perhaps something, was done."""
     import anyio
 
-    from zincladder.agreement.client import NoAnswer, Open
+    from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
 
     try:
         return anyio.run(call)
-    except NoAnswer as fault:
+    except RequestFailedError as fault:
         raise click.ClickException(f"nothing was done: {fault}") from None
-    except Open as fault:
+    except OutcomeUnknownError as fault:
         raise click.ClickException(f"it may have been done, ask again: {fault}") from None
 
 
-@keepers.command()
+@replicas.command()
 @click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
 @click.pass_obj
 def status(context: tuple[str, dict[str, str]], as_json: bool) -> None:
     """Ask each keeper how it stands. Exits with 1 if none of them leads."""
-    from zincladder.agreement import calls
-    from zincladder.links.host import FAILED
+    from zincladder.consensus import rpc
+    from zincladder.links.connection import LINK_ERRORS
 
     async def all_of_them() -> dict[str, Any]:
         import anyio
 
-        client, found = asking(context), {}
+        client, found = group_client(context), {}
 
         async def one(name: str, where: str) -> None:
             try:
-                found[name] = await client.ask_at(where, calls.Status(), 2.0)
-            except FAILED as fault:
+                found[name] = await client.ask_at(where, rpc.GetStatus(), 2.0)
+            except LINK_ERRORS as fault:
                 found[name] = str(fault) or "no answer"
 
         async with anyio.create_task_group() as tasks:
@@ -192,7 +194,7 @@
         return dict(sorted(found.items()))
 
     found = run_call(all_of_them)
-    standing = {n: s for n, s in found.items() if isinstance(s, calls.Standing)}
+    standing = {n: s for n, s in found.items() if isinstance(s, rpc.ReplicaStatus)}
     leading = [s for s in standing.values() if s.role == "leader"]
     leader = max(leading, key=lambda s: s.term, default=None)
     if as_json:
@@ -240,43 +242,43 @@
 
 
 def _do(context: tuple[str, dict[str, str]], what: Any) -> None:
-    from zincladder.agreement import calls
+    from zincladder.consensus import rpc
 
-    said = run_call(partial(asking(context).ask, what))
-    if isinstance(said, calls.Unknown):
+    said = run_call(partial(group_client(context).ask, what))
+    if isinstance(said, rpc.OutcomeUnknown):
         raise click.ClickException(f"it may have been done, look at the status: {said.why}")
-    if not isinstance(said, calls.Done):
+    if not isinstance(said, rpc.Done):
         raise click.ClickException(f"nothing was done: {getattr(said, 'why', said)}")
 
 
-@keepers.command()
+@replicas.command()
 @click.argument("name")
 @click.argument("address")
 @click.pass_obj
 def add(context: tuple[str, dict[str, str]], name: str, address: str) -> None:
     """Add the keeper NAME, which runs at ADDRESS with an empty directory. It votes once it has the log."""
-    from zincladder.agreement import calls
+    from zincladder.consensus import rpc
 
-    _do(context, calls.Change(add={name: address}))
+    _do(context, rpc.ChangeMembership(add={name: address}))
     click.echo(f"{name} was added and takes the log in")
 
 
-@keepers.command()
+@replicas.command()
 @click.argument("name")
 @click.pass_obj
 def remove(context: tuple[str, dict[str, str]], name: str) -> None:
     """Remove the keeper NAME. One that comes back under the name needs an empty directory."""
-    from zincladder.agreement import calls
+    from zincladder.consensus import rpc
 
-    _do(context, calls.Change(remove=name))
+    _do(context, rpc.ChangeMembership(remove=name))
     click.echo(f"{name} was removed")
 
 
-@keepers.command("hand-over")
+@replicas.command("hand-over")
 @click.pass_obj
 def hand_over(context: tuple[str, dict[str, str]]) -> None:
     """Let another keeper lead, as before work on the machine of the one that does."""
-    from zincladder.agreement import calls
+    from zincladder.consensus import rpc
 
-    _do(context, calls.HandOver())
+    _do(context, rpc.TransferLeadership())
     click.echo("the leader hands over")
--- a/zincladder/config/keeper.py
+++ b/zincladder/config/replica.py
@@ -30,7 +30,7 @@
     act_s: Annotated[float, Meta(ge=0, le=60)] = 0.2
 
 
-class KeeperTable(msgspec.Struct, forbid_unknown_fields=True):
+class ReplicaTable(msgspec.Struct, forbid_unknown_fields=True):
     """[keeper]"""
 
     group: Name
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeeperConfig:
+class ReplicaConfig:
     """One of the processes that keep a group's state.
 
     `founders` are the members, with their addresses, that the group begins with; none for a keeper that will
@@ -80,12 +80,12 @@
         raise ConfigError(f"'{path}': {said}") from None
 
 
-def keeper_of(data: dict[str, Any]) -> KeeperConfig:
+def parse_replica_config(data: dict[str, Any]) -> ReplicaConfig:
     """The configuration from its parsed TOML; ConfigError names the first key that cannot be used."""
     for name in data:
         if name not in ("keeper", "lease"):
             raise ConfigError(f"'{name}': there is no such table, only keeper and lease")
-    table = _read(data, "keeper", KeeperTable)
+    table = _read(data, "keeper", ReplicaTable)
     lease = _read(data, "lease", LeaseTable)
     if lease.seconds < 3 * lease.renew_s:
         raise ConfigError("'lease.seconds' must be at least three times 'renew_s'")
@@ -100,7 +100,7 @@
         raise ConfigError("'keeper.members' must be 1, 3, 5 or 7 keepers: one more than that adds no safety")
     if table.election_ms < 4 * table.heartbeat_ms:
         raise ConfigError("'keeper.election_ms' must be at least four times 'heartbeat_ms'")
-    return KeeperConfig(
+    return ReplicaConfig(
         table.group,
         table.name,
         _place(table.listen, "keeper.listen"),
--- a/zincladder/agreement/client.py
+++ b/zincladder/consensus/client.py
@@ -7,21 +7,26 @@
 
 import anyio
 
-from zincladder.agreement import calls
-from zincladder.agreement.registers import Result, Swap, Value
 from zincladder.config import address
-from zincladder.links.frames import VERSION, Hello, Stranger
-from zincladder.links.host import FAILED, Link, connect
+from zincladder.consensus import rpc
+from zincladder.consensus.key_value_state import CompareAndSwap, CompareAndSwapResult, VersionedValue
+from zincladder.links.connection import LINK_ERRORS, Link, connect
+from zincladder.links.frames import VERSION, HandshakeRejectedError, Hello
 
-ASKS = (calls.Get, calls.Status, calls.Progress, calls.Collect)  # that change nothing
-AGAIN = 0.1  # seconds before the keepers are asked once more who leads
+READ_ONLY_REQUESTS = (
+    rpc.GetByPrefix,
+    rpc.GetStatus,
+    rpc.GetProgress,
+    rpc.CollectCounters,
+)  # that change nothing
+RETRY_SECONDS = 0.1  # seconds before the keepers are asked once more who leads
 
 
-class NoAnswer(Exception):
+class RequestFailedError(Exception):
     """Nothing was done: no keeper that leads could be reached; the text says what each one said."""
 
 
-class Open(Exception):
+class OutcomeUnknownError(Exception):
     """It may have been done: the link, or the leader, was lost after it had been asked."""
 
 
@@ -33,7 +38,7 @@
         self._hello = Hello(VERSION, group, role, name, os.urandom(8).hex())
         self._number = 0
 
-    async def ask_at(self, where: str, what: calls.What, patience: float = 8.0) -> calls.Said:
+    async def ask_at(self, where: str, what: rpc.RequestBody, patience: float = 8.0) -> rpc.ResponseBody:
         """One question to the keeper at an address, whatever its role. One of FAILED if it can't be asked."""
         link, _ = await connect(address(where), self._hello)
         try:
@@ -42,15 +47,15 @@
         finally:
             await link.close()
 
-    async def _call(self, link: Link, what: calls.What) -> calls.Said:
+    async def _call(self, link: Link, what: rpc.RequestBody) -> rpc.ResponseBody:
         self._number += 1
-        await link.send(calls.Call(self._number, what))
+        await link.send(rpc.RpcRequest(self._number, what))
         while True:
-            answer: calls.Answer = await link.receive(calls.Answer)
+            answer: rpc.RpcResponse = await link.receive(rpc.RpcResponse)
             if answer.number == self._number:
                 return answer.what
 
-    async def ask(self, what: calls.What, patience: float = 8.0) -> calls.Said:
+    async def ask(self, what: rpc.RequestBody, patience: float = 8.0) -> rpc.ResponseBody:
         """One question to the leader, whoever that is. NoAnswer or Open if none comes in that time."""
         heard: dict[str, str] = {}
         asked = False
@@ -61,49 +66,53 @@
                     name, where = places.popitem()
                     try:
                         link, _ = await connect(address(where), self._hello)
-                    except Stranger as fault:
+                    except HandshakeRejectedError as fault:
                         heard[name] = str(fault)
                         continue
-                    except FAILED as fault:
+                    except LINK_ERRORS as fault:
                         heard[name] = str(fault) or "no answer"
                         continue
-                    asked = not isinstance(what, ASKS)
+                    asked = not isinstance(what, READ_ONLY_REQUESTS)
                     try:
                         said = await self._asked(link, what)
                     finally:
                         await link.close()
                     asked = False
-                    if not isinstance(said, calls.Moved):
+                    if not isinstance(said, rpc.NotLeader):
                         return said
                     heard[name] = f"led by {said.leader}" if said.leader else "knows no leader"
                     if said.leader in places:  # next
                         places[said.leader] = places.pop(said.leader)
-                await anyio.sleep(AGAIN)
+                await anyio.sleep(RETRY_SECONDS)
         if asked:
-            raise Open("no answer in time")
-        raise NoAnswer("; ".join(f"{n}: {w}" for n, w in sorted(heard.items())) or "no keeper is named")
+            raise OutcomeUnknownError("no answer in time")
+        raise RequestFailedError(
+            "; ".join(f"{n}: {w}" for n, w in sorted(heard.items())) or "no keeper is named"
+        )
 
-    async def _asked(self, link: Link, what: calls.What) -> calls.Said:
+    async def _asked(self, link: Link, what: rpc.RequestBody) -> rpc.ResponseBody:
         try:
             return await self._call(link, what)
-        except FAILED as fault:
-            if isinstance(what, ASKS):
-                return calls.Moved("", "")
-            raise Open(f"the link was lost: {str(fault) or type(fault).__name__}") from None
+        except LINK_ERRORS as fault:
+            if isinstance(what, READ_ONLY_REQUESTS):
+                return rpc.NotLeader("", "")
+            raise OutcomeUnknownError(f"the link was lost: {str(fault) or type(fault).__name__}") from None
 
-    async def get(self, prefix: str, patience: float = 8.0) -> dict[str, Value]:
+    async def get(self, prefix: str, patience: float = 8.0) -> dict[str, VersionedValue]:
         """Registers whose keys begin so, no older than this call."""
-        said = await self.ask(calls.Get(prefix), patience)
-        if isinstance(said, calls.Found):
+        said = await self.ask(rpc.GetByPrefix(prefix), patience)
+        if isinstance(said, rpc.ValuesByPrefix):
             return said.values
-        raise NoAnswer(getattr(said, "why", str(said)))
+        raise RequestFailedError(getattr(said, "why", str(said)))
 
-    async def swap(self, key: str, expected: int, data: bytes | None, patience: float = 8.0) -> Result:
+    async def compare_and_swap(
+        self, key: str, expected: int, data: bytes | None, patience: float = 8.0
+    ) -> CompareAndSwapResult:
         """Compare and swap. NoAnswer: not done; Open: perhaps."""
-        said = await self.ask(Swap(key, expected, data), patience)
-        if isinstance(said, calls.Unknown):
-            raise Open(said.why)
-        if isinstance(said, calls.Failed):
-            raise NoAnswer(said.why)
-        assert isinstance(said, Result)
+        said = await self.ask(CompareAndSwap(key, expected, data), patience)
+        if isinstance(said, rpc.OutcomeUnknown):
+            raise OutcomeUnknownError(said.why)
+        if isinstance(said, rpc.RequestFailed):
+            raise RequestFailedError(said.why)
+        assert isinstance(said, CompareAndSwapResult)
         return said
--- a/zincladder/agreement/registers.py
+++ b/zincladder/consensus/key_value_state.py
@@ -9,33 +9,33 @@
 
 import msgspec
 
-MOST_KEYS = 4096
-MOST_KEY = 200  # bytes
-MOST_VALUE = 256 << 10  # bytes
-MOST_ALL = 7 << 20  # bytes: a snapshot has to fit a record and a member's memory
+MAX_KEYS = 4096
+MAX_KEY_BYTES = 200  # bytes
+MAX_VALUE_BYTES = 256 << 10  # bytes
+MAX_TOTAL_BYTES = 7 << 20  # bytes: a snapshot has to fit a record and a member's memory
 
 
-class Value(msgspec.Struct, frozen=True, array_like=True):
+class VersionedValue(msgspec.Struct, frozen=True, array_like=True):
     """What a register holds, and the version that a swap of it has to name."""
 
     version: int
     data: bytes
 
 
-class Guard(msgspec.Struct, frozen=True, array_like=True):
+class VersionGuard(msgspec.Struct, frozen=True, array_like=True):
     """Another register, and the version that it has to have when the entry is applied: a fence in the log."""
 
     key: str
     version: int
 
 
-class Swap(msgspec.Struct, frozen=True, array_like=True, tag="swap"):
+class CompareAndSwap(msgspec.Struct, frozen=True, array_like=True, tag="swap"):
     """Sets a register if it has this version; 0 where there is none. None as data removes it."""
 
     key: str
     expected: int
     data: bytes | None
-    guard: Guard | None = None
+    guard: VersionGuard | None = None
 
 
 class Swapped(msgspec.Struct, frozen=True, array_like=True, tag="swapped"):
@@ -44,73 +44,73 @@
     version: int
 
 
-class Missed(msgspec.Struct, frozen=True, array_like=True, tag="missed"):
+class VersionMismatch(msgspec.Struct, frozen=True, array_like=True, tag="missed"):
     """Another write came before; the version that stands."""
 
     version: int
 
 
-class Full(msgspec.Struct, frozen=True, array_like=True, tag="full"):
+class CapacityExceeded(msgspec.Struct, frozen=True, array_like=True, tag="full"):
     """There is no room: the text says of what."""
 
     why: str
 
 
-class Fenced(msgspec.Struct, frozen=True, array_like=True, tag="fenced"):
+class FencingTokenRejected(msgspec.Struct, frozen=True, array_like=True, tag="fenced"):
     """Nothing was done: the guard has another version, which is told."""
 
     version: int
 
 
-Result = Swapped | Missed | Full | Fenced
+CompareAndSwapResult = Swapped | VersionMismatch | CapacityExceeded | FencingTokenRejected
 
 
-class Registers:
+class KeyValueState:
     """The same at each member that has applied the same entries."""
 
     def __init__(self, state: bytes = b"") -> None:
-        self._values: dict[str, Value] = {}
+        self._values: dict[str, VersionedValue] = {}
         if state:
-            self._values = msgspec.msgpack.decode(state, type=dict[str, Value])
+            self._values = msgspec.msgpack.decode(state, type=dict[str, VersionedValue])
         self.size = sum(len(k) + len(v.data) for k, v in self._values.items())
 
     def __len__(self) -> int:
         return len(self._values)
 
-    def get(self, key: str) -> Value | None:
+    def get(self, key: str) -> VersionedValue | None:
         return self._values.get(key)
 
-    def under(self, prefix: str) -> dict[str, Value]:
+    def with_prefix(self, prefix: str) -> dict[str, VersionedValue]:
         """All registers whose keys begin so, in order of their keys."""
         return {k: v for k, v in sorted(self._values.items()) if k.startswith(prefix)}
 
-    def apply(self, index: int, data: bytes) -> Result:
+    def apply(self, index: int, data: bytes) -> CompareAndSwapResult:
         """One entry. Whatever it holds, each member comes to the same result."""
         try:
-            swap: Swap = msgspec.msgpack.decode(data, type=Swap)
+            swap: CompareAndSwap = msgspec.msgpack.decode(data, type=CompareAndSwap)
         except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-            return Full(f"no swap: {fault}")
+            return CapacityExceeded(f"no swap: {fault}")
         if swap.guard is not None:
             guarding = self._values.get(swap.guard.key)
             if (guarding.version if guarding else 0) != swap.guard.version:
-                return Fenced(guarding.version if guarding else 0)
+                return FencingTokenRejected(guarding.version if guarding else 0)
         old = self._values.get(swap.key)
         standing = old.version if old else 0
         if swap.expected != standing:
-            return Missed(standing)
+            return VersionMismatch(standing)
         weight = len(swap.key) + len(old.data) if old else 0
         if swap.data is None:
             self._values.pop(swap.key, None)
             self.size -= weight
             return Swapped(index)
-        if len(swap.key) > MOST_KEY or len(swap.data) > MOST_VALUE:
-            return Full(f"a key has {MOST_KEY} bytes and a value {MOST_VALUE} at most")
-        if old is None and len(self._values) >= MOST_KEYS:
-            return Full(f"{MOST_KEYS} registers at most")
+        if len(swap.key) > MAX_KEY_BYTES or len(swap.data) > MAX_VALUE_BYTES:
+            return CapacityExceeded(f"a key has {MAX_KEY_BYTES} bytes and a value {MAX_VALUE_BYTES} at most")
+        if old is None and len(self._values) >= MAX_KEYS:
+            return CapacityExceeded(f"{MAX_KEYS} registers at most")
         grown = self.size - weight + len(swap.key) + len(swap.data)
-        if grown > MOST_ALL:
-            return Full(f"{MOST_ALL} bytes at most in all registers")
-        self._values[swap.key], self.size = Value(index, swap.data), grown
+        if grown > MAX_TOTAL_BYTES:
+            return CapacityExceeded(f"{MAX_TOTAL_BYTES} bytes at most in all registers")
+        self._values[swap.key], self.size = VersionedValue(index, swap.data), grown
         return Swapped(index)
 
     def dump(self) -> bytes:
--- a/zincladder/agreement/leading.py
+++ b/zincladder/consensus/leader_services.py
@@ -17,23 +17,23 @@
 import msgspec
 import structlog
 
-from zincladder.agreement.host import Keeper, Undecided
-from zincladder.agreement.member import Busy, NotLeader, Role
-from zincladder.agreement.registers import Swap
-from zincladder.agreement.terms import TERMS, Terms
+from zincladder.consensus.key_value_state import CompareAndSwap
+from zincladder.consensus.lease_timing import LEASE_TIMING_KEY, LeaseTiming
+from zincladder.consensus.raft import BusyError, NotLeaderError, Role
+from zincladder.consensus.server import CommitUnknownError, ReplicaServer
 from zincladder.links.clocks import boottime
+from zincladder.links.connection import LINK_ERRORS, Link, SendQueue
 from zincladder.links.frames import Hello
-from zincladder.links.host import FAILED, Link, Outbox
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-MOST_WAITING = 64  # messages to one link; one that is lost is asked for again
-AGAIN = 0.1  # seconds after a write that came to nothing
-LEAST_WAIT = 0.005
-FAULTS = (NotLeader, Busy, Undecided)
+MAX_QUEUED_MESSAGES = 64  # messages to one link; one that is lost is asked for again
+RETRY_SECONDS = 0.1  # seconds after a write that came to nothing
+MIN_WAIT_SECONDS = 0.005
+COMMIT_ERRORS = (NotLeaderError, BusyError, CommitUnknownError)
 log = structlog.get_logger()
 
 
-class Part(Protocol):
+class TermState(Protocol):
     """What decides, without I/O."""
 
     term: int
@@ -55,54 +55,56 @@
         """What it said."""
 
 
-P = TypeVar("P", bound=Part)
+P = TypeVar("P", bound=TermState)
 
 
-class Leading(ABC, Generic[P]):
+class LeaderService(ABC, Generic[P]):
     """One kind of work that the leading keeper does, and the links of the processes that take part."""
 
     role: str  # of those that link
     messages: Any  # what they say
 
-    def __init__(self, keeper: Keeper, terms: Terms, clock: Callable[[], float] = boottime) -> None:
-        self.keeper, self.terms, self.clock = keeper, terms, clock
+    def __init__(
+        self, replica: ReplicaServer, terms: LeaseTiming, clock: Callable[[], float] = boottime
+    ) -> None:
+        self.replica, self.terms, self.clock = replica, terms, clock
         self._own = terms
-        self.part: P | None = None
-        self.links: dict[int, tuple[Outbox, anyio.CancelScope]] = {}
+        self.term_state: P | None = None
+        self.links: dict[int, tuple[SendQueue, anyio.CancelScope]] = {}
         self._number = 0
         self.read_at = -1  # the place in the log that the part was told of last; -1: it is to be told anew
         self._due = anyio.Event()
         self._warning = RateLimitedLog().warning
-        keeper.watching.append(self.wake)
-        keeper.serves[self.role] = self.serve
-        keeper.progress.append(self.progress)
+        replica.state_listeners.append(self.wake)
+        replica.link_handlers[self.role] = self.serve
+        replica.progress.append(self.progress)
 
     # What each kind says for itself ------------------------------------------------------------------
 
     @abstractmethod
-    def begin(self, since: float, term: int) -> P:
+    def begin_term(self, since: float, term: int) -> P:
         """The part of this term, under `self.terms`. What a predecessor lent was lent before `since`."""
 
     @abstractmethod
-    def learn(self, part: P) -> None:
+    def state_changed(self, term_state: P) -> None:
         """Tells the part of what the group has decided."""
 
     @abstractmethod
-    def carry_out(self, part: P, tasks: anyio.abc.TaskGroup) -> None:
+    def execute(self, term_state: P, tasks: anyio.abc.TaskGroup) -> None:
         """Does what the part wishes."""
 
     @abstractmethod
-    def elsewhere(self, leader: str) -> Any:
+    def not_leader_message(self, leader: str) -> Any:
         """The message to whoever comes to a keeper that does not lead."""
 
     @abstractmethod
     def progress(self) -> dict[str, object]:
         """How the leader sees it; empty where this keeper doesn't lead."""
 
-    def hears(self, number: int, message: Any) -> None:
+    def message_received(self, number: int, message: Any) -> None:
         """A message for the host rather than the part; called for all."""
 
-    def gone(self, number: int) -> None:
+    def link_closed(self, number: int) -> None:
         """A link has ended."""
 
     # Leading --------------------------------------------------------------------------------------
@@ -117,109 +119,111 @@
                 self._due = due = anyio.Event()
                 try:
                     await self._lead()
-                except FAULTS:
+                except COMMIT_ERRORS:
                     self._drop()
-                    await anyio.sleep(AGAIN)
+                    await anyio.sleep(RETRY_SECONDS)
                     continue
                 wait = math.inf
-                if self.part is not None:
-                    self.learns(self.part)
-                    self.part.tick(self.clock())
-                    self.carry_out(self.part, tasks)
-                    wait = max(LEAST_WAIT, self.part.next_at - self.clock())
+                if self.term_state is not None:
+                    self.refresh(self.term_state)
+                    self.term_state.tick(self.clock())
+                    self.execute(self.term_state, tasks)
+                    wait = max(MIN_WAIT_SECONDS, self.term_state.next_at - self.clock())
                 with anyio.move_on_after(wait):
                     await due.wait()
 
     async def _lead(self) -> None:
         """A part of this term's own, once the group has confirmed that this keeper leads, or none."""
-        member = self.keeper.member
+        member = self.replica.member
         if member.role is not Role.LEADER:
             self._drop()
             return
-        if self.part is not None and self.part.term == member.term:
+        if self.term_state is not None and self.term_state.term == member.term:
             return
         self._drop()
         since, term = self.clock(), member.term
-        await self.keeper.confirm()
+        await self.replica.confirm_leadership()
         # A predecessor may have granted leases until it was replaced; that was before `since`.
         self.terms = await self._agreed()
-        part = self.begin(since, term)
-        if self.keeper.member.term != term:
-            raise NotLeader
-        self.part, self.read_at = part, -1
+        term_state = self.begin_term(since, term)
+        if self.replica.member.term != term:
+            raise NotLeaderError
+        self.term_state, self.read_at = term_state, -1
 
-    async def _agreed(self) -> Terms:
+    async def _agreed(self) -> LeaseTiming:
         """The group's terms: those of whoever led first. A keeper whose file says others goes by these."""
-        if self.keeper.registers.get(TERMS) is None:
-            await self.keeper.swap(Swap(TERMS, 0, msgspec.msgpack.encode(self._own)))
-        found = self.keeper.registers.get(TERMS)
+        if self.replica.state.get(LEASE_TIMING_KEY) is None:
+            await self.replica.compare_and_swap(
+                CompareAndSwap(LEASE_TIMING_KEY, 0, msgspec.msgpack.encode(self._own))
+            )
+        found = self.replica.state.get(LEASE_TIMING_KEY)
         assert found is not None
-        terms: Terms = msgspec.msgpack.decode(found.data, type=Terms)
+        terms: LeaseTiming = msgspec.msgpack.decode(found.data, type=LeaseTiming)
         if terms != self._own:
             log.warning("the group's terms hold, not those of this keeper's file", terms=str(terms))
         return terms
 
     def _drop(self) -> None:
-        if self.part is not None:
-            self.part = None
+        if self.term_state is not None:
+            self.term_state = None
             for _, scope in self.links.values():
                 scope.cancel()
             self.links.clear()
 
-    def learns(self, part: P) -> None:
+    def refresh(self, term_state: P) -> None:
         """The part is told of what the group has decided since it was told last."""
-        if self.keeper.applied != self.read_at:
-            self.read_at = self.keeper.applied
-            self.learn(part)
+        if self.replica.applied_index != self.read_at:
+            self.read_at = self.replica.applied_index
+            self.state_changed(term_state)
 
-    def say(self, number: int, message: Any) -> None:
+    def send(self, number: int, message: Any) -> None:
         if number in self.links:
             self.links[number][0].put(message)
 
-    async def swap(self, swap: Swap) -> None:
+    async def try_compare_and_swap(self, swap: CompareAndSwap) -> None:
         """One that is tried again at the next occasion if it comes to nothing."""
         try:
-            await self.keeper.swap(swap)
-        except FAULTS:
+            await self.replica.compare_and_swap(swap)
+        except COMMIT_ERRORS:
             return
 
     # Links ----------------------------------------------------------------------------------------
 
     async def serve(self, link: Link, hello: Hello) -> None:
         """One process's link, until it fails or this keeper leads no more."""
-        part = self.part
-        if part is None or self.keeper.member.role is not Role.LEADER:
-            await link.send(self.elsewhere(self.keeper.member.leader))
+        term_state = self.term_state
+        if term_state is None or self.replica.member.role is not Role.LEADER:
+            await link.send(self.not_leader_message(self.replica.member.leader))
             return
         self._number += 1
-        number, outbox = self._number, Outbox(MOST_WAITING)
+        number, outbox = self._number, SendQueue(MAX_QUEUED_MESSAGES)
         with anyio.CancelScope() as scope:
             self.links[number] = (outbox, scope)
             try:
-                if why := part.linked(number, hello.name, hello.birth, self.clock()):
+                if why := term_state.linked(number, hello.name, hello.birth, self.clock()):
                     self._warning("a process is turned away", role=self.role, name=hello.name, why=why)
                     return
                 self.wake()
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(outbox.send_to, link)
-                    await self._hear(link, number, part)
+                    await self._hear(link, number, term_state)
                     tasks.cancel_scope.cancel()
-            except* (*FAULTS, *FAILED):
+            except* (*COMMIT_ERRORS, *LINK_ERRORS):
                 pass
             finally:
                 self.links.pop(number, None)
-                part.unlinked(number, self.clock())
-                self.gone(number)
+                term_state.unlinked(number, self.clock())
+                self.link_closed(number)
                 self.wake()
 
-    async def _hear(self, link: Link, number: int, part: P) -> None:
+    async def _hear(self, link: Link, number: int, term_state: P) -> None:
         while True:
             message = await link.receive(self.messages)
             # Guards leases: nothing is granted on a word that a successor's wait would not cover.
-            await self.keeper.confirm()
-            if self.part is not part:
+            await self.replica.confirm_leadership()
+            if self.term_state is not term_state:
                 return
-            self.learns(part)
-            self.hears(number, message)
-            part.heard(number, message, self.clock())
+            self.refresh(term_state)
+            self.message_received(number, message)
+            term_state.heard(number, message, self.clock())
             self.wake()
--- a/zincladder/agreement/log.py
+++ b/zincladder/consensus/log.py
@@ -6,16 +6,16 @@
 
 import msgspec
 
-from zincladder.agreement.model import Entry, Kind, Members, Snapshot, Stored
+from zincladder.consensus.model import Entry, EntryKind, Membership, Snapshot, StoredState
 
 
 class Log:
     """Entries from the snapshot on. The members in force are those of its latest entry on them."""
 
-    def __init__(self, stored: Stored) -> None:
+    def __init__(self, stored: StoredState) -> None:
         self.snapshot = stored.snapshot
         self._entries: list[Entry] = []
-        self._members: list[tuple[int, Members]] = [(self.base, stored.snapshot.members)]
+        self._members: list[tuple[int, Membership]] = [(self.base, stored.snapshot.members)]
         self.changed = self.base  # all up to here is stored
         for entry in stored.entries:
             self.append(entry)
@@ -34,7 +34,7 @@
         return self._entries[-1].term if self._entries else self.snapshot.term
 
     @property
-    def members(self) -> Members:
+    def members(self) -> Membership:
         return self._members[-1][1]
 
     @property
@@ -69,8 +69,8 @@
     def append(self, entry: Entry) -> int:
         """Its index."""
         self._entries.append(entry)
-        if entry.kind is Kind.MEMBERS:
-            self._members.append((self.last, msgspec.msgpack.decode(entry.data, type=Members)))
+        if entry.kind is EntryKind.MEMBERS:
+            self._members.append((self.last, msgspec.msgpack.decode(entry.data, type=Membership)))
         return self.last
 
     def match(self, first: int, entries: Iterable[Entry]) -> None:
--- a/zincladder/agreement/model.py
+++ b/zincladder/consensus/model.py
@@ -12,7 +12,7 @@
 import msgspec
 
 
-class Kind(enum.IntEnum):
+class EntryKind(enum.IntEnum):
     """What an entry of the log holds."""
 
     EMPTY = 0  # a new leader's first, by which what came before is committed
@@ -24,11 +24,11 @@
     """One entry of the log, and the term of the leader that took it."""
 
     term: int
-    kind: Kind
+    kind: EntryKind
     data: bytes = b""
 
 
-class Members(msgspec.Struct, frozen=True, array_like=True):
+class Membership(msgspec.Struct, frozen=True, array_like=True):
     """Who belongs to the group, with the address of each; learners get the log and have no vote yet."""
 
     voters: dict[str, str]
@@ -39,7 +39,7 @@
         return self.voters | self.learners
 
 
-class Hard(msgspec.Struct, frozen=True, array_like=True):
+class HardState(msgspec.Struct, frozen=True, array_like=True):
     """What a member may never forget: the latest term it knows, and whom it gave its vote in it."""
 
     term: int = 0
@@ -51,14 +51,14 @@
 
     index: int
     term: int
-    members: Members
+    members: Membership
     state: bytes = b""
 
 
-class Stored(msgspec.Struct, frozen=True):
+class StoredState(msgspec.Struct, frozen=True):
     """All that a member finds in its directory when it starts."""
 
-    hard: Hard
+    hard: HardState
     snapshot: Snapshot
     entries: tuple[Entry, ...] = ()
 
@@ -66,7 +66,7 @@
 # Messages ------------------------------------------------------------------------------------------
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
+class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
     """A candidate asks for a vote; with `pre` only whether it would get one, in a term yet to begin."""
 
     term: int
@@ -76,7 +76,7 @@
     handed: bool = False  # the leader itself wishes it
 
 
-class Vote(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
+class RequestVoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
     """The answer to `Ask`; the term is that of the election where it is granted, else the voter's."""
 
     term: int
@@ -84,7 +84,7 @@
     pre: bool = False
 
 
-class Append(msgspec.Struct, frozen=True, array_like=True, tag="append"):
+class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="append"):
     """Entries that follow the one at `prev`; with none a heartbeat. `serial` rises with each message."""
 
     term: int
@@ -95,7 +95,7 @@
     entries: tuple[Entry, ...] = ()
 
 
-class Appended(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
+class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
     """The answer: all up to `index` is stored as the leader has it, or what is at `index` differs.
 
     `hint` is where to go on trying.
@@ -108,20 +108,20 @@
     hint: int = 0
 
 
-class Install(msgspec.Struct, frozen=True, array_like=True, tag="install"):
+class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="install"):
     """A piece of a snapshot, from `offset` of `size` bytes."""
 
     term: int
     serial: int
     index: int
     index_term: int
-    members: Members
+    members: Membership
     offset: int
     size: int
     piece: bytes
 
 
-class Installing(msgspec.Struct, frozen=True, array_like=True, tag="installing"):
+class InstallSnapshotResponse(msgspec.Struct, frozen=True, array_like=True, tag="installing"):
     """The answer: the piece that is wanted next."""
 
     term: int
@@ -130,13 +130,21 @@
     offset: int
 
 
-class Now(msgspec.Struct, frozen=True, array_like=True, tag="now"):
+class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag="now"):
     """The leader wishes to be followed by whoever gets this."""
 
     term: int
 
 
-Message: TypeAlias = Ask | Vote | Append | Appended | Install | Installing | Now
+Message: TypeAlias = (
+    RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | InstallSnapshotResponse
+    | TimeoutNow
+)
 
 
 class Output(msgspec.Struct, frozen=True):
@@ -147,7 +155,7 @@
     be read from it. `committed` are to be applied from index `applied` + 1 on.
     """
 
-    hard: Hard | None = None
+    hard: HardState | None = None
     snapshot: Snapshot | None = None
     fresh: bool = False
     first: int = 0
--- a/zincladder/agreement/member.py
+++ b/zincladder/consensus/raft.py
@@ -16,53 +16,53 @@
 
 import msgspec
 
-from zincladder.agreement.log import Log
-from zincladder.agreement.model import (
-    Append,
-    Appended,
-    Ask,
+from zincladder.consensus.log import Log
+from zincladder.consensus.model import (
+    AppendEntries,
+    AppendEntriesResponse,
     Entry,
-    Hard,
-    Install,
-    Installing,
-    Kind,
-    Members,
+    EntryKind,
+    HardState,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    Membership,
     Message,
-    Now,
     Output,
+    RequestVote,
+    RequestVoteResponse,
     Snapshot,
-    Stored,
-    Vote,
+    StoredState,
+    TimeoutNow,
 )
 
-MOST_ENTRIES = 256  # in a message
-MOST_BYTES = 256 << 10
-PIECE = 128 << 10  # of a snapshot
-MOST_STATE = 8 << 20  # of a snapshot: what a member takes in before it is whole; a record holds 16 MB
-MOST_OPEN = 1024  # entries that wait for a majority
-MOST_READS = 1024
-NEAR = 64  # entries: a learner that lacks no more becomes a voter
+MAX_ENTRIES_PER_MESSAGE = 256  # in a message
+MAX_ENTRIES_BYTES = 256 << 10
+SNAPSHOT_CHUNK_BYTES = 128 << 10  # of a snapshot
+MAX_SNAPSHOT_BYTES = 8 << 20  # of a snapshot: what a member takes in before it is whole; a record holds 16 MB
+MAX_UNCOMMITTED_ENTRIES = 1024  # entries that wait for a majority
+MAX_PENDING_READS = 1024
+PROMOTION_LAG_ENTRIES = 64  # entries: a learner that lacks no more becomes a voter
 
 
 class Role(enum.Enum):
     """What a member is in the present term."""
 
     FOLLOWER = "follower"
-    ASKING = "asking"  # whether it would be elected, before it begins a term for it
+    PRE_CANDIDATE = "asking"  # whether it would be elected, before it begins a term for it
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
-class NotLeader(Exception):
+class NotLeaderError(Exception):
     """Only the leader can do this; the text is the leader's name, if it is known."""
 
 
-class Busy(Exception):
+class BusyError(Exception):
     """Not now: the text says what stands in the way."""
 
 
 @dataclass(frozen=True, slots=True)
-class Timing:
+class RaftTiming:
     """Seconds. A follower stands after `election` to twice that without its leader, drawn anew each time."""
 
     heartbeat: float = 0.1
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True)
-class Progress:
+class PeerProgress:
     """What a leader knows of another member."""
 
     next: int
@@ -85,32 +85,32 @@
 
 
 @dataclass(slots=True)
-class Read:
+class PendingRead:
     """A question that may be answered once a majority has confirmed that this is still the leader."""
 
     ticket: int
     serial: int
 
 
-class Member:
+class RaftNode:
     """One member's part. `name` is among the members of what is stored, or will be when it has been added."""
 
     def __init__(
-        self, name: str, stored: Stored, now: float, seed: int, timing: Timing | None = None
+        self, name: str, stored: StoredState, now: float, seed: int, timing: RaftTiming | None = None
     ) -> None:
-        self.name, self.timing = name, timing or Timing()
+        self.name, self.timing = name, timing or RaftTiming()
         self.term, self.vote = stored.hard.term, stored.hard.vote
         self.log = Log(stored)
         self.commit = self._given = self.log.base
         self.role, self.leader = Role.FOLLOWER, ""
-        self.peers: dict[str, Progress] = {}
+        self.peers: dict[str, PeerProgress] = {}
         self._random = random.Random(seed)
         self._votes: set[str] = set()
         self._heard = -float("inf")  # the leader, last
         self._serial = 0
         self._beat = 0.0
         self._messages: list[tuple[str, Message]] = []
-        self._reads: list[Read] = []
+        self._reads: list[PendingRead] = []
         self._early: list[int] = []  # tickets that wait for this leader's first entry
         self._ready: list[int] = []
         self._lost: list[int] = []
@@ -125,7 +125,7 @@
     # Questions ------------------------------------------------------------------------------------
 
     @property
-    def members(self) -> Members:
+    def members(self) -> Membership:
         return self.log.members
 
     @property
@@ -195,26 +195,26 @@
         self._wait(now)
         self.leader, self._votes = "", {self.name}
         if pre:
-            self.role, term = Role.ASKING, self.term + 1
+            self.role, term = Role.PRE_CANDIDATE, self.term + 1
         else:
             self.role, self.vote = Role.CANDIDATE, self.name
             self.term = term = self.term + 1
         for name in self.members.voters:
             if name != self.name:
-                self._send(name, Ask(term, self.log.last, self.log.last_term, pre, handed))
+                self._send(name, RequestVote(term, self.log.last, self.log.last_term, pre, handed))
         self._count(now)
 
     def _count(self, now: float) -> None:
         if not self._majority(self._votes):
             return
-        if self.role is Role.ASKING:
+        if self.role is Role.PRE_CANDIDATE:
             self._campaign(now, pre=False)
         elif self.role is Role.CANDIDATE:
             self.role, self.leader = Role.LEADER, self.name
             self._serial, self._aside = 0, False
             self._beat = now + self.timing.heartbeat
-            self.peers = {n: Progress(self.log.last + 1, now) for n in self.members.all if n != self.name}
-            self._take(Entry(self.term, Kind.EMPTY))
+            self.peers = {n: PeerProgress(self.log.last + 1, now) for n in self.members.all if n != self.name}
+            self._take(Entry(self.term, EntryKind.EMPTY))
 
     # Messages -------------------------------------------------------------------------------------
 
@@ -224,23 +224,23 @@
     def receive(self, sender: str, message: Message, now: float) -> None:
         """One message from another member."""
         if message.term > self.term:
-            if isinstance(message, Ask):
+            if isinstance(message, RequestVote):
                 if not message.handed and self._led(now):
                     return  # guards a good leader from those who can't hear it
                 if not message.pre:
                     self._follow(message.term, "", now)
-            elif not (isinstance(message, Vote) and message.granted):
+            elif not (isinstance(message, RequestVoteResponse) and message.granted):
                 self._follow(message.term, "", now)
         elif message.term < self.term:
             # An old leader or candidate learns that its time is over; answers to what is over are not heard.
-            if isinstance(message, Ask):
-                self._send(sender, Vote(self.term, False, message.pre))
-            elif isinstance(message, Append | Install):
-                self._send(sender, Appended(self.term, message.serial, False, 0))
+            if isinstance(message, RequestVote):
+                self._send(sender, RequestVoteResponse(self.term, False, message.pre))
+            elif isinstance(message, AppendEntries | InstallSnapshot):
+                self._send(sender, AppendEntriesResponse(self.term, message.serial, False, 0))
             return
         self._on(message, sender, now)
 
-    def _current(self, m: Ask) -> bool:
+    def _current(self, m: RequestVote) -> bool:
         """Guards what a majority has stored: only who has all of it may lead."""
         return (m.last_term, m.last) >= (self.log.last_term, self.log.last)
 
@@ -249,27 +249,27 @@
         raise NotImplementedError(type(message))
 
     @_on.register
-    def _(self, m: Ask, sender: str, now: float) -> None:
+    def _(self, m: RequestVote, sender: str, now: float) -> None:
         current = self._current(m)
         if m.pre:
             granted = current and m.term > self.term
-            self._send(sender, Vote(m.term if granted else self.term, granted, True))
+            self._send(sender, RequestVoteResponse(m.term if granted else self.term, granted, True))
             return
-        granted = current and self.vote in ("", sender) and self.role in (Role.FOLLOWER, Role.ASKING)
+        granted = current and self.vote in ("", sender) and self.role in (Role.FOLLOWER, Role.PRE_CANDIDATE)
         if granted:
             self.vote = sender
             self._wait(now)
-        self._send(sender, Vote(self.term, granted))
+        self._send(sender, RequestVoteResponse(self.term, granted))
 
     @_on.register
-    def _(self, m: Vote, sender: str, now: float) -> None:
-        asked = Role.ASKING if m.pre else Role.CANDIDATE
+    def _(self, m: RequestVoteResponse, sender: str, now: float) -> None:
+        asked = Role.PRE_CANDIDATE if m.pre else Role.CANDIDATE
         if m.granted and self.role is asked and m.term == self.term + m.pre:
             self._votes.add(sender)
             self._count(now)
 
     @_on.register
-    def _(self, m: Now, sender: str, now: float) -> None:
+    def _(self, m: TimeoutNow, sender: str, now: float) -> None:
         if self.name in self.members.voters and self.role is Role.FOLLOWER:
             self._campaign(now, pre=False, handed=True)
 
@@ -280,7 +280,7 @@
         self._wait(now)
 
     @_on.register
-    def _(self, m: Append, sender: str, now: float) -> None:
+    def _(self, m: AppendEntries, sender: str, now: float) -> None:
         self._led_by(sender, now)
         prev, entries = m.prev, m.entries
         if prev < self.log.base:  # all that the snapshot holds is committed, and so the same there
@@ -288,15 +288,15 @@
             prev = min(self.log.base, prev + len(m.entries))
         elif self.log.term(prev) != m.prev_term:
             hint = self.log.last if prev > self.log.last else self.log.first_of_term(prev) - 1
-            self._send(sender, Appended(self.term, m.serial, False, prev, hint))
+            self._send(sender, AppendEntriesResponse(self.term, m.serial, False, prev, hint))
             return
         self.log.match(prev + 1, entries)
         stored = prev + len(entries)
         self.commit = max(self.commit, min(m.commit, stored))
-        self._send(sender, Appended(self.term, m.serial, True, stored))
+        self._send(sender, AppendEntriesResponse(self.term, m.serial, True, stored))
 
     @_on.register
-    def _(self, m: Appended, sender: str, now: float) -> None:
+    def _(self, m: AppendEntriesResponse, sender: str, now: float) -> None:
         peer = self._heard_of(sender, m.serial, now)
         if peer is None:
             return
@@ -318,33 +318,33 @@
             self._tell(sender, peer)
 
     @_on.register
-    def _(self, m: Install, sender: str, now: float) -> None:
+    def _(self, m: InstallSnapshot, sender: str, now: float) -> None:
         self._led_by(sender, now)
         if m.index <= self.commit:
-            self._send(sender, Appended(self.term, m.serial, True, m.index))
+            self._send(sender, AppendEntriesResponse(self.term, m.serial, True, m.index))
             return
         if self._pieces_of != (m.index, m.index_term):
             self._pieces_of, self._pieces = (m.index, m.index_term), bytearray()
-        if m.offset == len(self._pieces) and m.offset + len(m.piece) <= min(m.size, MOST_STATE):
+        if m.offset == len(self._pieces) and m.offset + len(m.piece) <= min(m.size, MAX_SNAPSHOT_BYTES):
             self._pieces += m.piece
         if len(self._pieces) < m.size:
-            self._send(sender, Installing(self.term, m.serial, m.index, len(self._pieces)))
+            self._send(sender, InstallSnapshotResponse(self.term, m.serial, m.index, len(self._pieces)))
             return
         snapshot = Snapshot(m.index, m.index_term, m.members, bytes(self._pieces))
         self._pieces, self._pieces_of = bytearray(), (0, 0)
         self.log.restore(snapshot)
         self.commit = self._given = m.index
         self._snapshot, self._fresh = snapshot, True
-        self._send(sender, Appended(self.term, m.serial, True, m.index))
+        self._send(sender, AppendEntriesResponse(self.term, m.serial, True, m.index))
 
     @_on.register
-    def _(self, m: Installing, sender: str, now: float) -> None:
+    def _(self, m: InstallSnapshotResponse, sender: str, now: float) -> None:
         peer = self._heard_of(sender, m.serial, now)
         if peer is not None and peer.snapshot and peer.snapshot.index == m.index:
             peer.offset, peer.waiting = min(m.offset, len(peer.snapshot.state)), False
             self._tell(sender, peer)
 
-    def _heard_of(self, sender: str, serial: int, now: float) -> Progress | None:
+    def _heard_of(self, sender: str, serial: int, now: float) -> PeerProgress | None:
         """Guards counts: whoever is no member, or runs on an older directory, is not heard."""
         peer = self.peers.get(sender)
         if self.role is not Role.LEADER or peer is None or peer.older:
@@ -359,28 +359,32 @@
         for name, peer in self.peers.items():
             self._tell(name, peer)
 
-    def _tell(self, name: str, peer: Progress) -> None:
+    def _tell(self, name: str, peer: PeerProgress) -> None:
         """The next entries or the next piece; where an answer is awaited, that all still stands."""
         self._serial += 1
         if peer.next <= self.log.base:
             self._tell_piece(name, peer)
             return
         peer.snapshot = None
-        entries = () if peer.waiting else self.log.since(peer.next, MOST_ENTRIES, MOST_BYTES)
+        entries = (
+            () if peer.waiting else self.log.since(peer.next, MAX_ENTRIES_PER_MESSAGE, MAX_ENTRIES_BYTES)
+        )
         peer.waiting |= bool(entries)
         prev = peer.next - 1
         commit = min(self.commit, self.log.last)
-        self._send(name, Append(self.term, self._serial, prev, self.log.term(prev), commit, entries))
+        self._send(name, AppendEntries(self.term, self._serial, prev, self.log.term(prev), commit, entries))
 
-    def _tell_piece(self, name: str, peer: Progress) -> None:
+    def _tell_piece(self, name: str, peer: PeerProgress) -> None:
         if peer.snapshot is None or peer.snapshot.index < peer.next:
             peer.snapshot, peer.offset = self.log.snapshot, 0
         s = peer.snapshot
-        piece = b"" if peer.waiting else s.state[peer.offset : peer.offset + PIECE]
+        piece = b"" if peer.waiting else s.state[peer.offset : peer.offset + SNAPSHOT_CHUNK_BYTES]
         peer.waiting |= bool(piece)
         self._send(
             name,
-            Install(self.term, self._serial, s.index, s.term, s.members, peer.offset, len(s.state), piece),
+            InstallSnapshot(
+                self.term, self._serial, s.index, s.term, s.members, peer.offset, len(s.state), piece
+            ),
         )
 
     def _take(self, entry: Entry) -> int:
@@ -410,9 +414,9 @@
 
     def _check_leads(self) -> None:
         if self.role is not Role.LEADER:
-            raise NotLeader(self.leader)
+            raise NotLeaderError(self.leader)
         if self._aside:
-            raise Busy("the leader hands over")
+            raise BusyError("the leader hands over")
 
     def propose(self, data: bytes) -> tuple[int, int]:
         """Takes an entry; where it will stand, and in which term: it holds if that is what is applied there.
@@ -420,11 +424,11 @@
         NotLeader or Busy where it isn't taken. Once it is, nobody but the log can tell what becomes of it.
         """
         self._check_leads()
-        if self.log.last - self.commit >= MOST_OPEN:
-            raise Busy(f"{MOST_OPEN} entries wait for a majority")
-        return self._take(Entry(self.term, Kind.DATA, data)), self.term
+        if self.log.last - self.commit >= MAX_UNCOMMITTED_ENTRIES:
+            raise BusyError(f"{MAX_UNCOMMITTED_ENTRIES} entries wait for a majority")
+        return self._take(Entry(self.term, EntryKind.DATA, data)), self.term
 
-    def change(self, members: Members) -> tuple[int, int]:
+    def change(self, members: Membership) -> tuple[int, int]:
         """Takes other members, one voter more or less than now; as `propose`.
 
         Majorities of before and after have a member in common then. Whoever is new comes as a learner first
@@ -433,27 +437,29 @@
         self._check_leads()
         old, new = self.members.voters, members.voters
         if self.log.members_at > self.commit or not self._settled():
-            raise Busy("another change of the members is not decided yet")
+            raise BusyError("another change of the members is not decided yet")
         if len(old.keys() ^ new.keys()) > 1 or not new:
-            raise Busy("one voter at a time")
+            raise BusyError("one voter at a time")
         index = self._change(members)
         return index, self.term
 
-    def _change(self, members: Members) -> int:
+    def _change(self, members: Membership) -> int:
         names = members.all.keys() - {self.name}
-        self.peers = {n: self.peers.get(n) or Progress(self.log.last + 1, self._beat) for n in sorted(names)}
-        return self._take(Entry(self.term, Kind.MEMBERS, msgspec.msgpack.encode(members)))
+        self.peers = {
+            n: self.peers.get(n) or PeerProgress(self.log.last + 1, self._beat) for n in sorted(names)
+        }
+        return self._take(Entry(self.term, EntryKind.MEMBERS, msgspec.msgpack.encode(members)))
 
     def _promote(self) -> None:
         if self._aside or not self._settled() or self.log.members_at > self.commit:
             return
         for name, where in self.members.learners.items():
-            if self.peers[name].match + NEAR >= self.log.last and self.peers[name].match:
+            if self.peers[name].match + PROMOTION_LAG_ENTRIES >= self.log.last and self.peers[name].match:
                 learners = {n: w for n, w in self.members.learners.items() if n != name}
-                self._change(Members(self.members.voters | {name: where}, learners))
+                self._change(Membership(self.members.voters | {name: where}, learners))
                 return
 
-    def step_aside(self, now: float) -> None:
+    def transfer_leadership(self, now: float) -> None:
         """Hands the lead to whoever has the whole log, once somebody has; nothing is taken meanwhile."""
         if self.role is Role.LEADER:
             self._aside = True
@@ -464,20 +470,20 @@
             return
         whole = [n for n in self.members.voters if n in self.peers and self.peers[n].match == self.log.last]
         if whole:
-            self._send(max(whole, key=lambda n: self.peers[n].heard), Now(self.term))
+            self._send(max(whole, key=lambda n: self.peers[n].heard), TimeoutNow(self.term))
 
     def read(self, ticket: int) -> None:
         """Comes back in `reads` once the state applied then is no older than this moment; else in `lost`."""
         self._check_leads()
-        if len(self._reads) + len(self._early) >= MOST_READS:
-            raise Busy(f"{MOST_READS} reads wait")
+        if len(self._reads) + len(self._early) >= MAX_PENDING_READS:
+            raise BusyError(f"{MAX_PENDING_READS} reads wait")
         if self._settled():
             self._ask_round(ticket)
         else:
             self._early.append(ticket)
 
     def _ask_round(self, ticket: int) -> None:
-        self._reads.append(Read(ticket, self._serial))
+        self._reads.append(PendingRead(ticket, self._serial))
         self._asked = True
 
     def _confirm(self) -> None:
@@ -506,7 +512,7 @@
             self._tell_all()
             self._confirm()
         self._asked = False
-        hard = Hard(self.term, self.vote)
+        hard = HardState(self.term, self.vote)
         first, entries = self.log.unstored()
         applied, self._given = self._given, max(self._given, self.commit)
         output = Output(
--- a/zincladder/agreement/host.py
+++ b/zincladder/consensus/server.py
@@ -13,72 +13,86 @@
 import msgspec
 import structlog
 
-from zincladder.agreement import calls
-from zincladder.agreement.member import Busy, Member, NotLeader, Role, Timing
-from zincladder.agreement.model import Entry, Kind, Members, Message, Output
-from zincladder.agreement.registers import Registers, Result, Swap
-from zincladder.agreement.store import Store
 from zincladder.config import address
-from zincladder.config.keeper import KeeperConfig
-from zincladder.links.frames import VERSION, Hello, Spoilt, Stranger, Welcome, check
-from zincladder.links.host import FAILED, Link, Outbox, Patience, connect, greeted
+from zincladder.config.replica import ReplicaConfig
+from zincladder.consensus import rpc
+from zincladder.consensus.key_value_state import CompareAndSwap, CompareAndSwapResult, KeyValueState
+from zincladder.consensus.model import Entry, EntryKind, Membership, Message, Output
+from zincladder.consensus.raft import BusyError, NotLeaderError, RaftNode, RaftTiming, Role
+from zincladder.consensus.store import ReplicaStore
+from zincladder.links.connection import (
+    LINK_ERRORS,
+    Link,
+    ReconnectBackoff,
+    SendQueue,
+    accept_handshake,
+    connect,
+)
+from zincladder.links.frames import (
+    VERSION,
+    FrameError,
+    HandshakeRejectedError,
+    Hello,
+    Welcome,
+    handshake_error,
+)
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-MOST_LINKS = 4096  # each of 2,048 fronts holds one, and another while it is upgraded
-MOST_MET = 16  # keepers, by one that is being added and knows no members yet
-MOST_WAITING = 256  # messages to one member
-MOST_FOUND = 900_000  # bytes of registers in one answer, which has to fit a message
-DECIDED = 5.0  # seconds for a majority to answer before a caller is told that it has not
+MAX_LINKS = 4096  # each of 2,048 fronts holds one, and another while it is upgraded
+MAX_UNCONFIRMED_PEERS = 16  # keepers, by one that is being added and knows no members yet
+MAX_QUEUED_MESSAGES = 256  # messages to one member
+MAX_VALUES_BYTES = 900_000  # bytes of registers in one answer, which has to fit a message
+COMMIT_TIMEOUT_SECONDS = 5.0  # seconds for a majority to answer before a caller is told that it has not
 ROLES = ("keeper", "operator")  # and those that the work on the group serves
 log = structlog.get_logger()
 
 
-class Undecided(Exception):
+class CommitUnknownError(Exception):
     """It may come about or not: the text says what is known."""
 
 
-class Waiter:
+class PendingResult:
     """Who waits for what becomes of an entry or a reading."""
 
     def __init__(self, term: int = 0) -> None:
         self.term = term
         self.done = anyio.Event()
-        self.result: Result | None = None  # none if it was lost
+        self.result: CompareAndSwapResult | None = None  # none if it was lost
 
-    def tell(self, result: Result | None) -> None:
+    def tell(self, result: CompareAndSwapResult | None) -> None:
         self.result = result
         self.done.set()
 
-    async def told(self) -> Result | None:
-        with anyio.move_on_after(DECIDED):
+    async def told(self) -> CompareAndSwapResult | None:
+        with anyio.move_on_after(COMMIT_TIMEOUT_SECONDS):
             await self.done.wait()
         if not self.done.is_set():
-            raise Undecided("no majority has answered yet")
+            raise CommitUnknownError("no majority has answered yet")
         return self.result
 
 
-class Keeper:
+class ReplicaServer:
     """One keeper. `run` ends with a JournalError where its directory fails: its vote ends with it."""
 
     def __init__(
-        self, config: KeeperConfig, store: Store, clock: Callable[[], float] = time.monotonic
+        self, config: ReplicaConfig, store: ReplicaStore, clock: Callable[[], float] = time.monotonic
     ) -> None:
         self.config, self._store, self._clock = config, store, clock
         seed = int(store.identity.birth, 16)
         self._random = random.Random(seed)
-        timing = Timing(config.heartbeat, config.election)
+        timing = RaftTiming(config.heartbeat, config.election)
         stored = store.stored
-        self.member = Member(config.name, stored, clock(), self._random.getrandbits(32), timing)
-        self.registers, self.applied = Registers(stored.snapshot.state), stored.snapshot.index
+        self.member = RaftNode(config.name, stored, clock(), self._random.getrandbits(32), timing)
+        self.state, self.applied_index = KeyValueState(stored.snapshot.state), stored.snapshot.index
         self._disk = anyio.Lock()
         self._due = anyio.Event()
-        self._outboxes: dict[str, Outbox] = {}
+        self._outboxes: dict[str, SendQueue] = {}
         # To whom it doesn't dial: one that is being added knows no address yet but answers all the same.
-        self._back: dict[str, Outbox] = {}
+        self._back: dict[str, SendQueue] = {}
         self._dialled: dict[str, tuple[str, anyio.CancelScope]] = {}
-        self._reached = Members({})  # those whom the links are for
-        self._waiters: dict[int, Waiter] = {}
-        self._readers: dict[int, Waiter] = {}
+        self._reached = Membership({})  # those whom the links are for
+        self._waiters: dict[int, PendingResult] = {}
+        self._readers: dict[int, PendingResult] = {}
         self._tickets = 0
         self._links = 0
         self._seen = ("", "")  # role and leader, as logged last
@@ -86,11 +100,11 @@
         self._warning = RateLimitedLog().warning
         # What stands on the group: called when the role or the state may have changed, why a caller's swap
         # can't be taken, how it comes on, and who serves the links of which role.
-        self.watching: list[Callable[[], None]] = []
-        self.faults: list[Callable[[Swap], str]] = []
+        self.state_listeners: list[Callable[[], None]] = []
+        self.swap_validators: list[Callable[[CompareAndSwap], str]] = []
         self.progress: list[Callable[[], dict[str, object]]] = []
-        self.serves: dict[str, Callable[[Link, Hello], Awaitable[None]]] = {}
-        self.collect: Callable[[], calls.Collected] = lambda: calls.Collected("", {})
+        self.link_handlers: dict[str, Callable[[Link, Hello], Awaitable[None]]] = {}
+        self.collect_counters: Callable[[], rpc.CollectedCounters] = lambda: rpc.CollectedCounters("", {})
         self._hello = Hello(VERSION, config.group, "keeper", config.name, store.identity.birth)
         self._welcome = Welcome(config.name, store.identity.birth)
 
@@ -134,24 +148,24 @@
                 self._dial_members()
             await self._apply(output)
             self._log_standing()
-            for wake in self.watching:
+            for wake in self.state_listeners:
                 wake()
-            if self._store.long and self.applied > self.member.log.base:
-                self.member.compact(self.applied, self.registers.dump())
+            if self._store.long and self.applied_index > self.member.log.base:
+                self.member.compact(self.applied_index, self.state.dump())
                 continue
             with anyio.move_on_after(max(0.0, self.member.next_at - self._clock())):
                 await due.wait()
 
     async def _apply(self, output: Output) -> None:
         if output.fresh and output.snapshot:
-            self.registers = Registers(output.snapshot.state)
-            self.applied = output.snapshot.index
-            for index in [i for i in self._waiters if i <= self.applied]:
+            self.state = KeyValueState(output.snapshot.state)
+            self.applied_index = output.snapshot.index
+            for index in [i for i in self._waiters if i <= self.applied_index]:
                 self._waiters.pop(index).tell(None)
         for entry in output.committed:
-            self.applied += 1
+            self.applied_index += 1
             result = await self._entry(entry)
-            if waiter := self._waiters.pop(self.applied, None):
+            if waiter := self._waiters.pop(self.applied_index, None):
                 waiter.tell(result if waiter.term == entry.term else None)
         for ticket in output.reads:
             self._readers.pop(ticket).done.set()
@@ -159,10 +173,10 @@
             self._readers[ticket].term = -1
             self._readers.pop(ticket).done.set()
 
-    async def _entry(self, entry: Entry) -> Result | None:
-        if entry.kind is Kind.DATA:
-            return self.registers.apply(self.applied, entry.data)
-        if entry.kind is Kind.MEMBERS:
+    async def _entry(self, entry: Entry) -> CompareAndSwapResult | None:
+        if entry.kind is EntryKind.DATA:
+            return self.state.apply(self.applied_index, entry.data)
+        if entry.kind is EntryKind.MEMBERS:
             gone = self._store.births.keys() - self.member.members.all.keys()
             async with self._disk:
                 for name in gone:
@@ -173,7 +187,9 @@
         seen = (self.member.role.value, self.member.leader)
         if seen != self._seen and self.member.role in (Role.LEADER, Role.FOLLOWER):
             self._seen = seen
-            log.info("standing", role=seen[0], leader=seen[1], term=self.member.term, entries=self.applied)
+            log.info(
+                "standing", role=seen[0], leader=seen[1], term=self.member.term, entries=self.applied_index
+            )
 
     def _wake(self) -> None:
         self._due.set()
@@ -192,12 +208,12 @@
                 del self._dialled[name], self._outboxes[name]
         for name, where in wanted.items():
             if name not in self._dialled:
-                scope, outbox = anyio.CancelScope(), Outbox(MOST_WAITING)
+                scope, outbox = anyio.CancelScope(), SendQueue(MAX_QUEUED_MESSAGES)
                 self._dialled[name], self._outboxes[name] = (where, scope), outbox
                 self._tasks.start_soon(self._dial, name, where, scope, outbox)
 
-    async def _dial(self, name: str, where: str, scope: anyio.CancelScope, outbox: Outbox) -> None:
-        patience, said = Patience(self._random.random), ""
+    async def _dial(self, name: str, where: str, scope: anyio.CancelScope, outbox: SendQueue) -> None:
+        patience, said = ReconnectBackoff(self._random.random), ""
         with scope:
             while True:
                 try:
@@ -211,20 +227,22 @@
                             await self._hear(link, name)
                     finally:
                         await link.close()
-                except* Stranger as fault:
+                except* HandshakeRejectedError as fault:
                     why = str(fault.exceptions[0])
                     if why != said:  # once for each reason, however often it is tried
                         said = why
-                        log.error("refused by another keeper", keeper=name, why=why)
-                except* FAILED:
+                        log.error("refused by another keeper", replica=name, why=why)
+                except* LINK_ERRORS:
                     pass
                 await anyio.sleep(patience.wait())
 
     async def _check_birth(self, name: str, welcome: Welcome) -> None:
         if welcome.name != name:
-            raise Stranger(f"it is {welcome.name[:40]!r}")
+            raise HandshakeRejectedError(f"it is {welcome.name[:40]!r}")
         if not await self._met(name, welcome.birth):
-            raise Stranger("its directory is not the one that this keeper knows; remove it and add it anew")
+            raise HandshakeRejectedError(
+                "its directory is not the one that this keeper knows; remove it and add it anew"
+            )
 
     async def _met(self, name: str, birth: str) -> bool:
         """Guards votes: one that lost its directory has forgotten whom it voted for, and what it stored."""
@@ -234,16 +252,20 @@
             return await anyio.to_thread.run_sync(self._store.met, name, birth)
 
     def _why_not(self, hello: Hello) -> str:
-        if why := check(hello, self.config.group, (*ROLES, *self.serves)):
+        if why := handshake_error(hello, self.config.group, (*ROLES, *self.link_handlers)):
             return why
-        if self._links > MOST_LINKS:
+        if self._links > MAX_LINKS:
             return "too many links"
         if hello.role != "keeper":
             return ""
         known = self.member.members.all
         if known and hello.name not in known:
             return f"{hello.name!r} is no member"
-        if not known and len(self._store.births) >= MOST_MET and hello.name not in self._store.births:
+        if (
+            not known
+            and len(self._store.births) >= MAX_UNCONFIRMED_PEERS
+            and hello.name not in self._store.births
+        ):
             return "too many keepers before the group's members are known"
         if hello.name == self.config.name:
             return f"{hello.name!r} is this keeper's own name"
@@ -255,18 +277,18 @@
         link, hello = Link(stream), None
         self._links += 1
         try:
-            hello = await greeted(link, self._welcome, self._why_not)
+            hello = await accept_handshake(link, self._welcome, self._why_not)
             if hello.role == "keeper":
                 if await self._met(hello.name, hello.birth):
                     await self._talk(link, hello.name)
-            elif serve := self.serves.get(hello.role):
+            elif serve := self.link_handlers.get(hello.role):
                 await serve(link, hello)
             else:
                 await self._answer_calls(link)
-        except Stranger as fault:
+        except HandshakeRejectedError as fault:
             self._warning("link refused", why=str(fault))
-        except FAILED as fault:
-            if hello is None or isinstance(fault, Spoilt):
+        except LINK_ERRORS as fault:
+            if hello is None or isinstance(fault, FrameError):
                 why = str(fault) or type(fault).__name__
                 self._warning("a link ended in a message", why=why, peer=hello.name[:40] if hello else "")
         except Exception:  # guards the group: a fault in one link must not cost a vote
@@ -276,14 +298,14 @@
             await link.close()
 
     async def _talk(self, link: Link, name: str) -> None:
-        outbox = self._back[name] = Outbox(MOST_WAITING)
+        outbox = self._back[name] = SendQueue(MAX_QUEUED_MESSAGES)
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(outbox.send_to, link)
                 await self._hear(link, name)
-        except* Stranger as faults:
+        except* HandshakeRejectedError as faults:
             self._warning("link refused", why=str(faults.exceptions[0]))
-        except* FAILED:
+        except* LINK_ERRORS:
             pass
         finally:
             if self._back.get(name) is outbox:
@@ -293,7 +315,7 @@
         while True:
             message = await link.receive(Message)
             if self._store.births.get(name) is None:
-                raise Stranger(f"{name!r} is no member any more")
+                raise HandshakeRejectedError(f"{name!r} is no member any more")
             self.member.receive(name, message, self._clock())
             self._wake()
 
@@ -301,50 +323,52 @@
 
     async def _answer_calls(self, link: Link) -> None:
         while True:
-            call: calls.Call = await link.receive(calls.Call)
-            await link.send(calls.Answer(call.number, await self.answer(call.what)))
+            call: rpc.RpcRequest = await link.receive(rpc.RpcRequest)
+            await link.send(rpc.RpcResponse(call.number, await self.answer(call.what)))
 
-    async def answer(self, what: calls.What) -> calls.Said:
+    async def answer(self, what: rpc.RequestBody) -> rpc.ResponseBody:
         """One question, from whoever asks."""
         try:
-            if isinstance(what, calls.Status):
-                return self.standing()
-            if isinstance(what, Swap):
-                why = next((why for fault in self.faults if (why := fault(what))), "")
-                return calls.Failed(why) if why else await self.swap(what)
-            if isinstance(what, calls.Get):
-                await self.confirm()
-                found = self.registers.under(what.prefix)
-                if sum(len(k) + len(v.data) for k, v in found.items()) > MOST_FOUND:
-                    return calls.Failed(f"over {MOST_FOUND} bytes under {what.prefix[:40]!r}: ask for less")
-                return calls.Found(found)
-            if isinstance(what, calls.Progress):
-                await self.confirm()
+            if isinstance(what, rpc.GetStatus):
+                return self.status()
+            if isinstance(what, CompareAndSwap):
+                why = next((why for fault in self.swap_validators if (why := fault(what))), "")
+                return rpc.RequestFailed(why) if why else await self.compare_and_swap(what)
+            if isinstance(what, rpc.GetByPrefix):
+                await self.confirm_leadership()
+                found = self.state.with_prefix(what.prefix)
+                if sum(len(k) + len(v.data) for k, v in found.items()) > MAX_VALUES_BYTES:
+                    return rpc.RequestFailed(
+                        f"over {MAX_VALUES_BYTES} bytes under {what.prefix[:40]!r}: ask for less"
+                    )
+                return rpc.ValuesByPrefix(found)
+            if isinstance(what, rpc.GetProgress):
+                await self.confirm_leadership()
                 told = {key: value for part in self.progress for key, value in part().items()}
-                return calls.Told(json.dumps(told).encode())
-            if isinstance(what, calls.Collect):
-                await self.confirm()
-                return self.collect()
-            if isinstance(what, calls.Change):
+                return rpc.ProgressReport(json.dumps(told).encode())
+            if isinstance(what, rpc.CollectCounters):
+                await self.confirm_leadership()
+                return self.collect_counters()
+            if isinstance(what, rpc.ChangeMembership):
                 await self.change(what)
             elif self.member.role is not Role.LEADER:
-                raise NotLeader(self.member.leader)
+                raise NotLeaderError(self.member.leader)
             else:
-                self.member.step_aside(self._clock())
+                self.member.transfer_leadership(self._clock())
                 self._wake()
-            return calls.Done()
-        except NotLeader:
+            return rpc.Done()
+        except NotLeaderError:
             leader = self.member.leader
-            return calls.Moved(leader, self.member.members.all.get(leader, ""))
-        except Busy as fault:
-            return calls.Failed(str(fault))
-        except Undecided as fault:
-            return calls.Unknown(str(fault))
+            return rpc.NotLeader(leader, self.member.members.all.get(leader, ""))
+        except BusyError as fault:
+            return rpc.RequestFailed(str(fault))
+        except CommitUnknownError as fault:
+            return rpc.OutcomeUnknown(str(fault))
 
-    async def _decided(self, place: tuple[int, int]) -> Result | None:
+    async def _decided(self, place: tuple[int, int]) -> CompareAndSwapResult | None:
         """Waits for what becomes of an entry that was taken."""
         index, term = place
-        waiter = self._waiters[index] = Waiter(term)
+        waiter = self._waiters[index] = PendingResult(term)
         self._wake()
         try:
             result = await waiter.told()
@@ -353,43 +377,45 @@
                 del self._waiters[index]
         return result
 
-    async def swap(self, what: Swap) -> Result:
+    async def compare_and_swap(self, what: CompareAndSwap) -> CompareAndSwapResult:
         """Compare and swap. NotLeader or Busy: not done. Undecided: nobody can say yet."""
         result = await self._decided(self.member.propose(msgspec.msgpack.encode(what)))
         if result is None:
-            raise Undecided("the leader has changed meanwhile")
+            raise CommitUnknownError("the leader has changed meanwhile")
         return result
 
-    async def confirm(self) -> None:
+    async def confirm_leadership(self) -> None:
         """Returns once the registers are no older than this call; else NotLeader, Busy or Undecided."""
         self._tickets += 1
-        ticket, waiter = self._tickets, Waiter()
+        ticket, waiter = self._tickets, PendingResult()
         self.member.read(ticket)
         self._readers[ticket] = waiter
         self._wake()
         await waiter.told()
         if waiter.term < 0:
-            raise NotLeader(self.member.leader)
+            raise NotLeaderError(self.member.leader)
 
-    async def change(self, what: calls.Change) -> None:
-        await self.confirm()  # one that has just been elected takes no other members before its first entry
+    async def change(self, what: rpc.ChangeMembership) -> None:
+        await (
+            self.confirm_leadership()
+        )  # one that has just been elected takes no other members before its first entry
         members = self.member.members
         for name, where in what.add.items():
             try:
                 address(where)
             except ValueError:
-                raise Busy(f"{where[:40]!r} is no address like 127.0.0.1:7300") from None
+                raise BusyError(f"{where[:40]!r} is no address like 127.0.0.1:7300") from None
             if name in members.all:
-                raise Busy(f"{name!r} is a member already")
+                raise BusyError(f"{name!r} is a member already")
         if what.remove and what.remove not in members.all:
-            raise Busy(f"{what.remove!r} is no member")
+            raise BusyError(f"{what.remove!r} is no member")
         voters = {n: w for n, w in members.voters.items() if n != what.remove}
         learners = {n: w for n, w in members.learners.items() if n != what.remove}
-        await self._decided(self.member.change(Members(voters, learners | what.add)))
+        await self._decided(self.member.change(Membership(voters, learners | what.add)))
 
-    def standing(self) -> calls.Standing:
+    def status(self) -> rpc.ReplicaStatus:
         m, now = self.member, self._clock()
-        return calls.Standing(
+        return rpc.ReplicaStatus(
             name=m.name,
             role=m.role.value,
             leader=m.leader,
@@ -402,20 +428,20 @@
             stored={n: p.match for n, p in m.peers.items()},
             silent=sorted(n for n, p in m.peers.items() if now - p.heard > self.config.election),
             older=m.older,
-            registers=len(self.registers),
+            registers=len(self.state),
             bytes_kept=self._store.size,
         )
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return self.member.role is Role.LEADER
 
-    async def step_aside(self, patience: float) -> None:
+    async def transfer_leadership(self, patience: float) -> None:
         """Before an orderly end: lets another lead, if there is one that can."""
-        if not self.leads:
+        if not self.is_leader:
             return
-        self.member.step_aside(self._clock())
+        self.member.transfer_leadership(self._clock())
         self._wake()
         with anyio.move_on_after(patience):
-            while self.leads:
+            while self.is_leader:
                 await anyio.sleep(self.config.heartbeat / 2)
--- a/zincladder/agreement/store.py
+++ b/zincladder/consensus/store.py
@@ -11,15 +11,15 @@
 
 import msgspec
 
-from zincladder.agreement.model import Entry, Hard, Members, Output, Snapshot, Stored
-from zincladder.durable.files import Files
+from zincladder.consensus.model import Entry, HardState, Membership, Output, Snapshot, StoredState
+from zincladder.durable.files import FileSystem
 from zincladder.durable.journal import Item, Journal, JournalError
 
 VERSION = 1
-LEAST_REWRITE = 1 << 20  # bytes
+MIN_COMPACTION_BYTES = 1 << 20  # bytes
 
 
-class Kept(enum.IntEnum):
+class RecordKind(enum.IntEnum):
     """The kinds of records."""
 
     IDENTITY = 0
@@ -29,7 +29,7 @@
     BIRTHS = 4
 
 
-class Identity(msgspec.Struct, frozen=True, array_like=True):
+class ReplicaIdentity(msgspec.Struct, frozen=True, array_like=True):
     """Whose directory this is. `birth` is drawn when it is made: no other directory has the same one."""
 
     version: int
@@ -46,17 +46,17 @@
 encode = msgspec.msgpack.encode
 
 
-class Store:
+class ReplicaStore:
     """The directory of one member. JournalError where it is another's, spoilt, or not to be written."""
 
     def __init__(
-        self, folder: Path, group: str, name: str, founders: Members, files: Files | None = None
+        self, folder: Path, group: str, name: str, founders: Membership, files: FileSystem | None = None
     ) -> None:
         self.folder = folder
         self.births: dict[str, str] = {}  # of the others' directories, as first met
         self._journal = Journal(folder, files)
         self.torn = self._journal.torn
-        self._hard, self._snapshot = Hard(), Snapshot(0, 0, founders)
+        self._hard, self._snapshot = HardState(), Snapshot(0, 0, founders)
         self._entries: list[Entry] = []
         self.found: bool = bool(self._journal.items)
         try:
@@ -70,21 +70,21 @@
             raise
 
     @property
-    def stored(self) -> Stored:
-        return Stored(self._hard, self._snapshot, tuple(self._entries))
+    def stored(self) -> StoredState:
+        return StoredState(self._hard, self._snapshot, tuple(self._entries))
 
-    def _identity(self, group: str, name: str) -> Identity:
+    def _identity(self, group: str, name: str) -> ReplicaIdentity:
         if not self.found:
-            identity = Identity(VERSION, group, name, os.urandom(8).hex())
-            self._journal.rewrite([(Kept.IDENTITY, encode(identity)), *self._rest()])
+            identity = ReplicaIdentity(VERSION, group, name, os.urandom(8).hex())
+            self._journal.rewrite([(RecordKind.IDENTITY, encode(identity)), *self._rest()])
             return identity
         kind, data = self._journal.items[0]
-        if kind != Kept.IDENTITY:
+        if kind != RecordKind.IDENTITY:
             raise JournalError(f"{self.folder}: it does not say whose it is")
         version = msgspec.msgpack.decode(data)[0]
         if version != VERSION:
             raise JournalError(f"{self.folder}: of version {version}, not {VERSION}")
-        found: Identity = msgspec.msgpack.decode(data, type=Identity)
+        found: ReplicaIdentity = msgspec.msgpack.decode(data, type=ReplicaIdentity)
         if (found.group, found.name) != (group, name):
             raise JournalError(
                 f"{self.folder}: it is {found.name!r}'s of {found.group!r}, not {name!r}'s of {group!r}"
@@ -94,14 +94,14 @@
     def _replay(self) -> None:
         decode = msgspec.msgpack.decode
         for kind, data in self._journal.items[1:]:
-            if kind == Kept.HARD:
-                self._hard = decode(data, type=Hard)
-            elif kind == Kept.SNAPSHOT:
+            if kind == RecordKind.HARD:
+                self._hard = decode(data, type=HardState)
+            elif kind == RecordKind.SNAPSHOT:
                 self._snapshot, self._entries = decode(data, type=Snapshot), []
-            elif kind == Kept.ENTRY:
+            elif kind == RecordKind.ENTRY:
                 placed: _Placed = decode(data, type=_Placed)
                 self._place(placed.index, (placed.entry,))
-            elif kind == Kept.BIRTHS:
+            elif kind == RecordKind.BIRTHS:
                 self.births = decode(data, type=dict[str, str])
             else:
                 raise ValueError(f"kind {kind}")
@@ -115,15 +115,15 @@
 
     def _rest(self) -> list[Item]:
         return [
-            (Kept.BIRTHS, encode(self.births)),
-            (Kept.SNAPSHOT, encode(self._snapshot)),
-            (Kept.HARD, encode(self._hard)),
+            (RecordKind.BIRTHS, encode(self.births)),
+            (RecordKind.SNAPSHOT, encode(self._snapshot)),
+            (RecordKind.HARD, encode(self._hard)),
             *self._placed(self._snapshot.index + 1, tuple(self._entries)),
         ]
 
     @staticmethod
     def _placed(first: int, entries: tuple[Entry, ...]) -> list[Item]:
-        return [(Kept.ENTRY, encode(_Placed(i, entry))) for i, entry in enumerate(entries, first)]
+        return [(RecordKind.ENTRY, encode(_Placed(i, entry))) for i, entry in enumerate(entries, first)]
 
     def write(self, output: Output) -> None:
         """On the disk when this returns. JournalError: nothing may be said or applied any more."""
@@ -135,28 +135,28 @@
             self._snapshot, self._entries = output.snapshot, list(output.entries)
             self._rewrite()
             return
-        items: list[Item] = [(Kept.HARD, encode(output.hard))] if output.hard else []
+        items: list[Item] = [(RecordKind.HARD, encode(output.hard))] if output.hard else []
         if output.entries:
             self._place(output.first, output.entries)
             items += self._placed(output.first, output.entries)
         self._journal.append(items)
 
     def _rewrite(self) -> None:
-        self._journal.rewrite([(Kept.IDENTITY, encode(self.identity)), *self._rest()])
+        self._journal.rewrite([(RecordKind.IDENTITY, encode(self.identity)), *self._rest()])
 
     def met(self, name: str, birth: str) -> bool:
         """Whether that member's directory is the one it always had. The first time counts, and is kept."""
         known = self.births.get(name)
         if known is None:
             self.births[name] = birth
-            self._journal.append([(Kept.BIRTHS, encode(self.births))])
+            self._journal.append([(RecordKind.BIRTHS, encode(self.births))])
             return True
         return known == birth
 
     def forget(self, name: str) -> None:
         """A member that was removed from the group: under its name another directory may come."""
         if self.births.pop(name, None) is not None:
-            self._journal.append([(Kept.BIRTHS, encode(self.births))])
+            self._journal.append([(RecordKind.BIRTHS, encode(self.births))])
 
     @property
     def size(self) -> int:
@@ -165,7 +165,7 @@
     @property
     def long(self) -> bool:
         """Whether the journal holds so much more than the state that a snapshot is due."""
-        return self.size > max(LEAST_REWRITE, 4 * len(self._snapshot.state))
+        return self.size > max(MIN_COMPACTION_BYTES, 4 * len(self._snapshot.state))
 
     def close(self) -> None:
         self._journal.close()
--- a/zincladder/durable/files.py
+++ b/zincladder/durable/files.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 
-class Files:
+class FileSystem:
     """Calls that write, each whole or an OSError."""
 
     def create(self, path: Path) -> int:
--- a/zincladder/durable/journal.py
+++ b/zincladder/durable/journal.py
@@ -20,20 +20,20 @@
 from pathlib import Path
 
 from zincladder.durable import records
-from zincladder.durable.files import Files
+from zincladder.durable.files import FileSystem
 
 NAME = re.compile(r"(\d{20})\.log")
-KINDS = 128  # a stamp is (batch * 2 + whether it is the batch's last record) * KINDS + kind
+RECORD_KINDS = 128  # a stamp is (batch * 2 + whether it is the batch's last record) * KINDS + kind
 Item = tuple[int, bytes]  # a record's kind, below KINDS, and what it holds
 
 
 def _batch(record: records.Record) -> int:
-    return record.stamp // KINDS // 2
+    return record.stamp // RECORD_KINDS // 2
 
 
 def _ends(record: records.Record) -> bool:
     """Whether it is its batch's last."""
-    return bool(record.stamp // KINDS % 2)
+    return bool(record.stamp // RECORD_KINDS % 2)
 
 
 class JournalError(Exception):
@@ -43,8 +43,8 @@
 class Journal:
     """The records of a folder, which is this process's alone while it is open."""
 
-    def __init__(self, folder: Path, files: Files | None = None) -> None:
-        self._folder, self._files = folder, files or Files()
+    def __init__(self, folder: Path, files: FileSystem | None = None) -> None:
+        self._folder, self._files = folder, files or FileSystem()
         self._lock = self._file = -1
         self._generation = self._batch = self._number = 0
         self.size = 0  # bytes of the file
@@ -91,7 +91,7 @@
         for record in records.scan(data, records.JOURNAL):
             self._number, self._batch = record.number, _batch(record)
             whole, ended = record.at + record.size, _ends(record)
-            self.items.append((record.stamp % KINDS, record.payload))
+            self.items.append((record.stamp % RECORD_KINDS, record.payload))
         if whole < len(data):
             self._check_tail(path, data, whole, self._batch + ended)
             self.torn = len(data) - whole
@@ -155,7 +155,7 @@
         data, batch = bytearray(), list(items)
         for n, (kind, payload) in enumerate(batch, 1):
             self._number += 1
-            stamp = (self._batch * 2 + (n == len(batch))) * KINDS + kind
+            stamp = (self._batch * 2 + (n == len(batch))) * RECORD_KINDS + kind
             data += records.pack(self._number, stamp, payload)
         return bytes(data)
 
--- a/zincladder/links/frames.py
+++ b/zincladder/links/frames.py
@@ -15,15 +15,15 @@
 
 VERSION = 1
 HEAD = struct.Struct(">II")
-MOST_BODY = 1 << 20
-MOST_GREETING = 2048  # of a body before the other side is known
+MAX_BODY_BYTES = 1 << 20
+MAX_GREETING_BYTES = 2048  # of a body before the other side is known
 
 
-class Spoilt(Exception):
+class FrameError(Exception):
     """The other side said what no frame, or no message, is; the link ends."""
 
 
-class Stranger(Exception):
+class HandshakeRejectedError(Exception):
     """The greeting was not accepted; the text says why."""
 
 
@@ -47,26 +47,26 @@
     birth: str
 
 
-class Refused(msgspec.Struct, frozen=True, array_like=True, tag="refused"):
+class Rejected(msgspec.Struct, frozen=True, array_like=True, tag="refused"):
     """Why there will be no talk."""
 
     why: str
 
 
-Greeting = Welcome | Refused
+Greeting = Welcome | Rejected
 
 
-def frame(body: bytes) -> bytes:
+def encode_frame(body: bytes) -> bytes:
     """ValueError for one that no reader takes."""
-    if len(body) > MOST_BODY:
-        raise ValueError(f"a message of {len(body)} bytes, {MOST_BODY} at most")
+    if len(body) > MAX_BODY_BYTES:
+        raise ValueError(f"a message of {len(body)} bytes, {MAX_BODY_BYTES} at most")
     return HEAD.pack(len(body), crc32c(body)) + body
 
 
-class Frames:
+class FrameDecoder:
     """Bytes in, bodies out; what is held is bounded by one frame of `most` bytes and one read."""
 
-    def __init__(self, most: int = MOST_BODY) -> None:
+    def __init__(self, most: int = MAX_BODY_BYTES) -> None:
         self._data, self.most = bytearray(), most
 
     def feed(self, data: bytes) -> list[bytes]:
@@ -76,20 +76,20 @@
         while at + HEAD.size <= len(self._data):
             length, crc = HEAD.unpack_from(self._data, at)
             if length > self.most:
-                raise Spoilt(f"a message of {length} bytes, {self.most} at most")
+                raise FrameError(f"a message of {length} bytes, {self.most} at most")
             end = at + HEAD.size + length
             if end > len(self._data):
                 break
             body = bytes(self._data[at + HEAD.size : end])
             if crc32c(body) != crc:
-                raise Spoilt("a message that was changed on its way")
+                raise FrameError("a message that was changed on its way")
             found.append(body)
             at = end
         del self._data[:at]
         return found
 
 
-def check(hello: Hello, group: str, roles: tuple[str, ...]) -> str:
+def handshake_error(hello: Hello, group: str, roles: tuple[str, ...]) -> str:
     """Why this greeting can't be accepted by a member of the group; empty if it can."""
     if hello.version != VERSION:
         return f"links of version {hello.version}, not {VERSION}"
--- a/zincladder/links/leader.py
+++ b/zincladder/links/leader_link.py
@@ -10,14 +10,14 @@
 import structlog
 
 from zincladder.config import address
-from zincladder.links.frames import Hello, Stranger
-from zincladder.links.host import FAILED, Link, Outbox, Patience, connect
+from zincladder.links.connection import LINK_ERRORS, Link, ReconnectBackoff, SendQueue, connect
+from zincladder.links.frames import HandshakeRejectedError, Hello
 
-MOST_WAITING = 64
+MAX_QUEUED_MESSAGES = 64
 log = structlog.get_logger()
 
 
-class Follower(Protocol):
+class LeaderLinkHandler(Protocol):
     """Who talks over the link."""
 
     def link(self, up: bool) -> None:
@@ -34,11 +34,16 @@
     """One link at a time, to the keeper that leads if there is one."""
 
     def __init__(
-        self, places: Mapping[str, str], hello: Hello, messages: Any, follower: Follower, draw: random.Random
+        self,
+        places: Mapping[str, str],
+        hello: Hello,
+        messages: Any,
+        follower: LeaderLinkHandler,
+        draw: random.Random,
     ) -> None:
         self._places, self._hello, self._messages, self._follower = places, hello, messages, follower
         self._draw, self._said = draw, ""
-        self.outbox = Outbox(MOST_WAITING)
+        self.outbox = SendQueue(MAX_QUEUED_MESSAGES)
 
     async def flush(self, patience: float) -> None:
         """Waits until all that was put is on its way, for so many seconds at most."""
@@ -48,7 +53,7 @@
 
     async def run(self) -> None:
         """Until it is cancelled."""
-        patience = Patience(self._draw.random)
+        patience = ReconnectBackoff(self._draw.random)
         names = list(self._places)
         self._draw.shuffle(names)
         sent_on = False
@@ -62,9 +67,9 @@
                     leader = await self._linked(link, patience)
                 finally:
                     await link.close()
-            except* Stranger as faults:
+            except* HandshakeRejectedError as faults:
                 self._say(f"{name}: {faults.exceptions[0]}")
-            except* FAILED:
+            except* LINK_ERRORS:
                 pass
             if leader in names:
                 names.remove(leader)
@@ -80,7 +85,7 @@
             if why:
                 log.error("refused by a keeper", why=why, role=self._hello.role)
 
-    async def _linked(self, link: Link, patience: Patience) -> str:
+    async def _linked(self, link: Link, patience: ReconnectBackoff) -> str:
         """Talks over one link until it fails; the leader's name if that is another one."""
         self.outbox.clear()
         self._follower.link(True)
--- a/zincladder/metrics/keeper.py
+++ b/zincladder/metrics/replica.py
@@ -6,12 +6,12 @@
 
 from zincladder.admission.ledger import Use
 from zincladder.admission.model import Why
-from zincladder.agreement.host import Keeper
+from zincladder.consensus.server import ReplicaServer
 from zincladder.metrics.registry import Sample, exposition
 from zincladder.ownership.host import Stewarding
 from zincladder.policy.host import Conducting
 
-MOST_VISITS = 16  # connections at once
+MAX_CONNECTIONS = 16  # connections at once
 KEEPER = {
     "leads": ("zincladder_keeper_leads", "gauge", "1 while this keeper leads its group."),
     "led": ("zincladder_keeper_led", "gauge", "1 while this keeper leads or knows who does."),
@@ -50,16 +50,16 @@
 NAMES = frozenset(row[0] for table in (KEEPER, LEADER) for row in table.values())
 
 
-class KeeperRegistry:
+class ReplicaRegistry:
     """All samples of one keeper."""
 
-    def __init__(self, keeper: Keeper, conducting: Conducting, stewarding: Stewarding) -> None:
-        self._keeper, self._conducting, self._stewarding = keeper, conducting, stewarding
+    def __init__(self, replica: ReplicaServer, conducting: Conducting, stewarding: Stewarding) -> None:
+        self._keeper, self._conducting, self._stewarding = replica, conducting, stewarding
 
     def samples(self) -> Iterator[Sample]:
-        keeper = self._keeper
-        labels = (("group", keeper.config.group), ("keeper", keeper.config.name))
-        standing = keeper.standing()
+        replica = self._keeper
+        labels = (("group", replica.config.group), ("keeper", replica.config.name))
+        standing = replica.status()
         values = {
             "leads": standing.role == "leader",
             "led": bool(standing.leader),
@@ -89,10 +89,10 @@
         return exposition(self.samples(), {name: (kind, text) for name, kind, text in rows})
 
 
-class Few:
+class ConnectionLimit:
     """A keeper's own bound on who asks for its metrics: so many connections at once."""
 
-    def __init__(self, most: int = MOST_VISITS) -> None:
+    def __init__(self, most: int = MAX_CONNECTIONS) -> None:
         self._most, self._open = most, 0
 
     def visit(self, use: Use, host: str, now: float) -> Why:
--- a/zincladder/ownership/model.py
+++ b/zincladder/ownership/model.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from zincladder.agreement.registers import Guard, Swap
+from zincladder.consensus.key_value_state import CompareAndSwap, VersionGuard
 
 DUTIES = "duty/"
 PROGRESS = "progress/"  # what an owner has done, kept for whoever follows
@@ -37,9 +37,9 @@
     return PROGRESS + duty
 
 
-def checkpoint(duty: str, token: int, expected: int, data: bytes) -> Swap:
+def checkpoint(duty: str, token: int, expected: int, data: bytes) -> CompareAndSwap:
     """Keeps an owner's progress, if it still is the owner when the entry is applied: the fence in the log."""
-    return Swap(progress_key(duty), expected, data, Guard(key(duty), token))
+    return CompareAndSwap(progress_key(duty), expected, data, VersionGuard(key(duty), token))
 
 
 # From a worker -------------------------------------------------------------------------------------
--- a/zincladder/ownership/steward.py
+++ b/zincladder/ownership/steward.py
@@ -13,7 +13,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from zincladder.agreement.terms import Terms
+from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.ownership.model import (
     MOST_DUTIES,
     MOST_NAME,
@@ -61,14 +61,14 @@
 class Steward:
     """While one keeper leads. Made anew at each election."""
 
-    def __init__(self, terms: Terms, now: float, term: int = 0) -> None:
+    def __init__(self, terms: LeaseTiming, now: float, term: int = 0) -> None:
         self.terms, self.term = terms, term
         self.workers: dict[int, Worker] = {}
         self.duties: dict[str, tuple[Duty, int]] = {}  # with the version of the register
         self.known = False
         # Who may act on a duty, by token, and until when: its owner, or the one that it was taken from.
         self.lent: dict[str, tuple[int, float]] = {}
-        self._unknown = now + terms.waited  # what a predecessor lent
+        self._unknown = now + terms.expiry_seconds  # what a predecessor lent
         self._told: dict[str, tuple[int, int, float]] = {}  # token, link and time at which an owner was told
         self._writing: set[str] = set()
         self._looked = now  # when all duties were gone through last
@@ -86,7 +86,7 @@
     @property
     def next_at(self) -> float:
         """When `tick` is due."""
-        again = [at + self.terms.renew for _, _, at in self._told.values()]
+        again = [at + self.terms.renew_seconds for _, _, at in self._told.values()]
         waits = [self.free_at(d) for d in self.wanted() | self.duties.keys() if d not in self._writing]
         return min((t for t in (*waits, *again) if t > self._looked), default=math.inf)
 
@@ -107,7 +107,7 @@
                 if owns(worker, before):  # moved or paused by a command, or its lease ran out
                     self._wish.say.append((number, Stop(name, old)))
             if duty.owner:
-                self.lent[name] = (token, now + self.terms.waited)
+                self.lent[name] = (token, now + self.terms.expiry_seconds)
         self.duties, self.known = dict(duties), True
         self._go_on(now)
 
@@ -167,9 +167,9 @@
         for duty, token in asked[:MOST_DUTIES]:
             found, standing = self.duties.get(duty, (Duty(), 0))
             if owns(worker, found) and token == standing and duty not in self._writing:
-                self.lent[duty] = (token, max(self.free_at(duty), now + self.terms.waited))
+                self.lent[duty] = (token, max(self.free_at(duty), now + self.terms.expiry_seconds))
                 granted.append((duty, token))
-        lent = Lent(serial, tuple(granted), self.terms.owned, self.terms.renew)
+        lent = Lent(serial, tuple(granted), self.terms.holder_seconds, self.terms.renew_seconds)
         self._wish.say.append((number, lent))
 
     # Duties ---------------------------------------------------------------------------------------
@@ -212,7 +212,7 @@
             self._told.pop(name, None)
             return
         told, link, at = self._told.get(name, (0, 0, 0.0))
-        again = at + self.terms.renew <= now
+        again = at + self.terms.renew_seconds <= now
         if (told, link) != (token, number) or (again and now >= self.free_at(name)):
             self._wish.say.append((number, Yours(name, token)))
         if (told, link) != (token, number) or again:
--- a/zincladder/ownership/worker.py
+++ b/zincladder/ownership/worker.py
@@ -13,13 +13,18 @@
 import anyio.abc
 import structlog
 
-from zincladder.agreement import calls
-from zincladder.agreement.client import Client, NoAnswer, Open
-from zincladder.agreement.registers import Fenced, Full, Missed, Swapped
 from zincladder.config import DutiesConfig
+from zincladder.consensus import rpc
+from zincladder.consensus.client import Client, OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.key_value_state import (
+    CapacityExceeded,
+    FencingTokenRejected,
+    Swapped,
+    VersionMismatch,
+)
 from zincladder.links.clocks import boottime
 from zincladder.links.frames import VERSION, Hello
-from zincladder.links.leader import LeaderLink
+from zincladder.links.leader_link import LeaderLink
 from zincladder.ownership.model import Elsewhere, FromKeeper, Tells, checkpoint, progress_key
 from zincladder.ownership.owner import Owner
 
@@ -68,17 +73,17 @@
         while True:
             try:
                 said = await self._worker.client().ask(swap)
-            except (NoAnswer, Open):
-                said = calls.Unknown("")
+            except (RequestFailedError, OutcomeUnknownError):
+                said = rpc.OutcomeUnknown("")
             match said:
                 case Swapped(version):
                     return version
-                case Fenced():
+                case FencingTokenRejected():
                     self.fenced("log")
                     raise Lost(self.duty)
-                case Full(why):
+                case CapacityExceeded(why):
                     raise NoRoom(why)
-                case Missed(version) if version != expected:
+                case VersionMismatch(version) if version != expected:
                     # Perhaps this very write, whose answer was lost: nobody else writes under this token.
                     if (await self.progress()) == (version, data):
                         return version
@@ -91,11 +96,11 @@
         self._worker.fenced += 1
         log.warning("refused by a fence", duty=self.duty, at=where)
 
-    async def collect(self) -> calls.Collected:
+    async def collect(self) -> rpc.CollectedCounters:
         """The sums of what all processes have told the leader."""
-        said = await self._worker.client().ask(calls.Collect())
-        if not isinstance(said, calls.Collected):
-            raise NoAnswer(str(said))
+        said = await self._worker.client().ask(rpc.CollectCounters())
+        if not isinstance(said, rpc.CollectedCounters):
+            raise RequestFailedError(str(said))
         return said
 
 
@@ -217,7 +222,7 @@
                     # Its lease may have run out a moment before the word of it comes, or comes anew.
                     await anyio.sleep(AGAIN[0])
                     continue
-                except (NoAnswer, Open) as fault:
+                except (RequestFailedError, OutcomeUnknownError) as fault:
                     log.info("duty waits for the group", duty=duty, why=str(fault))
                 except Exception:
                     self.failures += 1
--- a/zincladder/policy/book.py
+++ b/zincladder/policy/book.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from zincladder.agreement.registers import MOST_VALUE, Swap, Value
-from zincladder.agreement.terms import TERMS
+from zincladder.consensus.key_value_state import MAX_VALUE_BYTES, CompareAndSwap, VersionedValue
+from zincladder.consensus.lease_timing import LEASE_TIMING_KEY
 from zincladder.policy.model import (
     DOCUMENTS,
     MOST_KEPT,
@@ -32,14 +32,14 @@
     record: Record
     at: int  # the version of its register
     roster: frozenset[str]
-    documents: dict[str, Value]
+    documents: dict[str, VersionedValue]
 
     @property
     def contents(self) -> dict[str, bytes]:
         return {name: value.data for name, value in self.documents.items()}
 
 
-def read(values: Mapping[str, Value]) -> Book:
+def read(values: Mapping[str, VersionedValue]) -> Book:
     """From all registers."""
     found = values.get(RECORD)
     record = msgspec.msgpack.decode(found.data, type=Record) if found else Record()
@@ -48,10 +48,10 @@
     return Book(record, found.version if found else 0, roster, documents)
 
 
-def fault(swap: Swap) -> str:
+def fault(swap: CompareAndSwap) -> str:
     """Why a caller's swap can't be taken, or nothing: what can't be read here would stop every keeper."""
-    if swap.key == TERMS:
-        return f"{TERMS!r} is the keepers' own"
+    if swap.key == LEASE_TIMING_KEY:
+        return f"{LEASE_TIMING_KEY!r} is the keepers' own"
     if swap.key == RECORD:
         try:
             msgspec.msgpack.decode(swap.data or b"", type=Record)
@@ -63,22 +63,22 @@
     return ""
 
 
-def record_swap(expected: int, record: Record) -> Swap:
-    return Swap(RECORD, expected, encode(record))
+def record_swap(expected: int, record: Record) -> CompareAndSwap:
+    return CompareAndSwap(RECORD, expected, encode(record))
 
 
-def document_swap(data: bytes) -> Swap:
+def document_swap(data: bytes) -> CompareAndSwap:
     """Where it is there already, it is the same one: a Missed is as good."""
-    if len(data) > MOST_VALUE:
-        raise Unfit(f"a policy of {len(data)} bytes, {MOST_VALUE} at most")
-    return Swap(DOCUMENTS + document_id(data), 0, data)
+    if len(data) > MAX_VALUE_BYTES:
+        raise Unfit(f"a policy of {len(data)} bytes, {MAX_VALUE_BYTES} at most")
+    return CompareAndSwap(DOCUMENTS + document_id(data), 0, data)
 
 
-def expected_swap(front: str) -> Swap:
-    return Swap(ROSTER + front, 0, b"")
+def expected_swap(front: str) -> CompareAndSwap:
+    return CompareAndSwap(ROSTER + front, 0, b"")
 
 
-def unneeded(book: Book) -> list[Swap]:
+def unneeded(book: Book) -> list[CompareAndSwap]:
     """Documents that nothing names, or only the oldest history: they go when a change has come to its end."""
     record = book.record
     if record.open is not None:
@@ -90,4 +90,6 @@
         if size > MOST_KEPT:
             break
         named.add(past.document)
-    return [Swap(DOCUMENTS + n, v.version, None) for n, v in book.documents.items() if n not in named]
+    return [
+        CompareAndSwap(DOCUMENTS + n, v.version, None) for n, v in book.documents.items() if n not in named
+    ]
