--- a/zincladder/policy/conductor.py
+++ b/zincladder/policy/conductor.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from zincladder.agreement.terms import Terms
+from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.policy.model import (
     MOST_HISTORY,
     MOST_NAMES,
@@ -85,7 +85,7 @@
 class Conductor:
     """While one keeper leads. Made anew at each election."""
 
-    def __init__(self, terms: Terms, now: float, term: int = 0) -> None:
+    def __init__(self, terms: LeaseTiming, now: float, term: int = 0) -> None:
         self.terms, self.term = terms, term
         self.record, self._at = Record(), 0  # and the register's version
         self.known = False  # whether the record has been read in this term
@@ -94,7 +94,7 @@
         # Until when a process may rely on a lease, and with which serial it asked for it.
         self.holding: dict[Holding, tuple[float, int]] = {}
         self._barred: set[Holding] = set()  # did not let go when they were asked to
-        self._unknown = now + terms.waited  # what a predecessor granted
+        self._unknown = now + terms.expiry_seconds  # what a predecessor granted
         self._documents: dict[str, bytes] = {}
         self._against: list[tuple[int, str]] = []  # versions, and why a front can't take them
         self._decided = (0, now)  # the version that is decided, and since when this leader knows
@@ -120,7 +120,7 @@
         return tuple(sorted(found)) if now >= self._unknown else ("whoever the last leader let serve", *found)
 
     def silent(self, front: Front, now: float) -> bool:
-        return now - front.renewed > 2 * self.terms.renew
+        return now - front.renewed > 2 * self.terms.renew_seconds
 
     @property
     def next_at(self) -> float:
@@ -129,11 +129,13 @@
         if change is None or self._writing:
             return math.inf
         if change.phase is Phase.CHECKING:
-            return self.since + self.terms.check
-        if change.phase is Phase.CLEARING and not self._forced(self.since + self.terms.clear):
-            return self.since + self.terms.clear
+            return self.since + self.terms.check_timeout_seconds
+        if change.phase is Phase.CLEARING and not self._forced(
+            self.since + self.terms.release_timeout_seconds
+        ):
+            return self.since + self.terms.release_timeout_seconds
         ends = [until for until, _ in self.holding.values()]
-        ends += [self._unknown, self._decided[1] + self.terms.patient]
+        ends += [self._unknown, self._decided[1] + self.terms.max_deferral_seconds]
         return min((u for u in ends if u > self.since), default=math.inf)
 
     def _forced(self, now: float) -> bool:
@@ -142,7 +144,7 @@
         Guards a change in a fleet of which some front is always gone: without it that moment may never come.
         All then wait at once for whoever is: for a lease at most, once.
         """
-        return now >= self._decided[1] + self.terms.patient
+        return now >= self._decided[1] + self.terms.max_deferral_seconds
 
     # The record -----------------------------------------------------------------------------------
 
@@ -228,9 +230,9 @@
         if (front.name, front.process) in self._barred:
             return
         serial, front.parked = front.parked.serial, None
-        self.holding[front.name, front.process] = (now + self.terms.waited, serial)
+        self.holding[front.name, front.process] = (now + self.terms.expiry_seconds, serial)
         terms, record = self.terms, self.record
-        granted = Granted(serial, record.version, record.document, terms.believed, terms.renew)
+        granted = Granted(serial, record.version, record.document, terms.trusted_seconds, terms.renew_seconds)
         self._wish.say.append((number, granted))
 
     # A change -------------------------------------------------------------------------------------
@@ -270,8 +272,8 @@
         silent = [front for front in self.fronts.values() if not front.answer]
         agreed = {front.name for front in self.fronts.values() if front.answer}
         expected = self.roster | agreed
-        enough = len(agreed) > self.terms.least * len(expected) or not expected
-        if (silent or not enough) and now < self.since + self.terms.check:
+        enough = len(agreed) > self.terms.min_agreeing_share * len(expected) or not expected
+        if (silent or not enough) and now < self.since + self.terms.check_timeout_seconds:
             return
         missing = tuple(sorted(expected - agreed))[:MOST_NAMES]
         if not enough:
@@ -291,7 +293,7 @@
         if not self.holding and now >= self._unknown:
             record = self._closed(change, Outcome.HELD, (), self.record.absent)
             self._write(msgspec.structs.replace(record, version=change.version, document=change.document))
-        elif now >= self.since + self.terms.clear and not self._forced(now):
+        elif now >= self.since + self.terms.release_timeout_seconds and not self._forced(now):
             # Somebody has not let go: all others go on as before until its lease has run out. It gets no new
             # one, for it may be heard and hear nothing: its askings would then hold the change up for ever.
             self._barred = set(self.holding)
--- a/zincladder/policy/front.py
+++ b/zincladder/policy/front.py
@@ -16,7 +16,7 @@
 from zincladder.config import PolicyConfig
 from zincladder.links.clocks import boottime
 from zincladder.links.frames import VERSION, Hello
-from zincladder.links.leader import LeaderLink
+from zincladder.links.leader_link import LeaderLink
 from zincladder.policy.holder import Holder
 from zincladder.policy.model import Elsewhere, FromKeeper
 
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -8,9 +8,9 @@
 import anyio.abc
 import structlog
 
-from zincladder.agreement.host import Keeper
-from zincladder.agreement.leading import AGAIN, FAULTS, Leading
-from zincladder.agreement.terms import Terms
+from zincladder.consensus.leader_services import COMMIT_ERRORS, RETRY_SECONDS, LeaderService
+from zincladder.consensus.lease_timing import LeaseTiming
+from zincladder.consensus.server import ReplicaServer
 from zincladder.links.clocks import boottime
 from zincladder.policy import book
 from zincladder.policy.conductor import Conductor, Write
@@ -19,66 +19,68 @@
 log = structlog.get_logger()
 
 
-class Conducting(Leading[Conductor]):
+class Conducting(LeaderService[Conductor]):
     """Leads changes of the policy while its keeper leads the group."""
 
     role = "front"
     messages = FromFront
 
-    def __init__(self, keeper: Keeper, terms: Terms, clock: Callable[[], float] = boottime) -> None:
-        super().__init__(keeper, terms, clock)
+    def __init__(
+        self, replica: ReplicaServer, terms: LeaseTiming, clock: Callable[[], float] = boottime
+    ) -> None:
+        super().__init__(replica, terms, clock)
         self._seen: tuple[int, str] = (-1, "")
-        keeper.faults.append(book.fault)
+        replica.swap_validators.append(book.fault)
 
-    def begin(self, since: float, term: int) -> Conductor:
+    def begin_term(self, since: float, term: int) -> Conductor:
         return Conductor(self.terms, since, term)
 
-    def elsewhere(self, leader: str) -> Elsewhere:
+    def not_leader_message(self, leader: str) -> Elsewhere:
         return Elsewhere(leader)
 
-    def learn(self, part: Conductor) -> None:
-        found = book.read(self.keeper.registers.under(""))
-        part.knows(found.record, found.at, found.roster, found.contents, self.clock())
+    def state_changed(self, term_state: Conductor) -> None:
+        found = book.read(self.replica.state.with_prefix(""))
+        term_state.knows(found.record, found.at, found.roster, found.contents, self.clock())
         change = found.record.open
         seen = (change.version, change.phase.value) if change else (found.record.version, "in force")
         if seen != self._seen:
             self._seen = seen
-            log.info("policy", version=seen[0], phase=seen[1], absent=part.absent)
+            log.info("policy", version=seen[0], phase=seen[1], absent=term_state.absent)
 
-    def carry_out(self, part: Conductor, tasks: anyio.abc.TaskGroup) -> None:
-        wish = part.take()
+    def execute(self, term_state: Conductor, tasks: anyio.abc.TaskGroup) -> None:
+        wish = term_state.take()
         for number, message in wish.say:
-            self.say(number, message)
+            self.send(number, message)
         for name in wish.expect:
-            tasks.start_soon(self.swap, book.expected_swap(name))
+            tasks.start_soon(self.try_compare_and_swap, book.expected_swap(name))
         if wish.write:
-            tasks.start_soon(self._write, wish.write, part)
+            tasks.start_soon(self._write, wish.write, term_state)
 
-    async def _write(self, write: Write, part: Conductor) -> None:
+    async def _write(self, write: Write, term_state: Conductor) -> None:
         try:
-            await self.keeper.swap(book.record_swap(write.expected, write.record))
-        except FAULTS:
-            await anyio.sleep(AGAIN)
+            await self.replica.compare_and_swap(book.record_swap(write.expected, write.record))
+        except COMMIT_ERRORS:
+            await anyio.sleep(RETRY_SECONDS)
         if write.record.open is None:
             await self._tidy()
-        if self.part is part:
+        if self.term_state is term_state:
             self.read_at = -1  # whatever came of it, the conductor goes on from what stands
         self.wake()
 
     async def _tidy(self) -> None:
         """Removes documents that nothing names any more."""
         try:
-            await self.keeper.confirm()
-        except FAULTS:
+            await self.replica.confirm_leadership()
+        except COMMIT_ERRORS:
             return
-        for swap in book.unneeded(book.read(self.keeper.registers.under(""))):
-            await self.swap(swap)
+        for swap in book.unneeded(book.read(self.replica.state.with_prefix(""))):
+            await self.try_compare_and_swap(swap)
 
     # Questions ------------------------------------------------------------------------------------
 
     def figures(self) -> dict[str, float]:
         """For those who watch the leader: fronts, the version in force, and how long a change hangs."""
-        conductor, now = self.part, self.clock()
+        conductor, now = self.term_state, self.clock()
         if conductor is None:
             return {}
         record = conductor.record
@@ -92,7 +94,7 @@
 
     def progress(self) -> dict[str, object]:
         """How the leader sees it; empty where this keeper doesn't lead."""
-        conductor, now = self.part, self.clock()
+        conductor, now = self.term_state, self.clock()
         if conductor is None:
             return {}
         change = conductor.record.open
