--- a/tests/tasks/test_state_space.py
+++ b/tests/tasks/test_state_space.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from tests.simulated import Broken
+from tests.support.raft_simulation import Broken
 from tests.support.state_space import Scope, search, walk
 from tests.support.task_states import TaskStateSpace, taken_over
 from zincladder.tasks.fence import Fence
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from tests.conftest import Driver, cache, parent
-from zincladder.agreement import host
+from zincladder.consensus import server
 from zincladder.policy import coordinator
 from zincladder.tasks import counter_sums
 from zincladder.tasks import model as tasks
@@ -131,8 +131,8 @@
 
 
 def test_no_cap_on_fronts_or_servers_is_under_1024() -> None:
-    caps = (host.MOST_LINKS, counter_sums.MAX_PROCESSES, coordinator.MAX_FRONTS, tasks.MAX_RUNNERS)
-    assert min(caps) >= 1024 and host.MOST_LINKS >= 2 * coordinator.MAX_FRONTS
+    caps = (server.MAX_LINKS, counter_sums.MAX_PROCESSES, coordinator.MAX_FRONTS, tasks.MAX_RUNNERS)
+    assert min(caps) >= 1024 and server.MAX_LINKS >= 2 * coordinator.MAX_FRONTS
 
 
 def test_the_sums_take_what_1500_fronts_tell() -> None:
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -25,14 +25,14 @@
 from zincladder.admission.ledger import PLAIN, SHARED, Ledger
 from zincladder.admission.model import Act, Lane, Limits, Why
 from zincladder.admission.plain import Plain
-from zincladder.agreement.host import Keeper
-from zincladder.agreement.model import Members
-from zincladder.agreement.store import Store
-from zincladder.agreement.terms import Terms
 from zincladder.cli import main
 from zincladder.config import Config, DutiesConfig, PolicyConfig, parse_config
-from zincladder.config.keeper import KeeperTable, LeaseTable, keeper_of
 from zincladder.config.operator import TABLES, RemoteWriteTable
+from zincladder.config.replica import LeaseTable, ReplicaTable, parse_replica_config
+from zincladder.consensus.lease_timing import LeaseTiming
+from zincladder.consensus.model import Membership
+from zincladder.consensus.server import ReplicaServer
+from zincladder.consensus.store import ReplicaStore
 from zincladder.control.readiness import Readiness
 from zincladder.control.statistics import front_statistics
 from zincladder.control.status_calls import StatusCalls
@@ -41,9 +41,9 @@
 from zincladder.core.ends import EndReason
 from zincladder.core.engine import Core
 from zincladder.metrics import registry as front_metrics
-from zincladder.metrics.keeper import NAMES as NAMES_OF_A_REPLICA
-from zincladder.metrics.keeper import KeeperRegistry
 from zincladder.metrics.registry import Registry, Sample
+from zincladder.metrics.replica import NAMES as NAMES_OF_A_REPLICA
+from zincladder.metrics.replica import ReplicaRegistry
 from zincladder.policy.front import FleetPolicy, PolicyHooks
 from zincladder.policy.host import PolicyLeaderService
 from zincladder.routing import interface as api
@@ -112,14 +112,14 @@
 async def test_names_and_labels_of_a_replicas_metrics(tmp_path: Path) -> None:
     table = {"group": "g", "name": "r1", "listen": "127.0.0.1:0", "directory": str(tmp_path / "r1")}
     timing = {"heartbeat_ms": 12, "election_ms": 50}
-    config = keeper_of({"keeper": table | timing | {"members": {"r1": "127.0.0.1:1"}}})
-    store = Store(config.directory, config.group, config.name, Members(config.founders))
-    replica = Keeper(config, store)
+    config = parse_replica_config({"keeper": table | timing | {"members": {"r1": "127.0.0.1:1"}}})
+    store = ReplicaStore(config.directory, config.group, config.name, Membership(config.founders))
+    replica = ReplicaServer(config, store)
     lease = config.lease
-    terms = Terms(lease.seconds, lease.renew_s, lease.drift, lease.check_s, lease.clear_s, lease.least,
+    terms = LeaseTiming(lease.seconds, lease.renew_s, lease.drift, lease.check_s, lease.clear_s, lease.least,
                   lease.patient_s, lease.act_s)  # fmt: skip
     coordinating, assigning = PolicyLeaderService(replica, terms), TaskLeaderService(replica, terms)
-    registry = KeeperRegistry(replica, coordinating, assigning)
+    registry = ReplicaRegistry(replica, coordinating, assigning)
     found = {"follows": series(registry.samples())}
     async with anyio.create_task_group() as tasks:
         await tasks.start(replica.run)
@@ -214,9 +214,9 @@
     "admission", "admission top", "admission --socket /nowhere top",
     "admission --socket /nowhere top --most 0",
     "admission --socket /nowhere show x", "admission --socket /nowhere block x", "admission block",
-    "admission --socket /nowhere unblock x", "admission --socket /nowhere trust x", "keep",
-    "keepers", "keepers status", "duties", "duties status", "tasks", "tasks status", "policy",
-    "policy status", "policy show", "policy set /nowhere",
+    "admission --socket /nowhere unblock x", "admission --socket /nowhere trust x", "keep", "replica",
+    "keepers", "keepers status", "replicas", "replicas status", "duties", "duties status", "tasks",
+    "tasks status", "policy", "policy status", "policy show", "policy set /nowhere",
 )  # fmt: skip
 
 
@@ -278,7 +278,7 @@
 
 
 def test_keys_of_a_replicas_file() -> None:
-    tables = {"keeper": KeeperTable, "lease": LeaseTable}
+    tables = {"keeper": ReplicaTable, "lease": LeaseTable}
     found = {name: fields_of(msgspec.inspect.type_info(kind)) for name, kind in tables.items()}
     assert_matches("published/replicas_file.json", found)
 
--- a/zincladder/cli/policy_client.py
+++ b/zincladder/cli/policy_client.py
@@ -10,7 +10,7 @@
 
 import click
 
-from zincladder.cli.keep import asking, run_call
+from zincladder.cli.replica import group_client, run_call
 
 if TYPE_CHECKING:
     from zincladder.policy.change_log import ChangeLog
@@ -37,7 +37,7 @@
     from zincladder.policy import change_log
     from zincladder.policy.model import POLICY_KEY
 
-    return change_log.read(run_call(lambda: asking(group).get(POLICY_KEY)))
+    return change_log.read(run_call(lambda: group_client(group).get(POLICY_KEY)))
 
 
 def read_document(group: Group, document: str) -> dict[str, Any]:
@@ -47,7 +47,7 @@
     if not document:
         return {}
     key = DOCUMENT_PREFIX + document
-    stored = run_call(lambda: asking(group).get(key)).get(key)
+    stored = run_call(lambda: group_client(group).get(key)).get(key)
     if stored is None:
         raise click.ClickException(f"document {document} is not kept any more")
     policy: dict[str, Any] = json.loads(stored.data)
@@ -106,12 +106,12 @@
 
 def _write_or_fail(group: Group, swap: Any, proposal: bool = False) -> None:
     """Writes a register. A version mismatch fails a proposal only; a document is then stored already."""
-    from zincladder.agreement.registers import Full, Missed
+    from zincladder.consensus.key_value_state import CapacityExceeded, VersionMismatch
 
-    result = run_call(lambda: asking(group).swap(swap.key, swap.expected, swap.data))
-    if isinstance(result, Full):
+    result = run_call(lambda: group_client(group).compare_and_swap(swap.key, swap.expected, swap.data))
+    if isinstance(result, CapacityExceeded):
         raise click.ClickException(f"not proposed: {result.why}")
-    if proposal and isinstance(result, Missed):
+    if proposal and isinstance(result, VersionMismatch):
         record = read_change_log(group).record
         change = record.open_change
         if change is not None:
@@ -123,10 +123,10 @@
 
 def leader_view(group: Group) -> dict[str, Any]:
     """What the leader sees of the fronts; {} if that can't be told."""
-    from zincladder.agreement import calls
+    from zincladder.consensus import rpc
 
-    reply = run_call(lambda: asking(group).ask(calls.Progress()))
-    view: dict[str, Any] = json.loads(reply.data) if isinstance(reply, calls.Told) else {}
+    reply = run_call(lambda: group_client(group).ask(rpc.GetProgress()))
+    view: dict[str, Any] = json.loads(reply.data) if isinstance(reply, rpc.ProgressReport) else {}
     return view
 
 
@@ -134,9 +134,9 @@
     """Removes a front from those that are expected. Raises ClickException if it is not one of them."""
     from zincladder.policy.model import EXPECTED_FRONT_PREFIX
 
-    client = asking(group)
+    client = group_client(group)
     key = EXPECTED_FRONT_PREFIX + front
     stored = run_call(lambda: client.get(key)).get(key)
     if stored is None:
         raise click.ClickException(f"{front!r} is not expected")
-    run_call(lambda: client.swap(key, stored.version, None))
+    run_call(lambda: client.compare_and_swap(key, stored.version, None))
--- a/zincladder/policy/change_log.py
+++ b/zincladder/policy/change_log.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from zincladder.agreement.registers import MOST_VALUE, Swap, Value
-from zincladder.agreement.terms import TERMS
+from zincladder.consensus.key_value_state import MAX_VALUE_BYTES, CompareAndSwap, VersionedValue
+from zincladder.consensus.lease_timing import LEASE_TIMING_KEY
 from zincladder.policy.errors import InvalidPolicyError
 from zincladder.policy.model import (
     DOCUMENT_PREFIX,
@@ -29,7 +29,7 @@
     record: PolicyRecord
     record_version: int  # of the record's register
     expected_fronts: frozenset[str]
-    documents: dict[str, Value]
+    documents: dict[str, VersionedValue]
 
     @property
     def contents(self) -> dict[str, bytes]:
@@ -37,7 +37,7 @@
         return {name: value.data for name, value in self.documents.items()}
 
 
-def read(registers: Mapping[str, Value]) -> ChangeLog:
+def read(registers: Mapping[str, VersionedValue]) -> ChangeLog:
     """The policy's part of all registers."""
     stored = registers.get(POLICY_KEY)
     record = msgspec.msgpack.decode(stored.data, type=PolicyRecord) if stored else PolicyRecord()
@@ -52,13 +52,13 @@
     return ChangeLog(record, stored.version if stored else 0, expected, documents)
 
 
-def rejection_reason(swap: Swap) -> str:
+def rejection_reason(swap: CompareAndSwap) -> str:
     """Why a caller's write can't be accepted; empty if it can.
 
     Guards the replicas: a record that cannot be decoded would end every one that comes to lead.
     """
-    if swap.key == TERMS:
-        return f"{TERMS!r} is the keepers' own"
+    if swap.key == LEASE_TIMING_KEY:
+        return f"{LEASE_TIMING_KEY!r} is the keepers' own"
     if swap.key == POLICY_KEY:
         try:
             msgspec.msgpack.decode(swap.data or b"", type=PolicyRecord)
@@ -70,27 +70,27 @@
     return ""
 
 
-def write_record(expected_version: int, record: PolicyRecord) -> Swap:
+def write_record(expected_version: int, record: PolicyRecord) -> CompareAndSwap:
     """Replaces the record, if its register still has the expected version."""
-    return Swap(POLICY_KEY, expected_version, encode(record))
+    return CompareAndSwap(POLICY_KEY, expected_version, encode(record))
 
 
-def write_document(content: bytes) -> Swap:
+def write_document(content: bytes) -> CompareAndSwap:
     """Stores a document. A version mismatch is as good as success: the register then has the same content.
 
     Raises InvalidPolicyError for one that is too large for a register.
     """
-    if len(content) > MOST_VALUE:
-        raise InvalidPolicyError(f"a policy of {len(content)} bytes, {MOST_VALUE} at most")
-    return Swap(DOCUMENT_PREFIX + document_id(content), 0, content)
+    if len(content) > MAX_VALUE_BYTES:
+        raise InvalidPolicyError(f"a policy of {len(content)} bytes, {MAX_VALUE_BYTES} at most")
+    return CompareAndSwap(DOCUMENT_PREFIX + document_id(content), 0, content)
 
 
-def write_expected_front(front: str) -> Swap:
+def write_expected_front(front: str) -> CompareAndSwap:
     """Expects a front to take part from now on."""
-    return Swap(EXPECTED_FRONT_PREFIX + front, 0, b"")
+    return CompareAndSwap(EXPECTED_FRONT_PREFIX + front, 0, b"")
 
 
-def delete_unreferenced(change_log: ChangeLog) -> list[Swap]:
+def delete_unreferenced(change_log: ChangeLog) -> list[CompareAndSwap]:
     """Removes documents that nothing but the oldest log entries names; none while a change is open."""
     record = change_log.record
     if record.open_change is not None:
@@ -103,7 +103,7 @@
             break
         retained.add(entry.document)
     return [
-        Swap(DOCUMENT_PREFIX + name, value.version, None)
+        CompareAndSwap(DOCUMENT_PREFIX + name, value.version, None)
         for name, value in change_log.documents.items()
         if name not in retained
     ]
--- a/zincladder/policy/coordinator.py
+++ b/zincladder/policy/coordinator.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from zincladder.agreement.terms import Terms
+from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.policy import change_states
 from zincladder.policy.fronts import LinkedFront, agreement
 from zincladder.policy.granted_leases import GrantedLeases
@@ -59,13 +59,13 @@
 class ChangeCoordinator:
     """Decides for one leader in one term."""
 
-    def __init__(self, terms: Terms, now: float, term: int = 0) -> None:
+    def __init__(self, terms: LeaseTiming, now: float, term: int = 0) -> None:
         self.terms, self.term = terms, term
         self.record, self._record_version = PolicyRecord(), 0
         self.known = False  # whether the record has been read in this term
         self.expected_fronts: frozenset[str] = frozenset()
         self.fronts: dict[int, LinkedFront] = {}  # by the number of the link
-        self.leases = GrantedLeases(now + terms.waited)
+        self.leases = GrantedLeases(now + terms.expiry_seconds)
         self._documents: dict[str, bytes] = {}
         self._objections: list[tuple[int, str]] = []  # versions, and why a front can't serve under them
         self._committed_version, self._committed_at = 0, now  # as far as this leader knows
@@ -95,7 +95,7 @@
 
     def is_silent(self, front: LinkedFront, now: float) -> bool:
         """Whether a front has missed its renewals, so that it may not hear either."""
-        return front.is_silent(now, self.terms.renew)
+        return front.is_silent(now, self.terms.renew_seconds)
 
     @property
     def next_at(self) -> float:
@@ -104,12 +104,12 @@
         if change is None or self._write_pending:
             return math.inf
         if change.phase is ChangePhase.VALIDATING:
-            return self.phase_entered_at + self.terms.check
-        release_due_at = self.phase_entered_at + self.terms.clear
+            return self.phase_entered_at + self.terms.check_timeout_seconds
+        release_due_at = self.phase_entered_at + self.terms.release_timeout_seconds
         if change.phase is ChangePhase.REVOKING and not self._patience_is_over(release_due_at):
             return release_due_at
         moments = [lease.expires_at for lease in self.leases.by_process.values()]
-        moments += [self.leases.former_leases_expire_at, self._committed_at + self.terms.patient]
+        moments += [self.leases.former_leases_expire_at, self._committed_at + self.terms.max_deferral_seconds]
         return min((moment for moment in moments if moment > self.phase_entered_at), default=math.inf)
 
     def _patience_is_over(self, now: float) -> bool:
@@ -118,7 +118,7 @@
         Guards a change in a fleet of which some front is always gone: that moment may never come. All fronts
         then wait at once for whoever is gone: for one lease at most, once.
         """
-        return now >= self._committed_at + self.terms.patient
+        return now >= self._committed_at + self.terms.max_deferral_seconds
 
     # The record -----------------------------------------------------------------------------------
 
@@ -221,9 +221,11 @@
         if front.identity in self.leases.fenced_off:
             return
         serial, front.deferred_renewal = front.deferred_renewal.serial, None
-        self.leases.grant(front.identity, serial, now + self.terms.waited)
+        self.leases.grant(front.identity, serial, now + self.terms.expiry_seconds)
         record, terms = self.record, self.terms
-        granted = PolicyLeaseGranted(serial, record.version, record.document, terms.believed, terms.renew)
+        granted = PolicyLeaseGranted(
+            serial, record.version, record.document, terms.trusted_seconds, terms.renew_seconds
+        )
         self._send(number, granted)
 
     # A change -------------------------------------------------------------------------------------
@@ -262,8 +264,9 @@
             self._withdraw(change, sorted(reason for _, reason in self._objections))
             return
         answers = agreement(self.fronts.values(), self.expected_fronts)
-        enough = answers.suffices(self.terms.least)
-        if not (answers.all_answered and enough) and now < self.phase_entered_at + self.terms.check:
+        enough = answers.suffices(self.terms.min_agreeing_share)
+        timed_out = now >= self.phase_entered_at + self.terms.check_timeout_seconds
+        if not (answers.all_answered and enough) and not timed_out:
             return
         if enough:
             self._write(change_states.commit(self.record, change, answers.absent))
@@ -288,7 +291,9 @@
                 self._send(number, RevokePolicyLease(change.version))
         if self.leases.none_left(now):
             self._write(change_states.activate(self.record, change))
-        elif now >= self.phase_entered_at + self.terms.clear and not self._patience_is_over(now):
+            return
+        timed_out = now >= self.phase_entered_at + self.terms.release_timeout_seconds
+        if timed_out and not self._patience_is_over(now):
             # All others go on as before until the lease of whoever has not released it has expired.
             self.leases.fence_off_remaining()
             self._write(change_states.retreat(self.record, change))
