--- a/tests/policy/test_coordinator.py
+++ b/tests/policy/test_coordinator.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from zincladder.agreement.registers import MOST_VALUE, Value
-from zincladder.agreement.terms import Terms
+from zincladder.consensus.key_value_state import MAX_VALUE_BYTES, VersionedValue
+from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.policy import change_log
 from zincladder.policy.coordinator import ChangeCoordinator
 from zincladder.policy.model import (
@@ -21,7 +21,13 @@
     RevokePolicyLease,
 )
 
-TERMS = Terms(lease=5.0, renew=1.0, drift=0.01, check=3.0, clear=0.3)
+TERMS = LeaseTiming(
+    lease_seconds=5.0,
+    renew_seconds=1.0,
+    clock_drift=0.01,
+    check_timeout_seconds=3.0,
+    release_timeout_seconds=0.3,
+)
 COMMITTED = PolicyRecord(1, "d1", PolicyChange(2, "d2", "ana", "", 0.0, ChangePhase.COMMITTED))
 DOCUMENTS = {"d1": b"1", "d2": b"2"}
 
@@ -70,7 +76,7 @@
     leader = Leader(COMMITTED, 0)
     leader.step(6.0)
     assert [phase for _, phase in leader.phases] == ["clearing", "in force"]
-    assert leader.phases[0][0] >= TERMS.waited
+    assert leader.phases[0][0] >= TERMS.expiry_seconds
 
 
 def test_a_lost_front_is_waited_for_before_any_other_has_to_release() -> None:
@@ -88,7 +94,7 @@
             PolicyLeaseGranted
         ]  # it goes on meanwhile
         leader.step(0.5)
-    assert leader.now - began >= TERMS.waited - 1.0
+    assert leader.now - began >= TERMS.expiry_seconds - 1.0
     assert leader.phases[0][1] == "clearing"
 
 
@@ -109,7 +115,7 @@
             if any(isinstance(m, RevokePolicyLease) for m in said):
                 leader.hears(1, PolicyLeaseReleased(2, serial))  # the other one hears nothing
     assert leader.record.version == 2
-    assert leader.now - began < TERMS.waited + 2.0
+    assert leader.now - began < TERMS.expiry_seconds + 2.0
     assert [phase for _, phase in leader.phases] == ["clearing", "decided", "clearing", "in force"]
 
 
@@ -142,8 +148,12 @@
             leader.record.open_change is not None and leader.record.open_change.phase is ChangePhase.REVOKING
         )
     assert leader.record.version == 2
-    assert TERMS.patient < leader.now - began < TERMS.patient + TERMS.waited + 1.0
-    assert revoking_seconds < TERMS.waited + 1.0  # what it costs the clients: a lease, once
+    assert (
+        TERMS.max_deferral_seconds
+        < leader.now - began
+        < TERMS.max_deferral_seconds + TERMS.expiry_seconds + 1.0
+    )
+    assert revoking_seconds < TERMS.expiry_seconds + 1.0  # what it costs the clients: a lease, once
 
 
 def test_the_objection_of_a_front_that_is_gone_counts() -> None:
@@ -167,9 +177,9 @@
     leader = Leader(PolicyRecord(1, "d1", PolicyChange(103, "d2", "ana", "", 0.0), log=tuple(log)), 1)
     leader.hears(1, DocumentValidated(103, "d2", ("it can't",)))
     assert leader.record.open_change is None and leader.record.log[-1].version == 103
-    assert len(change_log.encode(leader.record)) < MOST_VALUE
+    assert len(change_log.encode(leader.record)) < MAX_VALUE_BYTES
     data = bytes(200 << 10)
-    kept = {f"o{n}": Value(n, data) for n in range(3, 103)} | {"d1": Value(1, data)}
+    kept = {f"o{n}": VersionedValue(n, data) for n in range(3, 103)} | {"d1": VersionedValue(1, data)}
     gone = {
         s.key
         for s in change_log.delete_unreferenced(change_log.ChangeLog(leader.record, 1, frozenset(), kept))
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -6,11 +6,11 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from tests.simulated import Broken, Process, World
-from zincladder.agreement.member import Busy, NotLeader, Role
-from zincladder.agreement.model import Entry, Kind, Snapshot
-from zincladder.agreement.registers import Registers, Swap
-from zincladder.agreement.terms import Terms
+from tests.support.raft_simulation import Broken, Process, World
+from zincladder.consensus.key_value_state import CompareAndSwap, KeyValueState
+from zincladder.consensus.lease_timing import LeaseTiming
+from zincladder.consensus.model import Entry, EntryKind, Snapshot
+from zincladder.consensus.raft import BusyError, NotLeaderError, Role
 from zincladder.policy import change_log
 from zincladder.policy.change_states import propose_change
 from zincladder.policy.coordinator import ChangeCoordinator
@@ -27,7 +27,13 @@
 )
 from zincladder.policy.participant import ChangeParticipant
 
-TERMS = Terms(lease=2.5, renew=0.5, drift=0.1, check=1.0, clear=0.4)
+TERMS = LeaseTiming(
+    lease_seconds=2.5,
+    renew_seconds=0.5,
+    clock_drift=0.1,
+    check_timeout_seconds=1.0,
+    release_timeout_seconds=0.4,
+)
 
 
 @dataclass
@@ -36,7 +42,7 @@
 
     number: int
     front: str
-    keeper: str
+    replica: str
     life: int  # the keeper's
     up: bool = True
     free: dict[str, float] = field(default_factory=lambda: {"to": 0.0, "back": 0.0})
@@ -60,9 +66,9 @@
 class FleetWorld(World):
     """A group of keepers with fronts; the judge looks after every event."""
 
-    def __init__(self, seed: int, voters: int = 3, fronts: int = 4, terms: Terms = TERMS) -> None:
+    def __init__(self, seed: int, voters: int = 3, fronts: int = 4, terms: LeaseTiming = TERMS) -> None:
         self.terms = terms
-        self.registers: dict[str, Registers] = {}
+        self.registers: dict[str, KeyValueState] = {}
         self.coordinators: dict[str, ChangeCoordinator] = {}
         self.inbox: dict[str, deque[tuple[int, Line, FromParticipant | None]]] = {}
         self.read_at: dict[str, int] = {}
@@ -78,7 +84,7 @@
         super().__init__(seed, voters)
         self.figures |= {"held": 0, "withdrawn": 0, "grants": 0, "served": 0, "asked": 0, "retreats": 0}
         for n in range(fronts):
-            drift = terms.drift
+            drift = terms.clock_drift
             rate = self.random.choice((1 - drift, 1.0, 1 + drift))
             front = self.fronts[f"f{n}"] = Front(f"f{n}", rate, self.random.uniform(0, 100))
             self.begin(front)
@@ -142,7 +148,7 @@
                 front.participant.link(False, self.front_clock(front))
 
     def _keeper_lost(self, line: Line) -> None:
-        process, coordinator = self.processes[line.keeper], self.coordinators.get(line.keeper)
+        process, coordinator = self.processes[line.replica], self.coordinators.get(line.replica)
         if coordinator is not None and process.member is not None and process.lives == line.life:
             coordinator.unlinked(line.number, self.clock(process))
             if not process.asleep:
@@ -172,9 +178,9 @@
         """In order, as a connection does; what is under way when it breaks may still come."""
         if way in self.alone.get(line.front, ()):
             return None  # nobody learns of it
-        if (line.front, line.keeper) in self.cut and way == "to":
+        if (line.front, line.replica) in self.cut and way == "to":
             return self.break_line(line)
-        if (line.keeper, line.front) in self.cut and way == "back":
+        if (line.replica, line.front) in self.cut and way == "back":
             return self.break_line(line)
         at = max(
             line.free[way], self.now + self.random.choice((0.01, 0.02, 0.05, 0.3, 1.0 if self.loss else 0.05))
@@ -187,7 +193,7 @@
         return None
 
     def _to_keeper(self, line: Line, message: FromParticipant) -> None:
-        process = self.processes[line.keeper]
+        process = self.processes[line.replica]
         if process.member is None or process.lives != line.life:
             return
         if process.asleep:
@@ -201,7 +207,7 @@
         ticket = next(self._tickets)
         try:
             process.member.read(ticket)
-        except (Busy, NotLeader):
+        except (BusyError, NotLeaderError):
             self.break_line(line)
             return
         self.inbox.setdefault(process.name, deque()).append((ticket, line, message))
@@ -222,7 +228,7 @@
 
     def restore(self, process: Process, snapshot: Snapshot) -> None:
         process.index = snapshot.index
-        self.registers[process.name] = Registers(snapshot.state)
+        self.registers[process.name] = KeyValueState(snapshot.state)
 
     def dump(self, process: Process) -> bytes:
         return self.registers[process.name].dump()
@@ -232,7 +238,7 @@
         self.coordinators.pop(process.name, None)
         self.inbox.pop(process.name, None)
         for front in self.fronts.values():
-            if front.line and front.line.keeper == process.name:
+            if front.line and front.line.replica == process.name:
                 self.break_line(front.line)
 
     def apply(self, process: Process, entry: Entry) -> None:
@@ -240,12 +246,12 @@
         first = self.log.setdefault(process.index, entry)
         if first != entry:
             raise Broken(f"{process.name} applies another entry at {process.index}")
-        if entry.kind is Kind.DATA:
+        if entry.kind is EntryKind.DATA:
             self.registers[process.name].apply(process.index, entry.data)
             registers = self.registers[process.name]
             found = registers.get(POLICY_KEY)
             if found is not None and found.version == process.index:
-                self.judge_record(change_log.read(registers.under("")))
+                self.judge_record(change_log.read(registers.with_prefix("")))
 
     def settle(self, process: Process) -> None:
         super().settle(process)
@@ -266,7 +272,7 @@
                 coordinator.heard(line.number, message, self.clock(process))
 
     def learn(self, process: Process, coordinator: ChangeCoordinator) -> None:
-        found = change_log.read(self.registers[process.name].under(""))
+        found = change_log.read(self.registers[process.name].with_prefix(""))
         if self.read_at.get(process.name) != process.index:
             self.read_at[process.name] = process.index
             coordinator.record_read(
@@ -283,7 +289,7 @@
                 del self.coordinators[process.name]
                 self.inbox.pop(process.name, None)
                 for front in self.fronts.values():
-                    if front.line and front.line.keeper == process.name:
+                    if front.line and front.line.replica == process.name:
                         self.break_line(front.line)
             return
         if coordinator is None or coordinator.term != member.term:
@@ -323,11 +329,11 @@
         if swaps:
             self.settle(process)
 
-    def put(self, process: Process, swap: Swap) -> None:
+    def put(self, process: Process, swap: CompareAndSwap) -> None:
         assert process.member is not None
         try:
             process.member.propose(change_log.encode(swap))
-        except (Busy, NotLeader):
+        except (BusyError, NotLeaderError):
             return
 
     def _wake(self, process: Process, life: int) -> None:
@@ -343,7 +349,7 @@
         process = self.leader()
         if process is None or process.member is None:
             return
-        found = change_log.read(self.registers[process.name].under(""))  # perhaps an old one
+        found = change_log.read(self.registers[process.name].with_prefix(""))  # perhaps an old one
         data = b"policy %d" % next(self.proposals)
         if self.random.random() < 0.2:
             self.random.choice(list(self.fronts.values())).against.add(document_id(data))
@@ -375,8 +381,8 @@
             self.alone[front.name] = r.choice(({"to"}, {"back"}, {"to", "back"}))
             self.at(r.uniform(1, 9), lambda: self.reached(front))
         elif kind == 3:
-            keeper = r.choice(sorted(self.processes))
-            self.cut.add(r.choice(((front.name, keeper), (keeper, front.name))))
+            replica = r.choice(sorted(self.processes))
+            self.cut.add(r.choice(((front.name, replica), (replica, front.name))))
 
     def reached(self, front: Front) -> None:
         self.alone.pop(front.name, None)
@@ -428,7 +434,7 @@
             self.decided[change.version] = change.document
             names = {n for n, d in self.said_yes if d == change.document}
             expected = self.expected.get(change.version, 0)
-            if expected and len(names) <= self.terms.least * expected:
+            if expected and len(names) <= self.terms.min_agreeing_share * expected:
                 raise Broken(f"version {change.version} was decided with {len(names)} of {expected}")
         for past in record.log:
             if past.version in self.decided and past.outcome is ChangeOutcome.WITHDRAWN:
@@ -449,7 +455,7 @@
             leader = self.leader()
             if leader is None:
                 continue
-            record = change_log.read(self.registers[leader.name].under("")).record
+            record = change_log.read(self.registers[leader.name].with_prefix("")).record
             versions = {
                 f.participant.serving_version(self.front_clock(f)) if f.participant else 0
                 for f in self.fronts.values()
--- a/tests/tasks/test_golden_bytes.py
+++ b/tests/tasks/test_golden_bytes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.support.encodings import assert_same_bytes, fixtures
-from zincladder.agreement.registers import Swap
+from zincladder.consensus.key_value_state import CompareAndSwap
 from zincladder.export import fleet_metrics
 from zincladder.leases.model import NotLeaderReply
 from zincladder.tasks import model
@@ -55,7 +55,7 @@
 SWAPS = {
     "checkpoint": write_checkpoint("figures", 41, 40, b"progress"),
     "checkpoint-first": write_checkpoint("figures", 3, 0, b""),
-    "owner": Swap(model.task_key("figures"), 40, msgspec.msgpack.encode(REGISTERS["owned"])),
+    "owner": CompareAndSwap(model.task_key("figures"), 40, msgspec.msgpack.encode(REGISTERS["owned"])),
 }
 
 
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("name", SWAPS)
 def test_writes_of_registers(name: str) -> None:
-    assert_same_bytes(fixtures("task_swaps.txt")[name], SWAPS[name], Swap)
+    assert_same_bytes(fixtures("task_swaps.txt")[name], SWAPS[name], CompareAndSwap)
 
 
 @pytest.mark.parametrize("name", TOTALS)
--- a/tests/test_configuration_reading.py
+++ b/tests/test_configuration_reading.py
@@ -25,8 +25,8 @@
     parse_settings,
 )
 from zincladder.config.check import config_faults, operator_faults
-from zincladder.config.keeper import keeper_of
 from zincladder.config.operator import parse_operator
+from zincladder.config.replica import parse_replica_config
 
 ROOT = Path(__file__).resolve().parent.parent
 NAMES = Names(("video", "page", "booking"), (), ())
@@ -155,7 +155,8 @@
         "operator's": positional(parse_operator(OPERATOR, NAMES)),
         "operator's, none": positional(parse_operator({}, NAMES)),
         "replica's": [
-            str(v) if isinstance(v, Path) else positional(_plain(v)) for v in _values(keeper_of(REPLICA))
+            str(v) if isinstance(v, Path) else positional(_plain(v))
+            for v in _values(parse_replica_config(REPLICA))
         ],
     }
     assert full.raw == {key: value for key, value in FULL.items() if key != "known"}
@@ -205,7 +206,7 @@
 
 
 def test_texts_on_faults_of_a_replicas_file() -> None:
-    found = faults(keeper_of, REPLICA)
+    found = faults(parse_replica_config, REPLICA)
     members = {f"r{n}": f"127.0.0.1:{n}" for n in range(1, 5)}
     more: list[dict[str, Any]] = [
         REPLICA | {"lease": {"seconds": 2.0, "renew_s": 1.0}},
@@ -215,7 +216,7 @@
         REPLICA | {"keeper": REPLICA["keeper"] | {"election_ms": 60.0}},
         REPLICA | {"table": {}},
     ]
-    found["more"] = [said(keeper_of, data) for data in more]
+    found["more"] = [said(parse_replica_config, data) for data in more]
     assert_matches("configuration/replica_faults.json", found)
 
 
--- a/zincladder/cli/__init__.py
+++ b/zincladder/cli/__init__.py
@@ -11,8 +11,8 @@
 import click
 
 from zincladder.cli.admission import admission
-from zincladder.cli.keep import keep, keepers
 from zincladder.cli.policy import policy
+from zincladder.cli.replica import replica, replicas
 from zincladder.cli.status import ready, stats
 from zincladder.cli.tasks import tasks
 
@@ -68,8 +68,14 @@
     return all_valid
 
 
-for command in (admission, keep, keepers, policy, ready, stats, tasks):
+def _hidden_alias(command: click.Command, name: str) -> click.Command:
+    """The same command under an earlier name, which the help does not list."""
+    alias = copy.copy(command)
+    alias.name, alias.hidden = name, True
+    return alias
+
+
+for command in (admission, policy, ready, replica, replicas, stats, tasks):
     main.add_command(command)
-former_tasks = copy.copy(tasks)  # the command's former name, which scripts may still use
-former_tasks.hidden = True
-main.add_command(former_tasks, "duties")
+for command, earlier_name in ((replica, "keep"), (replicas, "keepers"), (tasks, "duties")):
+    main.add_command(_hidden_alias(command, earlier_name))
--- a/zincladder/tasks/host.py
+++ b/zincladder/tasks/host.py
@@ -13,12 +13,12 @@
 import msgspec
 import structlog
 
-from zincladder.agreement import calls
-from zincladder.agreement.host import Keeper, Undecided
-from zincladder.agreement.leading import AGAIN
-from zincladder.agreement.member import Busy, NotLeader
-from zincladder.agreement.registers import Registers, Swap, Swapped
-from zincladder.agreement.terms import Terms
+from zincladder.consensus import rpc
+from zincladder.consensus.key_value_state import CompareAndSwap, KeyValueState, Swapped
+from zincladder.consensus.leader_services import RETRY_SECONDS
+from zincladder.consensus.lease_timing import LeaseTiming
+from zincladder.consensus.raft import BusyError, NotLeaderError
+from zincladder.consensus.server import CommitUnknownError, ReplicaServer
 from zincladder.leases.service import LeaseService
 from zincladder.links.clocks import boottime
 from zincladder.tasks.counter_sums import CounterSums
@@ -35,18 +35,18 @@
 log = structlog.get_logger()
 
 
-def read_assignments(registers: Registers) -> dict[str, tuple[TaskAssignment, int]]:
+def read_assignments(registers: KeyValueState) -> dict[str, tuple[TaskAssignment, int]]:
     """Each task's assignment with the version of its register, which is the lease holder's token."""
     return {
         key.removeprefix(TASK_PREFIX): (
             msgspec.msgpack.decode(value.data, type=TaskAssignment),
             value.version,
         )
-        for key, value in registers.under(TASK_PREFIX).items()
+        for key, value in registers.with_prefix(TASK_PREFIX).items()
     }
 
 
-def rejection_reason(swap: Swap) -> str:
+def rejection_reason(swap: CompareAndSwap) -> str:
     """Why a caller's write can't be accepted; empty if it can.
 
     Guards the rule of one lease holder: the leader alone assigns tasks, and only a lease holder stores a
@@ -70,44 +70,48 @@
     role = "worker"
     messages = FromRunner
 
-    def __init__(self, keeper: Keeper, terms: Terms, clock: Callable[[], float] = boottime) -> None:
-        super().__init__(keeper, terms, clock)
+    def __init__(
+        self, replica: ReplicaServer, terms: LeaseTiming, clock: Callable[[], float] = boottime
+    ) -> None:
+        super().__init__(replica, terms, clock)
         self.sums = CounterSums()
         self._reporters: dict[int, tuple[str, str]] = {}  # names and processes, by the number of the link
-        keeper.faults.append(rejection_reason)
-        keeper.collect = self.collect
+        replica.swap_validators.append(rejection_reason)
+        replica.collect_counters = self.collect
 
-    def begin(self, since: float, term: int) -> LeaseManager:
+    def begin_term(self, since: float, term: int) -> LeaseManager:
         """The lease manager of a new term."""
         self.sums = CounterSums()
         return LeaseManager(self.terms, since, term)
 
-    def learn(self, part: LeaseManager) -> None:
+    def state_changed(self, term_state: LeaseManager) -> None:
         """Tells the lease manager what the registers hold."""
-        part.assignments_read(read_assignments(self.keeper.registers), self.clock())
+        term_state.assignments_read(read_assignments(self.replica.state), self.clock())
 
     def begin_writes(
-        self, actions: LeaseManagerActions, part: LeaseManager, tasks: anyio.abc.TaskGroup
+        self, actions: LeaseManagerActions, term_state: LeaseManager, tasks: anyio.abc.TaskGroup
     ) -> None:
         """Begins the lease manager's writes."""
         for write in actions.writes:
-            tasks.start_soon(self._write, write, part)
+            tasks.start_soon(self._write, write, term_state)
 
-    async def _write(self, write: AssignmentWrite, part: LeaseManager) -> None:
+    async def _write(self, write: AssignmentWrite, term_state: LeaseManager) -> None:
         # The time of day, which the lease manager doesn't know.
         assignment = msgspec.structs.replace(write.assignment, changed_at=time.time())
-        swap = Swap(task_key(write.task), write.expected_version, msgspec.msgpack.encode(assignment))
+        swap = CompareAndSwap(
+            task_key(write.task), write.expected_version, msgspec.msgpack.encode(assignment)
+        )
         undecided = False
-        while self.part is part:
+        while self.term_state is term_state:
             try:
-                result = await self.keeper.swap(swap)
-            except Undecided:
+                result = await self.replica.compare_and_swap(swap)
+            except CommitUnknownError:
                 undecided = (
                     True  # the log keeps their order: the outcome of the next attempt tells of this one
                 )
                 continue
-            except (NotLeader, Busy):
-                await anyio.sleep(AGAIN)
+            except (NotLeaderError, BusyError):
+                await anyio.sleep(RETRY_SECONDS)
                 if undecided:
                     continue
             else:
@@ -118,60 +122,62 @@
                         lease_holder=assignment.lease_holder,
                         vacancy_reason=assignment.vacancy_reason,
                     )
-            self.learns(part)
-            part.write_ended(write.task, self.clock())
+            self.refresh(term_state)
+            term_state.write_ended(write.task, self.clock())
             break
         self.wake()
 
-    def hears(self, number: int, message: FromRunner) -> None:
+    def message_received(self, number: int, message: FromRunner) -> None:
         """Adds up reported counters."""
-        part = self.part
-        if isinstance(message, ReportCounters) and part is not None and number in part.runners:
-            runner = part.runners[number]
+        term_state = self.term_state
+        if isinstance(message, ReportCounters) and term_state is not None and number in term_state.runners:
+            runner = term_state.runners[number]
             self._reporters[number] = (runner.name, runner.process)
             self.sums.reported(runner.name, runner.process, message.counters)
 
-    def gone(self, number: int) -> None:
+    def link_closed(self, number: int) -> None:
         """A link has ended."""
         if number in self._reporters:
             self.sums.forget(*self._reporters.pop(number))
 
-    def collect(self) -> calls.Collected:
+    def collect(self) -> rpc.CollectedCounters:
         """The sums of this leader's term, which begin at 0. Raises Busy before the term has begun here."""
-        if self.part is None:  # what was summed in an earlier term would be counted twice
-            raise Busy("this keeper has only just begun to lead")
-        return calls.Collected(f"{self.keeper.config.name}/{self.part.term}", dict(self.sums.totals))
+        if self.term_state is None:  # what was summed in an earlier term would be counted twice
+            raise BusyError("this keeper has only just begun to lead")
+        return rpc.CollectedCounters(
+            f"{self.replica.config.name}/{self.term_state.term}", dict(self.sums.totals)
+        )
 
     # Questions ------------------------------------------------------------------------------------
 
     def figures(self) -> dict[str, float]:
         """The leader's metrics; empty elsewhere."""
-        part = self.part
-        if part is None:
+        term_state = self.term_state
+        if term_state is None:
             return {}
-        assignments = [assignment for assignment, _ in part.assignments.values()]
+        assignments = [assignment for assignment, _ in term_state.assignments.values()]
         assigned = [a for a in assignments if a.lease_holder]
         vacant = [a for a in assignments if not a.lease_holder and not a.paused]
         return {
-            "workers": float(len(part.runners)),
+            "workers": float(len(term_state.runners)),
             "duties": float(len(assigned)),
             "orphans": float(len(vacant)),
         }
 
     def progress(self) -> dict[str, object]:
         """What `tasks status` shows of the leader's view; empty where this replica doesn't lead."""
-        part, now = self.part, self.clock()
-        if part is None:
+        term_state, now = self.term_state, self.clock()
+        if term_state is None:
             return {}
         tasks = {
             task: {
                 "owner": assignment.lease_holder,
                 "token": token,
-                "lease_s": round(max(0.0, part.free_at(task) - now), 2),
-                "linked": bool(part.holder_link(task)),
+                "lease_s": round(max(0.0, term_state.free_at(task) - now), 2),
+                "linked": bool(term_state.holder_link(task)),
                 "paused": assignment.paused,
                 "left": assignment.vacancy_reason,
             }
-            for task, (assignment, token) in part.assignments.items()
+            for task, (assignment, token) in term_state.assignments.items()
         }
-        return {"duties": tasks, "workers": sorted({runner.name for runner in part.runners.values()})}
+        return {"duties": tasks, "workers": sorted({runner.name for runner in term_state.runners.values()})}
--- a/zincladder/tasks/lease_manager.py
+++ b/zincladder/tasks/lease_manager.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from zincladder.agreement.terms import Terms
+from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.tasks.model import (
     MAX_NAME_LENGTH,
     MAX_RUNNERS,
@@ -71,13 +71,13 @@
 class LeaseManager:
     """Decides for one leader in one term."""
 
-    def __init__(self, terms: Terms, now: float, term: int = 0) -> None:
+    def __init__(self, terms: LeaseTiming, now: float, term: int = 0) -> None:
         self.terms, self.term = terms, term
         self.runners: dict[int, LinkedRunner] = {}  # by the number of the link
         self.assignments: dict[str, tuple[TaskAssignment, int]] = {}  # by task, with the token
         self.known = False  # whether the registers have been read in this term
         self.leases: dict[str, TaskLease] = {}  # of the present or the last lease holder, by task
-        self._former_leases_expire_at = now + terms.waited  # what a predecessor may have granted
+        self._former_leases_expire_at = now + terms.expiry_seconds  # what a predecessor may have granted
         self._announced: dict[str, Announcement] = {}  # by task
         self._pending_writes: set[str] = set()  # tasks
         self._last_advanced_at = now
@@ -102,7 +102,7 @@
     def next_at(self) -> float:
         """When `tick` is due."""
         moments = [self.free_at(task) for task in self._tasks() if task not in self._pending_writes]
-        moments += [announced.sent_at + self.terms.renew for announced in self._announced.values()]
+        moments += [announced.sent_at + self.terms.renew_seconds for announced in self._announced.values()]
         return min((moment for moment in moments if moment > self._last_advanced_at), default=math.inf)
 
     def holder_link(self, task: str) -> int:
@@ -123,7 +123,7 @@
                 if runner.holds(before):  # moved or paused by a command, or its lease has expired
                     self._send(number, Revoke(task, token_before))
             if assignment.lease_holder:
-                self.leases[task] = TaskLease(token, now + self.terms.waited)
+                self.leases[task] = TaskLease(token, now + self.terms.expiry_seconds)
         self.assignments, self.known = dict(assignments), True
         self._advance(now)
 
@@ -182,10 +182,12 @@
             assignment, current_token = self.assignment(task)
             valid = runner.holds(assignment) and token == current_token
             if valid and task not in self._pending_writes:
-                expires_at = max(self.free_at(task), now + self.terms.waited)
+                expires_at = max(self.free_at(task), now + self.terms.expiry_seconds)
                 self.leases[task] = TaskLease(token, expires_at)
                 granted.append((task, token))
-        lease = LeaseGranted(request.serial, tuple(granted), self.terms.owned, self.terms.renew)
+        lease = LeaseGranted(
+            request.serial, tuple(granted), self.terms.holder_seconds, self.terms.renew_seconds
+        )
         self._send(number, lease)
 
     def _released(self, runner: LinkedRunner, task: str, token: int, now: float) -> None:
@@ -231,7 +233,7 @@
             return
         announced = self._announced.get(task, Announcement(0, 0, 0.0))
         is_new = (announced.token, announced.link) != (token, number)
-        is_due = announced.sent_at + self.terms.renew <= now
+        is_due = announced.sent_at + self.terms.renew_seconds <= now
         if is_new or (is_due and now >= self.free_at(task)):
             self._send(number, Assigned(task, token))
         if is_new or is_due:
