--- a/tests/policy/test_golden_bytes.py
+++ b/tests/policy/test_golden_bytes.py
@@ -8,8 +8,8 @@
 import pytest
 
 from tests.support.encodings import assert_same_bytes, fixtures
-from zincladder.agreement.registers import Swap
-from zincladder.agreement.terms import TERMS, Terms
+from zincladder.consensus.key_value_state import CompareAndSwap
+from zincladder.consensus.lease_timing import LEASE_TIMING_KEY, LeaseTiming
 from zincladder.leases.model import NotLeaderReply
 from zincladder.policy import change_log, model
 from zincladder.policy.model import (
@@ -72,8 +72,8 @@
     "expected-front": change_log.write_expected_front("f1"),
 }
 LEASE_TERMS = {
-    "standard": Terms(),
-    "given": Terms(2.5, 0.5, 0.1, 1.0, 0.4, 0.6, 12.0, 0.3),
+    "standard": LeaseTiming(),
+    "given": LeaseTiming(2.5, 0.5, 0.1, 1.0, 0.4, 0.6, 12.0, 0.3),
 }
 
 
@@ -94,12 +94,12 @@
 
 @pytest.mark.parametrize("name", SWAPS)
 def test_writes_of_registers(name: str) -> None:
-    assert_same_bytes(fixtures("policy_swaps.txt")[name], SWAPS[name], Swap)
+    assert_same_bytes(fixtures("policy_swaps.txt")[name], SWAPS[name], CompareAndSwap)
 
 
 @pytest.mark.parametrize("name", LEASE_TERMS)
 def test_values_of_the_terms_register(name: str) -> None:
-    assert_same_bytes(fixtures("lease_terms.txt")[name], LEASE_TERMS[name], Terms)
+    assert_same_bytes(fixtures("lease_terms.txt")[name], LEASE_TERMS[name], LeaseTiming)
 
 
 def test_each_fixture_is_checked_and_each_message_has_one() -> None:
@@ -117,7 +117,7 @@
 
 
 def test_keys_of_registers_and_stored_words() -> None:
-    assert (model.POLICY_KEY, model.DOCUMENT_PREFIX, model.EXPECTED_FRONT_PREFIX, TERMS) == (
+    assert (model.POLICY_KEY, model.DOCUMENT_PREFIX, model.EXPECTED_FRONT_PREFIX, LEASE_TIMING_KEY) == (
         "policy",
         "document/",
         "front/",
--- a/tests/support/task_states.py
+++ b/tests/support/task_states.py
@@ -11,15 +11,15 @@
 from functools import partial
 from typing import Any
 
-from tests.simulated import Broken
+from tests.support.raft_simulation import Broken
 from tests.support.state_space import Event, ProcessState, Scope, StateSpace
-from zincladder.agreement.terms import Terms
+from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.tasks.fence import Fence
 from zincladder.tasks.lease_holder import LeaseHolder
 from zincladder.tasks.lease_manager import AssignmentWrite, LeaseManager
 from zincladder.tasks.model import TaskAssignment
 
-TERMS = Terms(lease=3.0, renew=2.0, drift=0.0, act=0.0)
+TERMS = LeaseTiming(lease_seconds=3.0, renew_seconds=2.0, clock_drift=0.0, max_action_seconds=0.0)
 TASK = "figures"
 
 
--- a/tests/tasks/test_counter_sums.py
+++ b/tests/tasks/test_counter_sums.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from zincladder.agreement.registers import MOST_VALUE
+from zincladder.consensus.key_value_state import MAX_VALUE_BYTES
 from zincladder.tasks.counter_sums import (
     MAX_COUNTERS_PER_PROCESS,
     MAX_PROCESSES,
@@ -52,7 +52,7 @@
         ]
         sums.reported("x", "p", {name: 1e6 * turn + i for i, name in enumerate(names)})
     totals = FleetTotals().advanced("k1/7", sums.totals, 1)
-    assert len(totals.totals) == 2000 and len(encode_totals(totals)) < MOST_VALUE // 2
+    assert len(totals.totals) == 2000 and len(encode_totals(totals)) < MAX_VALUE_BYTES // 2
     assert decode_totals(encode_totals(totals)) == totals and decode_totals(b"") == FleetTotals()
     for process in range(2 * MAX_PROCESSES):
         sums.reported(
--- a/tests/tasks/test_lease_manager.py
+++ b/tests/tasks/test_lease_manager.py
@@ -55,11 +55,11 @@
 def test_a_silent_holder_with_its_link_up_loses_its_task_when_its_lease_expires() -> None:
     leader = Leader("x", "y")
     first = leader.holder()
-    leader.settle(TERMS.waited - 0.1)
+    leader.settle(TERMS.expiry_seconds - 0.1)
     assert leader.holder() == first
     leader.settle(0.2)
     assert leader.holder() != first and leader.holder()
-    leader.settle(TERMS.waited + 0.1)  # the other is silent too: never to nobody
+    leader.settle(TERMS.expiry_seconds + 0.1)  # the other is silent too: never to nobody
     assert leader.holder() == first
 
 
@@ -67,19 +67,23 @@
     # Guards against two holders: any other entry of the log once ended the wait for this one.
     leader = Leader("x", "y")
     number, token = leader.lease_manager.holder_link("a"), leader.registers["a"][1]
-    leader.now += TERMS.waited + 0.1
+    leader.now += TERMS.expiry_seconds + 0.1
     leader.lease_manager.tick(leader.now)
     (write,) = leader.lease_manager.take_actions().writes
     leader.lease_manager.assignments_read(leader.registers, leader.now)  # of something else
     leader.lease_manager.heard(number, RenewLease(1, (("a", token),)), leader.now)
     actions = leader.lease_manager.take_actions()
     assert not actions.writes
-    assert [message for _, message in actions.messages] == [LeaseGranted(1, (), TERMS.owned, TERMS.renew)]
+    assert [message for _, message in actions.messages] == [
+        LeaseGranted(1, (), TERMS.holder_seconds, TERMS.renew_seconds)
+    ]
     leader.registers["a"] = (write.assignment, token + 1)
     leader.lease_manager.assignments_read(leader.registers, leader.now)
     leader.lease_manager.write_ended("a", leader.now)
     leader.hears(3 - number, RenewLease(1, (("a", token + 1),)))
-    assert leader.messages[-1][1] == LeaseGranted(1, (("a", token + 1),), TERMS.owned, TERMS.renew)
+    assert leader.messages[-1][1] == LeaseGranted(
+        1, (("a", token + 1),), TERMS.holder_seconds, TERMS.renew_seconds
+    )
 
 
 def test_the_only_runner_keeps_its_task_however_long_it_is_silent() -> None:
@@ -88,7 +92,9 @@
     leader.settle(100.0)
     assert (leader.holder(), leader.registers["a"][1]) == ("x", token)
     leader.hears(1, RenewLease(1, (("a", token),)))
-    assert LeaseGranted(1, (("a", token),), TERMS.owned, TERMS.renew) in [m for _, m in leader.messages]
+    assert LeaseGranted(1, (("a", token),), TERMS.holder_seconds, TERMS.renew_seconds) in [
+        m for _, m in leader.messages
+    ]
 
 
 def test_a_lost_holder_is_waited_for_and_one_that_released_is_not() -> None:
@@ -97,7 +103,7 @@
     number = leader.lease_manager.holder_link("a")
     leader.hears(number, RenewLease(1, (("a", leader.registers["a"][1]),)))
     leader.lease_manager.unlinked(number, leader.now)
-    leader.settle(TERMS.waited - 0.1)
+    leader.settle(TERMS.expiry_seconds - 0.1)
     assert leader.holder() == first
     leader.settle(0.2)
     second = leader.holder()
@@ -119,7 +125,7 @@
     for name in ("a", "b", "c"):
         lease_manager.heard(1, ReleaseLease(name, 0), 100.0)
     assert not lease_manager.leases and not lease_manager.take_actions().writes
-    lease_manager.tick(100.0 + TERMS.waited)
+    lease_manager.tick(100.0 + TERMS.expiry_seconds)
     assert lease_manager.take_actions().writes
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -5,7 +5,7 @@
 import ast
 from pathlib import Path
 
-from zincladder.agreement import host
+from zincladder.consensus import server
 from zincladder.policy import coordinator
 from zincladder.tasks import counter_sums
 from zincladder.tasks import model as tasks
@@ -36,11 +36,21 @@
             "zincladder.routing.router",
             "zincladder.routing.retry",
             "zincladder.routing.purges",
+            "zincladder.core.answers",
             "zincladder.core.arrival",
             "zincladder.core.attempt",
-            "zincladder.core.classes",
-            "zincladder.core.ends",
+            "zincladder.core.attempt_end",
+            "zincladder.core.attempt_guard",
+            "zincladder.core.clock",
+            "zincladder.core.direct_routing",
+            "zincladder.core.endpoint_list",
+            "zincladder.core.health_checks",
+            "zincladder.core.loop_monitor",
+            "zincladder.core.request_classes",
+            "zincladder.core.request_context",
+            "zincladder.core.router_events",
             "zincladder.core.statistics",
+            "zincladder.core.timers",
             "zincladder.discovery.freshness",
             "zincladder.support.rate_limited_log",
         }
@@ -54,8 +64,8 @@
 
 
 def test_no_cap_on_fronts_or_servers_is_under_1024() -> None:
-    caps = (host.MOST_LINKS, counter_sums.MAX_PROCESSES, coordinator.MAX_FRONTS, tasks.MAX_RUNNERS)
-    assert min(caps) >= 1024 and host.MOST_LINKS >= 2 * coordinator.MAX_FRONTS
+    caps = (server.MAX_LINKS, counter_sums.MAX_PROCESSES, coordinator.MAX_FRONTS, tasks.MAX_RUNNERS)
+    assert min(caps) >= 1024 and server.MAX_LINKS >= 2 * coordinator.MAX_FRONTS
 
 
 def test_the_sums_take_what_1500_fronts_tell() -> None:
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -25,25 +25,26 @@
 from zincladder.admission.ledger import PLAIN, SHARED, Ledger
 from zincladder.admission.model import Act, Lane, Limits, Why
 from zincladder.admission.plain import Plain
-from zincladder.agreement.host import Keeper
-from zincladder.agreement.model import Members
-from zincladder.agreement.store import Store
-from zincladder.agreement.terms import Terms
 from zincladder.cli import main
 from zincladder.config import Config, DutiesConfig, PolicyConfig, parse_config
-from zincladder.config.keeper import KeeperTable, LeaseTable, keeper_of
-from zincladder.config.operator import TABLES, RemoteWriteTable
+from zincladder.config.operator_tables import TABLES, RemoteWriteTable
+from zincladder.config.replica import LeaseTable, ReplicaTable, parse_replica_config
+from zincladder.consensus.lease_timing import LeaseTiming
+from zincladder.consensus.model import Membership
+from zincladder.consensus.server import ReplicaServer
+from zincladder.consensus.store import ReplicaStore
 from zincladder.control.readiness import Readiness
 from zincladder.control.statistics import front_statistics
 from zincladder.control.status_calls import StatusCalls
+from zincladder.core.answers import AnswerKind
 from zincladder.core.attempt import AbortReason
-from zincladder.core.classes import Classes
-from zincladder.core.ends import EndReason
+from zincladder.core.attempt_end import EndReason
 from zincladder.core.engine import Core
+from zincladder.core.request_classes import RequestClasses
 from zincladder.metrics import registry as front_metrics
-from zincladder.metrics.keeper import NAMES as NAMES_OF_A_REPLICA
-from zincladder.metrics.keeper import KeeperRegistry
 from zincladder.metrics.registry import Registry, Sample
+from zincladder.metrics.replica import NAMES as NAMES_OF_A_REPLICA
+from zincladder.metrics.replica import ReplicaRegistry
 from zincladder.policy.front import FleetPolicy, PolicyHooks
 from zincladder.policy.host import PolicyLeaderService
 from zincladder.routing import interface as api
@@ -65,23 +66,23 @@
 
 def counting_core() -> Core:
     """A core in which everything that it counts has happened once."""
-    core = Core(settings(), 1, None, classes=Classes(("video", "page"), settings().classes))  # type: ignore[arg-type]
-    core.listed(api.UpdateKind.FULL, 1, FLEET)
-    core.statistics.keep_classes(("video", "page"), ())
+    core = Core(settings(), 1, None, classes=RequestClasses(("video", "page"), settings().classes))  # type: ignore[arg-type]
+    core.update_endpoints(api.UpdateKind.FULL, 1, FLEET)
+    core.statistics.retain_classes(("video", "page"), ())
     member = FLEET[0].id
     for end in EndReason:
-        core.counts["attempts", end.name.lower()] += 1
-        core.counts["probes", end.name.lower()] += 1
-        core.counts["client_ends", end.name.lower()] += 1
-        core.statistics.ended(member, end)
-        core.statistics.probed(member, end, 0.5, (1.0,), 1.0)
+        core.counts["attempts", end.value] += 1
+        core.counts["probes", end.value] += 1
+        core.counts["client_ends", end.value] += 1
+        core.statistics.record_ended(member, end)
+        core.statistics.record_health_check(member, end, 0.5, (1.0,), 1.0)
     for reason in AbortReason:
-        core.counts["held_back", reason.name.lower()] += 1
+        core.counts["held_back", reason.value] += 1
     for group in sorted(front_metrics.COUNTERS):
         core.counts[group, "one"] += 1
-    for kind in ("served", "refused", "failed"):
-        core.statistics.answered("page", kind)
-    core.statistics.asked(member, 2.0, "page")
+    for kind in AnswerKind:
+        core.statistics.record_answer("page", kind.value)
+    core.statistics.record_started(member, 2.0, "page")
     return core
 
 
@@ -112,14 +113,14 @@
 async def test_names_and_labels_of_a_replicas_metrics(tmp_path: Path) -> None:
     table = {"group": "g", "name": "r1", "listen": "127.0.0.1:0", "directory": str(tmp_path / "r1")}
     timing = {"heartbeat_ms": 12, "election_ms": 50}
-    config = keeper_of({"keeper": table | timing | {"members": {"r1": "127.0.0.1:1"}}})
-    store = Store(config.directory, config.group, config.name, Members(config.founders))
-    replica = Keeper(config, store)
+    config = parse_replica_config({"keeper": table | timing | {"members": {"r1": "127.0.0.1:1"}}})
+    store = ReplicaStore(config.directory, config.group, config.name, Membership(config.founders))
+    replica = ReplicaServer(config, store)
     lease = config.lease
-    terms = Terms(lease.seconds, lease.renew_s, lease.drift, lease.check_s, lease.clear_s, lease.least,
+    terms = LeaseTiming(lease.seconds, lease.renew_s, lease.drift, lease.check_s, lease.clear_s, lease.least,
                   lease.patient_s, lease.act_s)  # fmt: skip
     coordinating, assigning = PolicyLeaderService(replica, terms), TaskLeaderService(replica, terms)
-    registry = KeeperRegistry(replica, coordinating, assigning)
+    registry = ReplicaRegistry(replica, coordinating, assigning)
     found = {"follows": series(registry.samples())}
     async with anyio.create_task_group() as tasks:
         await tasks.start(replica.run)
@@ -214,9 +215,9 @@
     "admission", "admission top", "admission --socket /nowhere top",
     "admission --socket /nowhere top --most 0",
     "admission --socket /nowhere show x", "admission --socket /nowhere block x", "admission block",
-    "admission --socket /nowhere unblock x", "admission --socket /nowhere trust x", "keep",
-    "keepers", "keepers status", "duties", "duties status", "tasks", "tasks status", "policy",
-    "policy status", "policy show", "policy set /nowhere",
+    "admission --socket /nowhere unblock x", "admission --socket /nowhere trust x", "keep", "replica",
+    "keepers", "keepers status", "replicas", "replicas status", "duties", "duties status", "tasks",
+    "tasks status", "policy", "policy status", "policy show", "policy set /nowhere",
 )  # fmt: skip
 
 
@@ -278,7 +279,7 @@
 
 
 def test_keys_of_a_replicas_file() -> None:
-    tables = {"keeper": KeeperTable, "lease": LeaseTable}
+    tables = {"keeper": ReplicaTable, "lease": LeaseTable}
     found = {name: fields_of(msgspec.inspect.type_info(kind)) for name, kind in tables.items()}
     assert_matches("published/replicas_file.json", found)
 
--- a/tests/wiring/test_coordinator.py
+++ b/tests/wiring/test_coordinator.py
@@ -48,11 +48,14 @@
     core, caches = Core(settings(), 1, None), RecordingCaches()  # type: ignore[arg-type]
     apply_update(core, caches, update(True, 1, a=READY, b=DRAINING))  # type: ignore[arg-type]
     assert caches.calls == [("keep_only", {b"a", b"b"}), ("know", b"a", ADDRESS), ("know", b"b", ADDRESS)]
-    assert {name: e.state for name, e in core.endpoints.items()} == {b"a": READY, b"b": DRAINING}
+    assert {name: e.state for name, e in core.endpoint_list.endpoints.items()} == {
+        b"a": READY,
+        b"b": DRAINING,
+    }
     caches.calls.clear()
     apply_update(core, caches, update(False, 2, a=GONE, c=READY))  # type: ignore[arg-type]
     assert caches.calls == [("forget", b"a"), ("know", b"c", ADDRESS)]
-    assert set(core.endpoints) == {b"b", b"c"}
+    assert set(core.endpoint_list.endpoints) == {b"b", b"c"}
 
 
 @pytest.mark.parametrize("object_id", [7, None])
--- a/zincladder/cli/__init__.py
+++ b/zincladder/cli/__init__.py
@@ -11,8 +11,8 @@
 import click
 
 from zincladder.cli.admission import admission
-from zincladder.cli.keep import keep, keepers
 from zincladder.cli.policy import policy
+from zincladder.cli.replica import replica, replicas
 from zincladder.cli.status import ready, stats
 from zincladder.cli.tasks import tasks
 
@@ -47,8 +47,7 @@
 def _all_valid(files: tuple[Path, ...]) -> bool:
     """Print the faults of each file, the operator's files last, as they refer to the others' classes."""
     from zincladder.config import ConfigError, Names, read_operator
-    from zincladder.config.check import faults_of_config
-    from zincladder.config.operator import faults_of
+    from zincladder.config.check import config_faults, operator_faults
 
     all_valid = True
     names: Names | None = None
@@ -56,9 +55,9 @@
     for path in sorted(files, key=lambda path: path.suffix == ".toml"):
         try:
             if path.suffix == ".toml":
-                faults = faults_of(read_operator(path), names)
+                faults = operator_faults(read_operator(path), names)
             else:
-                faults, names = faults_of_config(json.loads(path.read_bytes()))
+                faults, names = config_faults(json.loads(path.read_bytes()))
         except (OSError, ValueError, ConfigError) as error:
             faults = [str(error)]
         for fault in faults:
@@ -69,8 +68,14 @@
     return all_valid
 
 
-for command in (admission, keep, keepers, policy, ready, stats, tasks):
+def _hidden_alias(command: click.Command, name: str) -> click.Command:
+    """The same command under an earlier name, which the help does not list."""
+    alias = copy.copy(command)
+    alias.name, alias.hidden = name, True
+    return alias
+
+
+for command in (admission, policy, ready, replica, replicas, stats, tasks):
     main.add_command(command)
-former_tasks = copy.copy(tasks)  # the command's former name, which scripts may still use
-former_tasks.hidden = True
-main.add_command(former_tasks, "duties")
+for command, earlier_name in ((replica, "keep"), (replicas, "keepers"), (tasks, "duties")):
+    main.add_command(_hidden_alias(command, earlier_name))
--- a/zincladder/cli/tasks.py
+++ b/zincladder/cli/tasks.py
@@ -10,7 +10,7 @@
 
 import click
 
-from zincladder.cli.keep import asking, group_options, run_call
+from zincladder.cli.replica import group_client, group_options, run_call
 
 Group = tuple[str, dict[str, str]]  # the group's name, and its replicas' addresses by name
 
@@ -35,17 +35,17 @@
 def _read_tasks(group: Group) -> StoredTasks:
     import msgspec
 
-    from zincladder.agreement import calls
+    from zincladder.consensus import rpc
     from zincladder.tasks.model import CHECKPOINT_PREFIX, TASK_PREFIX, TaskAssignment
 
-    client = asking(group)
+    client = group_client(group)
 
     async def read() -> Any:
-        reply = await client.ask(calls.Progress())
+        reply = await client.ask(rpc.GetProgress())
         return reply, await client.get(TASK_PREFIX), await client.get(CHECKPOINT_PREFIX)
 
     reply, registers, checkpoints = run_call(read)
-    if not isinstance(reply, calls.Told):
+    if not isinstance(reply, rpc.ProgressReport):
         raise click.ClickException(str(getattr(reply, "why", reply)))
     assignments: dict[str, tuple[Any, int]] = {
         key.removeprefix(TASK_PREFIX): (
@@ -117,7 +117,7 @@
     """Takes a task from its holder, which the leader then asks to stop, and waits for."""
     import msgspec
 
-    from zincladder.agreement.registers import Swap, Swapped
+    from zincladder.consensus.key_value_state import CompareAndSwap, Swapped
     from zincladder.tasks.model import task_key
 
     assignments = _read_tasks(group).assignments
@@ -128,7 +128,7 @@
     assignment, version = assignments[task]
     vacant = {"lease_holder": "", "process": "", "preferred_runner": "", "changed_at": time.time()}
     data = msgspec.msgpack.encode(msgspec.structs.replace(assignment, **(vacant | changes)))
-    result = run_call(lambda: asking(group).ask(Swap(task_key(task), version, data)))
+    result = run_call(lambda: group_client(group).ask(CompareAndSwap(task_key(task), version, data)))
     if not isinstance(result, Swapped):
         reason = getattr(result, "why", "the task has changed meanwhile")
         raise click.ClickException(f"nothing was done: {reason}")
--- a/zincladder/leases/client.py
+++ b/zincladder/leases/client.py
@@ -12,7 +12,7 @@
 
 from zincladder.leases.model import NotLeaderReply
 from zincladder.links.frames import VERSION, Hello
-from zincladder.links.leader import LeaderLink
+from zincladder.links.leader_link import LeaderLink
 
 SILENCE_RENEWALS = 2.5  # renewal intervals without a message after which another replica is tried
 
--- a/zincladder/leases/service.py
+++ b/zincladder/leases/service.py
@@ -7,7 +7,7 @@
 
 import anyio.abc
 
-from zincladder.agreement.leading import Leading, Part
+from zincladder.consensus.leader_services import LeaderService, TermState
 from zincladder.leases.model import NotLeaderReply
 
 
@@ -17,7 +17,7 @@
     messages: list[tuple[int, Any]]  # with the number of the link
 
 
-class LeaseGranter(Part, Protocol):
+class LeaseGranter(TermState, Protocol):
     """What decides for the leader in one term, without I/O."""
 
     def take_actions(self) -> Any:
@@ -27,20 +27,20 @@
 G = TypeVar("G", bound=LeaseGranter)
 
 
-class LeaseService(Leading[G]):
+class LeaseService(LeaderService[G]):
     """Grants leases of one kind while its replica leads the group."""
 
-    def elsewhere(self, leader: str) -> NotLeaderReply:
+    def not_leader_message(self, leader: str) -> NotLeaderReply:
         """The reply to whoever connects to a replica that does not lead."""
         return NotLeaderReply(leader)
 
-    def carry_out(self, part: G, tasks: anyio.abc.TaskGroup) -> None:
+    def execute(self, term_state: G, tasks: anyio.abc.TaskGroup) -> None:
         """Sends the messages that the part has decided on, and begins its writes."""
-        actions = part.take_actions()
+        actions = term_state.take_actions()
         for number, message in actions.messages:
-            self.say(number, message)
-        self.begin_writes(actions, part, tasks)
+            self.send(number, message)
+        self.begin_writes(actions, term_state, tasks)
 
     @abstractmethod
-    def begin_writes(self, actions: Any, part: G, tasks: anyio.abc.TaskGroup) -> None:
+    def begin_writes(self, actions: Any, term_state: G, tasks: anyio.abc.TaskGroup) -> None:
         """Begins the writes among the part's actions."""
--- a/zincladder/policy/document.py
+++ b/zincladder/policy/document.py
@@ -91,9 +91,9 @@
     )
     if deferred:
         raise ConfigError(f"'{deferred[0]}' takes effect at a front's next start only")
-    from zincladder.config.operator import operator_of
+    from zincladder.config.operator import parse_operator
 
-    operator = operator_of(merged(files.operator, policy.get("operator", {})), config.names)
+    operator = parse_operator(merged(files.operator, policy.get("operator", {})), config.names)
     return config, operator
 
 
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -8,18 +8,14 @@
 import anyio.abc
 import structlog
 
-from zincladder.agreement.host import Keeper
-from zincladder.agreement.leading import AGAIN, FAULTS
-from zincladder.agreement.terms import Terms
+from zincladder.consensus.leader_services import COMMIT_ERRORS, RETRY_SECONDS
+from zincladder.consensus.lease_timing import LeaseTiming
+from zincladder.consensus.server import ReplicaServer
 from zincladder.leases.service import LeaseService
 from zincladder.links.clocks import boottime
 from zincladder.policy import change_log
-from zincladder.policy.coordinator import (
-    ChangeCoordinator,
-    CoordinatorActions,
-    LinkedFront,
-    RecordWrite,
-)
+from zincladder.policy.coordinator import ChangeCoordinator, CoordinatorActions, RecordWrite
+from zincladder.policy.fronts import LinkedFront
 from zincladder.policy.model import ChangePhase, FromParticipant
 
 REREAD = -1  # as the place in the log that was read: the coordinator is told again what stands
@@ -32,61 +28,63 @@
     role = "front"
     messages = FromParticipant
 
-    def __init__(self, keeper: Keeper, terms: Terms, clock: Callable[[], float] = boottime) -> None:
-        super().__init__(keeper, terms, clock)
+    def __init__(
+        self, replica: ReplicaServer, terms: LeaseTiming, clock: Callable[[], float] = boottime
+    ) -> None:
+        super().__init__(replica, terms, clock)
         self._logged_state: tuple[int, str] = (-1, "")
-        keeper.faults.append(change_log.rejection_reason)
+        replica.swap_validators.append(change_log.rejection_reason)
 
-    def begin(self, since: float, term: int) -> ChangeCoordinator:
+    def begin_term(self, since: float, term: int) -> ChangeCoordinator:
         """The coordinator of a new term."""
         return ChangeCoordinator(self.terms, since, term)
 
-    def learn(self, part: ChangeCoordinator) -> None:
+    def state_changed(self, term_state: ChangeCoordinator) -> None:
         """Tells the coordinator what the registers hold."""
-        stored = change_log.read(self.keeper.registers.under(""))
-        part.record_read(
+        stored = change_log.read(self.replica.state.with_prefix(""))
+        term_state.record_read(
             stored.record, stored.record_version, stored.expected_fronts, stored.contents, self.clock()
         )
         change = stored.record.open_change
         state = (change.version, change.phase.value) if change else (stored.record.version, "in force")
         if state != self._logged_state:
             self._logged_state = state
-            log.info("policy state", version=state[0], phase=state[1], absent=part.absent)
+            log.info("policy state", version=state[0], phase=state[1], absent=term_state.absent)
 
     def begin_writes(
-        self, actions: CoordinatorActions, part: ChangeCoordinator, tasks: anyio.abc.TaskGroup
+        self, actions: CoordinatorActions, term_state: ChangeCoordinator, tasks: anyio.abc.TaskGroup
     ) -> None:
         """Begins the coordinator's writes."""
         for front in actions.expect_fronts:
-            tasks.start_soon(self.swap, change_log.write_expected_front(front))
+            tasks.start_soon(self.try_compare_and_swap, change_log.write_expected_front(front))
         if actions.write:
-            tasks.start_soon(self._write, actions.write, part)
+            tasks.start_soon(self._write, actions.write, term_state)
 
-    async def _write(self, write: RecordWrite, part: ChangeCoordinator) -> None:
+    async def _write(self, write: RecordWrite, term_state: ChangeCoordinator) -> None:
         try:
-            await self.keeper.swap(change_log.write_record(write.expected_version, write.record))
-        except FAULTS:
-            await anyio.sleep(AGAIN)
+            await self.replica.compare_and_swap(change_log.write_record(write.expected_version, write.record))
+        except COMMIT_ERRORS:
+            await anyio.sleep(RETRY_SECONDS)
         if write.record.open_change is None:
             await self._delete_unreferenced()
-        if self.part is part:
+        if self.term_state is term_state:
             self.read_at = REREAD  # whatever came of the write, the coordinator goes on from what stands
         self.wake()
 
     async def _delete_unreferenced(self) -> None:
         """Removes documents that nothing names any more."""
         try:
-            await self.keeper.confirm()
-        except FAULTS:
+            await self.replica.confirm_leadership()
+        except COMMIT_ERRORS:
             return
-        for swap in change_log.delete_unreferenced(change_log.read(self.keeper.registers.under(""))):
-            await self.swap(swap)
+        for swap in change_log.delete_unreferenced(change_log.read(self.replica.state.with_prefix(""))):
+            await self.try_compare_and_swap(swap)
 
     # Questions ------------------------------------------------------------------------------------
 
     def figures(self) -> dict[str, float]:
         """The leader's metrics: fronts, the version in force, how long a change takes; empty elsewhere."""
-        coordinator, now = self.part, self.clock()
+        coordinator, now = self.term_state, self.clock()
         if coordinator is None:
             return {}
         record = coordinator.record
@@ -101,7 +99,7 @@
 
     def progress(self) -> dict[str, object]:
         """What `policy status` shows of the leader's view; empty where this replica doesn't lead."""
-        coordinator, now = self.part, self.clock()
+        coordinator, now = self.term_state, self.clock()
         if coordinator is None:
             return {}
         fronts = {
--- a/zincladder/tasks/context.py
+++ b/zincladder/tasks/context.py
@@ -8,9 +8,14 @@
 import anyio
 import structlog
 
-from zincladder.agreement import calls
-from zincladder.agreement.client import Client, NoAnswer, Open
-from zincladder.agreement.registers import Fenced, Full, Missed, Swapped
+from zincladder.consensus import rpc
+from zincladder.consensus.client import Client, OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.key_value_state import (
+    CapacityExceeded,
+    FencingTokenRejected,
+    Swapped,
+    VersionMismatch,
+)
 from zincladder.tasks.errors import CheckpointTooLargeError, LeaseLostError
 from zincladder.tasks.model import checkpoint_key, write_checkpoint
 
@@ -62,17 +67,17 @@
         while True:
             try:
                 result = await self._host.client().ask(swap)
-            except (NoAnswer, Open):
-                result = calls.Unknown("")
+            except (RequestFailedError, OutcomeUnknownError):
+                result = rpc.OutcomeUnknown("")
             match result:
                 case Swapped(version):
                     return version
-                case Fenced():
+                case FencingTokenRejected():
                     self.rejected_by_fence("log")
                     raise LeaseLostError(self.task)
-                case Full(reason):
+                case CapacityExceeded(reason):
                     raise CheckpointTooLargeError(reason)
-                case Missed(version) if version != expected_version:
+                case VersionMismatch(version) if version != expected_version:
                     # Perhaps this very write, whose answer was lost: nobody else writes under this token.
                     if (await self.load_checkpoint()) == (version, data):
                         return version
@@ -85,11 +90,11 @@
         self._host.fenced += 1
         log.warning("rejected by a fence", task=self.task, at=where)
 
-    async def collect(self) -> calls.Collected:
+    async def collect(self) -> rpc.CollectedCounters:
         """The sums of the counters that all processes have reported to the leader."""
-        reply = await self._host.client().ask(calls.Collect())
-        if not isinstance(reply, calls.Collected):
-            raise NoAnswer(str(reply))
+        reply = await self._host.client().ask(rpc.CollectCounters())
+        if not isinstance(reply, rpc.CollectedCounters):
+            raise RequestFailedError(str(reply))
         return reply
 
 
--- a/zincladder/tasks/model.py
+++ b/zincladder/tasks/model.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from zincladder.agreement.registers import Guard, Swap
+from zincladder.consensus.key_value_state import CompareAndSwap, VersionGuard
 from zincladder.leases.model import NotLeaderReply
 
 TASK_PREFIX = "duty/"  # registers of the assignments, by task
@@ -45,9 +45,9 @@
     return CHECKPOINT_PREFIX + task
 
 
-def write_checkpoint(task: str, token: int, expected_version: int, data: bytes) -> Swap:
+def write_checkpoint(task: str, token: int, expected_version: int, data: bytes) -> CompareAndSwap:
     """Stores a checkpoint if the token is still valid when the entry is applied: the fence in the log."""
-    return Swap(checkpoint_key(task), expected_version, data, Guard(task_key(task), token))
+    return CompareAndSwap(checkpoint_key(task), expected_version, data, VersionGuard(task_key(task), token))
 
 
 # From a runner -------------------------------------------------------------------------------------
