--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -204,7 +204,7 @@
         store = ReplicaStore(Path(folder) / "s", "g", "a", members)
         for first in range(1, entries + 1, 1000):
             batch = tuple(Entry(1, EntryKind.DATA, b"x" * 100) for _ in range(1000))
-            store.write(Output(first=first, entries=batch))
+            store.write(Output(first_index=first, entries=batch))
         size = store.size
         store.close()
         began = time.monotonic()
@@ -213,7 +213,7 @@
         assert len(store.stored.entries) == entries
         began = time.monotonic()
         for n in range(200):
-            store.write(Output(first=entries + 1 + n, entries=(Entry(1, EntryKind.DATA, b"x" * 100),)))
+            store.write(Output(first_index=entries + 1 + n, entries=(Entry(1, EntryKind.DATA, b"x" * 100),)))
         write = (time.monotonic() - began) / 200
         store.close()
     return {"entries": entries, "mb": round(size / 1e6, 1), "open_s": round(seconds, 2),
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -74,15 +74,15 @@
     world = World(3)
     world.run(20)
     leader = world.leader()
-    assert leader is not None and leader.member is not None
+    assert leader is not None and leader.node is not None
     late = next(p for p in world.processes.values() if p is not leader)
     world.crash(late)
     for _ in range(2):
         for n in range(6):
-            leader.member.propose(b"%d of %d" % (n, leader.index))
+            leader.node.propose(b"%d of %d" % (n, leader.index))
             world.settle(leader)
             world.run(world.now + 1)
-        leader.member.compact(leader.index, world.dump(leader))
+        leader.node.compact(leader.index, world.dump(leader))
         world.settle(leader)
         world.run(world.now + 3)
     world.mend()
@@ -105,7 +105,9 @@
             self.entries = self.entries[:-1]
 
     monkeypatch.setattr(Disk, "write", spoilt)
-    monkeypatch.setattr(Disk, "stored", property(lambda s: StoredState(s.hard, s.snapshot, tuple(s.entries))))
+    monkeypatch.setattr(
+        Disk, "stored", property(lambda s: StoredState(s.hard_state, s.snapshot, tuple(s.entries)))
+    )
 
 
 def reads_unconfirmed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -122,7 +124,7 @@
 
 def half_is_a_majority(monkeypatch: pytest.MonkeyPatch) -> None:
     def spoilt(self: RaftNode, names: object) -> bool:
-        voters = self.members.voters
+        voters = self.membership.voters
         return 2 * len(voters.keys() & set(names)) >= len(voters) - 1  # type: ignore[call-overload]
 
     monkeypatch.setattr(RaftNode, "_majority", spoilt)
@@ -152,7 +154,7 @@
 
     def write(self, output: Output) -> None:
         super().write(output)
-        self.hard = HardState(self.hard.term, "")
+        self.hard_state = HardState(self.hard_state.term, "")
 
 
 def elected(disk: Disk) -> int:
@@ -164,12 +166,12 @@
         for name, member in others.items():
             if pre:
                 member.tick(10.0)
-            asks[name] = [m for to, m in member.take().messages if to == "b"]
+            asks[name] = [m for to, m in member.take_output().messages if to == "b"]
         for name, messages in asks.items():
             for message in messages:
-                assert isinstance(message, RequestVote) and message.pre is pre
+                assert isinstance(message, RequestVote) and message.pre_vote is pre
                 voter.receive(name, message, 10.0)
-                output = voter.take()
+                output = voter.take_output()
                 disk.write(output)
                 for to, answer in output.messages:
                     others[to].receive("b", answer, 10.0)
@@ -188,8 +190,8 @@
     disk = Disk(HardState(3, "c"), Snapshot(0, 0, FOUNDERS), list(some(3, 3)))
     member = RaftNode("b", disk.stored, 0.0, 1)
     member.receive("a", AppendEntries(2, 1, 1, 3, 2, some(2, 2)), 0.0)
-    output = member.take()
-    assert not output.writes and not output.committed
+    output = member.take_output()
+    assert not output.has_writes and not output.committed
     ((to, answer),) = output.messages
     assert to == "a" and answer == AppendEntriesResponse(3, 1, False, 0)
 
@@ -198,16 +200,16 @@
     # guards what figure 8 of the paper shows: a majority has it, and a later leader takes it back
     disk = Disk(HardState(2, "b"), Snapshot(0, 0, FOUNDERS), list(some(1, 2)))
     member = RaftNode("b", disk.stored, 0.0, 1)
-    for answers in ({"pre": True}, {"pre": False}):
-        if answers["pre"]:
+    for answers in ({"pre_vote": True}, {"pre_vote": False}):
+        if answers["pre_vote"]:
             member.tick(10.0)
         member.receive("a", RequestVoteResponse(3, True, **answers), 10.0)
-    assert member.role is Role.LEADER and member.log.last == 3
-    member.take()
+    assert member.role is Role.LEADER and member.log.last_index == 3
+    member.take_output()
     member.receive("a", AppendEntriesResponse(3, 99, True, 2), 10.1)
-    assert member.commit == 0
+    assert member.commit_index == 0
     member.receive("a", AppendEntriesResponse(3, 100, True, 3), 10.2)
-    assert member.commit == 3
+    assert member.commit_index == 3
 
 
 def led_by_b() -> RaftNode:
@@ -216,31 +218,31 @@
     member.tick(10.0)
     for pre in (True, False):
         member.receive("a", RequestVoteResponse(1, True, pre), 10.0)
-    member.take()
+    member.take_output()
     member.receive("a", AppendEntriesResponse(1, 1, True, 1), 10.0)
-    assert member.role is Role.LEADER and member.commit == 1
-    member.take()
+    assert member.role is Role.LEADER and member.commit_index == 1
+    member.take_output()
     return member
 
 
 def test_a_leader_that_removes_itself_lets_nobody_wait_for_a_reading() -> None:
     member = led_by_b()
-    member.change(Membership({n: w for n, w in FOUNDERS.voters.items() if n != "b"}))
-    member.read(7)  # asked before its removal is decided
-    member.take()
+    member.change_membership(Membership({n: w for n, w in FOUNDERS.voters.items() if n != "b"}))
+    member.request_read(7)  # asked before its removal is decided
+    member.take_output()
     for name in "ac":  # an answer to what was sent before the reading was asked for
         member.receive(name, AppendEntriesResponse(1, 1, True, 2), 10.1)
-    assert member.role is Role.FOLLOWER and member.take().lost == (7,)
+    assert member.role is Role.FOLLOWER and member.take_output().failed_reads == (7,)
 
 
 def test_an_answer_to_an_earlier_term_makes_no_directory_an_older_one() -> None:
     # seen on a busy machine: a keeper that was only late was set aside until it would have been added anew
     member = led_by_b()
     member.receive("c", AppendEntriesResponse(1, 1, False, 0), 10.1)  # to what b sent when it led before
-    assert member.older == []
+    assert member.stale == []
     member.receive("c", AppendEntriesResponse(1, 2, True, 1), 10.2)
     member.receive("c", AppendEntriesResponse(1, 3, False, 1), 10.3)  # it had stored that
-    assert member.older == ["c"]
+    assert member.stale == ["c"]
 
 
 # On disk ------------------------------------------------------------------------------------------
@@ -256,25 +258,25 @@
 ) -> None:
     store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
     assert store.stored == StoredState(HardState(), Snapshot(0, 0, FOUNDERS))
-    store.write(Output(hard=HardState(1, "b"), first=1, entries=some(1, 1, 1)))
-    store.write(Output(first=2, entries=some(2)))
+    store.write(Output(hard_state=HardState(1, "b"), first_index=1, entries=some(1, 1, 1)))
+    store.write(Output(first_index=2, entries=some(2)))
     store = reopened(store, tmp_path / "s")
-    assert store.stored.hard == HardState(1, "b")
+    assert store.stored.hard_state == HardState(1, "b")
     assert [e.term for e in store.stored.entries] == [1, 2]
     assert store.met("b", "first") and not store.met("b", "second")
-    store.write(Output(snapshot=Snapshot(2, 2, FOUNDERS, b"state"), first=3, entries=some(2)))
+    store.write(Output(snapshot=Snapshot(2, 2, FOUNDERS, b"state"), first_index=3, entries=some(2)))
     store = reopened(store, tmp_path / "s")
     assert store.stored.snapshot == Snapshot(2, 2, FOUNDERS, b"state")
-    assert [e.term for e in store.stored.entries] == [2] and store.stored.hard == HardState(1, "b")
+    assert [e.term for e in store.stored.entries] == [2] and store.stored.hard_state == HardState(1, "b")
     assert not store.met("b", "second")
     assert len(list((tmp_path / "s").glob("*.log"))) == 1
 
 
 def test_a_store_cut_at_any_byte_holds_all_that_was_written_before_the_last_batch(tmp_path: Path) -> None:
     store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
-    store.write(Output(hard=HardState(3, "b"), first=1, entries=some(1, 1)))
+    store.write(Output(hard_state=HardState(3, "b"), first_index=1, entries=some(1, 1)))
     before = store.size
-    store.write(Output(hard=HardState(4, "c"), first=3, entries=some(4, 4, 4)))
+    store.write(Output(hard_state=HardState(4, "c"), first_index=3, entries=some(4, 4, 4)))
     store.close()
     (path,) = (tmp_path / "s").glob("*.log")
     whole = path.read_bytes()
@@ -283,7 +285,7 @@
         again = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
         found = again.stored
         again.close()
-        assert found.hard in (HardState(3, "b"), HardState(4, "c"))
+        assert found.hard_state in (HardState(3, "b"), HardState(4, "c"))
         assert [e.term for e in found.entries] == [1, 1, 4, 4, 4][: len(found.entries)]
         assert len(found.entries) >= 2
 
@@ -345,19 +347,19 @@
 ) -> None:
     # a failed sync is a lost vote, not a retry: the kernel may have dropped what it could not write
     store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
-    store.write(Output(hard=HardState(1, "b"), first=1, entries=some(1)))
+    store.write(Output(hard_state=HardState(1, "b"), first_index=1, entries=some(1)))
     store.close()
     store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS, Failing(call, half))
     told = [HardState(1, "b")]
     with pytest.raises(JournalError, match=r"input/output error"):
         for n in range(2, 9):
             snapshot = Snapshot(1, 1, FOUNDERS, b"state") if n % 3 == 0 else None
-            store.write(Output(hard=HardState(n, "c"), snapshot=snapshot, first=2))
+            store.write(Output(hard_state=HardState(n, "c"), snapshot=snapshot, first_index=2))
             told.append(HardState(n, "c"))
     with pytest.raises(JournalError):
-        store.write(Output(hard=HardState(99, "c")))
+        store.write(Output(hard_state=HardState(99, "c")))
     found = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
-    assert found.stored.hard in (told[-1], HardState(told[-1].term + 1, "c"))
+    assert found.stored.hard_state in (told[-1], HardState(told[-1].term + 1, "c"))
     found.close()
 
 
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -109,12 +109,12 @@
 
     def connect(self, front: Front) -> None:
         process = self.processes[self.random.choice(sorted(self.processes))]
-        if process.member is None or process.asleep or (front.name, process.name) in self.cut:
+        if process.node is None or process.asleep or (front.name, process.name) in self.cut:
             return
         if front.name in self.alone:
             return
         conductor = self.conductors.get(process.name)
-        if conductor is None or process.member.role is not Role.LEADER:
+        if conductor is None or process.node.role is not Role.LEADER:
             return
         assert front.holder is not None
         line = front.line = Line(next(self.lines), front.name, process.name, process.lives)
@@ -138,7 +138,7 @@
 
     def _keeper_lost(self, line: Line) -> None:
         process, conductor = self.processes[line.replica], self.conductors.get(line.replica)
-        if conductor is not None and process.member is not None and process.lives == line.life:
+        if conductor is not None and process.node is not None and process.lives == line.life:
             conductor.unlinked(line.number, self.clock(process))
             if not process.asleep:
                 self.conduct(process)
@@ -183,7 +183,7 @@
 
     def _to_keeper(self, line: Line, message: FromFront) -> None:
         process = self.processes[line.replica]
-        if process.member is None or process.lives != line.life:
+        if process.node is None or process.lives != line.life:
             return
         if process.asleep:
             self.at(0.3, lambda: self._to_keeper(line, message))
@@ -192,10 +192,10 @@
 
     def ask_first(self, process: Process, line: Line, message: FromFront) -> None:
         """What a front says is handed in once a majority has confirmed that this keeper leads."""
-        assert process.member is not None
+        assert process.node is not None
         ticket = next(self._tickets)
         try:
-            process.member.read(ticket)
+            process.node.request_read(ticket)
         except (BusyError, NotLeaderError):
             self.break_line(line)
             return
@@ -267,7 +267,7 @@
             conductor.knows(found.record, found.at, found.roster, found.contents, self.clock(process))
 
     def conduct(self, process: Process) -> None:
-        member = process.member
+        member = process.node
         if member is None:
             return
         conductor = self.conductors.get(process.name)
@@ -286,7 +286,7 @@
             self.read_at.pop(process.name, None)
             self.inbox[process.name] = deque()
             ticket = next(self._tickets)
-            member.read(ticket)
+            member.request_read(ticket)
             self.inbox[process.name].append((ticket, Line(0, "", process.name, 0), None))
             self.settle(process)
             return
@@ -312,15 +312,15 @@
             self.settle(process)
 
     def put(self, process: Process, swap: CompareAndSwap) -> None:
-        assert process.member is not None
+        assert process.node is not None
         try:
-            process.member.propose(book.encode(swap))
+            process.node.propose(book.encode(swap))
         except (BusyError, NotLeaderError):
             return
 
     def _wake(self, process: Process, life: int) -> None:
         super()._wake(process, life)
-        if process.member is not None and process.lives == life and not process.asleep:
+        if process.node is not None and process.lives == life and not process.asleep:
             self.conduct(process)
 
     # Operators ------------------------------------------------------------------------------------
@@ -329,7 +329,7 @@
         if self.random.random() < 0.5:
             return
         process = self.leader()
-        if process is None or process.member is None:
+        if process is None or process.node is None:
             return
         found = book.read(self.registers[process.name].with_prefix(""))  # perhaps an old one
         data = b"policy %d" % next(self.proposals)
--- a/tests/support/raft_simulation.py
+++ b/tests/support/raft_simulation.py
@@ -36,22 +36,22 @@
 class Disk:
     """What a member has written, as its journal would give it back."""
 
-    hard: HardState
+    hard_state: HardState
     snapshot: Snapshot
     entries: list[Entry] = field(default_factory=list)
 
     def write(self, output: Output) -> None:
-        self.hard = output.hard or self.hard
+        self.hard_state = output.hard_state or self.hard_state
         if output.snapshot:
             self.snapshot, self.entries = output.snapshot, list(output.entries)
         elif output.entries:
-            at = output.first - self.snapshot.index - 1
+            at = output.first_index - self.snapshot.index - 1
             assert 0 <= at <= len(self.entries)
             self.entries[at:] = output.entries
 
     @property
     def stored(self) -> StoredState:
-        return StoredState(self.hard, self.snapshot, tuple(self.entries))
+        return StoredState(self.hard_state, self.snapshot, tuple(self.entries))
 
 
 @dataclass
@@ -60,7 +60,7 @@
 
     name: str
     disk: Disk
-    member: RaftNode | None = None
+    node: RaftNode | None = None
     state: list[str] = field(default_factory=list)
     index: int = 0
     lives: int = 0
@@ -110,11 +110,11 @@
     # Processes ------------------------------------------------------------------------------------
 
     def start(self, process: Process) -> None:
-        if process.member is not None:
+        if process.node is not None:
             return
         process.lives += 1
         seed = self.random.getrandbits(32)
-        process.member = RaftNode(process.name, process.disk.stored, self.clock(process), seed, TIMING)
+        process.node = RaftNode(process.name, process.disk.stored, self.clock(process), seed, TIMING)
         self.restore(process, process.disk.snapshot)
         self._wake(process, process.lives)
 
@@ -126,27 +126,27 @@
         return msgspec.msgpack.encode(process.state)
 
     def crash(self, process: Process) -> None:
-        process.member, process.asleep = None, False
+        process.node, process.asleep = None, False
         process.missed.clear()
         process.open.clear()
         process.reads.clear()
         self.figures["crashes"] += 1
 
     def _wake(self, process: Process, life: int) -> None:
-        if process.member is None or process.lives != life:
+        if process.node is None or process.lives != life:
             return
         if not process.asleep:
-            process.member.tick(self.clock(process))
+            process.node.tick(self.clock(process))
             self.settle(process)
-        if process.member is not None:
-            wait = (process.member.next_at - self.clock(process)) / process.rate
+        if process.node is not None:
+            wait = (process.node.next_at - self.clock(process)) / process.rate
             self.at(max(0.01, wait), lambda: self._wake(process, life))
 
     def settle(self, process: Process) -> None:
         """What its host does after each event; a crash may come between any two steps."""
-        member = process.member
+        member = process.node
         assert member is not None
-        output = member.take()
+        output = member.take_output()
         if self.dies(process):
             return
         process.disk.write(output)
@@ -154,13 +154,13 @@
             return
         for to, message in output.messages:
             self.send(process.name, to, message)
-        if output.fresh and output.snapshot:
+        if output.restore_state and output.snapshot:
             self.restore(process, output.snapshot)
         for entry in output.committed:
             self.apply(process, entry)
-        for ticket in output.lost:
+        for ticket in output.failed_reads:
             process.reads.pop(ticket, None)
-        for ticket in output.reads:
+        for ticket in output.ready_reads:
             self.ready(process, ticket)
         if member.role is Role.LEADER and self.leaders.setdefault(member.term, process.name) != process.name:
             raise Broken(f"two leaders in term {member.term}: {self.leaders[member.term]}, {process.name}")
@@ -206,25 +206,25 @@
 
     def deliver(self, sender: str, to: str, message: Message) -> None:
         process = self.processes[to]
-        if process.member is None:
+        if process.node is None:
             return
         if process.asleep:
             process.missed.append((sender, message))
             return
-        process.member.receive(sender, message, self.clock(process))
+        process.node.receive(sender, message, self.clock(process))
         self.settle(process)
 
     # Clients and operators ------------------------------------------------------------------------
 
     def leader(self) -> Process | None:
         """One that believes to lead, whether it does or not."""
-        awake = [p for p in self.processes.values() if p.member and not p.asleep]
-        found = [p for p in awake if p.member and p.member.role is Role.LEADER]
+        awake = [p for p in self.processes.values() if p.node and not p.asleep]
+        found = [p for p in awake if p.node and p.node.role is Role.LEADER]
         return self.random.choice(found) if found else None
 
     def ask(self) -> None:
         process = self.leader()
-        if process is None or process.member is None:
+        if process is None or process.node is None:
             return
         try:
             what = self.random.random()
@@ -235,7 +235,7 @@
                 self.read(process)
                 return
             else:
-                process.member.transfer_leadership(self.clock(process))
+                process.node.transfer_leadership(self.clock(process))
         except (BusyError, NotLeaderError):
             return
         self.settle(process)
@@ -243,28 +243,28 @@
     def write(self, process: Process) -> None:
         """A client's entry for one that may lead."""
         value = f"v{next(self._values)}"
-        if process.member is None or process.member.role is not Role.LEADER:
+        if process.node is None or process.node.role is not Role.LEADER:
             return
         with contextlib.suppress(BusyError, NotLeaderError):
-            process.open[process.member.propose(value.encode())] = value
+            process.open[process.node.propose(value.encode())] = value
             self.settle(process)
 
     def read(self, process: Process) -> None:
         """A client's question to one that may lead."""
         ticket = next(self._tickets)
-        if process.member is None or process.member.role is not Role.LEADER:
+        if process.node is None or process.node.role is not Role.LEADER:
             return
         with contextlib.suppress(BusyError, NotLeaderError):
-            process.member.read(ticket)
+            process.node.request_read(ticket)
             process.reads[ticket] = frozenset(self.told)
             self.settle(process)
 
     def change(self) -> None:
         process = self.leader()
-        if process is None or process.member is None:
+        if process is None or process.node is None:
             return
-        members = process.member.members
-        outside = sorted(self.processes.keys() - members.all.keys())
+        members = process.node.membership
+        outside = sorted(self.processes.keys() - members.addresses.keys())
         if outside and (len(members.voters) < 3 or self.random.random() < 0.5):
             new = Membership(members.voters, members.learners | {outside[0]: outside[0]})
         elif len(members.voters) > 2:
@@ -273,7 +273,7 @@
         else:
             return
         try:
-            process.member.change(new)
+            process.node.change_membership(new)
         except (BusyError, NotLeaderError):
             return
         self.figures["changes"] += 1
@@ -285,10 +285,10 @@
         r, names = self.random, sorted(self.processes)
         process = self.processes[r.choice(names)]
         kind = r.randrange(8)
-        if kind == 0 and process.member:
+        if kind == 0 and process.node:
             self.crash(process)
             self.at(r.uniform(0.1, 6), lambda: self.start(process))
-        elif kind == 1 and process.member and not process.asleep:
+        elif kind == 1 and process.node and not process.asleep:
             process.asleep = True
             self.at(r.uniform(0.1, 8), lambda: self.wake_up(process))
         elif kind == 2:
@@ -300,15 +300,15 @@
             self.cut.clear()
         elif kind == 5:
             self.loss = r.choice((0.0, 0.05, 0.3))
-        elif kind == 6 and process.member and not process.asleep:
-            process.member.compact(process.index, self.dump(process))
+        elif kind == 6 and process.node and not process.asleep:
+            process.node.compact(process.index, self.dump(process))
             self.figures["snapshots"] += 1
             self.settle(process)
         elif kind == 7 and len(names) > len(self.founders.voters):
             self.change()
 
     def wake_up(self, process: Process) -> None:
-        if process.member is None or not process.asleep:
+        if process.node is None or not process.asleep:
             return
         process.asleep = False
         missed, process.missed = process.missed, []
@@ -355,6 +355,6 @@
 
     def _voters(self) -> list[Process]:
         leader = self.leader()
-        if leader is None or leader.member is None:
+        if leader is None or leader.node is None:
             return []
-        return [self.processes[n] for n in leader.member.members.voters]
+        return [self.processes[n] for n in leader.node.membership.voters]
--- a/zincladder/consensus/leader_services.py
+++ b/zincladder/consensus/leader_services.py
@@ -134,7 +134,7 @@
 
     async def _lead(self) -> None:
         """A part of this term's own, once the group has confirmed that this keeper leads, or none."""
-        member = self.replica.member
+        member = self.replica.node
         if member.role is not Role.LEADER:
             self._drop()
             return
@@ -146,7 +146,7 @@
         # A predecessor may have granted leases until it was replaced; that was before `since`.
         self.terms = await self._agreed()
         term_state = self.begin_term(since, term)
-        if self.replica.member.term != term:
+        if self.replica.node.term != term:
             raise NotLeaderError
         self.term_state, self.read_at = term_state, -1
 
@@ -192,8 +192,8 @@
     async def serve(self, link: Link, hello: Hello) -> None:
         """One process's link, until it fails or this keeper leads no more."""
         term_state = self.term_state
-        if term_state is None or self.replica.member.role is not Role.LEADER:
-            await link.send(self.not_leader_message(self.replica.member.leader))
+        if term_state is None or self.replica.node.role is not Role.LEADER:
+            await link.send(self.not_leader_message(self.replica.node.leader))
             return
         self._number += 1
         number, outbox = self._number, SendQueue(MAX_QUEUED_MESSAGES)
--- a/zincladder/consensus/model.py
+++ b/zincladder/consensus/model.py
@@ -35,7 +35,7 @@
     learners: dict[str, str] = {}
 
     @property
-    def all(self) -> dict[str, str]:
+    def addresses(self) -> dict[str, str]:
         return self.voters | self.learners
 
 
@@ -43,7 +43,7 @@
     """What a member may never forget: the latest term it knows, and whom it gave its vote in it."""
 
     term: int = 0
-    vote: str = ""
+    voted_for: str = ""
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
@@ -51,14 +51,14 @@
 
     index: int
     term: int
-    members: Membership
+    membership: Membership
     state: bytes = b""
 
 
 class StoredState(msgspec.Struct, frozen=True):
     """All that a member finds in its directory when it starts."""
 
-    hard: HardState
+    hard_state: HardState
     snapshot: Snapshot
     entries: tuple[Entry, ...] = ()
 
@@ -70,10 +70,10 @@
     """A candidate asks for a vote; with `pre` only whether it would get one, in a term yet to begin."""
 
     term: int
-    last: int
+    last_index: int
     last_term: int
-    pre: bool = False
-    handed: bool = False  # the leader itself wishes it
+    pre_vote: bool = False
+    leadership_transfer: bool = False  # the leader itself wishes it
 
 
 class RequestVoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
@@ -81,7 +81,7 @@
 
     term: int
     granted: bool
-    pre: bool = False
+    pre_vote: bool = False
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="append"):
@@ -89,9 +89,9 @@
 
     term: int
     serial: int
-    prev: int
+    prev_index: int
     prev_term: int
-    commit: int
+    commit_index: int
     entries: tuple[Entry, ...] = ()
 
 
@@ -103,9 +103,9 @@
 
     term: int
     serial: int
-    good: bool
+    success: bool
     index: int
-    hint: int = 0
+    next_index_hint: int = 0
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="install"):
@@ -114,11 +114,11 @@
     term: int
     serial: int
     index: int
-    index_term: int
-    members: Membership
+    snapshot_term: int
+    membership: Membership
     offset: int
-    size: int
-    piece: bytes
+    total_bytes: int
+    chunk: bytes
 
 
 class InstallSnapshotResponse(msgspec.Struct, frozen=True, array_like=True, tag="installing"):
@@ -155,17 +155,17 @@
     be read from it. `committed` are to be applied from index `applied` + 1 on.
     """
 
-    hard: HardState | None = None
+    hard_state: HardState | None = None
     snapshot: Snapshot | None = None
-    fresh: bool = False
-    first: int = 0
+    restore_state: bool = False
+    first_index: int = 0
     entries: tuple[Entry, ...] = ()
     messages: tuple[tuple[str, Message], ...] = ()
-    applied: int = 0
+    applied_index: int = 0
     committed: tuple[Entry, ...] = ()
-    reads: tuple[int, ...] = ()  # tickets: the state may be read once all that is committed is applied
-    lost: tuple[int, ...] = ()  # tickets that this member can't answer for any more
+    ready_reads: tuple[int, ...] = ()  # tickets: the state may be read once all that is committed is applied
+    failed_reads: tuple[int, ...] = ()  # tickets that this member can't answer for any more
 
     @property
-    def writes(self) -> bool:
-        return self.hard is not None or self.snapshot is not None or bool(self.entries)
+    def has_writes(self) -> bool:
+        return self.hard_state is not None or self.snapshot is not None or bool(self.entries)
--- a/zincladder/consensus/raft.py
+++ b/zincladder/consensus/raft.py
@@ -73,15 +73,15 @@
 class PeerProgress:
     """What a leader knows of another member."""
 
-    next: int
-    heard: float
-    match: int = 0
+    next_index: int
+    heard_at: float
+    match_index: int = 0
     match_serial: int = 0
-    serial: int = 0  # the latest of this leader's messages that was answered
-    waiting: bool = False  # for the answer to entries, or to a piece of a snapshot
+    acknowledged_serial: int = 0  # the latest of this leader's messages that was answered
+    awaiting_response: bool = False  # for the answer to entries, or to a piece of a snapshot
     snapshot: Snapshot | None = None  # on its way
     offset: int = 0
-    older: bool = False  # it no longer has what it said that it had stored
+    stale: bool = False  # it no longer has what it said that it had stored
 
 
 @dataclass(slots=True)
@@ -99,55 +99,55 @@
         self, name: str, stored: StoredState, now: float, seed: int, timing: RaftTiming | None = None
     ) -> None:
         self.name, self.timing = name, timing or RaftTiming()
-        self.term, self.vote = stored.hard.term, stored.hard.vote
+        self.term, self.voted_for = stored.hard_state.term, stored.hard_state.voted_for
         self.log = Log(stored)
-        self.commit = self._given = self.log.base
+        self.commit_index = self._applied_index = self.log.snapshot_index
         self.role, self.leader = Role.FOLLOWER, ""
         self.peers: dict[str, PeerProgress] = {}
         self._random = random.Random(seed)
         self._votes: set[str] = set()
-        self._heard = -float("inf")  # the leader, last
+        self._leader_heard_at = -float("inf")  # the leader, last
         self._serial = 0
-        self._beat = 0.0
+        self._next_heartbeat_at = 0.0
         self._messages: list[tuple[str, Message]] = []
         self._reads: list[PendingRead] = []
         self._early: list[int] = []  # tickets that wait for this leader's first entry
         self._ready: list[int] = []
         self._lost: list[int] = []
-        self._hard = stored.hard
+        self._hard = stored.hard_state
         self._snapshot: Snapshot | None = None
-        self._fresh = False
+        self._restore_state = False
         self._pieces = bytearray()
         self._pieces_of = (0, 0)
-        self._aside = False  # asked to hand over: takes nothing more
+        self._transferring = False  # asked to hand over: takes nothing more
         self._wait(now)
 
     # Questions ------------------------------------------------------------------------------------
 
     @property
-    def members(self) -> Membership:
-        return self.log.members
+    def membership(self) -> Membership:
+        return self.log.membership
 
     @property
     def next_at(self) -> float:
         """When `tick` is due."""
-        return self._beat if self.role is Role.LEADER else self._election_at
+        return self._next_heartbeat_at if self.role is Role.LEADER else self._election_at
 
     @property
-    def older(self) -> list[str]:
+    def stale(self) -> list[str]:
         """Members that came back with less than they had stored: their directories are older ones."""
-        return sorted(name for name, peer in self.peers.items() if peer.older)
+        return sorted(name for name, peer in self.peers.items() if peer.stale)
 
     def _majority(self, names: Iterable[str]) -> bool:
-        voters = self.members.voters
+        voters = self.membership.voters
         return 2 * len(voters.keys() & set(names)) > len(voters)
 
     def _settled(self) -> bool:
         """Whether an entry of this leader's own term is committed, and so all before it."""
-        return self.log.term(self.commit) == self.term
+        return self.log.term_at(self.commit_index) == self.term
 
     def _led(self, now: float) -> bool:
-        return self.role is Role.LEADER or now - self._heard < self.timing.election
+        return self.role is Role.LEADER or now - self._leader_heard_at < self.timing.election
 
     # Time -----------------------------------------------------------------------------------------
 
@@ -159,18 +159,18 @@
         if now < self.next_at:
             return
         if self.role is Role.LEADER:
-            heard = {n for n, peer in self.peers.items() if now - peer.heard < self.timing.election}
+            heard = {n for n, peer in self.peers.items() if now - peer.heard_at < self.timing.election}
             if not self._majority(heard | {self.name}):
                 # Guards whoever asks this one, cut off, while the others have long elected another.
                 self._follow(self.term, "", now)
                 return
-            self._beat = now + self.timing.heartbeat
+            self._next_heartbeat_at = now + self.timing.heartbeat
             for peer in self.peers.values():
-                peer.waiting = False
+                peer.awaiting_response = False
             self._tell_all()
             self._promote()
             self._hand_over()
-        elif self.name in self.members.voters:
+        elif self.name in self.membership.voters:
             self._campaign(now, pre=True)
         else:
             self._wait(now)
@@ -179,9 +179,9 @@
 
     def _follow(self, term: int, leader: str, now: float) -> None:
         if term > self.term:
-            self.term, self.vote = term, ""
+            self.term, self.voted_for = term, ""
         self._lead_no_more()
-        self.leader, self._votes, self._aside = leader, set(), False
+        self.leader, self._votes, self._transferring = leader, set(), False
         self._wait(now)
 
     def _lead_no_more(self) -> None:
@@ -197,11 +197,11 @@
         if pre:
             self.role, term = Role.PRE_CANDIDATE, self.term + 1
         else:
-            self.role, self.vote = Role.CANDIDATE, self.name
+            self.role, self.voted_for = Role.CANDIDATE, self.name
             self.term = term = self.term + 1
-        for name in self.members.voters:
+        for name in self.membership.voters:
             if name != self.name:
-                self._send(name, RequestVote(term, self.log.last, self.log.last_term, pre, handed))
+                self._send(name, RequestVote(term, self.log.last_index, self.log.last_term, pre, handed))
         self._count(now)
 
     def _count(self, now: float) -> None:
@@ -211,9 +211,13 @@
             self._campaign(now, pre=False)
         elif self.role is Role.CANDIDATE:
             self.role, self.leader = Role.LEADER, self.name
-            self._serial, self._aside = 0, False
-            self._beat = now + self.timing.heartbeat
-            self.peers = {n: PeerProgress(self.log.last + 1, now) for n in self.members.all if n != self.name}
+            self._serial, self._transferring = 0, False
+            self._next_heartbeat_at = now + self.timing.heartbeat
+            self.peers = {
+                n: PeerProgress(self.log.last_index + 1, now)
+                for n in self.membership.addresses
+                if n != self.name
+            }
             self._take(Entry(self.term, EntryKind.EMPTY))
 
     # Messages -------------------------------------------------------------------------------------
@@ -225,16 +229,16 @@
         """One message from another member."""
         if message.term > self.term:
             if isinstance(message, RequestVote):
-                if not message.handed and self._led(now):
+                if not message.leadership_transfer and self._led(now):
                     return  # guards a good leader from those who can't hear it
-                if not message.pre:
+                if not message.pre_vote:
                     self._follow(message.term, "", now)
             elif not (isinstance(message, RequestVoteResponse) and message.granted):
                 self._follow(message.term, "", now)
         elif message.term < self.term:
             # An old leader or candidate learns that its time is over; answers to what is over are not heard.
             if isinstance(message, RequestVote):
-                self._send(sender, RequestVoteResponse(self.term, False, message.pre))
+                self._send(sender, RequestVoteResponse(self.term, False, message.pre_vote))
             elif isinstance(message, AppendEntries | InstallSnapshot):
                 self._send(sender, AppendEntriesResponse(self.term, message.serial, False, 0))
             return
@@ -242,7 +246,7 @@
 
     def _current(self, m: RequestVote) -> bool:
         """Guards what a majority has stored: only who has all of it may lead."""
-        return (m.last_term, m.last) >= (self.log.last_term, self.log.last)
+        return (m.last_term, m.last_index) >= (self.log.last_term, self.log.last_index)
 
     @singledispatchmethod
     def _on(self, message: Message, sender: str, now: float) -> None:
@@ -251,48 +255,52 @@
     @_on.register
     def _(self, m: RequestVote, sender: str, now: float) -> None:
         current = self._current(m)
-        if m.pre:
+        if m.pre_vote:
             granted = current and m.term > self.term
             self._send(sender, RequestVoteResponse(m.term if granted else self.term, granted, True))
             return
-        granted = current and self.vote in ("", sender) and self.role in (Role.FOLLOWER, Role.PRE_CANDIDATE)
+        granted = (
+            current and self.voted_for in ("", sender) and self.role in (Role.FOLLOWER, Role.PRE_CANDIDATE)
+        )
         if granted:
-            self.vote = sender
+            self.voted_for = sender
             self._wait(now)
         self._send(sender, RequestVoteResponse(self.term, granted))
 
     @_on.register
     def _(self, m: RequestVoteResponse, sender: str, now: float) -> None:
-        asked = Role.PRE_CANDIDATE if m.pre else Role.CANDIDATE
-        if m.granted and self.role is asked and m.term == self.term + m.pre:
+        asked = Role.PRE_CANDIDATE if m.pre_vote else Role.CANDIDATE
+        if m.granted and self.role is asked and m.term == self.term + m.pre_vote:
             self._votes.add(sender)
             self._count(now)
 
     @_on.register
     def _(self, m: TimeoutNow, sender: str, now: float) -> None:
-        if self.name in self.members.voters and self.role is Role.FOLLOWER:
+        if self.name in self.membership.voters and self.role is Role.FOLLOWER:
             self._campaign(now, pre=False, handed=True)
 
     def _led_by(self, sender: str, now: float) -> None:
         if self.role is not Role.FOLLOWER or self.leader != sender:
             self._follow(self.term, sender, now)
-        self._heard = now
+        self._leader_heard_at = now
         self._wait(now)
 
     @_on.register
     def _(self, m: AppendEntries, sender: str, now: float) -> None:
         self._led_by(sender, now)
-        prev, entries = m.prev, m.entries
-        if prev < self.log.base:  # all that the snapshot holds is committed, and so the same there
-            entries = entries[self.log.base - prev :]
-            prev = min(self.log.base, prev + len(m.entries))
-        elif self.log.term(prev) != m.prev_term:
-            hint = self.log.last if prev > self.log.last else self.log.first_of_term(prev) - 1
+        prev, entries = m.prev_index, m.entries
+        if prev < self.log.snapshot_index:  # all that the snapshot holds is committed, and so the same there
+            entries = entries[self.log.snapshot_index - prev :]
+            prev = min(self.log.snapshot_index, prev + len(m.entries))
+        elif self.log.term_at(prev) != m.prev_term:
+            hint = (
+                self.log.last_index if prev > self.log.last_index else self.log.first_index_of_term(prev) - 1
+            )
             self._send(sender, AppendEntriesResponse(self.term, m.serial, False, prev, hint))
             return
-        self.log.match(prev + 1, entries)
+        self.log.replace_from(prev + 1, entries)
         stored = prev + len(entries)
-        self.commit = max(self.commit, min(m.commit, stored))
+        self.commit_index = max(self.commit_index, min(m.commit_index, stored))
         self._send(sender, AppendEntriesResponse(self.term, m.serial, True, stored))
 
     @_on.register
@@ -300,56 +308,58 @@
         peer = self._heard_of(sender, m.serial, now)
         if peer is None:
             return
-        if m.good:
-            if m.index > peer.match:
-                peer.match, peer.match_serial = m.index, m.serial
-            peer.next = max(peer.next, peer.match + 1)
-            peer.waiting = False
+        if m.success:
+            if m.index > peer.match_index:
+                peer.match_index, peer.match_serial = m.index, m.serial
+            peer.next_index = max(peer.next_index, peer.match_index + 1)
+            peer.awaiting_response = False
             self._commit()
-        elif m.index <= peer.match:
+        elif m.index <= peer.match_index:
             # Stored and gone again in one term: it runs on an older directory, unless its word came late. 0
             # answers what this leader sent in an earlier term, and tells nothing of what it has stored.
-            peer.older |= m.index > 0 and m.serial > peer.match_serial
+            peer.stale |= m.index > 0 and m.serial > peer.match_serial
             return
-        elif m.index == peer.next - 1:
-            peer.next = max(peer.match, min(m.hint, m.index - 1)) + 1
-            peer.waiting = False
-        if not peer.waiting and (peer.next <= self.log.last or not m.good):
+        elif m.index == peer.next_index - 1:
+            peer.next_index = max(peer.match_index, min(m.next_index_hint, m.index - 1)) + 1
+            peer.awaiting_response = False
+        if not peer.awaiting_response and (peer.next_index <= self.log.last_index or not m.success):
             self._tell(sender, peer)
 
     @_on.register
     def _(self, m: InstallSnapshot, sender: str, now: float) -> None:
         self._led_by(sender, now)
-        if m.index <= self.commit:
+        if m.index <= self.commit_index:
             self._send(sender, AppendEntriesResponse(self.term, m.serial, True, m.index))
             return
-        if self._pieces_of != (m.index, m.index_term):
-            self._pieces_of, self._pieces = (m.index, m.index_term), bytearray()
-        if m.offset == len(self._pieces) and m.offset + len(m.piece) <= min(m.size, MAX_SNAPSHOT_BYTES):
-            self._pieces += m.piece
-        if len(self._pieces) < m.size:
+        if self._pieces_of != (m.index, m.snapshot_term):
+            self._pieces_of, self._pieces = (m.index, m.snapshot_term), bytearray()
+        if m.offset == len(self._pieces) and m.offset + len(m.chunk) <= min(
+            m.total_bytes, MAX_SNAPSHOT_BYTES
+        ):
+            self._pieces += m.chunk
+        if len(self._pieces) < m.total_bytes:
             self._send(sender, InstallSnapshotResponse(self.term, m.serial, m.index, len(self._pieces)))
             return
-        snapshot = Snapshot(m.index, m.index_term, m.members, bytes(self._pieces))
+        snapshot = Snapshot(m.index, m.snapshot_term, m.membership, bytes(self._pieces))
         self._pieces, self._pieces_of = bytearray(), (0, 0)
-        self.log.restore(snapshot)
-        self.commit = self._given = m.index
-        self._snapshot, self._fresh = snapshot, True
+        self.log.install_snapshot(snapshot)
+        self.commit_index = self._applied_index = m.index
+        self._snapshot, self._restore_state = snapshot, True
         self._send(sender, AppendEntriesResponse(self.term, m.serial, True, m.index))
 
     @_on.register
     def _(self, m: InstallSnapshotResponse, sender: str, now: float) -> None:
         peer = self._heard_of(sender, m.serial, now)
         if peer is not None and peer.snapshot and peer.snapshot.index == m.index:
-            peer.offset, peer.waiting = min(m.offset, len(peer.snapshot.state)), False
+            peer.offset, peer.awaiting_response = min(m.offset, len(peer.snapshot.state)), False
             self._tell(sender, peer)
 
     def _heard_of(self, sender: str, serial: int, now: float) -> PeerProgress | None:
         """Guards counts: whoever is no member, or runs on an older directory, is not heard."""
         peer = self.peers.get(sender)
-        if self.role is not Role.LEADER or peer is None or peer.older:
+        if self.role is not Role.LEADER or peer is None or peer.stale:
             return None
-        peer.heard, peer.serial = now, max(peer.serial, serial)
+        peer.heard_at, peer.acknowledged_serial = now, max(peer.acknowledged_serial, serial)
         self._confirm()
         return peer
 
@@ -362,60 +372,65 @@
     def _tell(self, name: str, peer: PeerProgress) -> None:
         """The next entries or the next piece; where an answer is awaited, that all still stands."""
         self._serial += 1
-        if peer.next <= self.log.base:
+        if peer.next_index <= self.log.snapshot_index:
             self._tell_piece(name, peer)
             return
         peer.snapshot = None
         entries = (
-            () if peer.waiting else self.log.since(peer.next, MAX_ENTRIES_PER_MESSAGE, MAX_ENTRIES_BYTES)
+            ()
+            if peer.awaiting_response
+            else self.log.entries_from(peer.next_index, MAX_ENTRIES_PER_MESSAGE, MAX_ENTRIES_BYTES)
+        )
+        peer.awaiting_response |= bool(entries)
+        prev = peer.next_index - 1
+        commit = min(self.commit_index, self.log.last_index)
+        self._send(
+            name, AppendEntries(self.term, self._serial, prev, self.log.term_at(prev), commit, entries)
         )
-        peer.waiting |= bool(entries)
-        prev = peer.next - 1
-        commit = min(self.commit, self.log.last)
-        self._send(name, AppendEntries(self.term, self._serial, prev, self.log.term(prev), commit, entries))
 
     def _tell_piece(self, name: str, peer: PeerProgress) -> None:
-        if peer.snapshot is None or peer.snapshot.index < peer.next:
+        if peer.snapshot is None or peer.snapshot.index < peer.next_index:
             peer.snapshot, peer.offset = self.log.snapshot, 0
         s = peer.snapshot
-        piece = b"" if peer.waiting else s.state[peer.offset : peer.offset + SNAPSHOT_CHUNK_BYTES]
-        peer.waiting |= bool(piece)
+        piece = b"" if peer.awaiting_response else s.state[peer.offset : peer.offset + SNAPSHOT_CHUNK_BYTES]
+        peer.awaiting_response |= bool(piece)
         self._send(
             name,
             InstallSnapshot(
-                self.term, self._serial, s.index, s.term, s.members, peer.offset, len(s.state), piece
+                self.term, self._serial, s.index, s.term, s.membership, peer.offset, len(s.state), piece
             ),
         )
 
     def _take(self, entry: Entry) -> int:
         index = self.log.append(entry)
         for name, peer in self.peers.items():
-            if not peer.waiting:
+            if not peer.awaiting_response:
                 self._tell(name, peer)
         self._commit()
         return index
 
     def _commit(self) -> None:
         """Only entries of this term are counted: an older one that a majority stores can still be lost."""
-        voters = self.members.voters
+        voters = self.membership.voters
         stored = sorted(
-            self.log.last if n == self.name else self.peers[n].match if n in self.peers else 0 for n in voters
+            self.log.last_index if n == self.name else self.peers[n].match_index if n in self.peers else 0
+            for n in voters
         )
         index = stored[(len(stored) - 1) // 2] if stored else 0
-        if index <= self.commit or self.log.term(index) != self.term:
+        if index <= self.commit_index or self.log.term_at(index) != self.term:
             return
-        self.commit = index
+        self.commit_index = index
         for ticket in self._early:
             self._ask_round(ticket)
         self._early.clear()
         self._tell_all()  # what is committed is to be known soon, not at the next heartbeat
-        if self.name not in voters and self.commit >= self.log.members_at:
+        if self.name not in voters and self.commit_index >= self.log.membership_index:
             self._lead_no_more()  # it has removed itself
 
     def _check_leads(self) -> None:
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
-        if self._aside:
+        if self._transferring:
             raise BusyError("the leader hands over")
 
     def propose(self, data: bytes) -> tuple[int, int]:
@@ -424,19 +439,19 @@
         NotLeader or Busy where it isn't taken. Once it is, nobody but the log can tell what becomes of it.
         """
         self._check_leads()
-        if self.log.last - self.commit >= MAX_UNCOMMITTED_ENTRIES:
+        if self.log.last_index - self.commit_index >= MAX_UNCOMMITTED_ENTRIES:
             raise BusyError(f"{MAX_UNCOMMITTED_ENTRIES} entries wait for a majority")
         return self._take(Entry(self.term, EntryKind.DATA, data)), self.term
 
-    def change(self, members: Membership) -> tuple[int, int]:
+    def change_membership(self, members: Membership) -> tuple[int, int]:
         """Takes other members, one voter more or less than now; as `propose`.
 
         Majorities of before and after have a member in common then. Whoever is new comes as a learner first
         and becomes a voter by itself once it has the log.
         """
         self._check_leads()
-        old, new = self.members.voters, members.voters
-        if self.log.members_at > self.commit or not self._settled():
+        old, new = self.membership.voters, members.voters
+        if self.log.membership_index > self.commit_index or not self._settled():
             raise BusyError("another change of the members is not decided yet")
         if len(old.keys() ^ new.keys()) > 1 or not new:
             raise BusyError("one voter at a time")
@@ -444,35 +459,43 @@
         return index, self.term
 
     def _change(self, members: Membership) -> int:
-        names = members.all.keys() - {self.name}
+        names = members.addresses.keys() - {self.name}
         self.peers = {
-            n: self.peers.get(n) or PeerProgress(self.log.last + 1, self._beat) for n in sorted(names)
+            n: self.peers.get(n) or PeerProgress(self.log.last_index + 1, self._next_heartbeat_at)
+            for n in sorted(names)
         }
         return self._take(Entry(self.term, EntryKind.MEMBERS, msgspec.msgpack.encode(members)))
 
     def _promote(self) -> None:
-        if self._aside or not self._settled() or self.log.members_at > self.commit:
+        if self._transferring or not self._settled() or self.log.membership_index > self.commit_index:
             return
-        for name, where in self.members.learners.items():
-            if self.peers[name].match + PROMOTION_LAG_ENTRIES >= self.log.last and self.peers[name].match:
-                learners = {n: w for n, w in self.members.learners.items() if n != name}
-                self._change(Membership(self.members.voters | {name: where}, learners))
+        for name, where in self.membership.learners.items():
+            if (
+                self.peers[name].match_index + PROMOTION_LAG_ENTRIES >= self.log.last_index
+                and self.peers[name].match_index
+            ):
+                learners = {n: w for n, w in self.membership.learners.items() if n != name}
+                self._change(Membership(self.membership.voters | {name: where}, learners))
                 return
 
     def transfer_leadership(self, now: float) -> None:
         """Hands the lead to whoever has the whole log, once somebody has; nothing is taken meanwhile."""
         if self.role is Role.LEADER:
-            self._aside = True
+            self._transferring = True
             self._hand_over()
 
     def _hand_over(self) -> None:
-        if not self._aside or self.role is not Role.LEADER:
+        if not self._transferring or self.role is not Role.LEADER:
             return
-        whole = [n for n in self.members.voters if n in self.peers and self.peers[n].match == self.log.last]
+        whole = [
+            n
+            for n in self.membership.voters
+            if n in self.peers and self.peers[n].match_index == self.log.last_index
+        ]
         if whole:
-            self._send(max(whole, key=lambda n: self.peers[n].heard), TimeoutNow(self.term))
+            self._send(max(whole, key=lambda n: self.peers[n].heard_at), TimeoutNow(self.term))
 
-    def read(self, ticket: int) -> None:
+    def request_read(self, ticket: int) -> None:
         """Comes back in `reads` once the state applied then is no older than this moment; else in `lost`."""
         self._check_leads()
         if len(self._reads) + len(self._early) >= MAX_PENDING_READS:
@@ -490,7 +513,7 @@
         """Guards reads: a leader that was replaced while it looked away is not confirmed by a majority."""
         while self._reads:
             serial = self._reads[0].serial
-            answered = {n for n, peer in self.peers.items() if peer.serial > serial}
+            answered = {n for n, peer in self.peers.items() if peer.acknowledged_serial > serial}
             if not self._majority(answered | {self.name}):
                 return
             self._ready.append(self._reads.pop(0).ticket)
@@ -501,32 +524,32 @@
 
     def compact(self, index: int, state: bytes) -> None:
         """The state that all entries up to `index` lead to, all applied, in their place."""
-        if self.log.base < index <= self._given:
+        if self.log.snapshot_index < index <= self._applied_index:
             self.log.compact(index, state)
             self._snapshot = self.log.snapshot
-            self.log.changed = index  # what follows is written with it, in one new file
+            self.log.stored_index = index  # what follows is written with it, in one new file
 
-    def take(self) -> Output:
+    def take_output(self) -> Output:
         """All that is to be done since the last time."""
         if self._asked and self.role is Role.LEADER:
             self._tell_all()
             self._confirm()
         self._asked = False
-        hard = HardState(self.term, self.vote)
-        first, entries = self.log.unstored()
-        applied, self._given = self._given, max(self._given, self.commit)
+        hard = HardState(self.term, self.voted_for)
+        first, entries = self.log.take_unstored()
+        applied, self._applied_index = self._applied_index, max(self._applied_index, self.commit_index)
         output = Output(
             hard if hard != self._hard else None,
             self._snapshot,
-            self._fresh,
+            self._restore_state,
             first,
             entries,
             tuple(self._messages),
             applied,
-            self.log.since(applied + 1, self.commit - applied),
+            self.log.entries_from(applied + 1, self.commit_index - applied),
             tuple(self._ready),
             tuple(self._lost),
         )
-        self._hard, self._snapshot, self._fresh = hard, None, False
+        self._hard, self._snapshot, self._restore_state = hard, None, False
         self._messages, self._ready, self._lost = [], [], []
         return output
--- a/zincladder/consensus/server.py
+++ b/zincladder/consensus/server.py
@@ -82,7 +82,7 @@
         self._random = random.Random(seed)
         timing = RaftTiming(config.heartbeat, config.election)
         stored = store.stored
-        self.member = RaftNode(config.name, stored, clock(), self._random.getrandbits(32), timing)
+        self.node = RaftNode(config.name, stored, clock(), self._random.getrandbits(32), timing)
         self.state, self.applied_index = KeyValueState(stored.snapshot.state), stored.snapshot.index
         self._disk = anyio.Lock()
         self._due = anyio.Event()
@@ -124,8 +124,8 @@
                 group=self.config.group,
                 name=self.config.name,
                 port=port,
-                term=self.member.term,
-                entries=self.member.log.last,
+                term=self.node.term,
+                entries=self.node.log.last_index,
                 begun=not self._store.found,
                 torn=self._store.torn,
             )
@@ -136,28 +136,28 @@
         """Writes, then sends, then applies: what is said by this member is on its disk."""
         while True:
             self._due = due = anyio.Event()
-            self.member.tick(self._clock())
-            output = self.member.take()
-            if output.writes:
+            self.node.tick(self._clock())
+            output = self.node.take_output()
+            if output.has_writes:
                 async with self._disk:
                     await anyio.to_thread.run_sync(self._store.write, output)
             for to, message in output.messages:
                 if outbox := self._outboxes.get(to) or self._back.get(to):
                     outbox.put(message)
-            if self.member.members is not self._reached:  # in force from the entry on, decided or not
+            if self.node.membership is not self._reached:  # in force from the entry on, decided or not
                 self._dial_members()
             await self._apply(output)
             self._log_standing()
             for wake in self.state_listeners:
                 wake()
-            if self._store.long and self.applied_index > self.member.log.base:
-                self.member.compact(self.applied_index, self.state.dump())
+            if self._store.long and self.applied_index > self.node.log.snapshot_index:
+                self.node.compact(self.applied_index, self.state.dump())
                 continue
-            with anyio.move_on_after(max(0.0, self.member.next_at - self._clock())):
+            with anyio.move_on_after(max(0.0, self.node.next_at - self._clock())):
                 await due.wait()
 
     async def _apply(self, output: Output) -> None:
-        if output.fresh and output.snapshot:
+        if output.restore_state and output.snapshot:
             self.state = KeyValueState(output.snapshot.state)
             self.applied_index = output.snapshot.index
             for index in [i for i in self._waiters if i <= self.applied_index]:
@@ -167,9 +167,9 @@
             result = await self._entry(entry)
             if waiter := self._waiters.pop(self.applied_index, None):
                 waiter.tell(result if waiter.term == entry.term else None)
-        for ticket in output.reads:
+        for ticket in output.ready_reads:
             self._readers.pop(ticket).done.set()
-        for ticket in output.lost:
+        for ticket in output.failed_reads:
             self._readers[ticket].term = -1
             self._readers.pop(ticket).done.set()
 
@@ -177,18 +177,18 @@
         if entry.kind is EntryKind.DATA:
             return self.state.apply(self.applied_index, entry.data)
         if entry.kind is EntryKind.MEMBERS:
-            gone = self._store.births.keys() - self.member.members.all.keys()
+            gone = self._store.births.keys() - self.node.membership.addresses.keys()
             async with self._disk:
                 for name in gone:
                     await anyio.to_thread.run_sync(self._store.forget, name)
         return None
 
     def _log_standing(self) -> None:
-        seen = (self.member.role.value, self.member.leader)
-        if seen != self._seen and self.member.role in (Role.LEADER, Role.FOLLOWER):
+        seen = (self.node.role.value, self.node.leader)
+        if seen != self._seen and self.node.role in (Role.LEADER, Role.FOLLOWER):
             self._seen = seen
             log.info(
-                "standing", role=seen[0], leader=seen[1], term=self.member.term, entries=self.applied_index
+                "standing", role=seen[0], leader=seen[1], term=self.node.term, entries=self.applied_index
             )
 
     def _wake(self) -> None:
@@ -199,8 +199,8 @@
     def _dial_members(self) -> None:
         """One task for each other member; those that are gone, or have moved, end."""
         assert self._tasks is not None
-        self._reached = self.member.members
-        wanted = {n: self.config.via.get(n, w) for n, w in self._reached.all.items()}
+        self._reached = self.node.membership
+        wanted = {n: self.config.via.get(n, w) for n, w in self._reached.addresses.items()}
         wanted.pop(self.config.name, None)
         for name, (where, scope) in list(self._dialled.items()):
             if wanted.get(name) != where:
@@ -258,7 +258,7 @@
             return "too many links"
         if hello.role != "keeper":
             return ""
-        known = self.member.members.all
+        known = self.node.membership.addresses
         if known and hello.name not in known:
             return f"{hello.name!r} is no member"
         if (
@@ -316,7 +316,7 @@
             message = await link.receive(Message)
             if self._store.births.get(name) is None:
                 raise HandshakeRejectedError(f"{name!r} is no member any more")
-            self.member.receive(name, message, self._clock())
+            self.node.receive(name, message, self._clock())
             self._wake()
 
     # Callers --------------------------------------------------------------------------------------
@@ -351,15 +351,15 @@
                 return self.collect_counters()
             if isinstance(what, rpc.ChangeMembership):
                 await self.change(what)
-            elif self.member.role is not Role.LEADER:
-                raise NotLeaderError(self.member.leader)
+            elif self.node.role is not Role.LEADER:
+                raise NotLeaderError(self.node.leader)
             else:
-                self.member.transfer_leadership(self._clock())
+                self.node.transfer_leadership(self._clock())
                 self._wake()
             return rpc.Done()
         except NotLeaderError:
-            leader = self.member.leader
-            return rpc.NotLeader(leader, self.member.members.all.get(leader, ""))
+            leader = self.node.leader
+            return rpc.NotLeader(leader, self.node.membership.addresses.get(leader, ""))
         except BusyError as fault:
             return rpc.RequestFailed(str(fault))
         except CommitUnknownError as fault:
@@ -379,7 +379,7 @@
 
     async def compare_and_swap(self, what: CompareAndSwap) -> CompareAndSwapResult:
         """Compare and swap. NotLeader or Busy: not done. Undecided: nobody can say yet."""
-        result = await self._decided(self.member.propose(msgspec.msgpack.encode(what)))
+        result = await self._decided(self.node.propose(msgspec.msgpack.encode(what)))
         if result is None:
             raise CommitUnknownError("the leader has changed meanwhile")
         return result
@@ -388,59 +388,59 @@
         """Returns once the registers are no older than this call; else NotLeader, Busy or Undecided."""
         self._tickets += 1
         ticket, waiter = self._tickets, PendingResult()
-        self.member.read(ticket)
+        self.node.request_read(ticket)
         self._readers[ticket] = waiter
         self._wake()
         await waiter.told()
         if waiter.term < 0:
-            raise NotLeaderError(self.member.leader)
+            raise NotLeaderError(self.node.leader)
 
     async def change(self, what: rpc.ChangeMembership) -> None:
         await (
             self.confirm_leadership()
         )  # one that has just been elected takes no other members before its first entry
-        members = self.member.members
+        members = self.node.membership
         for name, where in what.add.items():
             try:
                 address(where)
             except ValueError:
                 raise BusyError(f"{where[:40]!r} is no address like 127.0.0.1:7300") from None
-            if name in members.all:
+            if name in members.addresses:
                 raise BusyError(f"{name!r} is a member already")
-        if what.remove and what.remove not in members.all:
+        if what.remove and what.remove not in members.addresses:
             raise BusyError(f"{what.remove!r} is no member")
         voters = {n: w for n, w in members.voters.items() if n != what.remove}
         learners = {n: w for n, w in members.learners.items() if n != what.remove}
-        await self._decided(self.member.change(Membership(voters, learners | what.add)))
+        await self._decided(self.node.change_membership(Membership(voters, learners | what.add)))
 
     def status(self) -> rpc.ReplicaStatus:
-        m, now = self.member, self._clock()
+        m, now = self.node, self._clock()
         return rpc.ReplicaStatus(
             name=m.name,
             role=m.role.value,
             leader=m.leader,
             term=m.term,
-            commit=m.commit,
-            last=m.log.last,
-            base=m.log.base,
-            voters=m.members.voters,
-            learners=m.members.learners,
-            stored={n: p.match for n, p in m.peers.items()},
-            silent=sorted(n for n, p in m.peers.items() if now - p.heard > self.config.election),
-            older=m.older,
+            commit=m.commit_index,
+            last=m.log.last_index,
+            base=m.log.snapshot_index,
+            voters=m.membership.voters,
+            learners=m.membership.learners,
+            stored={n: p.match_index for n, p in m.peers.items()},
+            silent=sorted(n for n, p in m.peers.items() if now - p.heard_at > self.config.election),
+            older=m.stale,
             registers=len(self.state),
             bytes_kept=self._store.size,
         )
 
     @property
     def is_leader(self) -> bool:
-        return self.member.role is Role.LEADER
+        return self.node.role is Role.LEADER
 
     async def transfer_leadership(self, patience: float) -> None:
         """Before an orderly end: lets another lead, if there is one that can."""
         if not self.is_leader:
             return
-        self.member.transfer_leadership(self._clock())
+        self.node.transfer_leadership(self._clock())
         self._wake()
         with anyio.move_on_after(patience):
             while self.is_leader:
--- a/zincladder/consensus/store.py
+++ b/zincladder/consensus/store.py
@@ -127,18 +127,18 @@
 
     def write(self, output: Output) -> None:
         """On the disk when this returns. JournalError: nothing may be said or applied any more."""
-        if not output.writes:
+        if not output.has_writes:
             return
-        if output.hard:
-            self._hard = output.hard
+        if output.hard_state:
+            self._hard = output.hard_state
         if output.snapshot:
             self._snapshot, self._entries = output.snapshot, list(output.entries)
             self._rewrite()
             return
-        items: list[Item] = [(RecordKind.HARD, encode(output.hard))] if output.hard else []
+        items: list[Item] = [(RecordKind.HARD, encode(output.hard_state))] if output.hard_state else []
         if output.entries:
-            self._place(output.first, output.entries)
-            items += self._placed(output.first, output.entries)
+            self._place(output.first_index, output.entries)
+            items += self._placed(output.first_index, output.entries)
         self._journal.append(items)
 
     def _rewrite(self) -> None:
