--- a/tests/tasks/test_runner.py
+++ b/tests/tasks/test_runner.py
@@ -5,14 +5,14 @@
 import anyio
 import pytest
 
-from zincladder.config import DutiesConfig
+from zincladder.config import TasksConfig
 from zincladder.tasks.runner import TaskRunner
 
 
 @pytest.mark.anyio
 async def test_an_idle_runner_does_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     # Measured once: it woke itself up, and a front that only waited took a whole core.
-    task_runner = TaskRunner(DutiesConfig("g", {"k1": "127.0.0.1:1"}, ()), "f0", {}, dict)
+    task_runner = TaskRunner(TasksConfig("g", {"k1": "127.0.0.1:1"}, ()), "f0", {}, dict)
     ticks, tick = [], task_runner.participant.tick
 
     def counted(now: float) -> None:
--- a/tests/test_configuration_reading.py
+++ b/tests/test_configuration_reading.py
@@ -146,11 +146,11 @@
         parse_config(FULL),
         parse_config({"listen": "127.0.0.1:0", "settings": {"categories": CATEGORIES}}),
     )
-    cut = [replace(full, raw={}, known={}), replace(bare, raw={}, known={})]
+    cut = [replace(full, raw={}, known_events={}), replace(bare, raw={}, known_events={})]
     found = {
         "all keys": positional(cut[0]),
         "none": positional(cut[1]),
-        "one of three processes": positional(replace(divide_limits(full, 3), raw={}, known={})),
+        "one of three processes": positional(replace(divide_limits(full, 3), raw={}, known_events={})),
         "simulator": positional(parse_settings(json.dumps(FULL["settings"]).encode())),
         "operator's": positional(parse_operator(OPERATOR, NAMES)),
         "operator's, none": positional(parse_operator({}, NAMES)),
@@ -159,7 +159,7 @@
         ],
     }
     assert full.raw == {key: value for key, value in FULL.items() if key != "known"}
-    assert full.known == FULL["known"]
+    assert full.known_events == FULL["known"]
     assert_matches("configuration/values.json", found)
 
 
@@ -294,5 +294,5 @@
         name: positional(parse_operator(tomllib.loads((ROOT / "deploy" / name).read_text()), NAMES))
         for name in ("operator.toml", "admission.toml")
     }
-    found = {"example": positional(replace(example, raw={}, known={})), **shipped}
+    found = {"example": positional(replace(example, raw={}, known_events={})), **shipped}
     assert_matches("configuration/shipped.json", found)
--- a/tests/test_export.py
+++ b/tests/test_export.py
@@ -395,12 +395,12 @@
 @pytest.mark.anyio
 async def test_an_outage_and_a_restart_lose_nothing_with_a_spool(tmp_path: Path) -> None:
     dead = Receiver(*["reset"] * 10_000)
-    counts = await pushed(dead, {"retried": 8}, spool=str(tmp_path))
+    counts = await pushed(dead, {"retried": 8}, spool_folder=str(tmp_path))
     assert not counts["sent"] and not counts["overflowed"]
     waiting = len(Spool(tmp_path, 64 << 20))
     assert waiting >= 5
     receiver = Receiver()
-    await pushed(receiver, {"sent": waiting + 2}, spool=str(tmp_path))
+    await pushed(receiver, {"sent": waiting + 2}, spool_folder=str(tmp_path))
     times = receiver.times()
     assert times == sorted(set(times)) and times[0] == dead.times()[0]
 
@@ -418,13 +418,13 @@
 
     monkeypatch.setattr("zincladder.export.spool.os.pwrite", full)
     receiver = Receiver(*["reset"] * 4)
-    counts = await pushed(receiver, {"sent": 40}, spool=str(tmp_path), most_bytes=1 << 14)
+    counts = await pushed(receiver, {"sent": 40}, spool_folder=str(tmp_path), max_memory_bytes=1 << 14)
     times = receiver.times()
     assert times == sorted(times) and not counts["overflowed"] and tried > 8
 
 
 def test_a_spool_that_cannot_be_a_folder_is_a_fault_of_the_configuration(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("x")
-    config = RemoteWriteConfig("127.0.0.1", 1, "/", spool=str(tmp_path / "file"))
+    config = RemoteWriteConfig("127.0.0.1", 1, "/", spool_folder=str(tmp_path / "file"))
     with pytest.raises(ConfigError, match=r"remote_write\.spool"):
         RemoteWrite(config, samples, lambda outcome, many: None)
--- a/tests/test_operating_day.py
+++ b/tests/test_operating_day.py
@@ -234,8 +234,8 @@
     whole = parse_config(configuration([], limits={"memory_mb": 80, "sockets": 384}))
     half = divide_limits(whole, 2)
     assert divide_limits(whole, 1) is whole and half.sockets == 192 and half.settings.routers == 2
-    assert half.settings.routers_by_zone == (0, 2) and 2 * half.most_open < whole.most_open
-    assert divide_limits(parse_config(configuration([], limits={"memory_mb": 32})), 2).most_open > 20
+    assert half.settings.routers_by_zone == (0, 2) and 2 * half.max_open_requests < whole.max_open_requests
+    assert divide_limits(parse_config(configuration([], limits={"memory_mb": 32})), 2).max_open_requests > 20
 
 
 def changed(change: Callable[[dict[str, Any]], object]) -> dict[str, Any]:
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -30,7 +30,7 @@
 from zincladder.agreement.store import Store
 from zincladder.agreement.terms import Terms
 from zincladder.cli import main
-from zincladder.config import Config, DutiesConfig, PolicyConfig, parse_config
+from zincladder.config import Config, PolicyConfig, TasksConfig, parse_config
 from zincladder.config.keeper import KeeperTable, LeaseTable, keeper_of
 from zincladder.config.operator_tables import TABLES, RemoteWriteTable
 from zincladder.control.readiness import Readiness
@@ -60,7 +60,7 @@
 
 
 def task_runner() -> TaskRunner:
-    return TaskRunner(DutiesConfig("g", REPLICAS, ()), "n0", {}, dict)
+    return TaskRunner(TasksConfig("g", REPLICAS, ()), "n0", {}, dict)
 
 
 def counting_core() -> Core:
--- a/zincladder/config/__init__.py
+++ b/zincladder/config/__init__.py
@@ -14,11 +14,11 @@
     Config,
     DnsConfig,
     DnsHost,
-    DutiesConfig,
     Names,
     Operator,
     PolicyConfig,
     RemoteWriteConfig,
+    TasksConfig,
 )
 from zincladder.config.node import Node, parse_address
 from zincladder.config.platform import parse_config
@@ -32,12 +32,12 @@
     "ConfigError",
     "DnsConfig",
     "DnsHost",
-    "DutiesConfig",
     "Names",
     "Node",
     "Operator",
     "PolicyConfig",
     "RemoteWriteConfig",
+    "TasksConfig",
     "divide_limits",
     "load",
     "load_operator",
--- a/zincladder/config/changes.py
+++ b/zincladder/config/changes.py
@@ -9,8 +9,9 @@
 from zincladder.config.model import Config
 
 # What stays as it was until the next start: fields of the configuration,
-FIXED = ("name", "listen", "control", "seed", "known", "idle_close", "streams")
-UNREPORTED = ("seed", "known")  # may change in the file without a word
+FIXED = ("name", "listen", "control", "seed", "known_events", "idle_close_seconds", "max_streams")
+UNREPORTED = ("seed", "known_events")  # may change in the file without a word
+REPORTED_AS = {"idle_close_seconds": "idle_close", "max_streams": "streams"}
 # and of the settings: where a front stands and what it can learn.
 FIXED_SETTINGS = (
     "zone",
@@ -37,7 +38,11 @@
     names = replace(new.names, zones=old.names.zones, kinds=old.names.kinds)
     fixed = {key: getattr(old, key) for key in FIXED}
     fixed_settings = {key: getattr(old.settings, key) for key in FIXED_SETTINGS}
-    pending = [key for key in FIXED if key not in UNREPORTED and getattr(new, key) != fixed[key]]
+    pending = [
+        REPORTED_AS.get(key, key)
+        for key in FIXED
+        if key not in UNREPORTED and getattr(new, key) != fixed[key]
+    ]
     pending += [
         f"settings: {key}" for key in FIXED_SETTINGS if getattr(new.settings, key) != fixed_settings[key]
     ]
--- a/zincladder/config/limits.py
+++ b/zincladder/config/limits.py
@@ -36,8 +36,8 @@
         config,
         memory_mb=config.memory_mb // processes,
         sockets=config.sockets // processes,
-        most_open=min(max_open, config.most_open),
-        most_unread=max_unread_bytes,
+        max_open_requests=min(max_open, config.max_open_requests),
+        max_unread_bytes=max_unread_bytes,
         settings=_with_more_routers(config.settings, processes - 1),
     )
 
--- a/zincladder/config/model.py
+++ b/zincladder/config/model.py
@@ -35,12 +35,12 @@
     sockets: int
     settings: api.Settings
     names: Names
-    idle_close: float  # seconds after which an idle connection to a cache is closed
-    streams: int  # requests that may be open on one connection to a cache
-    most_open: int  # requests that may be open at once
-    most_unread: int  # bytes of answers that all clients together may leave unread
-    known: dict[str, Any]  # the coordinator's events up to the start
-    raw: dict[str, Any] = field(default_factory=dict, repr=False, compare=False)  # the file without `known`
+    idle_close_seconds: float  # after which an idle connection to a cache is closed
+    max_streams: int  # requests that may be open on one connection to a cache
+    max_open_requests: int
+    max_unread_bytes: int  # of answers, that all clients together may leave unread
+    known_events: dict[str, Any]  # the coordinator's events up to the start
+    raw: dict[str, Any] = field(default_factory=dict, repr=False, compare=False)  # the file without 'known'
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,11 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DnsConfig:
-    """The DNS front; past `deadline` seconds a query is answered with SERVFAIL."""
+    """The DNS front; a query older than its timeout is answered with SERVFAIL."""
 
     listen: Address
     zone: str
-    deadline: float
+    timeout_seconds: float
     hosts: tuple[DnsHost, ...]
 
 
@@ -70,10 +70,10 @@
     host: str
     port: int
     path: str
-    every: float = 15.0  # seconds between two batches
-    most_bytes: int = 1 << 20  # in memory
-    spool: str | None = None  # a folder
-    spool_bytes: int = 64 << 20
+    interval_seconds: float = 15.0  # between two batches
+    max_memory_bytes: int = 1 << 20
+    spool_folder: str | None = None  # None: batches wait in memory only
+    max_spool_bytes: int = 64 << 20
     version: int = 2  # of the protocol, to begin with
     replay_bytes_per_s: float = 1e6
 
@@ -83,18 +83,18 @@
     """Where a front learns the policy of its fleet, and whether it serves on without it once cut off."""
 
     group: str
-    keepers: dict[str, str]  # addresses of the replicas by their names
-    go_on: bool = False
+    replicas: dict[str, str]  # their addresses by their names
+    serves_when_cut_off: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class DutiesConfig:
+class TasksConfig:
     """The replicas that lease singleton tasks, and the tasks that this front offers to run."""
 
     group: str
-    keepers: dict[str, str]  # addresses of the replicas by their names
-    wants: tuple[str, ...]
-    figures: RemoteWriteConfig | None = None  # the receiver of the fleet's sums
+    replicas: dict[str, str]  # their addresses by their names
+    offered: tuple[str, ...]
+    metrics_receiver: RemoteWriteConfig | None = None  # of the fleet's sums, for the task that pushes them
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,4 +107,4 @@
     admission: Limits | None = None
     control: str | None = None  # the path of the control socket
     policy: PolicyConfig | None = None
-    duties: DutiesConfig | None = None
+    tasks: TasksConfig | None = None
--- a/zincladder/config/operator.py
+++ b/zincladder/config/operator.py
@@ -15,11 +15,11 @@
     Address,
     DnsConfig,
     DnsHost,
-    DutiesConfig,
     Names,
     Operator,
     PolicyConfig,
     RemoteWriteConfig,
+    TasksConfig,
 )
 from zincladder.config.node import parse_address
 from zincladder.config.operator_tables import (
@@ -63,7 +63,7 @@
         admission=_limits(admission) if admission and admission.enabled else None,
         control=control.socket if control else None,
         policy=_policy(policy) if policy else None,
-        duties=_duties(duties) if duties else None,
+        tasks=_tasks(duties) if duties else None,
     )
 
 
@@ -122,7 +122,7 @@
         table = read_table(data, "remote_write", RemoteWriteTable)
         return (_remote_write(table, "remote_write"),) if table else ()
     receivers = tuple(_read_receiver(raw, index) for index, raw in enumerate(data["remote_write"]))
-    spools = [receiver.spool for receiver in receivers if receiver.spool]
+    spools = [receiver.spool_folder for receiver in receivers if receiver.spool_folder]
     if len(spools) != len(set(spools)):
         raise ConfigError("'remote_write' must name another 'spool' for each receiver")
     return receivers
@@ -141,10 +141,10 @@
         host=str(url.hostname),
         port=port,
         path=(url.path or "/") + (f"?{url.query}" if url.query else ""),
-        every=table.every_s,
-        most_bytes=table.queue_kb << 10,
-        spool=table.spool,
-        spool_bytes=table.spool_mb << 20,
+        interval_seconds=table.every_s,
+        max_memory_bytes=table.queue_kb << 10,
+        spool_folder=table.spool,
+        max_spool_bytes=table.spool_mb << 20,
         version=table.version,
         replay_bytes_per_s=table.replay_kb_per_s * 1000,
     )
@@ -219,7 +219,7 @@
     return PolicyConfig(table.group, table.keepers, table.cut_off == "go_on")
 
 
-def _duties(table: DutiesTable) -> DutiesConfig:
+def _tasks(table: DutiesTable) -> TasksConfig:
     _check_replicas(table.keepers, "duties.keepers")
     receiver = None
     if table.figures is not None:
@@ -228,7 +228,7 @@
         receiver = _remote_write(remote_write, "duties.figures")
     if "figures" in table.wants and receiver is None:
         raise ConfigError("'duties.figures' must say where the figures go, or 'wants' must not name them")
-    return DutiesConfig(table.group, table.keepers, tuple(table.wants), receiver)
+    return TasksConfig(table.group, table.keepers, tuple(table.wants), receiver)
 
 
 def _check_replicas(addresses: dict[str, str], key: str) -> None:
--- a/zincladder/config/platform.py
+++ b/zincladder/config/platform.py
@@ -33,11 +33,11 @@
         sockets=limits.integer("sockets", DEFAULT_SOCKETS),
         settings=read_settings(settings),
         names=names,
-        idle_close=ceilings.number("idleClose", DEFAULT_IDLE_CLOSE_SECONDS),
-        streams=ceilings.integer("streamsPerConn", DEFAULT_STREAMS),
-        most_open=min(max_open, ceilings.integer("maxOpen", max_open)),
-        most_unread=max_unread_bytes,
-        known=top.child("known").data,
+        idle_close_seconds=ceilings.number("idleClose", DEFAULT_IDLE_CLOSE_SECONDS),
+        max_streams=ceilings.integer("streamsPerConn", DEFAULT_STREAMS),
+        max_open_requests=min(max_open, ceilings.integer("maxOpen", max_open)),
+        max_unread_bytes=max_unread_bytes,
+        known_events=top.child("known").data,
         raw={key: value for key, value in top.data.items() if key != "known"},
     )
 
--- a/zincladder/dns/answers.py
+++ b/zincladder/dns/answers.py
@@ -43,7 +43,7 @@
     def __init__(
         self, config: DnsConfig, core: Core, where: Callable[[api.EndpointId], Address | None]
     ) -> None:
-        self._core, self._where, self._deadline = core, where, config.deadline
+        self._core, self._where, self._deadline = core, where, config.timeout_seconds
         self._zone = dns.name.from_text(config.zone)
         self._hosts = {
             dns.name.from_text(host.name): Target(
--- a/zincladder/export/fleet_metrics.py
+++ b/zincladder/export/fleet_metrics.py
@@ -56,12 +56,12 @@
 
     async def __call__(self, context: TaskContext) -> None:
         """Runs until it is cancelled. Raises LeaseLostError."""
-        interval_ms = int(1000 * self._config.every)
+        interval_ms = int(1000 * self._config.interval_seconds)
         version, data = await context.load_checkpoint()
         totals = decode_totals(data)
         while True:
             at = next_sample_at(totals.at, int(1000 * self._wall_clock()), interval_ms)
-            wait = min(at / 1000 - self._wall_clock(), self._config.every)
+            wait = min(at / 1000 - self._wall_clock(), self._config.interval_seconds)
             await anyio.sleep(max(0.0, wait))
             sums = await context.collect()
             totals = totals.advanced(sums.epoch, sums.totals, at)
--- a/zincladder/export/sender.py
+++ b/zincladder/export/sender.py
@@ -57,16 +57,16 @@
         self._config, self._samples, self._count = config, samples, count
         rules = rules or Rules(version=config.version, replay_bytes_per_s=config.replay_bytes_per_s)
         self._delivery = Delivery(rules, random.Random())
-        self._memory = MemoryStore(config.most_bytes)
+        self._memory = MemoryStore(config.max_memory_bytes)
         self._spool: Spool | None = None
         self._created_ms = int(time.time() * 1000)
         self._news = anyio.Event()
         self._turn = anyio.Lock()  # of the stores: a worker thread has them one call at a time
         self._warn = RateLimitedLog()
         self._told_lost = 0
-        if config.spool is not None:
+        if config.spool_folder is not None:
             try:
-                self._spool = Spool(Path(config.spool), config.spool_bytes)
+                self._spool = Spool(Path(config.spool_folder), config.max_spool_bytes)
             except SpoolError as fault:
                 raise ConfigError(f"'remote_write.spool' cannot be used: {fault}") from None
             if self._spool.foreign:
@@ -86,7 +86,7 @@
                 at = anyio.current_time()
                 while True:
                     await self.take()
-                    at = max(at + self._config.every, anyio.current_time())
+                    at = max(at + self._config.interval_seconds, anyio.current_time())
                     await anyio.sleep_until(at)
         finally:
             if self._spool is not None:
--- a/zincladder/net/caches.py
+++ b/zincladder/net/caches.py
@@ -244,7 +244,7 @@
         async with anyio.create_task_group() as self._tasks:
             while True:
                 await anyio.sleep(1.0)
-                oldest = monotonic() - IDLE_SHARE * self._config.idle_close
+                oldest = monotonic() - IDLE_SHARE * self._config.idle_close_seconds
                 for links in list(self._links.values()):
                     for link in links:
                         if not (link.open or link.reserved) and link.used_at < oldest:
@@ -453,7 +453,7 @@
 
         Guards it against what was left over: bytes that are nobody's may be half of a line without end.
         """
-        full = len(link.open) >= self._config.streams or link.reserved or name in link.names
+        full = len(link.open) >= self._config.max_streams or link.reserved or name in link.names
         left_over = link.reading and not link.open
         return not (full or left_over or link.closed or link.retired or link.ending or link.outbox.ended)
 
--- a/zincladder/net/clients.py
+++ b/zincladder/net/clients.py
@@ -380,7 +380,7 @@
             # settings' own ceiling is kept here too: what is past it never reaches the module.
             most_pause = self._core.settings.max_retry_after
             open_now, behind = len(self._traces), round(self._core.loop_lag, 3)
-            most = self._config.most_open
+            most = self._config.max_open_requests
             self._warn.warning("too much to do", why=why.value, open=open_now, most=most, behind=behind)
             self._core.answered(ask.request_class, "refused")
             pause = min(SOON, most_pause) if why is Why.ENDING else most_pause
--- a/zincladder/net/events.py
+++ b/zincladder/net/events.py
@@ -111,7 +111,7 @@
 
 def known_news(config: Config) -> tuple[int, list[News]]:
     """The events of the start, from the configuration; the number of the last one."""
-    top = Node(config.known, "known")
+    top = Node(config.known_events, "known")
     last = top.integer("index", 0)
     found: list[News] = []
     zones = {name: i for i, name in enumerate(config.names.zones)}
--- a/zincladder/policy/front.py
+++ b/zincladder/policy/front.py
@@ -37,8 +37,8 @@
     def __init__(
         self, config: PolicyConfig, name: str, hooks: PolicyHooks, clock: Callable[[], float] = boottime
     ) -> None:
-        participant = ChangeParticipant(clock(), config.go_on)
-        super().__init__(participant, config.group, config.keepers, name, clock)
+        participant = ChangeParticipant(clock(), config.serves_when_cut_off)
+        super().__init__(participant, config.group, config.replicas, name, clock)
         self._hooks = hooks
         self.rejected = 0  # requests, for want of a lease
 
--- a/zincladder/tasks/runner.py
+++ b/zincladder/tasks/runner.py
@@ -12,7 +12,7 @@
 import structlog
 
 from zincladder.agreement.client import Client, NoAnswer, Open
-from zincladder.config import DutiesConfig
+from zincladder.config import TasksConfig
 from zincladder.leases.client import LeaseClient
 from zincladder.links.clocks import boottime
 from zincladder.tasks.context import TaskContext, TaskFunction
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        config: DutiesConfig,
+        config: TasksConfig,
         name: str,
         functions: Mapping[str, TaskFunction],
         counters: Callable[[], dict[str, float]],
@@ -42,7 +42,7 @@
         self._config, self._name = config, name
         self._functions, self._counters = dict(functions), counters
         lease_holder = LeaseHolder(self._functions, clock())
-        super().__init__(lease_holder, config.group, config.keepers, name, clock)
+        super().__init__(lease_holder, config.group, config.replicas, name, clock)
         self._scopes: dict[str, anyio.CancelScope] = {}  # of running tasks
         self._tasks: anyio.abc.TaskGroup | None = None
         self.failures = self.fenced = 0
@@ -53,7 +53,7 @@
 
     def client(self) -> Client:
         """A client of the group."""
-        return Client(self._config.group, self._config.keepers, self._name)
+        return Client(self._config.group, self._config.replicas, self._name)
 
     def figures(self) -> dict[str, float]:
         """For STATS and metrics: tasks run now, the shortest lease left, tasks that failed or came late."""
--- a/zincladder/tasks/wiring.py
+++ b/zincladder/tasks/wiring.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from zincladder.config import DutiesConfig
+from zincladder.config import TasksConfig
 from zincladder.core.engine import Core
 from zincladder.export.fleet_metrics import ANSWERS, ATTEMPTS, FleetMetricsTask, series
 from zincladder.tasks.context import TaskFunction
@@ -18,9 +18,9 @@
     return counters
 
 
-def build_task_runner(config: DutiesConfig, name: str, core: Core) -> TaskRunner:
+def build_task_runner(config: TasksConfig, name: str, core: Core) -> TaskRunner:
     """A front's part in the singleton tasks of its fleet."""
     functions: dict[str, TaskFunction] = {}
-    if config.figures is not None and "figures" in config.wants:
-        functions["figures"] = FleetMetricsTask(config.figures)
+    if config.metrics_receiver is not None and "figures" in config.offered:
+        functions["figures"] = FleetMetricsTask(config.metrics_receiver)
     return TaskRunner(config, name, functions, lambda: front_counters(core))
--- a/zincladder/wiring/admission.py
+++ b/zincladder/wiring/admission.py
@@ -11,7 +11,7 @@
 
 def build_admission(config: Config, operator: Operator) -> Admission:
     """Admission by source where the operator's file turns it on, else by connection."""
-    bounds = Bounds(config.most_open, config.most_unread)
+    bounds = Bounds(config.max_open_requests, config.max_unread_bytes)
     if operator.admission is None:
         return Plain(bounds, Ledger(config.sockets, PLAIN, own=0))
     return Gate(operator.admission, bounds, Ledger(config.sockets, SHARED), config.seed)
@@ -19,4 +19,5 @@
 
 def apply_bounds(admission: Admission, config: Config) -> None:
     """Take the bounds of a configuration that was reloaded."""
-    admission.bounds.most_open, admission.bounds.most_unread = config.most_open, config.most_unread
+    admission.bounds.most_open = config.max_open_requests
+    admission.bounds.most_unread = config.max_unread_bytes
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -143,10 +143,10 @@
             group.start_soon(self.policy.run)
 
     def _start_tasks(self, group: TaskGroup, stopping: anyio.Event) -> None:
-        if self.operator.duties:
+        if self.operator.tasks:
             from zincladder.tasks.wiring import build_task_runner
 
-            self.tasks = build_task_runner(self.operator.duties, self.config.name, self.core)
+            self.tasks = build_task_runner(self.operator.tasks, self.config.name, self.core)
             group.start_soon(self.tasks.run, stopping)
 
     def _start_status_server(self, group: TaskGroup) -> None:
@@ -214,7 +214,7 @@
             endpoints=len(self.core.endpoints),
             memory_mb=self.config.memory_mb,
             sockets=self.config.sockets,
-            max_open_requests=self.config.most_open,
+            max_open_requests=self.config.max_open_requests,
             **asdict(self.listening),
         )
 
