--- a/zincladder/control/statistics.py
+++ b/zincladder/control/statistics.py
@@ -4,10 +4,15 @@
 
 from collections.abc import Callable, Iterator, Mapping
 
+from zincladder.core.answers import AnswerKind
 from zincladder.core.engine import Core
 
 # Names that STATS gives to the kinds of final answers.
-ANSWER_NAMES = {"succeeded": "served", "declined": "refused", "aborted": "failed"}
+ANSWER_NAMES = {
+    "succeeded": AnswerKind.SERVED.value,
+    "declined": AnswerKind.REJECTED.value,
+    "aborted": AnswerKind.FAILED.value,
+}
 
 Section = Callable[[], Mapping[str, float]]
 
@@ -19,10 +24,10 @@
     optional parts of a front; the name of a section goes before those of its values.
     """
     yield from _answers_by_class(core)
-    yield "forwards", core.statistics.forwards
+    yield "forwards", core.statistics.forwarded
     yield "outstanding", len(core.open_requests)
     yield "discovered", _cache_count(core)
-    yield "ejected", core.avoided()
+    yield "ejected", core.ejected_count()
     yield "sighup_applied", core.counts["reloads", "applied"]
     yield "sighup_rejected", core.counts["reloads", "rejected"]
     for section, values in sections.items():
@@ -40,4 +45,4 @@
 def _cache_count(core: Core) -> int:
     """Caches on the list: all endpoints but parents and the origin."""
     others = (core.settings.parent_kind, core.settings.origin_kind)
-    return sum(endpoint.kind not in others for endpoint in core.endpoints.values())
+    return sum(endpoint.kind not in others for endpoint in core.endpoint_list.endpoints.values())
--- a/zincladder/control/status_server.py
+++ b/zincladder/control/status_server.py
@@ -11,7 +11,7 @@
 from zincladder.config import Address
 from zincladder.control.accept_loop import Warn, accept_connections
 from zincladder.control.status_calls import LineReader, StatusCalls
-from zincladder.support.lingering import LINGER, lingering_close
+from zincladder.support.lingering_close import LINGER_SECONDS, lingering_close
 
 CONNECTION_TIMEOUT_SECONDS = 10.0  # for the line to arrive and its answer to be read
 MIN_CONNECTIONS = 4  # at once, however few descriptors there are
@@ -75,12 +75,12 @@
             call = await self._read_call(sock)
         except ValueError as error:
             sock.send(f"FAILURE {error}\n".encode())
-            return await lingering_close(sock, LINGER)
+            return await lingering_close(sock, LINGER_SECONDS)
         if call is None:
             return
         self._incomplete.pop(sock, None)  # its line is whole: it is no longer closed for another
         await _send_all(sock, self._calls.answer(call))
-        await lingering_close(sock, LINGER)
+        await lingering_close(sock, LINGER_SECONDS)
 
     async def _read_call(self, sock: socket.socket) -> bytes | None:
         """The line of one call, or None if the peer ended first; ValueError if it is too long."""
--- a/zincladder/tasks/wiring.py
+++ b/zincladder/tasks/wiring.py
@@ -13,7 +13,7 @@
     """A front's answers by class and attempts by cache, since its start."""
     counters = {series(ANSWERS, *key): float(count) for key, count in core.statistics.answers.items()}
     for cache, statistics in core.statistics.endpoints.items():
-        for end, count in statistics.ends.items():
+        for end, count in statistics.attempts.items():
             counters[series(ATTEMPTS, cache.decode("latin-1"), end)] = float(count)
     return counters
 
--- a/zincladder/wiring/coordinator.py
+++ b/zincladder/wiring/coordinator.py
@@ -28,7 +28,7 @@
         else:
             caches.know(endpoint.id, address)
     kind = api.UpdateKind.FULL if event.whole else api.UpdateKind.DELTA
-    core.listed(kind, event.version, tuple(endpoint for endpoint, _ in event.endpoints))
+    core.update_endpoints(kind, event.version, tuple(endpoint for endpoint, _ in event.endpoints))
 
 
 def log_update(update: Listed, lines: RateLimitedLog) -> None:
@@ -61,17 +61,24 @@
             log_update(event, lines)
         apply_update(core, caches, event)
 
-    core.freshness = Freshness(min_grace_seconds(config.settings))
-    watch = Feed(coordinator, last_event, on_event, config.seed, core.freshness, core.news_of_fleet)
-    core.look_at_news = watch.look
+    core.endpoint_list.freshness = Freshness(min_grace_seconds(config.settings))
+    watch = Feed(
+        coordinator,
+        last_event,
+        on_event,
+        config.seed,
+        core.endpoint_list.freshness,
+        core.endpoint_list.notify_changed,
+    )
+    core.endpoint_list.poll_watch_events = watch.look
     return watch
 
 
 def apply_settings(core: Core, config: Config) -> None:
     """Take the settings and classes of a configuration that was reloaded."""
-    core.retune(config.settings, config.names.classes)
-    if core.freshness is not None:
-        core.freshness.grace = min_grace_seconds(config.settings)
+    core.apply_settings(config.settings, config.names.classes)
+    if core.endpoint_list.freshness is not None:
+        core.endpoint_list.freshness.min_grace_seconds = min_grace_seconds(config.settings)
 
 
 def follow_coordinator(watch: Feed, config: Config) -> None:
--- a/zincladder/wiring/dns.py
+++ b/zincladder/wiring/dns.py
@@ -13,4 +13,4 @@
 def build_dns_server(config: DnsConfig, core: Core, caches: Caches, admission: Admission) -> DnsServer:
     """A server that listens already; its `run` answers."""
     answers = Answers(config, core, caches.where)
-    return DnsServer(config.listen, answers, core.clock, admission, core.wait_until_synced)
+    return DnsServer(config.listen, answers, core.clock, admission, core.endpoint_list.wait_until_synced)
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -14,8 +14,9 @@
 from zincladder.admission.gate import Gate
 from zincladder.config import Address, Config, Operator
 from zincladder.config.reload import Reload
-from zincladder.core.classes import Classes
-from zincladder.core.engine import Clock, Core
+from zincladder.core.clock import Clock
+from zincladder.core.engine import Core
+from zincladder.core.request_classes import RequestClasses
 from zincladder.handover.host import Handover
 from zincladder.net.caches import Caches
 from zincladder.net.clients import Clients
@@ -63,7 +64,7 @@
         self.handover = self._build_handover(rendezvous_folder)
         self.inherited_listener = self.handover.take_over() if self.handover else None
         self.admission = build_admission(config, operator)
-        classes = Classes(config.names.classes, config.settings.classes)
+        classes = RequestClasses(config.names.classes, config.settings.classes)
         self.caches = Caches(config, clock.now, self.admission.ledger, classes.names)
         self.core = Core(config.settings, config.seed, self.caches, clock, classes)
         self.last_event = self._apply_known_events()
@@ -211,7 +212,7 @@
             name=self.config.name,
             startup_s=round(time.monotonic() - STARTED_AT, 3),
             last_known_event=self.last_event,
-            endpoints=len(self.core.endpoints),
+            endpoints=len(self.core.endpoint_list.endpoints),
             memory_mb=self.config.memory_mb,
             sockets=self.config.sockets,
             max_open_requests=self.config.max_open_requests,
--- a/zincladder/wiring/status.py
+++ b/zincladder/wiring/status.py
@@ -33,7 +33,10 @@
 ) -> StatusServer:
     """A server that listens already; its `run` answers."""
     readiness = Readiness(
-        core.ready, core.has_synced, lambda: clients.stopping, policy.not_ready_reason if policy else str
+        core.endpoint_list.ready_count,
+        core.endpoint_list.has_synced,
+        lambda: clients.stopping,
+        policy.not_ready_reason if policy else str,
     )
     sections: dict[str, Section] = {}
     if policy:
