--- a/tests/test_configuration_reading.py
+++ b/tests/config/test_reading.py
@@ -28,7 +28,7 @@
 from zincladder.config.keeper import keeper_of
 from zincladder.config.operator import parse_operator
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 NAMES = Names(("video", "page", "booking"), (), ())
 CATEGORIES = [
     {"name": "video", "onTime": 0.5, "deadline": 6.0, "effect": "idempotent", "aimStretch": 2.0, "value": 2.0,
--- /dev/null
+++ b/tests/handover/test_upgrade.py
@@ -0,0 +1,228 @@
+"""Upgrades of real processes."""
+
+from __future__ import annotations
+
+import signal
+import socket
+import subprocess
+import sys
+import threading
+import time
+from pathlib import Path
+
+import anyio
+import anyio.abc
+import anyio.lowlevel
+import pytest
+
+from tests.processes import free_port
+from tests.stands import (
+    Client,
+    StubCache,
+    configuration,
+)
+from tests.support.front_process import FrontProcess
+from zincladder.admission.seats import SETTLED
+
+pytestmark = pytest.mark.anyio
+
+
+STATUS = b"\0\0\0\x17\x80\x01\0\1\0\0\0\6status\0\0\0\1\x02\0\1\1\0"  # one whole call
+
+
+class ConnectionStorm:
+    """Threads that connect, ask for `status` and leave, all the time; what ends without an answer is lost.
+
+    A thread that is held up between its connect and its call may cross the end of a silent connection: that
+    call goes again on a new one, once, as the platform's clients do it.
+    """
+
+    def __init__(self, where: tuple[str, int], threads: int = 4) -> None:
+        self.where, self.lost, self.answered, self._stop = where, 0, 0, False
+        self._threads = [threading.Thread(target=self._run) for _ in range(threads)]
+        for thread in self._threads:
+            thread.start()
+
+    def _run(self) -> None:
+        while not self._stop:
+            good, prompt = self._call()
+            if not good and not prompt:
+                good, _ = self._call()
+            self.answered, self.lost = self.answered + good, self.lost + (not good)
+            time.sleep(0.001)
+
+    def _call(self) -> tuple[bool, bool]:
+        """Whether a call on a new connection was answered, and whether it was sent at once."""
+        sent_after = 0.0
+        try:
+            with socket.create_connection(self.where, 3.0) as sock:
+                connected = time.monotonic()
+                sock.sendall(STATUS)
+                sent_after = time.monotonic() - connected
+                good = len(sock.recv(64)) > 4
+        except OSError:
+            good = False
+        return good, sent_after < SETTLED
+
+    def end(self) -> None:
+        self._stop = True
+        for thread in self._threads:
+            thread.join()
+
+
+async def test_an_upgrade_loses_no_connection_and_no_request(tmp_path: Path) -> None:
+    cache_, origin = StubCache("s-00000001", 0), StubCache("s-000000b0", 2)
+    async with anyio.create_task_group() as tasks:
+        await tasks.start(cache_.run)
+        await tasks.start(origin.run)
+        where = ("127.0.0.1", free_port())
+        config = configuration([cache_.endpoint(), origin.endpoint()]) | {"listen": f"{where[0]}:{where[1]}"}
+        fronts = [FrontProcess(tmp_path, config)]
+        storm = None
+        try:
+            await fronts[0].until(fronts[0].ready)
+            storm = await anyio.to_thread.run_sync(ConnectionStorm, where)
+            for early in (
+                False,
+                True,
+            ):  # and an upgrade on an upgrade, with SIGTERM before the new one is ready
+                busy = Client(await anyio.connect_tcp(*where))
+                slow = await anyio.connect_tcp(*where)
+                await slow.send(STATUS[:9])
+                fronts.append(FrontProcess(tmp_path, config))
+                if early:
+                    await fronts[-1].until(lambda log=fronts[-1].log: b"taken over" in log.read_bytes())  # type: ignore[misc]
+                else:
+                    await fronts[-1].until(fronts[-1].ready)
+                    fronts[-1].process.send_signal(signal.SIGHUP)  # while two run
+                    await fronts[-1].until(lambda: b"applied=1" in fronts[-1].ask(b"STATS\n"))
+                    assert b"applied=0" in fronts[-2].ask(b"STATS\n")  # each has its own figures
+                kinds = set()
+                fronts[-2].process.send_signal(signal.SIGTERM)
+                try:
+                    for i in range(10_000):  # never idle: answered until the connection is closed between two
+                        await busy.ask(trace=f"{i + 1:016x}")
+                        kinds.add((await busy.reply()).kind)
+                except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
+                    pass
+                await slow.send(STATUS[9:])  # half was here at the end: it is read and answered
+                assert len(await slow.receive()) > 4
+                assert kinds <= {"served", "Throttled"} and await fronts[-2].ended() == 0
+                await fronts[-1].until(fronts[-1].ready)
+            await anyio.to_thread.run_sync(storm.end)
+            assert storm.lost == 0 and storm.answered > 50
+        finally:
+            if storm:
+                await anyio.to_thread.run_sync(storm.end)
+            for front in fronts:
+                front.process.kill()
+        tasks.cancel_scope.cancel()
+
+
+async def test_an_upgrade_takes_along_all_that_an_operators_file_turns_on(tmp_path: Path) -> None:
+    dns, metrics, path = free_port(), free_port(), tmp_path / "c.sock"
+    operator = tmp_path / "operator.toml"
+    operator.write_text(
+        f'[dns]\nlisten = "127.0.0.1:{dns}"\nzone = "example.org"\n[[dns.host]]\nname = "p.example.org"\n'
+        f'class = "page"\n[metrics]\nlisten = "127.0.0.1:{metrics}"\n[control]\nsocket = "{path}"\n'
+        "[admission]\n"
+    )
+    endpoint = StubCache("s-000000b0", 2, port=1).endpoint()
+    config = configuration([endpoint]) | {"listen": f"127.0.0.1:{free_port()}"}
+    fronts = [FrontProcess(tmp_path, config, ZINCLADDER_OPERATOR=str(operator))]
+    ask = [sys.executable, "-m", "zincladder", "admission", "--socket", str(path), "top"]
+    try:
+        for _ in range(2):
+            await fronts[-1].until(fronts[-1].ready)
+            fronts.append(FrontProcess(tmp_path, config, ZINCLADDER_OPERATOR=str(operator)))
+            await fronts[-1].until(fronts[-1].ready)
+            subprocess.run(ask, capture_output=True, check=True)
+            fronts[-2].process.send_signal(signal.SIGTERM)
+            assert await fronts[-2].ended() == 0
+            subprocess.run(ask, capture_output=True, check=True)  # the path is the new one's
+            for port in (dns, metrics):
+                socket.create_connection(("127.0.0.1", port), 1.0).close()
+    finally:
+        for front in fronts:
+            front.process.kill()
+
+
+async def test_a_rendezvous_path_that_another_version_took_is_left_alone(tmp_path: Path) -> None:
+    where = f"127.0.0.1:{free_port()}"
+    front = FrontProcess(
+        tmp_path, configuration([StubCache("s-000000b0", 2, port=1).endpoint()]) | {"listen": where}
+    )
+    path, other = tmp_path / f"zincladder-{where.replace(':', '-')}.sock", tmp_path / "other"
+    try:
+        await front.until(front.ready)
+        await front.until(path.exists)
+        other.touch()
+        other.rename(path)
+        await anyio.sleep(1.5)  # it looks once a second
+        assert path.is_file()
+    finally:
+        front.process.kill()
+
+
+async def test_after_the_death_of_a_new_process_the_old_one_has_all_limits_and_the_path(
+    tmp_path: Path,
+) -> None:
+    where = f"127.0.0.1:{free_port()}"
+    config = configuration([StubCache("s-000000b0", 2, port=1).endpoint()]) | {"listen": where}
+    fronts = [FrontProcess(tmp_path, config)]
+    try:
+        await fronts[0].until(fronts[0].ready)
+        for _ in range(2):
+            fronts.append(FrontProcess(tmp_path, config))
+            await fronts[-1].until(fronts[-1].ready)
+            assert b"taken over" in (tmp_path / f"log{len(fronts) - 1}").read_bytes()
+            fronts[-1].process.kill()
+            log = tmp_path / "log0"
+            ended = len(fronts) - 1
+            await fronts[0].until(
+                lambda log=log, ended=ended: log.read_bytes().count(b"other process ended") == ended  # type: ignore[misc]
+            )
+            path = tmp_path / f"zincladder-{where.replace(':', '-')}.sock"
+            inode = path.stat().st_ino  # of the one that died: the old one takes the path back
+            await fronts[0].until(lambda path=path, inode=inode: path.stat().st_ino != inode)  # type: ignore[misc]
+        assert fronts[0].ready()
+        ask = [sys.executable, "-m", "zincladder"]
+        for command, said in (
+            ("ready", b"SUCCESS"),
+            ("stats", b"discovered: 0"),
+            ("stats --json", b'"forwards": 0'),
+        ):
+            done = subprocess.run(
+                [*ask, *command.split(), fronts[0].control], capture_output=True, check=True
+            )
+            assert said in done.stdout
+        fronts[0].process.send_signal(signal.SIGTERM)
+        assert await fronts[0].ended() == 0 and not path.exists()
+        late = subprocess.run(
+            [*ask, "ready", "--wait", "0.3s", fronts[0].control], capture_output=True, check=False
+        )
+        assert late.returncode == 1 and b"refused" in late.stderr
+    finally:
+        for front in fronts:
+            front.process.kill()
+
+
+@pytest.mark.parametrize("left", ["torn", "dead", "folder"])
+async def test_what_a_killed_process_left_behind_does_no_harm(tmp_path: Path, left: str) -> None:
+    port = free_port()
+    path = tmp_path / f"zincladder-127.0.0.1-{port}.sock"
+    if left == "torn":
+        path.write_bytes(b"{")
+    elif left == "folder":
+        path.mkdir()
+    else:
+        with socket.socket(socket.AF_UNIX) as sock:
+            sock.bind(str(path))
+    front = FrontProcess(
+        tmp_path,
+        configuration([StubCache("s-000000b0", 2, port=1).endpoint()]) | {"listen": f"127.0.0.1:{port}"},
+    )
+    try:
+        await front.until(front.ready)
+    finally:
+        front.process.kill()
--- /dev/null
+++ b/tests/support/front_process.py
@@ -0,0 +1,65 @@
+"""Runs a front as a real process."""
+
+from __future__ import annotations
+
+import json
+import os
+import socket
+import subprocess
+import sys
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import anyio
+import anyio.abc
+import anyio.lowlevel
+
+from tests.processes import free_port
+
+ROOT = Path(__file__).resolve().parents[2]
+
+
+class FrontProcess:
+    """A front in a process of its own, on addresses of its own."""
+
+    def __init__(self, folder: Path, config: dict[str, Any], **environ: str) -> None:
+        path = folder / "config.json"
+        path.write_text(json.dumps(config))
+        more = {
+            "RELAY_CONFIG": str(path),
+            "TMPDIR": str(folder),
+            "RELAY_CONTROL": f"127.0.0.1:{free_port()}",
+        } | environ
+        self.path, self.control = path, more["RELAY_CONTROL"]
+        self.log = folder / f"log{len(list(folder.glob('log*')))}"
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "zincladder"],
+            cwd=ROOT,
+            env=os.environ | more,
+            stderr=self.log.open("wb"),
+        )
+
+    def ask(self, line: bytes) -> bytes:
+        host, _, port = self.control.partition(":")
+        with socket.create_connection((host, int(port)), 1.0) as sock:
+            sock.sendall(line)
+            said = b""
+            while got := sock.recv(4096):
+                said += got
+        return said
+
+    def ready(self) -> bool:
+        try:
+            return self.ask(b"READY\n") == b"SUCCESS\n"
+        except OSError:
+            return False
+
+    async def until(self, true: Callable[[], bool]) -> None:
+        with anyio.fail_after(10):
+            while not await anyio.to_thread.run_sync(true):
+                await anyio.sleep(0.02)
+
+    async def ended(self) -> int:
+        with anyio.fail_after(10):
+            return await anyio.to_thread.run_sync(self.process.wait)
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -318,7 +318,7 @@
 
 
 def test_keys_of_the_fronts_configuration() -> None:
-    from tests.test_configuration_reading import FULL
+    from tests.config.test_reading import FULL
 
     seen: dict[str, None] = {}
     assert isinstance(parse_config(Recorder(FULL, seen)), Config)
--- a/tests/test_restart_soak.py
+++ b/tests/test_restart_soak.py
@@ -23,7 +23,7 @@
 
 from tests.processes import free_port
 from tests.stands import Client, Coordinator, Fetch, StubCache, configuration, serve
-from tests.test_operating_day import Front
+from tests.support.front_process import FrontProcess
 from tests.test_watch import frame, until
 
 pytestmark = pytest.mark.anyio
@@ -128,7 +128,7 @@
         self.coordinator = CrowdedCoordinator(random=self.random, note=self.note)
         self.where = ("127.0.0.1", free_port())
         self.sent: list[Sent] = []
-        self.front: Front | None = None
+        self.front: FrontProcess | None = None
         self.broken: list[str] = []
         self.answered = self.unanswered = 0
         self.killed = 0  # how often
@@ -195,7 +195,7 @@
         c.started_at, c.heard, c.turned_away = monotonic(), False, 0
         for told in c.drains:
             told.counts_from = told.at  # it stands in the configuration
-        self.front = Front(self.folder, self.config())
+        self.front = FrontProcess(self.folder, self.config())
         self.note("started")
 
     async def fault(self) -> None:
--- a/tests/test_restart_view.py
+++ b/tests/test_restart_view.py
@@ -44,8 +44,8 @@
     serve,
     world,
 )
+from tests.support.front_process import FrontProcess
 from tests.test_endings import cores_of
-from tests.test_operating_day import Front
 from tests.test_watch import frame, until
 from zincladder.core.engine import Core
 from zincladder.discovery.freshness import (
@@ -137,7 +137,7 @@
         fleet.coordinator.events.append((2, *change.event(fleet)))
         where = ("127.0.0.1", free_port())
         config = configuration([stub.endpoint() for stub in fleet.stubs], fleet.coordinator.port)
-        front = Front(folder, config | {"listen": f"{where[0]}:{where[1]}"})
+        front = FrontProcess(folder, config | {"listen": f"{where[0]}:{where[1]}"})
         try:
             async with await connected(where) as stream:
                 c = Client(stream)
@@ -228,7 +228,7 @@
         await fleet.run(tasks)
         where = ("127.0.0.1", free_port())
         config = configuration([stub.endpoint() for stub in fleet.stubs], fleet.coordinator.port)
-        front = Front(tmp_path, config | {"listen": f"{where[0]}:{where[1]}"})
+        front = FrontProcess(tmp_path, config | {"listen": f"{where[0]}:{where[1]}"})
         try:
             clients = [Client(await connected(where)) for _ in range(8)]
             await front.until(front.ready)
--- a/tests/test_stalled_front.py
+++ b/tests/test_stalled_front.py
@@ -24,8 +24,8 @@
 
 from tests.processes import free_port
 from tests.stands import Client, Fetch, StubCache, configuration
+from tests.support.front_process import FrontProcess
 from tests.test_endings import request as call
-from tests.test_operating_day import Front
 from zincladder.net.clients import FIRST, STALL
 
 pytestmark = pytest.mark.anyio
@@ -193,7 +193,7 @@
             return
         await anyio.sleep(ANSWER_SLACK + STOP_FOR[1])
 
-    async def stop(self, front: Front) -> None:
+    async def stop(self, front: FrontProcess) -> None:
         await anyio.sleep(self.random.uniform(*STOP_AFTER))
         self.judge.stops()
         front.process.send_signal(signal.SIGSTOP)
@@ -202,14 +202,16 @@
         front.process.send_signal(signal.SIGCONT)
 
     @contextlib.asynccontextmanager
-    async def front(self) -> AsyncIterator[Front]:
+    async def front(self) -> AsyncIterator[FrontProcess]:
         """A process that is ready, its members and the judge."""
         async with anyio.create_task_group() as tasks:
             for stub in self.stubs:
                 await tasks.start(stub.run)
             tasks.start_soon(self.judge.measure)
             listed = [stub.endpoint() for stub in self.stubs]
-            front = Front(self.folder, configuration(listed, listen=f"{self.where[0]}:{self.where[1]}"))
+            front = FrontProcess(
+                self.folder, configuration(listed, listen=f"{self.where[0]}:{self.where[1]}")
+            )
             try:
                 await front.until(front.ready)
                 yield front
--- a/tests/wiring/test_front.py
+++ b/tests/wiring/test_front.py
@@ -76,3 +76,18 @@
     names = [getattr(s, "func", s).__qualname__ for s in reload.subscribers]
     expected = ["apply_settings", "Clients.use", "Caches.use", "apply_bounds", "follow_coordinator"]
     assert names == expected and reload.counts is front.core.counts and reload.limits is None
+
+
+def test_a_front_without_commands_imports_none_of_their_libraries() -> None:
+    code = "import sys, zincladder.__main__; print(*sys.modules)"
+    loaded = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True
+    ).stdout.split()
+    assert not {"click", "rich", "msgspec", "zincladder.cli", "zincladder.control"} & set(loaded)
+
+
+async def test_a_front_takes_clients_over_ipv6() -> None:
+    async with world(serve, listen="[::1]:0", operator={"admission": {}}) as w, client(w) as c:
+        assert w.listening.clients[0] == "::1"
+        await c.ask()
+        assert (await c.reply()).kind == "served"
