--- a/benchmarks/tasks.py
+++ b/benchmarks/tasks.py
@@ -25,19 +25,19 @@
 from benchmarks.policy import spread, used
 from tests.processes import LEASE
 from tests.tasks.test_task_processes import TaskFleet, task_fleet
-from zincladder.agreement.terms import Terms
+from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.tasks.lease_holder import LeaseHolder
 from zincladder.tasks.lease_manager import LeaseManager
 from zincladder.tasks.model import TaskAssignment
 
-FAULTS = ("kill", "stop", "cut", "hear nothing", "end")
+COMMIT_ERRORS = ("kill", "stop", "cut", "hear nothing", "end")
 
 
 async def takeovers(c: TaskFleet, times: int, seed: int) -> dict[str, Any]:
     """The lease holder fails so often, and each time another one has to push."""
     draw, gaps = random.Random(seed), dict[str, list[float]]()
     for _ in range(times):
-        name, before, kind = await c.holder(), c.newest(), draw.choice(FAULTS)
+        name, before, kind = await c.holder(), c.newest(), draw.choice(COMMIT_ERRORS)
         process = c.r.processes[name]
         await anyio.sleep(draw.uniform(0, 0.2))
         began = anyio.current_time()
@@ -90,7 +90,7 @@
 
 def messages(runners: int, seconds: int) -> dict[str, Any]:
     """Messages a second that a leader receives and sends, idle and just after all runners connected."""
-    terms = Terms()
+    terms = LeaseTiming()
     now, index = 0.0, 1
     registers: dict[str, tuple[TaskAssignment, int]] = {}
     manager = LeaseManager(terms, -100.0)
--- a/tests/policy/test_fleet_simulation.py
+++ b/tests/policy/test_fleet_simulation.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.simulated import Broken
 from tests.support.fleet_simulation import TERMS, FleetWorld
+from tests.support.raft_simulation import Broken
 from zincladder.policy import change_states
 from zincladder.policy.coordinator import ChangeCoordinator
 from zincladder.policy.model import PolicyLeaseReleased, RevokePolicyLease
@@ -97,5 +97,8 @@
 
 
 def test_a_front_relies_on_a_lease_for_less_time_than_the_leader_waits() -> None:
-    assert TERMS.believed * (1 + TERMS.drift) <= TERMS.waited
-    assert TERMS.believed / (1 - TERMS.drift) <= TERMS.waited / (1 + TERMS.drift) + 1e-9
+    assert TERMS.trusted_seconds * (1 + TERMS.clock_drift) <= TERMS.expiry_seconds
+    assert (
+        TERMS.trusted_seconds / (1 - TERMS.clock_drift)
+        <= TERMS.expiry_seconds / (1 + TERMS.clock_drift) + 1e-9
+    )
--- a/tests/policy/test_state_space.py
+++ b/tests/policy/test_state_space.py
@@ -8,8 +8,8 @@
 import msgspec
 import pytest
 
-from tests.simulated import Broken
 from tests.support.policy_states import PolicyStateSpace, in_force
+from tests.support.raft_simulation import Broken
 from tests.support.state_space import Scope, search, walk
 from zincladder.policy.coordinator import ChangeCoordinator
 from zincladder.policy.model import PolicyLeaseGranted, RevokePolicyLease
--- a/tests/tasks/test_task_processes.py
+++ b/tests/tasks/test_task_processes.py
@@ -23,8 +23,8 @@
 
 from tests.processes import Process, Rig, Traffic, free_port, marking, rig
 from tests.stands import StubCache
-from zincladder.agreement.client import NoAnswer, Open
-from zincladder.agreement.registers import Fenced
+from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.key_value_state import FencingTokenRejected
 from zincladder.export import messages
 from zincladder.export.fleet_metrics import HTTP_FENCED
 from zincladder.tasks.fence import Fence
@@ -147,10 +147,10 @@
 
     def vacancies(self) -> list[str]:
         """Why tasks became vacant, by the replicas' logs."""
-        keepers = [p for n, p in self.r.processes.items() if n.startswith("k")]
+        replicas = [p for n, p in self.r.processes.items() if n.startswith("k")]
         return [
             line["vacancy_reason"]
-            for p in keepers
+            for p in replicas
             for line in p.events("task assignment")
             if line["vacancy_reason"]
         ]
@@ -172,7 +172,7 @@
         await tasks.start(receiver.run)
         for cache in caches:
             await tasks.start(cache.run)
-        await r.keepers(3)
+        await r.replicas(3)
         c = TaskFleet(r, receiver, caches)
         for n in range(fronts):
             await c.add(f"f{n}")
@@ -238,11 +238,11 @@
         c.r.cut_front(old, "to")  # all that it says lies there: its askings, and its progress
         await c.more(after=before)
         c.r.cut_front(old)
-        client = c.r.client_of_keepers()
+        client = c.r.client_of_replicas()
         kept = (await client.get("progress/figures"))["progress/figures"]
-        assert await client.ask(write_checkpoint("figures", before, kept.version, b"late")) == Fenced(
-            c.newest()
-        )
+        assert await client.ask(
+            write_checkpoint("figures", before, kept.version, b"late")
+        ) == FencingTokenRejected(c.newest())
         await c.more(after=before)
 
 
@@ -289,8 +289,8 @@
         await c.r.until("nobody holds the lease", nobody)
         assert await c.r.ready("f0") == "SUCCESS" and served.popen is not None  # fronts go on serving
         stood, totals = len(c.receiver.pushes), c.receiver.accepted[-1].totals
-        with pytest.raises((NoAnswer, Open)):
-            await c.r.client_of_keepers().swap("x", 0, b"", 1.0)
+        with pytest.raises((RequestFailedError, OutcomeUnknownError)):
+            await c.r.client_of_replicas().compare_and_swap("x", 0, b"", 1.0)
         assert len(c.receiver.pushes) == stood
         await c.r.start("k1")
         await c.more()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -18,8 +18,8 @@
 from zincladder.config import ConfigError, Names
 from zincladder.config.operator import parse_operator
 from zincladder.core.engine import Core
-from zincladder.metrics.keeper import NAMES as KEEPER_NAMES
 from zincladder.metrics.registry import NAMES, Registry
+from zincladder.metrics.replica import NAMES as KEEPER_NAMES
 from zincladder.routing.interface import Settings
 
 pytestmark = pytest.mark.anyio
--- a/zincladder/metrics/keeper.py
+++ b/zincladder/metrics/replica.py
@@ -6,12 +6,12 @@
 
 from zincladder.admission.ledger import Use
 from zincladder.admission.model import Why
-from zincladder.agreement.host import Keeper
+from zincladder.consensus.server import ReplicaServer
 from zincladder.metrics.registry import Sample, exposition
 from zincladder.policy.host import PolicyLeaderService
 from zincladder.tasks.host import TaskLeaderService
 
-MOST_VISITS = 16  # connections at once
+MAX_CONNECTIONS = 16  # connections at once
 KEEPER = {
     "leads": ("zincladder_keeper_leads", "gauge", "1 while this keeper leads its group."),
     "led": ("zincladder_keeper_led", "gauge", "1 while this keeper leads or knows who does."),
@@ -50,18 +50,18 @@
 NAMES = frozenset(row[0] for table in (KEEPER, LEADER) for row in table.values())
 
 
-class KeeperRegistry:
+class ReplicaRegistry:
     """All samples of one keeper."""
 
     def __init__(
-        self, keeper: Keeper, policy_service: PolicyLeaderService, task_service: TaskLeaderService
+        self, replica: ReplicaServer, policy_service: PolicyLeaderService, task_service: TaskLeaderService
     ) -> None:
-        self._keeper, self._policy_service, self._task_service = keeper, policy_service, task_service
+        self._keeper, self._policy_service, self._task_service = replica, policy_service, task_service
 
     def samples(self) -> Iterator[Sample]:
-        keeper = self._keeper
-        labels = (("group", keeper.config.group), ("keeper", keeper.config.name))
-        standing = keeper.standing()
+        replica = self._keeper
+        labels = (("group", replica.config.group), ("keeper", replica.config.name))
+        standing = replica.status()
         values = {
             "leads": standing.role == "leader",
             "led": bool(standing.leader),
@@ -91,10 +91,10 @@
         return exposition(self.samples(), {name: (kind, text) for name, kind, text in rows})
 
 
-class Few:
+class ConnectionLimit:
     """A keeper's own bound on who asks for its metrics: so many connections at once."""
 
-    def __init__(self, most: int = MOST_VISITS) -> None:
+    def __init__(self, most: int = MAX_CONNECTIONS) -> None:
         self._most, self._open = most, 0
 
     def visit(self, use: Use, host: str, now: float) -> Why:
--- a/zincladder/tasks/runner.py
+++ b/zincladder/tasks/runner.py
@@ -11,8 +11,8 @@
 import anyio.abc
 import structlog
 
-from zincladder.agreement.client import Client, NoAnswer, Open
 from zincladder.config import TasksConfig
+from zincladder.consensus.client import Client, OutcomeUnknownError, RequestFailedError
 from zincladder.leases.client import LeaseClient
 from zincladder.links.clocks import boottime
 from zincladder.tasks.context import TaskContext, TaskFunction
@@ -118,7 +118,7 @@
                     # The lease may have expired a moment before its end or its renewal is known here.
                     await anyio.sleep(MIN_BACKOFF_SECONDS)
                     continue
-                except (NoAnswer, Open) as error:
+                except (RequestFailedError, OutcomeUnknownError) as error:
                     log.info("task waits for the group", task=task, reason=str(error))
                 except Exception:
                     self.failures += 1
