--- a/zincladder/cli/admission.py
+++ b/zincladder/cli/admission.py
@@ -28,6 +28,7 @@
     name = "time"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> float:
+        """The seconds of a text; a default is a number already."""
         if isinstance(value, float):
             return value
         match = DURATION.fullmatch(str(value))
--- a/zincladder/config/replica.py
+++ b/zincladder/config/replica.py
@@ -18,7 +18,7 @@
 
 
 class LeaseTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[lease]"""
+    """[lease]: the times of leases, in seconds."""
 
     seconds: Annotated[float, Meta(ge=0.5, le=3600)] = 5.0
     renew_s: Annotated[float, Meta(ge=0.05, le=600)] = 1.0
@@ -31,7 +31,7 @@
 
 
 class ReplicaTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[keeper]"""
+    """[keeper]: one replica of a group."""
 
     group: Name
     name: Name
--- a/zincladder/control/accept_loop.py
+++ b/zincladder/control/accept_loop.py
@@ -13,9 +13,10 @@
 
 
 class Warn(Protocol):
-    """Logs a warning, at a rate that a peer cannot drive."""
+    """A function that logs a warning, at a rate that a peer cannot drive."""
 
-    def __call__(self, event: str, *, reason: str) -> None: ...
+    def __call__(self, event: str, *, reason: str) -> None:
+        """Log one line."""
 
 
 async def accept_connections(
--- a/zincladder/control/status_server.py
+++ b/zincladder/control/status_server.py
@@ -75,7 +75,8 @@
             call = await self._read_call(sock)
         except ValueError as error:
             sock.send(f"FAILURE {error}\n".encode())
-            return await lingering_close(sock, LINGER_SECONDS)
+            await lingering_close(sock, LINGER_SECONDS)
+            return
         if call is None:
             return
         self._incomplete.pop(sock, None)  # its line is whole: it is no longer closed for another
