--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -125,7 +125,7 @@
             "zincladder.core.loop_monitor",
             "zincladder.core.request_classes",
             "zincladder.core.request_context",
-            "zincladder.core.router_events",
+            "zincladder.core.router_messages",
             "zincladder.core.statistics",
             "zincladder.core.timers",
             "zincladder.discovery.freshness",
--- a/zincladder/core/attempt.py
+++ b/zincladder/core/attempt.py
@@ -48,6 +48,7 @@
     description: str
 
     def __new__(cls, label: str, description: str) -> AbortReason:
+        """Make a member whose value is its label."""
         member = object.__new__(cls)
         member._value_ = label
         member.description = description
--- a/zincladder/core/direct_routing.py
+++ b/zincladder/core/direct_routing.py
@@ -9,7 +9,7 @@
 from zincladder.core.clock import Clock
 from zincladder.core.endpoint_list import EndpointList
 from zincladder.core.request_classes import RequestClasses
-from zincladder.core.router_events import request_event
+from zincladder.core.router_messages import request_event
 from zincladder.routing import interface as api
 
 
--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import math
 from collections import Counter
 from collections.abc import Callable, Sequence
 from dataclasses import replace
@@ -28,7 +27,7 @@
 from zincladder.core.loop_monitor import STALL_SECONDS, LoopMonitor, let_readers_catch_up
 from zincladder.core.request_classes import RequestClasses
 from zincladder.core.request_context import InFlightAttempt, RequestContext
-from zincladder.core.router_events import attempt_ended_event, request_event
+from zincladder.core.router_messages import attempt_ended_event, attempt_request, request_event
 from zincladder.core.statistics import Statistics
 from zincladder.core.timers import TimerQueue
 from zincladder.routing import interface as api
@@ -208,7 +207,8 @@
         context = self.open_requests[action.request]
         number, context.attempts_started = context.attempts_started, context.attempts_started + 1
         now = self.clock.now()
-        attempt = self._attempt_request(context, action, now)
+        attempt = attempt_request(action, context, now, self._guard)
+        attempt.stalled_seconds_before = self.loop_monitor.stalled_seconds
         timeout = max(0.0, attempt.deadline - now) + SCOPE_MARGIN_SECONDS
         scope = anyio.CancelScope(deadline=anyio.current_time() + timeout)
         in_flight = context.in_flight[number] = InFlightAttempt(number, attempt, scope, now)
@@ -221,26 +221,6 @@
         assert self._attempts is not None, "a core serves while it runs"
         self._attempts.start_soon(self._run_attempt, action.request, context, in_flight)
 
-    def _attempt_request(
-        self, context: RequestContext, action: api.Fetch | api.Lookup, now: float
-    ) -> AttemptRequest:
-        request = context.request
-        deadline = min(request.deadline, now + (action.time_out or math.inf))
-        attempt = AttemptRequest(
-            request,
-            action.endpoint,
-            deadline=deadline,
-            start_before=context.repeat_before,
-            guard=self._guard,
-        )
-        attempt.stalled_seconds_before = self.loop_monitor.stalled_seconds
-        if isinstance(action, api.Fetch):
-            attempt.source = None if action.source == action.endpoint else action.source
-            attempt.cache_rank, attempt.max_age = action.cache_rank, action.max_age
-            attempt.coalesce, attempt.cached_only = action.coalesce, action.cached_only
-            attempt.renew, attempt.parent_proxies = action.renew, action.parent_proxies
-        return attempt
-
     async def _run_attempt(
         self, request_number: int, context: RequestContext, in_flight: InFlightAttempt
     ) -> None:
--- /dev/null
+++ b/zincladder/core/router_messages.py
@@ -0,0 +1,59 @@
+"""Translates between the router's events and actions and the core's requests and attempts."""
+
+from __future__ import annotations
+
+import math
+
+from zincladder.core.attempt import AttemptGuard, AttemptRequest, ClientRequest
+from zincladder.core.attempt_end import AttemptEnd
+from zincladder.core.request_context import InFlightAttempt, RequestContext
+from zincladder.routing import interface as api
+
+
+def request_event(number: int, request: ClientRequest) -> api.Request:
+    """A request that is to be decided, under the number that names it to the router."""
+    return api.Request(
+        number,
+        request.object,
+        request.group,
+        request.part or 0,
+        request.request_class,
+        request.size_kb,
+        request.deadline,
+        request.repeat,
+        request.write,
+    )
+
+
+def attempt_request(
+    action: api.Fetch | api.Lookup, context: RequestContext, now: float, guard: AttemptGuard
+) -> AttemptRequest:
+    """The attempt that an action asks for; its time ends with the request's at the latest."""
+    request = context.request
+    deadline = min(request.deadline, now + (action.time_out or math.inf))
+    attempt = AttemptRequest(
+        request, action.endpoint, deadline=deadline, start_before=context.repeat_before, guard=guard
+    )
+    if isinstance(action, api.Fetch):
+        attempt.source = None if action.source == action.endpoint else action.source
+        attempt.cache_rank, attempt.max_age = action.cache_rank, action.max_age
+        attempt.coalesce, attempt.cached_only = action.coalesce, action.cached_only
+        attempt.renew, attempt.parent_proxies = action.renew, action.parent_proxies
+    return attempt
+
+
+def attempt_ended_event(
+    request_number: int, in_flight: InFlightAttempt, end: AttemptEnd, latency: float, answered: bool
+) -> api.AttemptEnded:
+    """The end of an attempt, `latency` seconds after its decision; `answered`: no more is needed."""
+    return api.AttemptEnded(
+        request_number,
+        in_flight.number,
+        in_flight.attempt.endpoint,
+        end.outcome,
+        latency,
+        answered,
+        end.fill_outcome,
+        end.fill_wait,
+        end.report,
+    )
