--- a/zincladder/core/router_events.py
+++ b/zincladder/core/router_messages.py
@@ -1,10 +1,10 @@
-"""The router's events for what happens to requests and attempts."""
+"""Translates between the router's events and actions and the core's requests and attempts."""
 
 from __future__ import annotations
 
-from zincladder.core.attempt import ClientRequest
+from zincladder.core.attempt import AttemptGuard, AttemptRequest, ClientRequest
 from zincladder.core.attempt_end import AttemptEnd
-from zincladder.core.request_context import InFlightAttempt
+from zincladder.core.request_context import InFlightAttempt, RequestContext
 from zincladder.routing import interface as api
 
 
@@ -23,6 +23,22 @@
     )
 
 
+def attempt_request(
+    action: api.Fetch | api.Lookup, context: RequestContext, guard: AttemptGuard
+) -> AttemptRequest:
+    """The attempt that an action asks for; its time ends with the request's."""
+    request = context.request
+    attempt = AttemptRequest(
+        request, action.endpoint, deadline=request.deadline, start_before=context.repeat_before, guard=guard
+    )
+    if isinstance(action, api.Fetch):
+        attempt.source = None if action.source == action.endpoint else action.source
+        attempt.cache_rank, attempt.max_age = action.cache_rank, action.max_age
+        attempt.coalesce, attempt.cached_only = action.coalesce, action.cached_only
+        attempt.renew, attempt.parent_proxies = action.renew, action.parent_proxies
+    return attempt
+
+
 def attempt_ended_event(
     request_number: int, in_flight: InFlightAttempt, end: AttemptEnd, latency: float, answered: bool
 ) -> api.AttemptEnded:
