--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -12,7 +12,7 @@
 import anyio.lowlevel
 import pytest
 
-from tests.conftest import FLEET, cache, settings
+from tests.support.routing import FLEET, cache, settings
 from zincladder.core.answers import Answer, AnswerKind
 from zincladder.core.attempt import AbortReason, AttemptRequest, ClientRequest
 from zincladder.core.attempt_end import OUTCOME_OF_END, AttemptEnd, EndReason
