--- a/tests/policy/test_change_processes.py
+++ b/tests/policy/test_change_processes.py
@@ -423,7 +423,7 @@
     async with fleet(tmp_path) as f:
         traffic = f.traffic("f0", "f1")
         await f.everywhere(traffic, 1, "f0", "f1")
-        f.r.processes["f2"].stop()  # so that it stays VALIDATING, and then COMMITTED, for a while
+        f.r.processes["f2"].stop()  # so that it stays CHECKING, and then DECIDED, for a while
         for (front, _), relay in f.r.relays.items():
             relay.delay = 0.07 if front == "f0" else 0.0  # and REVOKING
         leader = await f.r.leader()
@@ -439,9 +439,7 @@
         f.r.processes[leader].kill()
         f.r.processes["f2"].go_on()
         entry = await f.r.outcome(2)
-        assert (
-            entry.outcome is ChangeOutcome.ACTIVATED or step is ChangePhase.VALIDATING
-        )  # committed is committed
+        assert entry.outcome is ChangeOutcome.ACTIVATED or step is ChangePhase.CHECKING  # decided is decided
         await f.everywhere(traffic, 2 if entry.outcome is ChangeOutcome.ACTIVATED else 1, "f0", "f1")
         traffic.judge()
         if entry.outcome is ChangeOutcome.ACTIVATED:
@@ -513,18 +511,18 @@
         assert {a.kind for a in flood.history} <= {"served", "booked", "Throttled"}
 
 
-async def test_a_majority_lost_during_a_change_leaves_it_committed(tmp_path: Path) -> None:
+async def test_a_majority_lost_during_a_change_leaves_it_decided(tmp_path: Path) -> None:
     async with fleet(tmp_path, fronts=3) as f:
         traffic = f.traffic("f0")
         await f.everywhere(traffic, 1, "f0")
         f.r.processes["f1"].stop()  # its lease is what the change waits for
         assert (await f.r.propose(2))[0] == 2
 
-        async def committed() -> bool:
+        async def decided() -> bool:
             found = (await f.r.record()).open_change
-            return found is not None and found.phase is ChangePhase.COMMITTED
+            return found is not None and found.phase is ChangePhase.DECIDED
 
-        await f.r.until("it is committed", committed)
+        await f.r.until("it is decided", decided)
         for name in ("k1", "k2"):
             f.r.processes[name].kill()
         cut = anyio.current_time()
--- a/tests/policy/test_coordinator.py
+++ b/tests/policy/test_coordinator.py
@@ -28,7 +28,7 @@
     check_timeout_seconds=3.0,
     release_timeout_seconds=0.3,
 )
-COMMITTED = PolicyRecord(1, "d1", PolicyChange(2, "d2", "ana", "", 0.0, ChangePhase.COMMITTED))
+DECIDED = PolicyRecord(1, "d1", PolicyChange(2, "d2", "ana", "", 0.0, ChangePhase.DECIDED))
 DOCUMENTS = {"d1": b"1", "d2": b"2"}
 
 
@@ -73,7 +73,7 @@
 
 
 def test_a_new_leader_waits_until_its_predecessors_leases_have_expired() -> None:
-    leader = Leader(COMMITTED, 0)
+    leader = Leader(DECIDED, 0)
     leader.step(6.0)
     assert [phase for _, phase in leader.phases] == ["clearing", "in force"]
     assert leader.phases[0][0] >= TERMS.expiry_seconds
@@ -85,7 +85,7 @@
     for number in (1, 2):
         assert [type(m) for _, m in leader.hears(number, RenewPolicyLease(1, "d1"))] == [PolicyLeaseGranted]
     leader.coordinator.unlinked(2, leader.now)  # killed, or cut off: nobody knows
-    leader.record, leader.record_version = COMMITTED, leader.record_version + 1
+    leader.record, leader.record_version = DECIDED, leader.record_version + 1
     leader.read_record()
     began, serial = leader.now, 1
     while not leader.phases:
@@ -104,7 +104,7 @@
     leader.step(6.0)
     for number in (1, 2):
         leader.hears(number, RenewPolicyLease(1, "d1"))
-    leader.record, leader.record_version = COMMITTED, leader.record_version + 1
+    leader.record, leader.record_version = DECIDED, leader.record_version + 1
     leader.read_record()
     began, serial = leader.now, 1
     while leader.record.version == 1 and leader.now < began + 20:
@@ -119,8 +119,8 @@
     assert [phase for _, phase in leader.phases] == ["clearing", "decided", "clearing", "in force"]
 
 
-def test_a_committed_change_is_activated_though_some_front_is_always_gone() -> None:
-    # Seen with 20 fronts, three of them failing at any time: committed for 14 s, and never a moment without
+def test_a_decided_change_is_activated_though_some_front_is_always_gone() -> None:
+    # Seen with 20 fronts, three of them failing at any time: decided for 14 s, and never a moment without
     # one.
     leader, serial, revoking_seconds = Leader(PolicyRecord(1, "d1"), 3), 0, 0.0
 
@@ -133,7 +133,7 @@
     for number in (1, 2, 3):
         leader.hears(number, RenewPolicyLease(1, "d1"))
     comes_and_goes()
-    leader.record, leader.record_version = COMMITTED, leader.record_version + 1
+    leader.record, leader.record_version = DECIDED, leader.record_version + 1
     leader.read_record()
     began = leader.now
     while leader.record.version == 1 and leader.now < began + 60:
--- a/tests/policy/test_fleet_simulation.py
+++ b/tests/policy/test_fleet_simulation.py
@@ -31,7 +31,12 @@
     total: Counter[str] = Counter()
     for seed in range(block * 25, block * 25 + 25):
         total.update(play(seed).figures)
-    assert total["held"] > 30 and total["withdrawn"] > 3 and total["served"] > 1000 and total["crashes"] > 20
+    assert (
+        total["activated"] > 30
+        and total["withdrawn"] > 3
+        and total["served"] > 1000
+        and total["crashes"] > 20
+    )
 
 
 @settings(max_examples=25, deadline=None)
@@ -52,11 +57,11 @@
     monkeypatch.setattr(ChangeCoordinator, "_granting_suspended", lambda self: not self.known)
 
 
-def commits_without_asking(monkeypatch: pytest.MonkeyPatch) -> None:
-    def commits_at_once(self: ChangeCoordinator, change: Any, now: float) -> None:
+def decides_without_asking(monkeypatch: pytest.MonkeyPatch) -> None:
+    def decides_at_once(self: ChangeCoordinator, change: Any, now: float) -> None:
         self._write(change_states.retreat(self.record, change))
 
-    monkeypatch.setattr(ChangeCoordinator, "_validate", commits_at_once)
+    monkeypatch.setattr(ChangeCoordinator, "_validate", decides_at_once)
 
 
 def accepts_an_outdated_release(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -81,7 +86,7 @@
 MUTATIONS: list[Callable[[pytest.MonkeyPatch], None]] = [
     ignores_the_clock,
     grants_while_revoking,
-    commits_without_asking,
+    decides_without_asking,
     accepts_an_outdated_release,
 ]
 
--- a/tests/policy/test_golden_bytes.py
+++ b/tests/policy/test_golden_bytes.py
@@ -59,7 +59,7 @@
     "first": PolicyRecord(1, "d1"),
     "checking": PolicyRecord(6, "d6", CHANGE, (), (HELD, WITHDRAWN)),
     "decided": PolicyRecord(
-        6, "d6", msgspec.structs.replace(CHANGE, phase=ChangePhase.COMMITTED), ("f9",), (HELD,)
+        6, "d6", msgspec.structs.replace(CHANGE, phase=ChangePhase.DECIDED), ("f9",), (HELD,)
     ),
     "clearing": PolicyRecord(
         6, "d6", msgspec.structs.replace(CHANGE, phase=ChangePhase.REVOKING), ("f9",), ()
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -37,19 +37,19 @@
 
 
 @dataclass
-class Line:
-    """A link between a front and a keeper: in order, each way by itself, until it breaks."""
+class FrontLink:
+    """A link between a front and a replica: in order, each way by itself, until it breaks."""
 
     number: int
     front: str
     replica: str
-    life: int  # the keeper's
+    replica_generation: int
     up: bool = True
-    free: dict[str, float] = field(default_factory=lambda: {"to": 0.0, "back": 0.0})
+    free_at: dict[str, float] = field(default_factory=lambda: {"to_leader": 0.0, "to_front": 0.0})
 
 
 @dataclass
-class Front:
+class SimulatedFront:
     """A front's process."""
 
     name: str
@@ -58,170 +58,182 @@
     participant: ChangeParticipant | None = None
     process: int = 0
     asleep: bool = False
-    line: Line | None = None
-    against: set[str] = field(default_factory=set)  # documents that it can't take
-    missed: list[tuple[Line, FromCoordinator]] = field(default_factory=list)
+    link: FrontLink | None = None
+    objects_to: set[str] = field(default_factory=set)  # documents that it can't serve under
+    undelivered: list[tuple[FrontLink, FromCoordinator]] = field(default_factory=list)
 
 
 class FleetWorld(World):
-    """A group of keepers with fronts; the judge looks after every event."""
+    """A group of replicas with fronts; the judge looks after every event."""
 
     def __init__(self, seed: int, voters: int = 3, fronts: int = 4, terms: LeaseTiming = TERMS) -> None:
         self.terms = terms
         self.registers: dict[str, KeyValueState] = {}
         self.coordinators: dict[str, ChangeCoordinator] = {}
-        self.inbox: dict[str, deque[tuple[int, Line, FromParticipant | None]]] = {}
+        self.unconfirmed: dict[str, deque[tuple[int, FrontLink, FromParticipant | None]]] = {}
         self.read_at: dict[str, int] = {}
-        self.fronts: dict[str, Front] = {}
-        self.lines = itertools.count(1)
-        self.said_yes: set[tuple[str, str]] = set()
-        self.heard_no: set[tuple[str, int, str]] = set()  # by a leader in its term
+        self.fronts: dict[str, SimulatedFront] = {}
+        self.link_numbers = itertools.count(1)
+        self.agreed: set[tuple[str, str]] = set()
+        self.objections_heard: set[tuple[str, int, str]] = set()  # by a leader in its term
         self.decided: dict[int, str] = {}
-        self.expected: dict[int, int] = {}  # fronts on the roster when a change was proposed
+        self.expected_at_proposal: dict[int, int] = {}  # expected fronts when a change was proposed
         self.in_force = 0
         self.proposals = itertools.count()
-        self.alone: dict[str, set[str]] = {}  # fronts that no keeper reaches, or that reach none
+        self.isolated: dict[str, set[str]] = {}  # directions that are cut, by front
         super().__init__(seed, voters)
-        self.figures |= {"held": 0, "withdrawn": 0, "grants": 0, "served": 0, "asked": 0, "retreats": 0}
+        self.figures |= {
+            "activated": 0,
+            "withdrawn": 0,
+            "grants": 0,
+            "served": 0,
+            "proposed": 0,
+            "retreats": 0,
+        }
         for n in range(fronts):
             drift = terms.clock_drift
             rate = self.random.choice((1 - drift, 1.0, 1 + drift))
-            front = self.fronts[f"f{n}"] = Front(f"f{n}", rate, self.random.uniform(0, 100))
-            self.begin(front)
+            front = self.fronts[f"f{n}"] = SimulatedFront(f"f{n}", rate, self.random.uniform(0, 100))
+            self.start_front(front)
             self._front_loop(front)
 
-    def front_clock(self, front: Front) -> float:
+    def front_clock(self, front: SimulatedFront) -> float:
         return self.now * front.rate + front.offset
 
     # Fronts ---------------------------------------------------------------------------------------
 
-    def begin(self, front: Front) -> None:
+    def start_front(self, front: SimulatedFront) -> None:
         if front.participant is None:
             front.process += 1
-            front.participant = self.participant(front)
+            front.participant = self.new_participant(front)
 
-    def participant(self, front: Front) -> ChangeParticipant:
+    def new_participant(self, front: SimulatedFront) -> ChangeParticipant:
         return ChangeParticipant(self.front_clock(front))
 
-    def end_front(self, front: Front) -> None:
+    def end_front(self, front: SimulatedFront) -> None:
         front.participant, front.asleep = None, False
-        front.missed.clear()
-        self.break_line(front.line)
+        front.undelivered.clear()
+        self.break_link(front.link)
 
-    def _front_loop(self, front: Front) -> None:
+    def _front_loop(self, front: SimulatedFront) -> None:
         self.at(self.random.uniform(0.05, 0.3), lambda: self._front_loop(front))
         if front.participant is None or front.asleep:
             return
-        if front.line is None:
+        if front.link is None:
             self.connect(front)
         front.participant.tick(self.front_clock(front))
-        self.front_settle(front)
+        self.carry_out(front)
         self.judge()
 
-    def connect(self, front: Front) -> None:
+    def connect(self, front: SimulatedFront) -> None:
         process = self.processes[self.random.choice(sorted(self.processes))]
         if process.member is None or process.asleep or (front.name, process.name) in self.cut:
             return
-        if front.name in self.alone:
+        if front.name in self.isolated:
             return
         coordinator = self.coordinators.get(process.name)
         if coordinator is None or process.member.role is not Role.LEADER:
             return
         assert front.participant is not None
-        line = front.line = Line(next(self.lines), front.name, process.name, process.lives)
-        coordinator.linked(line.number, front.name, str(front.process), self.clock(process))
+        link = front.link = FrontLink(next(self.link_numbers), front.name, process.name, process.lives)
+        coordinator.linked(link.number, front.name, str(front.process), self.clock(process))
         front.participant.link(True, self.front_clock(front))
 
-    def break_line(self, line: Line | None) -> None:
+    def break_link(self, link: FrontLink | None) -> None:
         """Each side learns of it at a time of its own."""
-        if line is None or not line.up:
+        if link is None or not link.up:
             return
-        line.up = False
-        self.at(self.random.uniform(0, 2), lambda: self._front_lost(line))
-        self.at(self.random.uniform(0, 2), lambda: self._keeper_lost(line))
-
-    def _front_lost(self, line: Line) -> None:
-        front = self.fronts[line.front]
-        if front.line is line:
-            front.line = None
+        link.up = False
+        self.at(self.random.uniform(0, 2), lambda: self._front_notices_lost_link(link))
+        self.at(self.random.uniform(0, 2), lambda: self._leader_notices_lost_link(link))
+
+    def _front_notices_lost_link(self, link: FrontLink) -> None:
+        front = self.fronts[link.front]
+        if front.link is link:
+            front.link = None
             if front.participant is not None:
                 front.participant.link(False, self.front_clock(front))
 
-    def _keeper_lost(self, line: Line) -> None:
-        process, coordinator = self.processes[line.replica], self.coordinators.get(line.replica)
-        if coordinator is not None and process.member is not None and process.lives == line.life:
-            coordinator.unlinked(line.number, self.clock(process))
+    def _leader_notices_lost_link(self, link: FrontLink) -> None:
+        process, coordinator = self.processes[link.replica], self.coordinators.get(link.replica)
+        if (
+            coordinator is not None
+            and process.member is not None
+            and process.lives == link.replica_generation
+        ):
+            coordinator.unlinked(link.number, self.clock(process))
             if not process.asleep:
-                self.conduct(process)
+                self.advance_coordinator(process)
 
-    def front_settle(self, front: Front) -> None:
-        participant, line = front.participant, front.line
+    def carry_out(self, front: SimulatedFront) -> None:
+        participant, link = front.participant, front.link
         assert participant is not None
         while True:
             actions = participant.take_actions()
             for document, _ in actions.apply:
-                participant.applied(document, "it can't" if document in front.against else "")
+                participant.applied(document, "it can't" if document in front.objects_to else "")
             for check in actions.validate:
-                no = check.document in front.against
+                no = check.document in front.objects_to
                 if not no:
-                    self.said_yes.add((front.name, check.document))
+                    self.agreed.add((front.name, check.document))
                 participant.validated(check, ("it can't",) if no else ())
-            if line is not None:
+            if link is not None:
                 for message in actions.messages:
-                    self._carry(line, "to", message)
+                    self._transmit(link, "to_leader", message)
             if not actions.messages and not actions.apply and not actions.validate:
                 break
 
     # Links ----------------------------------------------------------------------------------------
 
-    def _carry(self, line: Line, way: str, message: FromParticipant | FromCoordinator) -> None:
+    def _transmit(self, link: FrontLink, way: str, message: FromParticipant | FromCoordinator) -> None:
         """In order, as a connection does; what is under way when it breaks may still come."""
-        if way in self.alone.get(line.front, ()):
+        if way in self.isolated.get(link.front, ()):
             return None  # nobody learns of it
-        if (line.front, line.replica) in self.cut and way == "to":
-            return self.break_line(line)
-        if (line.replica, line.front) in self.cut and way == "back":
-            return self.break_line(line)
+        if (link.front, link.replica) in self.cut and way == "to_leader":
+            return self.break_link(link)
+        if (link.replica, link.front) in self.cut and way == "to_front":
+            return self.break_link(link)
         at = max(
-            line.free[way], self.now + self.random.choice((0.01, 0.02, 0.05, 0.3, 1.0 if self.loss else 0.05))
+            link.free_at[way],
+            self.now + self.random.choice((0.01, 0.02, 0.05, 0.3, 1.0 if self.loss else 0.05)),
         )
-        line.free[way] = at
-        if way == "to":
-            self.at(at - self.now, lambda: self._to_keeper(line, message))  # type: ignore[arg-type]
+        link.free_at[way] = at
+        if way == "to_leader":
+            self.at(at - self.now, lambda: self._deliver_to_leader(link, message))  # type: ignore[arg-type]
         else:
-            self.at(at - self.now, lambda: self._to_front(line, message))  # type: ignore[arg-type]
+            self.at(at - self.now, lambda: self._deliver_to_front(link, message))  # type: ignore[arg-type]
         return None
 
-    def _to_keeper(self, line: Line, message: FromParticipant) -> None:
-        process = self.processes[line.replica]
-        if process.member is None or process.lives != line.life:
+    def _deliver_to_leader(self, link: FrontLink, message: FromParticipant) -> None:
+        process = self.processes[link.replica]
+        if process.member is None or process.lives != link.replica_generation:
             return
         if process.asleep:
-            self.at(0.3, lambda: self._to_keeper(line, message))
+            self.at(0.3, lambda: self._deliver_to_leader(link, message))
             return
-        self.ask_first(process, line, message)
+        self.confirm_leadership_first(process, link, message)
 
-    def ask_first(self, process: Process, line: Line, message: FromParticipant) -> None:
+    def confirm_leadership_first(self, process: Process, link: FrontLink, message: FromParticipant) -> None:
         """What a front says is handed in once a majority has confirmed that this keeper leads."""
         assert process.member is not None
         ticket = next(self._tickets)
         try:
             process.member.read(ticket)
         except (BusyError, NotLeaderError):
-            self.break_line(line)
+            self.break_link(link)
             return
-        self.inbox.setdefault(process.name, deque()).append((ticket, line, message))
+        self.unconfirmed.setdefault(process.name, deque()).append((ticket, link, message))
         self.settle(process)
 
-    def _to_front(self, line: Line, message: FromCoordinator) -> None:
-        front = self.fronts[line.front]
-        if front.line is not line or front.participant is None:
+    def _deliver_to_front(self, link: FrontLink, message: FromCoordinator) -> None:
+        front = self.fronts[link.front]
+        if front.link is not link or front.participant is None:
             return
         if front.asleep:
-            front.missed.append((line, message))
+            front.undelivered.append((link, message))
             return
         front.participant.heard(message, self.front_clock(front))
-        self.front_settle(front)
+        self.carry_out(front)
         self.judge()
 
     # Keepers --------------------------------------------------------------------------------------
@@ -236,10 +248,10 @@
     def crash(self, process: Process) -> None:
         super().crash(process)
         self.coordinators.pop(process.name, None)
-        self.inbox.pop(process.name, None)
+        self.unconfirmed.pop(process.name, None)
         for front in self.fronts.values():
-            if front.line and front.line.replica == process.name:
-                self.break_line(front.line)
+            if front.link and front.link.replica == process.name:
+                self.break_link(front.link)
 
     def apply(self, process: Process, entry: Entry) -> None:
         process.index += 1
@@ -255,23 +267,23 @@
 
     def settle(self, process: Process) -> None:
         super().settle(process)
-        self.conduct(process)
+        self.advance_coordinator(process)
 
     def ready(self, process: Process, ticket: int) -> None:
-        queue = self.inbox.get(process.name, deque())
+        queue = self.unconfirmed.get(process.name, deque())
         while queue and queue[0][0] <= ticket:
-            _, line, message = queue.popleft()
+            _, link, message = queue.popleft()
             coordinator = self.coordinators.get(process.name)
             if coordinator is None:
                 continue
-            self.learn(process, coordinator)
+            self.read_registers(process, coordinator)
             if message is not None:
-                known = line.number in coordinator.fronts
+                known = link.number in coordinator.fronts
                 if known and isinstance(message, DocumentValidated) and message.reasons:
-                    self.heard_no.add((process.name, coordinator.term, message.document))
-                coordinator.heard(line.number, message, self.clock(process))
+                    self.objections_heard.add((process.name, coordinator.term, message.document))
+                coordinator.heard(link.number, message, self.clock(process))
 
-    def learn(self, process: Process, coordinator: ChangeCoordinator) -> None:
+    def read_registers(self, process: Process, coordinator: ChangeCoordinator) -> None:
         found = change_log.read(self.registers[process.name].with_prefix(""))
         if self.read_at.get(process.name) != process.index:
             self.read_at[process.name] = process.index
@@ -279,7 +291,7 @@
                 found.record, found.record_version, found.expected_fronts, found.contents, self.clock(process)
             )
 
-    def conduct(self, process: Process) -> None:
+    def advance_coordinator(self, process: Process) -> None:
         member = process.member
         if member is None:
             return
@@ -287,42 +299,37 @@
         if member.role is not Role.LEADER:
             if coordinator is not None:
                 del self.coordinators[process.name]
-                self.inbox.pop(process.name, None)
+                self.unconfirmed.pop(process.name, None)
                 for front in self.fronts.values():
-                    if front.line and front.line.replica == process.name:
-                        self.break_line(front.line)
+                    if front.link and front.link.replica == process.name:
+                        self.break_link(front.link)
             return
         if coordinator is None or coordinator.term != member.term:
             coordinator = self.coordinators[process.name] = ChangeCoordinator(
                 self.terms, self.clock(process), member.term
             )
             self.read_at.pop(process.name, None)
-            self.inbox[process.name] = deque()
+            self.unconfirmed[process.name] = deque()
             ticket = next(self._tickets)
             member.read(ticket)
-            self.inbox[process.name].append((ticket, Line(0, "", process.name, 0), None))
+            self.unconfirmed[process.name].append((ticket, FrontLink(0, "", process.name, 0), None))
             self.settle(process)
             return
         if coordinator.known:
-            self.learn(process, coordinator)
+            self.read_registers(process, coordinator)
         coordinator.tick(self.clock(process))
         actions = coordinator.take_actions()
-        lines = {f.line.number: f.line for f in self.fronts.values() if f.line}
+        links = {f.link.number: f.link for f in self.fronts.values() if f.link}
         for number, message in actions.messages:
             self.figures["grants"] += isinstance(message, PolicyLeaseGranted)
-            if number in lines:
-                self._carry(lines[number], "back", message)
+            if number in links:
+                self._transmit(links[number], "to_front", message)
         swaps = [change_log.write_expected_front(name) for name in actions.expect_fronts]
         if actions.write:
             change = actions.write.record.open_change
-            no = change and (process.name, coordinator.term, change.document) in self.heard_no
-            if (
-                no
-                and change
-                and change.phase is ChangePhase.COMMITTED
-                and not self.decided.get(change.version)
-            ):
-                raise Broken(f"version {change.version} is decided against a front's word")
+            no = change and (process.name, coordinator.term, change.document) in self.objections_heard
+            if no and change and change.phase is ChangePhase.DECIDED and not self.decided.get(change.version):
+                raise Broken(f"version {change.version} is decided against a front's objection")
             swaps.append(change_log.write_record(actions.write.expected_version, actions.write.record))
         for swap in swaps:
             self.put(process, swap)
@@ -339,7 +346,7 @@
     def _wake(self, process: Process, life: int) -> None:
         super()._wake(process, life)
         if process.member is not None and process.lives == life and not process.asleep:
-            self.conduct(process)
+            self.advance_coordinator(process)
 
     # Operators ------------------------------------------------------------------------------------
 
@@ -352,13 +359,13 @@
         found = change_log.read(self.registers[process.name].with_prefix(""))  # perhaps an old one
         data = b"policy %d" % next(self.proposals)
         if self.random.random() < 0.2:
-            self.random.choice(list(self.fronts.values())).against.add(document_id(data))
+            self.random.choice(list(self.fronts.values())).objects_to.add(document_id(data))
         base = found.record.version
         try:
             proposed = propose_change(found.record, base, document_id(data), "op", "", self.now)
         except ChangeRejectedError:
             return
-        self.figures["asked"] += 1
+        self.figures["proposed"] += 1
         self.put(process, change_log.write_document(data))
         self.put(process, change_log.write_record(found.record_version, proposed))
         self.settle(process)
@@ -371,21 +378,21 @@
         kind = r.randrange(7)
         if kind == 0 and front.participant:
             self.end_front(front)
-            self.at(r.uniform(0.1, 9), lambda: self.begin(front))
+            self.at(r.uniform(0.1, 9), lambda: self.start_front(front))
         elif kind == 1 and front.participant and not front.asleep:
             front.asleep = True
             self.at(r.uniform(0.1, 8), lambda: self.wake_front(front))
         elif kind == 2:
-            self.break_line(front.line)
-        elif kind == 4 and front.name not in self.alone:
-            self.alone[front.name] = r.choice(({"to"}, {"back"}, {"to", "back"}))
-            self.at(r.uniform(1, 9), lambda: self.reached(front))
+            self.break_link(front.link)
+        elif kind == 4 and front.name not in self.isolated:
+            self.isolated[front.name] = r.choice(({"to_leader"}, {"to_front"}, {"to_leader", "to_front"}))
+            self.at(r.uniform(1, 9), lambda: self.reconnect(front))
         elif kind == 3:
             replica = r.choice(sorted(self.processes))
             self.cut.add(r.choice(((front.name, replica), (replica, front.name))))
 
-    def reached(self, front: Front) -> None:
-        self.alone.pop(front.name, None)
+    def reconnect(self, front: SimulatedFront) -> None:
+        self.isolated.pop(front.name, None)
 
     def read(self, process: Process) -> None:
         """Fronts ask here, not clients."""
@@ -393,14 +400,14 @@
     def write(self, process: Process) -> None:
         """What is written here are records."""
 
-    def wake_front(self, front: Front) -> None:
+    def wake_front(self, front: SimulatedFront) -> None:
         if front.participant is None or not front.asleep:
             return
         front.asleep = False
         self.judge()  # before it has heard anything
-        missed, front.missed = front.missed, []
-        for line, message in missed:
-            self._to_front(line, message)
+        undelivered, front.undelivered = front.undelivered, []
+        for link, message in undelivered:
+            self._deliver_to_front(link, message)
 
     # The judge ------------------------------------------------------------------------------------
 
@@ -425,31 +432,31 @@
     def judge_record(self, found: change_log.ChangeLog) -> None:
         record, change = found.record, found.record.open_change
         if change is not None:
-            self.expected.setdefault(change.version, len(found.expected_fronts))
+            self.expected_at_proposal.setdefault(change.version, len(found.expected_fronts))
         if (
             change is not None
-            and change.phase is not ChangePhase.VALIDATING
+            and change.phase is not ChangePhase.CHECKING
             and change.version not in self.decided
         ):
             self.decided[change.version] = change.document
-            names = {n for n, d in self.said_yes if d == change.document}
-            expected = self.expected.get(change.version, 0)
+            names = {n for n, d in self.agreed if d == change.document}
+            expected = self.expected_at_proposal.get(change.version, 0)
             if expected and len(names) <= self.terms.min_agreeing_share * expected:
                 raise Broken(f"version {change.version} was decided with {len(names)} of {expected}")
-        for past in record.log:
-            if past.version in self.decided and past.outcome is ChangeOutcome.WITHDRAWN:
-                raise Broken(f"version {past.version} was decided and came to nothing")
+        for entry in record.log:
+            if entry.version in self.decided and entry.outcome is ChangeOutcome.WITHDRAWN:
+                raise Broken(f"version {entry.version} was decided and withdrawn")
 
     def mend(self) -> None:
         self.cut.clear()
-        self.alone.clear()
+        self.isolated.clear()
         self.loss = self.fatal = 0.0
         for process in self.processes.values():
             self.wake_up(process)
             self.start(process)
         for front in self.fronts.values():
             self.wake_front(front)
-            self.begin(front)
+            self.start_front(front)
         for _ in range(80):
             self.run(self.now + 1)
             leader = self.leader()
@@ -460,7 +467,7 @@
                 f.participant.serving_version(self.front_clock(f)) if f.participant else 0
                 for f in self.fronts.values()
             }
-            ill = any(record.document in f.against for f in self.fronts.values())
+            ill = any(record.document in f.objects_to for f in self.fronts.values())
             done = record.open_change is None and self.decided.keys() <= {p.version for p in record.log}
             if done and (versions == {record.version} or ill or not record.version):
                 break
@@ -468,5 +475,5 @@
             raise Broken(
                 f"no version everywhere {80} s after all was mended: {versions}, {record.open_change}"
             )
-        self.figures["held"] += sum(p.outcome is ChangeOutcome.ACTIVATED for p in record.log)
+        self.figures["activated"] += sum(p.outcome is ChangeOutcome.ACTIVATED for p in record.log)
         self.figures["withdrawn"] += sum(p.outcome is ChangeOutcome.WITHDRAWN for p in record.log)
--- a/tests/support/policy_states.py
+++ b/tests/support/policy_states.py
@@ -107,8 +107,8 @@
         if self.record.version < self.in_force:
             raise Broken(f"version {self.in_force} is served before it is in force")
         change = self.record.open_change
-        if change and change.version <= self.record.version and change.phase is not ChangePhase.VALIDATING:
-            raise Broken(f"version {change.version} is committed twice")
+        if change and change.version <= self.record.version and change.phase is not ChangePhase.CHECKING:
+            raise Broken(f"version {change.version} is decided twice")
 
 
 def in_force(state: PolicyStateSpace) -> bool:
--- a/zincladder/policy/change_states.py
+++ b/zincladder/policy/change_states.py
@@ -47,19 +47,19 @@
     return msgspec.structs.replace(record, open_change=proposed)
 
 
-def commit(record: PolicyRecord, change: PolicyChange, absent: tuple[str, ...]) -> PolicyRecord:
-    """VALIDATING -> COMMITTED; `absent` are the expected fronts that did not agree."""
-    return msgspec.structs.replace(_in_phase(record, change, ChangePhase.COMMITTED), absent=absent)
+def decide(record: PolicyRecord, change: PolicyChange, absent: tuple[str, ...]) -> PolicyRecord:
+    """CHECKING -> DECIDED; `absent` are the expected fronts that did not agree."""
+    return msgspec.structs.replace(_in_phase(record, change, ChangePhase.DECIDED), absent=absent)
 
 
 def begin_revoking(record: PolicyRecord, change: PolicyChange) -> PolicyRecord:
-    """COMMITTED -> REVOKING."""
+    """DECIDED -> REVOKING."""
     return _in_phase(record, change, ChangePhase.REVOKING)
 
 
 def retreat(record: PolicyRecord, change: PolicyChange) -> PolicyRecord:
-    """REVOKING -> COMMITTED: the old version is granted again for now."""
-    return _in_phase(record, change, ChangePhase.COMMITTED)
+    """REVOKING -> DECIDED: the old version is granted again for now."""
+    return _in_phase(record, change, ChangePhase.DECIDED)
 
 
 def activate(record: PolicyRecord, change: PolicyChange) -> PolicyRecord:
@@ -71,7 +71,7 @@
 def withdraw(
     record: PolicyRecord, change: PolicyChange, reasons: Iterable[str], absent: tuple[str, ...] = ()
 ) -> PolicyRecord:
-    """VALIDATING -> withdrawn, for the given reasons."""
+    """CHECKING -> withdrawn, for the given reasons."""
     shortened = tuple(reason[:MAX_TEXT_LENGTH] for reason in list(reasons)[:MAX_REASONS])
     return _closed(record, change, ChangeOutcome.WITHDRAWN, shortened, absent)
 
--- a/zincladder/policy/coordinator.py
+++ b/zincladder/policy/coordinator.py
@@ -4,7 +4,7 @@
 it: a new leader waits until all that its predecessor may have granted have expired. Every message handed in
 was followed by a confirmation that this replica leads, so no lease began after a successor's election.
 
-`ChangePhase` names the states of a change. Silent fronts are waited for while it is committed, and all others
+`ChangePhase` names the states of a change. Silent fronts are waited for while it is decided, and all others
 go on serving under the old version; so a change costs the clients one message to each front, its answer, and
 one write of the record.
 """
@@ -68,7 +68,7 @@
         self.leases = GrantedLeases(now + terms.expiry_seconds)
         self._documents: dict[str, bytes] = {}
         self._objections: list[tuple[int, str]] = []  # versions, and why a front can't serve under them
-        self._committed_version, self._committed_at = 0, now  # as far as this leader knows
+        self._decided_version, self._decided_at = 0, now  # as far as this leader knows
         self.phase_entered_at = now  # as far as this leader knows
         self._write_pending = False
         self._actions = CoordinatorActions()
@@ -103,22 +103,22 @@
         change = self.record.open_change
         if change is None or self._write_pending:
             return math.inf
-        if change.phase is ChangePhase.VALIDATING:
+        if change.phase is ChangePhase.CHECKING:
             return self.phase_entered_at + self.terms.check_timeout_seconds
         release_due_at = self.phase_entered_at + self.terms.release_timeout_seconds
         if change.phase is ChangePhase.REVOKING and not self._patience_is_over(release_due_at):
             return release_due_at
         moments = [lease.expires_at for lease in self.leases.by_process.values()]
-        moments += [self.leases.former_leases_expire_at, self._committed_at + self.terms.max_deferral_seconds]
+        moments += [self.leases.former_leases_expire_at, self._decided_at + self.terms.max_deferral_seconds]
         return min((moment for moment in moments if moment > self.phase_entered_at), default=math.inf)
 
     def _patience_is_over(self, now: float) -> bool:
-        """Whether a committed change has waited long enough for a moment in which no front is silent.
+        """Whether a decided change has waited long enough for a moment in which no front is silent.
 
         Guards a change in a fleet of which some front is always gone: that moment may never come. All fronts
         then wait at once for whoever is gone: for one lease at most, once.
         """
-        return now >= self._committed_at + self.terms.max_deferral_seconds
+        return now >= self._decided_at + self.terms.max_deferral_seconds
 
     # The record -----------------------------------------------------------------------------------
 
@@ -139,8 +139,8 @@
         change = record.open_change
         if change is None:
             self.leases.fenced_off.clear()
-        elif change.phase is not ChangePhase.VALIDATING and self._committed_version != change.version:
-            self._committed_version, self._committed_at = change.version, now
+        elif change.phase is not ChangePhase.CHECKING and self._decided_version != change.version:
+            self._decided_version, self._decided_at = change.version, now
         if change is None or change.phase is not ChangePhase.REVOKING:
             self._resume_granting(now)
         self._advance(now)
@@ -241,16 +241,16 @@
         if not self.known or change is None or self._write_pending:
             return
         match change.phase:
-            case ChangePhase.VALIDATING:
+            case ChangePhase.CHECKING:
                 self._validate(change, now)
-            case ChangePhase.COMMITTED:
+            case ChangePhase.DECIDED:
                 if not self.blocked_by(now) or self._patience_is_over(now):
                     self._write(change_states.begin_revoking(self.record, change))
             case ChangePhase.REVOKING:
                 self._revoke(change, now)
 
     def _validate(self, change: PolicyChange, now: float) -> None:
-        """Commits the change once enough fronts agree; withdraws it if one objects or too few answer."""
+        """Decides the change once enough fronts agree; withdraws it if one objects or too few answer."""
         content = self._documents.get(change.document)
         if content is None:
             self._withdraw(change, ["the document is not there"])
@@ -269,7 +269,7 @@
         if not (answers.all_answered and enough) and not timed_out:
             return
         if enough:
-            self._write(change_states.commit(self.record, change, answers.absent))
+            self._write(change_states.decide(self.record, change, answers.absent))
         else:
             reason = f"only {answers.agreed} of {answers.expected} fronts answered"
             self._withdraw(change, [reason], answers.absent)
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -119,7 +119,7 @@
 def front_state(coordinator: ChangeCoordinator, front: LinkedFront, now: float) -> str:
     """How a front stands towards the open change or the policy in force, as `policy status` words it."""
     change = coordinator.record.open_change
-    if change is not None and change.phase is ChangePhase.VALIDATING:
+    if change is not None and change.phase is ChangePhase.CHECKING:
         if front.validation is None:
             return "is asked"
         return "; ".join(front.validation.reasons) or "agrees"
--- a/zincladder/policy/model.py
+++ b/zincladder/policy/model.py
@@ -33,13 +33,13 @@
 class ChangePhase(enum.StrEnum):
     """The state of the open change.
 
-    VALIDATING -> COMMITTED -> REVOKING -> activated (no change is open any more)
-    VALIDATING -> withdrawn
-    REVOKING -> COMMITTED, when a front does not release its lease in time
+    CHECKING -> DECIDED -> REVOKING -> activated (no change is open any more)
+    CHECKING -> withdrawn
+    REVOKING -> DECIDED, when a front does not release its lease in time
     """
 
-    VALIDATING = "checking"  # the fronts are asked whether they could serve under it; it may be withdrawn
-    COMMITTED = "decided"  # it will be activated; the old version is still in force
+    CHECKING = "checking"  # the fronts are asked whether they could serve under it; it may be withdrawn
+    DECIDED = "decided"  # it will be activated; the old version is still in force
     REVOKING = "clearing"  # the fronts release their leases on the old version, and nobody gets a new one
 
 
@@ -58,7 +58,7 @@
     author: str
     note: str
     proposed_at: float  # Unix time
-    phase: ChangePhase = ChangePhase.VALIDATING
+    phase: ChangePhase = ChangePhase.CHECKING
 
 
 class ChangeLogEntry(msgspec.Struct, frozen=True, array_like=True):
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -137,14 +137,14 @@
 
     def _start_policy(self, group: TaskGroup) -> None:
         if self.operator.policy:
-            from zincladder.policy.wiring import follow_policy
+            from zincladder.wiring.policy import follow_policy
 
             self.policy = follow_policy(self.operator.policy, self.config, self.reload, self.core)
             group.start_soon(self.policy.run)
 
     def _start_tasks(self, group: TaskGroup, stopping: anyio.Event) -> None:
         if self.operator.duties:
-            from zincladder.tasks.wiring import build_task_runner
+            from zincladder.wiring.tasks import build_task_runner
 
             self.tasks = build_task_runner(self.operator.duties, self.config.name, self.core)
             group.start_soon(self.tasks.run, stopping)
