--- a/tests/support/task_states.py
+++ b/tests/support/task_states.py
@@ -93,7 +93,7 @@
         for n, process in enumerate(self.processes):
             if self.effects and process.participant.active_token(TASK, self.time):
                 yield partial(type(self).sends_effect, n=n)
-            if self.remaining.changes and TASK in process.participant.held:
+            if self.remaining.changes and TASK in process.participant.leases:
                 yield partial(type(self).released, n=n)
         for n in range(len(self.under_way)):
             yield partial(type(self).effect_arrives, n=n)
@@ -114,7 +114,7 @@
     @staticmethod
     def _holder_key(process: ProcessState) -> Any:
         holder, renewals = process.participant, process.participant.renewals
-        return (process.generation, process.link, process.to_leader, process.from_leader, holder.held,
+        return (process.generation, process.link, process.to_leader, process.from_leader, holder.leases,
                 renewals.serial, renewals.requested_at, renewals.next_at, holder.linked,
                 sorted(holder._running))  # fmt: skip
 
--- a/tests/tasks/test_lease_holder.py
+++ b/tests/tasks/test_lease_holder.py
@@ -65,7 +65,7 @@
     assert (
         lease_holder.active_token("a", 101.1) == 0
         and lease_holder.take_actions().end == ["a"]
-        and not lease_holder.held
+        and not lease_holder.leases
     )
 
 
@@ -85,7 +85,7 @@
     actions = lease_holder.take_actions()
     assert actions.messages == [Offer(()), ReleaseLease("a", 7)] and actions.end == ["a"]
     lease_holder.heard(Assigned("b", 9), 101.0)
-    assert not lease_holder.held
+    assert not lease_holder.leases
 
 
 def test_a_lease_leaves_time_to_act() -> None:
@@ -102,4 +102,4 @@
 def test_an_outdated_assignment_changes_nothing() -> None:
     lease_holder = holding_process()
     lease_holder.heard(Assigned("a", 5), 100.5)  # late
-    assert lease_holder.held["a"] == HeldLease(7, 105.0, lease_holder.held["a"].assigned_after_serial)
+    assert lease_holder.leases["a"] == HeldLease(7, 105.0, lease_holder.leases["a"].assigned_after_serial)
--- a/zincladder/cli/policy.py
+++ b/zincladder/cli/policy.py
@@ -101,27 +101,33 @@
 
 def _follow(group: Group, version: int, document: str, wait_seconds: float, as_json: bool) -> None:
     """Prints each step of a change until it has ended, and exits."""
+    from zincladder.policy.model import ChangeOutcome
+
     deadline, printed = time.monotonic() + wait_seconds, ""
     while time.monotonic() < deadline:
         record = client.read_change_log(group).record
         entry = next((e for e in record.log if (e.version, e.document) == (version, document)), None)
         if entry is not None:
-            output.print_step(output.outcome_line(entry), as_json)
-            sys.exit(0 if entry.outcome == "held" else EXIT_FAILED)
+            output.print_outcome(entry, as_json)
+            sys.exit(0 if entry.outcome is ChangeOutcome.ACTIVATED else EXIT_FAILED)
         change = record.open_change
         if change is None or (change.version, change.document) != (version, document):
             raise click.ClickException(f"version {version} is on record no more")
-        line: dict[str, Any] = {"version": version, "phase": change.phase} | client.leader_view(group)
-        states = {name: front["state"] for name, front in line.get("fronts", {}).items()}
-        shown = json.dumps(line | {"fronts": states})  # leases run down all the time, and are no step
-        if shown != printed:
-            printed = shown
-            output.print_step(line, as_json)
+        view = client.leader_view(group)
+        step = json.dumps([change.phase, _without_leases(view)])
+        if step != printed:
+            printed = step
+            output.print_phase(change, view, as_json)
         time.sleep(POLL_SECONDS)
     click.echo(f"version {version} is not at its end yet: `zincladder policy status` tells", err=True)
     sys.exit(EXIT_UNDECIDED)
 
 
+def _without_leases(view: dict[str, Any]) -> dict[str, Any]:
+    """The leader's view without the leases' seconds, which pass all the time and are no step."""
+    return view | {"fronts": {name: front["state"] for name, front in view.get("fronts", {}).items()}}
+
+
 @policy.command()
 @click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
 @click.pass_obj
--- a/zincladder/cli/policy_output.py
+++ b/zincladder/cli/policy_output.py
@@ -39,16 +39,6 @@
     }
 
 
-def outcome_line(entry: ChangeLogEntry) -> dict[str, Any]:
-    """The last line of a change that is followed."""
-    return {
-        "version": entry.version,
-        "outcome": entry.outcome,
-        "reasons": entry.reasons,
-        "absent": entry.absent,
-    }
-
-
 def print_differences(differences: list[tuple[str, Any, Any]]) -> None:
     """Each path that differs, with its old and its new value."""
     for path, old, new in differences:
@@ -58,29 +48,29 @@
             click.echo(f"+ {path} = {json.dumps(new)}")
 
 
-def print_step(line: dict[str, Any], as_json: bool) -> None:
-    """One step of a change that is followed."""
+def print_outcome(entry: ChangeLogEntry, as_json: bool) -> None:
+    """The end of a change that is followed."""
     if as_json:
-        click.echo(json.dumps(line))
-    elif "outcome" in line:
-        _print_outcome(line)
-    else:
-        _print_phase(line)
-
-
-def _print_outcome(line: dict[str, Any]) -> None:
-    click.echo(f"version {line['version']} {line['outcome']}")
-    for reason in line["reasons"]:
+        keys = ("version", "outcome", "reasons", "absent")
+        whole = entry_json(entry)
+        click.echo(json.dumps({key: whole[key] for key in keys}))
+        return
+    click.echo(f"version {entry.version} {entry.outcome}")
+    for reason in entry.reasons:
         click.echo(f"  {reason}")
-    if line["absent"]:
-        click.echo(f"  not reached, and bound by it all the same: {', '.join(line['absent'])}")
+    if entry.absent:
+        click.echo(f"  not reached, and bound by it all the same: {', '.join(entry.absent)}")
 
 
-def _print_phase(line: dict[str, Any]) -> None:
-    states = Counter(front["state"] for front in line.get("fronts", {}).values())
+def print_phase(change: PolicyChange, view: dict[str, Any], as_json: bool) -> None:
+    """A phase of a change that is followed, with the leader's view of the fronts."""
+    if as_json:
+        click.echo(json.dumps({"version": change.version, "phase": change.phase} | view))
+        return
+    states = Counter(front["state"] for front in view.get("fronts", {}).values())
     fronts = ", ".join(f"{count} {state}" for state, count in sorted(states.items()))
-    waits = f"; waits for {', '.join(line['waits_for'])}" if line.get("waits_for") else ""
-    click.echo(f"version {line['version']} {line['phase']}: {fronts or 'no front is linked'}{waits}")
+    waits = f"; waits for {', '.join(view['waits_for'])}" if view.get("waits_for") else ""
+    click.echo(f"version {change.version} {change.phase}: {fronts or 'no front is linked'}{waits}")
 
 
 def print_status(record: PolicyRecord, view: dict[str, Any], as_json: bool) -> None:
--- a/zincladder/cli/tasks.py
+++ b/zincladder/cli/tasks.py
@@ -58,57 +58,88 @@
     return StoredTasks(json.loads(reply.data), assignments, sizes)
 
 
+@dataclass(frozen=True)
+class TaskStatus:
+    """What `status` shows of a task."""
+
+    task: str
+    lease_holder: str
+    token: int
+    lease_seconds: float
+    holder_linked: bool
+    changed_seconds_ago: float
+    checkpoint_bytes: int
+    paused: bool
+    vacancy_reason: str
+
+    def as_json(self) -> dict[str, Any]:
+        """With the keys that scripts read, which do not follow the names of fields."""
+        return {
+            "duty": self.task,
+            "owner": self.lease_holder,
+            "token": self.token,
+            "lease_s": self.lease_seconds,
+            "linked": self.holder_linked,
+            "since": self.changed_seconds_ago,
+            "progress_bytes": self.checkpoint_bytes,
+            "paused": self.paused,
+            "left": self.vacancy_reason,
+        }
+
+    def note(self) -> str:
+        """Why nobody runs the task, or what may end that its holder does."""
+        if self.lease_holder and not self.holder_linked:
+            return "its holder has no link to the leader"
+        return "paused" if self.paused else self.vacancy_reason
+
+
+def _task_status(stored: StoredTasks, task: str) -> TaskStatus:
+    assignment, token = stored.assignments[task]
+    seen = stored.leader_view.get("duties", {}).get(task, {})
+    return TaskStatus(
+        task,
+        assignment.lease_holder,
+        token,
+        seen.get("lease_s", 0.0),
+        seen.get("linked", False),
+        round(max(0.0, time.time() - assignment.changed_at), 1),
+        stored.checkpoint_sizes.get(task, 0),
+        assignment.paused,
+        assignment.vacancy_reason,
+    )
+
+
 @tasks.command()
 @click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
 @click.pass_obj
 def status(group: Group, as_json: bool) -> None:
     """Show each task: lease holder, token, what is left of the lease. Exits with 1 if one has no holder."""
     stored = _read_tasks(group)
-    rows = [_row(stored, task) for task in sorted(stored.assignments)]
+    found = [_task_status(stored, task) for task in sorted(stored.assignments)]
     runners = stored.leader_view.get("workers", [])
     if as_json:
-        click.echo(json.dumps({"duties": rows, "workers": runners}))
+        click.echo(json.dumps({"duties": [task.as_json() for task in found], "workers": runners}))
     else:
-        _print_table(group, rows, runners)
-    sys.exit(1 if any(not row["owner"] and not row["paused"] for row in rows) else 0)
-
-
-def _row(stored: StoredTasks, task: str) -> dict[str, Any]:
-    """A task's status. Scripts read the keys, so these do not follow the names of fields."""
-    assignment, token = stored.assignments[task]
-    seen = stored.leader_view.get("duties", {}).get(task, {})
-    return {
-        "duty": task,
-        "owner": assignment.lease_holder,
-        "token": token,
-        "lease_s": seen.get("lease_s", 0.0),
-        "linked": seen.get("linked", False),
-        "since": round(max(0.0, time.time() - assignment.changed_at), 1),
-        "progress_bytes": stored.checkpoint_sizes.get(task, 0),
-        "paused": assignment.paused,
-        "left": assignment.vacancy_reason,
-    }
+        _print_table(group, found, runners)
+    sys.exit(1 if any(not task.lease_holder and not task.paused for task in found) else 0)
 
 
-def _print_table(group: Group, rows: list[dict[str, Any]], runners: list[str]) -> None:
+def _print_table(group: Group, found: list[TaskStatus], runners: list[str]) -> None:
     from rich.console import Console
     from rich.table import Table
 
     table = Table(title=f"{group[0]}: {len(runners)} runners")
     for column in ("task", "holder", "token", "lease s", "for s", "checkpoint", "note"):
         table.add_column(column, justify="left" if column in ("task", "holder", "note") else "right")
-    for row in rows:
-        note = "paused" if row["paused"] else row["left"]
-        if row["owner"] and not row["linked"]:
-            note = "its holder has no link to the leader"
+    for task in found:
         table.add_row(
-            row["duty"],
-            row["owner"] or "nobody",
-            str(row["token"]),
-            str(row["lease_s"]),
-            str(row["since"]),
-            f"{row['progress_bytes']} B",
-            note,
+            task.task,
+            task.lease_holder or "nobody",
+            str(task.token),
+            str(task.lease_seconds),
+            str(task.changed_seconds_ago),
+            f"{task.checkpoint_bytes} B",
+            task.note(),
         )
     Console().print(table)
 
--- a/zincladder/leases/service.py
+++ b/zincladder/leases/service.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from abc import abstractmethod
-from typing import Any, Protocol, TypeVar
+from typing import Any, Generic, Protocol, TypeVar
 
 import anyio.abc
 
@@ -11,8 +11,8 @@
 from zincladder.leases.model import NotLeaderReply
 
 
-class Actions(Protocol):
-    """What a deciding part wants done."""
+class LeaseActions(Protocol):
+    """What a leader has decided on, beside its writes."""
 
     messages: list[tuple[int, Any]]  # with the number of the link
 
@@ -25,9 +25,10 @@
 
 
 G = TypeVar("G", bound=LeaseGranter)
+A = TypeVar("A", bound=LeaseActions)
 
 
-class LeaseService(LeaderService[G]):
+class LeaseService(LeaderService[G], Generic[G, A]):
     """Grants leases of one kind while its replica leads the group."""
 
     def not_leader_message(self, leader: str) -> NotLeaderReply:
@@ -35,12 +36,12 @@
         return NotLeaderReply(leader)
 
     def execute(self, term_state: G, tasks: anyio.abc.TaskGroup) -> None:
-        """Sends the messages that the part has decided on, and begins its writes."""
-        actions = term_state.take_actions()
+        """Sends the messages that were decided on, and begins the writes."""
+        actions: A = term_state.take_actions()
         for number, message in actions.messages:
             self.send(number, message)
         self.begin_writes(actions, term_state, tasks)
 
     @abstractmethod
-    def begin_writes(self, actions: Any, term_state: G, tasks: anyio.abc.TaskGroup) -> None:
-        """Begins the writes among the part's actions."""
+    def begin_writes(self, actions: A, term_state: G, tasks: anyio.abc.TaskGroup) -> None:
+        """Begins the writes among the actions."""
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -22,7 +22,7 @@
 log = structlog.get_logger()
 
 
-class PolicyLeaderService(LeaseService[ChangeCoordinator]):
+class PolicyLeaderService(LeaseService[ChangeCoordinator, CoordinatorActions]):
     """Coordinates changes of the policy while its replica leads the group."""
 
     role = "front"
--- a/zincladder/tasks/host.py
+++ b/zincladder/tasks/host.py
@@ -64,7 +64,7 @@
     return "the leader alone names owners" if assignment.lease_holder else ""
 
 
-class TaskLeaderService(LeaseService[LeaseManager]):
+class TaskLeaderService(LeaseService[LeaseManager, LeaseManagerActions]):
     """Assigns singleton tasks while its replica leads the group."""
 
     role = "worker"
--- a/zincladder/tasks/lease_holder.py
+++ b/zincladder/tasks/lease_holder.py
@@ -48,7 +48,7 @@
 
     def __init__(self, offered: Iterable[str], now: float) -> None:
         self.offered = tuple(sorted(offered))
-        self.held: dict[str, HeldLease] = {}  # by task
+        self.leases: dict[str, HeldLease] = {}  # by task
         self.linked = False
         self.renewals = RenewalSchedule(now)
         self._running: set[str] = set()
@@ -58,25 +58,25 @@
 
     def active_token(self, task: str, now: float) -> int:
         """The token under which to act on a task at this moment; 0: not at all."""
-        lease = self.held.get(task)
+        lease = self.leases.get(task)
         return lease.token if lease is not None and now < lease.expires_at else 0
 
     def lease_seconds_left(self, task: str, now: float) -> float:
         """How long this process may rely on its lease."""
-        lease = self.held.get(task)
+        lease = self.leases.get(task)
         return max(0.0, lease.expires_at - now) if lease else 0.0
 
     @property
     def renewal_interval_seconds(self) -> float:
         """Between two renewals."""
-        return self.renewals.interval_seconds * (1 if self.held else IDLE_FACTOR)
+        return self.renewals.interval_seconds * (1 if self.leases else IDLE_FACTOR)
 
     # Events ---------------------------------------------------------------------------------------
 
     @property
     def next_at(self) -> float:
         """When `tick` is due."""
-        expiries = [lease.expires_at for task, lease in self.held.items() if task in self._running]
+        expiries = [lease.expires_at for task, lease in self.leases.items() if task in self._running]
         return min(self.renewals.next_at if self.linked else float("inf"), *expiries, float("inf"))
 
     def link(self, up: bool, now: float) -> None:
@@ -89,7 +89,7 @@
 
     def tick(self, now: float) -> None:
         """Renews the leases when that is due, and ends tasks whose lease has expired."""
-        for task, lease in self.held.items():
+        for task, lease in self.leases.items():
             if task in self._running and now >= lease.expires_at:
                 self._end_running(task)  # begun again with a new lease, if it is still assigned
         if self.linked and now >= self.renewals.next_at:
@@ -100,7 +100,7 @@
 
     def _renew(self, now: float) -> None:
         serial = self.renewals.request(now, self.renewal_interval_seconds)
-        assigned = tuple((task, lease.token) for task, lease in sorted(self.held.items()))
+        assigned = tuple((task, lease.token) for task, lease in sorted(self.leases.items()))
         self._send(RenewLease(serial, assigned))
 
     def heard(self, message: FromLeaseManager, now: float) -> None:
@@ -111,17 +111,17 @@
             case LeaseGranted():
                 self._granted(message, now)
             case Revoke(task, token):
-                lease = self.held.get(task)
+                lease = self.leases.get(task)
                 if lease is None or lease.token <= token:
                     self.release(task, token)
             case NotLeaderReply():
                 pass  # the host connects to the leader
 
     def _assigned(self, task: str, token: int, now: float) -> None:
-        lease = self.held.get(task)
+        lease = self.leases.get(task)
         if task in self.offered and (lease is None or lease.token < token):
             self._drop(task)
-            self.held[task] = HeldLease(token, assigned_after_serial=self.renewals.serial)
+            self.leases[task] = HeldLease(token, assigned_after_serial=self.renewals.serial)
             self._renew(now)
 
     def _granted(self, granted: LeaseGranted, now: float) -> None:
@@ -131,7 +131,7 @@
         self.renewals.interval_seconds = granted.renew_seconds
         self.renewals.bring_forward(now + self.renewal_interval_seconds)
         tokens, expires_at = dict(granted.granted), requested_at + granted.valid_seconds
-        for task, lease in list(self.held.items()):
+        for task, lease in list(self.leases.items()):
             if lease.assigned_after_serial >= granted.serial:
                 continue  # the request did not name it
             if tokens.get(task) != lease.token:
@@ -149,13 +149,13 @@
 
     def _drop(self, task: str) -> None:
         self._end_running(task)
-        self.held.pop(task, None)
+        self.leases.pop(task, None)
 
     # Requests of the host -------------------------------------------------------------------------
 
     def release(self, task: str, token: int | None = None) -> None:
         """Ends a task and releases its lease: another process may begin at once."""
-        lease = self.held.get(task)
+        lease = self.leases.get(task)
         token = lease.token if lease is not None and token is None else token
         self._drop(task)
         if token is not None:
@@ -165,7 +165,7 @@
         """An orderly end: offers nothing more and releases every lease."""
         self.offered = ()
         self._send(Offer(()))
-        for task in sorted(self.held):
+        for task in sorted(self.leases):
             self.release(task)
 
     def take_actions(self) -> LeaseHolderActions:
--- a/zincladder/tasks/runner.py
+++ b/zincladder/tasks/runner.py
@@ -60,7 +60,7 @@
         now, lease_holder = self.clock(), self.participant
         left = [
             lease_holder.lease_seconds_left(task, now)
-            for task in lease_holder.held
+            for task in lease_holder.leases
             if lease_holder.active_token(task, now)
         ]
         return {
