--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -27,7 +27,7 @@
 from zincladder.admission.plain import Plain
 from zincladder.cli import main
 from zincladder.config import Config, DutiesConfig, PolicyConfig, parse_config
-from zincladder.config.operator import TABLES, RemoteWriteTable
+from zincladder.config.operator_tables import TABLES, RemoteWriteTable
 from zincladder.config.replica import LeaseTable, ReplicaTable, parse_replica_config
 from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.consensus.model import Membership
@@ -36,10 +36,11 @@
 from zincladder.control.readiness import Readiness
 from zincladder.control.statistics import front_statistics
 from zincladder.control.status_calls import StatusCalls
+from zincladder.core.answers import AnswerKind
 from zincladder.core.attempt import AbortReason
-from zincladder.core.classes import Classes
-from zincladder.core.ends import EndReason
+from zincladder.core.attempt_end import EndReason
 from zincladder.core.engine import Core
+from zincladder.core.request_classes import RequestClasses
 from zincladder.metrics import registry as front_metrics
 from zincladder.metrics.registry import Registry, Sample
 from zincladder.metrics.replica import NAMES as NAMES_OF_A_REPLICA
@@ -65,23 +66,23 @@
 
 def counting_core() -> Core:
     """A core in which everything that it counts has happened once."""
-    core = Core(settings(), 1, None, classes=Classes(("video", "page"), settings().classes))  # type: ignore[arg-type]
-    core.listed(api.UpdateKind.FULL, 1, FLEET)
-    core.statistics.keep_classes(("video", "page"), ())
+    core = Core(settings(), 1, None, classes=RequestClasses(("video", "page"), settings().classes))  # type: ignore[arg-type]
+    core.update_endpoints(api.UpdateKind.FULL, 1, FLEET)
+    core.statistics.retain_classes(("video", "page"), ())
     member = FLEET[0].id
     for end in EndReason:
-        core.counts["attempts", end.name.lower()] += 1
-        core.counts["probes", end.name.lower()] += 1
-        core.counts["client_ends", end.name.lower()] += 1
-        core.statistics.ended(member, end)
-        core.statistics.probed(member, end, 0.5, (1.0,), 1.0)
+        core.counts["attempts", end.value] += 1
+        core.counts["probes", end.value] += 1
+        core.counts["client_ends", end.value] += 1
+        core.statistics.record_ended(member, end)
+        core.statistics.record_health_check(member, end, 0.5, (1.0,), 1.0)
     for reason in AbortReason:
-        core.counts["held_back", reason.name.lower()] += 1
+        core.counts["held_back", reason.value] += 1
     for group in sorted(front_metrics.COUNTERS):
         core.counts[group, "one"] += 1
-    for kind in ("served", "refused", "failed"):
-        core.statistics.answered("page", kind)
-    core.statistics.asked(member, 2.0, "page")
+    for kind in AnswerKind:
+        core.statistics.record_answer("page", kind.value)
+    core.statistics.record_started(member, 2.0, "page")
     return core
 
 
