--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -26,7 +26,7 @@
 from zincladder.admission.model import Act, Lane, Limits, Why
 from zincladder.admission.plain import Plain
 from zincladder.cli import main
-from zincladder.config import Config, DutiesConfig, PolicyConfig, parse_config
+from zincladder.config import Config, PolicyConfig, TasksConfig, parse_config
 from zincladder.config.operator_tables import TABLES, RemoteWriteTable
 from zincladder.config.replica import LeaseTable, ReplicaTable, parse_replica_config
 from zincladder.consensus.lease_timing import LeaseTiming
@@ -61,7 +61,7 @@
 
 
 def task_runner() -> TaskRunner:
-    return TaskRunner(DutiesConfig("g", REPLICAS, ()), "n0", {}, dict)
+    return TaskRunner(TasksConfig("g", REPLICAS, ()), "n0", {}, dict)
 
 
 def counting_core() -> Core:
@@ -318,7 +318,7 @@
 
 
 def test_keys_of_the_fronts_configuration() -> None:
-    from tests.test_configuration_reading import FULL
+    from tests.config.test_reading import FULL
 
     seen: dict[str, None] = {}
     assert isinstance(parse_config(Recorder(FULL, seen)), Config)
--- a/zincladder/tasks/runner.py
+++ b/zincladder/tasks/runner.py
@@ -11,7 +11,7 @@
 import anyio.abc
 import structlog
 
-from zincladder.config import DutiesConfig
+from zincladder.config import TasksConfig
 from zincladder.consensus.client import Client, OutcomeUnknownError, RequestFailedError
 from zincladder.leases.client import LeaseClient
 from zincladder.links.clocks import boottime
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        config: DutiesConfig,
+        config: TasksConfig,
         name: str,
         functions: Mapping[str, TaskFunction],
         counters: Callable[[], dict[str, float]],
@@ -42,7 +42,7 @@
         self._config, self._name = config, name
         self._functions, self._counters = dict(functions), counters
         lease_holder = LeaseHolder(self._functions, clock())
-        super().__init__(lease_holder, config.group, config.keepers, name, clock)
+        super().__init__(lease_holder, config.group, config.replicas, name, clock)
         self._scopes: dict[str, anyio.CancelScope] = {}  # of running tasks
         self._tasks: anyio.abc.TaskGroup | None = None
         self.failures = self.fenced = 0
@@ -53,14 +53,14 @@
 
     def client(self) -> Client:
         """A client of the group."""
-        return Client(self._config.group, self._config.keepers, self._name)
+        return Client(self._config.group, self._config.replicas, self._name)
 
     def figures(self) -> dict[str, float]:
         """For STATS and metrics: tasks run now, the shortest lease left, tasks that failed or came late."""
         now, lease_holder = self.clock(), self.participant
         left = [
             lease_holder.lease_seconds_left(task, now)
-            for task in lease_holder.held
+            for task in lease_holder.leases
             if lease_holder.active_token(task, now)
         ]
         return {
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -138,16 +138,16 @@
 
     def _start_policy(self, group: TaskGroup) -> None:
         if self.operator.policy:
-            from zincladder.policy.wiring import follow_policy
+            from zincladder.wiring.policy import follow_policy
 
             self.policy = follow_policy(self.operator.policy, self.config, self.reload, self.core)
             group.start_soon(self.policy.run)
 
     def _start_tasks(self, group: TaskGroup, stopping: anyio.Event) -> None:
-        if self.operator.duties:
-            from zincladder.tasks.wiring import build_task_runner
+        if self.operator.tasks:
+            from zincladder.wiring.tasks import build_task_runner
 
-            self.tasks = build_task_runner(self.operator.duties, self.config.name, self.core)
+            self.tasks = build_task_runner(self.operator.tasks, self.config.name, self.core)
             group.start_soon(self.tasks.run, stopping)
 
     def _start_status_server(self, group: TaskGroup) -> None:
@@ -215,7 +215,7 @@
             endpoints=len(self.core.endpoint_list.endpoints),
             memory_mb=self.config.memory_mb,
             sockets=self.config.sockets,
-            max_open_requests=self.config.most_open,
+            max_open_requests=self.config.max_open_requests,
             **asdict(self.listening),
         )
 
