--- a/tests/routing/test_fill_throttle.py
+++ b/tests/routing/test_fill_throttle.py
@@ -159,3 +159,12 @@
     assert all(
         isinstance(sent, api.Lookup) for (sent,) in writes
     )  # what only the origin runs is not throttled
+
+
+def test_the_throttles_of_sources_that_are_gone_are_forgotten_with_the_next_list_that_can_be_read() -> None:
+    driver = Driver()
+    driver.state.fill_throttles.record_fill(b"paren9", True, driver.now)
+    driver.update_list(kind=api.UpdateKind.FAILED)
+    assert b"paren9" in driver.state.fill_throttles._by_source
+    driver.update_endpoints(cache(1))
+    assert b"paren9" not in driver.state.fill_throttles._by_source
--- a/zincladder/routing/endpoints.py
+++ b/zincladder/routing/endpoints.py
@@ -64,9 +64,7 @@
             stats.role = _role(stats.endpoint, settings)
 
     def apply_update(self, update: api.EndpointUpdate, settings: api.Settings, now: float) -> None:
-        """The whole list, or changes to it; a list that could not be read changes nothing."""
-        if update.kind is api.UpdateKind.FAILED:
-            return
+        """The whole list, or changes to it."""
         if update.kind is not api.UpdateKind.DELTA:
             listed = {endpoint.id for endpoint in update.endpoints}
             self.stats = {i: stats for i, stats in self.stats.items() if i in listed}
--- a/zincladder/routing/router.py
+++ b/zincladder/routing/router.py
@@ -88,8 +88,9 @@
         state = self.state
         if state.settings.must_subscribe and event.kind in (api.UpdateKind.CACHED, api.UpdateKind.FAILED):
             self._actions.append(api.Subscribe())
-        state.endpoints.apply_update(event, state.settings, now)
-        state.fill_throttles.keep_only(state.endpoints.stats)
+        if event.kind is not api.UpdateKind.FAILED:  # else the list before stands
+            state.endpoints.apply_update(event, state.settings, now)
+            state.fill_throttles.keep_only(state.endpoints.stats)
 
     def _on_purge(self, event: api.Purged, now: float) -> None:
         done_seconds = self.state.settings.purge_done
@@ -249,14 +250,15 @@
         if key == PROBE_TIMER:
             self._probe()
         elif key is not None and key[0] in self.pending and key in self.attempts:
-            self._check_silence(key, self.attempts[key], now)
+            self._check_silence(key, now)
 
-    def _check_silence(self, key: tuple[int, int], attempt: Attempt, now: float) -> None:
+    def _check_silence(self, key: tuple[int, int], now: float) -> None:
         """Cancels an attempt past its silence timeout at a cache that answered nothing else meanwhile.
 
         Guards a request against waiting for an endpoint that is gone. The cancellation leads to a retry.
         """
         state = self.state
+        pending, attempt = self.pending[key[0]], self.attempts[key]
         cache = state.endpoints.stats.get(attempt.cache)
         if cache and cache.last_answer_at > attempt.checked_at:
             record_fill(state, attempt, True, now)  # the cache is well: it waits for its source
@@ -265,7 +267,7 @@
             self._actions.append(api.Cancel(*key))
         else:
             attempt.checked_at = now
-            self._set_timer(silence_timeout(attempt.pending), key)
+            self._set_timer(silence_timeout(pending), key)
 
     def _probe(self) -> None:
         """Probes the next cache, and goes on with the round while the settings want it."""
--- a/zincladder/routing/selection.py
+++ b/zincladder/routing/selection.py
@@ -81,7 +81,7 @@
         elif utilization < spillover_at and state.fill_throttles.stays_at(
             endpoint_id, now, state.random.random
         ):
-            stats.next_trial_at = now + TRIAL_INTERVAL_SECONDS
+            stats.next_trial_at = now + TRIAL_INTERVAL_SECONDS  # a single request is the trial
             return stats
         elif least_utilized is None or utilization < least:
             least_utilized, least = stats, utilization
