--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -42,6 +42,7 @@
             "zincladder.core.attempt_end",
             "zincladder.core.attempt_guard",
             "zincladder.core.clock",
+            "zincladder.core.counts",
             "zincladder.core.direct_routing",
             "zincladder.core.endpoint_list",
             "zincladder.core.health_checks",
--- a/tests/test_operating_day.py
+++ b/tests/test_operating_day.py
@@ -1,4 +1,4 @@
-"""The operating day: classes that come and go, new settings while requests are open, a coordinator lost."""
+"""The operating day: new settings while requests are open, a coordinator lost."""
 
 from __future__ import annotations
 
@@ -19,8 +19,6 @@
     only_fetch,
     settings,
 )
-from zincladder.core.request_classes import REMOVED_CLASS_SECONDS, RequestClasses
-from zincladder.core.statistics import MAX_CLASSES, Statistics
 from zincladder.net.feed import Feed
 from zincladder.routing import interface as api
 
@@ -31,40 +29,9 @@
 )
 
 
-def test_classes_that_come_and_go_all_day_are_bounded_in_the_figures() -> None:
-    figures = Statistics()
-    for i in range(10 * MAX_CLASSES):
-        figures.retain_classes([f"c{i}", "page"], ())
-        figures.record_answer(f"c{i}", "served")
-        figures.record_answer("page", "served")
-    assert len(figures.classes) <= MAX_CLASSES + 2 and len(figures.answers) <= MAX_CLASSES + 2
-    assert figures.answers["page", "served"] == 10 * MAX_CLASSES
-
-
 # New settings -------------------------------------------------------------------------------------
 
 
-def test_an_open_request_keeps_its_number_and_rules_through_any_change() -> None:
-    table = RequestClasses(["page", "scan"], [READ, READ])
-    assert table.replace(["page", "scan"], [READ, WRITE], {1}, 0.0) == (0, 1, 1)
-    assert table.number_of("scan", 0.0) == 2 and table.rules[1] == READ and table.rules[2] == WRITE
-    assert table.replace(["page"], [READ], {1}, 10.0) == (0, 1, 2)  # dropped, with a request open under 1
-    assert (
-        table.number_of("scan", 10.0 + REMOVED_CLASS_SECONDS / 2) == 2
-        and table.number_of("scan", 10.0 + REMOVED_CLASS_SECONDS) is None
-    )
-    # Back again as a read: never under the number that an open request holds, nor the one that rests.
-    table.replace(["page", "scan"], [READ, READ], {1}, 11.0)
-    assert table.number_of("scan", 11.0) == 3 and (table.names[1], table.rules[1]) == ("scan", READ)
-
-
-def test_numbers_are_used_again_once_nothing_holds_them() -> None:
-    table = RequestClasses(["page"], [READ])
-    for i in range(100):
-        table.replace(["page", f"c{i}"], [READ, READ], set(), i * 2 * REMOVED_CLASS_SECONDS)
-    assert len(table.names) <= 3 and table.current["c99"] < 3 and table.current["page"] == 0
-
-
 def test_the_router_keeps_attempts_and_effect_of_what_is_open_and_what_it_has_learned() -> None:
     driver = Driver(max_attempts=4)
     for n in range(1, 20):
--- a/zincladder/core/attempt_guard.py
+++ b/zincladder/core/attempt_guard.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import math
-from collections import Counter
 
 from zincladder.core.attempt import AbortReason, AttemptRequest
 from zincladder.core.clock import Clock
+from zincladder.core.counts import ABORTED_ATTEMPTS, Counts
 from zincladder.core.endpoint_list import EndpointList
 from zincladder.core.statistics import Statistics
 from zincladder.routing import interface as api
@@ -27,7 +27,7 @@
         endpoint_list: EndpointList,
         purges: Purges,
         statistics: Statistics,
-        counts: Counter[tuple[str, str]],
+        counts: Counts,
         lines: RateLimitedLog,
     ) -> None:
         self.settings = settings  # replaced where new settings come into force
@@ -55,7 +55,7 @@
 
     def aborted_before_send(self, attempt: AttemptRequest, reason: AbortReason) -> None:
         """Counts and logs an attempt that was not sent."""
-        self._counts["held_back", reason.value] += 1
+        self._counts[ABORTED_ATTEMPTS, reason.value] += 1
         self._lines.info(
             "attempt aborted before send",
             reason=reason.description,
--- a/zincladder/core/direct_routing.py
+++ b/zincladder/core/direct_routing.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from typing import Protocol
 
 from zincladder.core.attempt import ClientRequest
 from zincladder.core.clock import Clock
+from zincladder.core.counts import DIRECT_ROUTING_REJECTED, DIRECTLY_ROUTED, Counts
 from zincladder.core.endpoint_list import EndpointList
 from zincladder.core.request_classes import RequestClasses
 from zincladder.core.router_messages import request_event
@@ -35,7 +35,7 @@
         clock: Clock,
         classes: RequestClasses,
         endpoint_list: EndpointList,
-        counts: Counter[tuple[str, str]],
+        counts: Counts,
     ) -> None:
         self._decisions, self._clock, self._classes = decisions, clock, classes
         self._endpoint_list, self._counts = endpoint_list, counts
@@ -47,10 +47,10 @@
         """
         current = self._endpoint_list.is_current()
         if not current or self._decisions.paused_seconds(request.request_class):
-            self._counts["steered", "refused"] += 1
+            self._counts[DIRECT_ROUTING_REJECTED] += 1
             return None
         chosen = self._chosen_endpoint(request)
-        self._counts["steered", "refused" if chosen is None else "named"] += 1
+        self._counts[DIRECT_ROUTING_REJECTED if chosen is None else DIRECTLY_ROUTED] += 1
         return chosen if self._endpoint_list.is_ready(chosen) else None
 
     def _chosen_endpoint(self, request: ClientRequest) -> api.EndpointId | None:
--- a/zincladder/core/endpoint_list.py
+++ b/zincladder/core/endpoint_list.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable
 from time import monotonic
 
 import anyio
 
+from zincladder.core.counts import WAITED_FOR_LIST, Counts
 from zincladder.core.request_context import RequestContext
 from zincladder.discovery.freshness import Freshness
 from zincladder.routing import interface as api
@@ -25,7 +25,7 @@
     runs the watch.
     """
 
-    def __init__(self, counts: Counter[tuple[str, str]]) -> None:
+    def __init__(self, counts: Counts) -> None:
         self.endpoints: dict[api.EndpointId, api.Endpoint] = {}
         self.freshness: Freshness | None = None
         self.poll_watch_events: Callable[[], None] = poll_nothing
@@ -67,7 +67,7 @@
         """
         if self.freshness is None or self.is_current():
             return True
-        self._counts["out_of_date", "held"] += 1
+        self._counts[WAITED_FOR_LIST] += 1
         deadline = monotonic() + max_seconds
         while (wait := self.freshness.seconds_until_usable(monotonic())) > 0:
             left = deadline - monotonic()
--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable, Sequence
 from dataclasses import replace
 from time import monotonic
@@ -21,6 +20,13 @@
 from zincladder.core.attempt_end import AttemptEnd, EndReason
 from zincladder.core.attempt_guard import CoreAttemptGuard
 from zincladder.core.clock import Clock
+from zincladder.core.counts import (
+    ANSWERS,
+    ATTEMPTS,
+    REJECTED_WITHOUT_LIST,
+    WITHDRAWN_REQUESTS,
+    Counts,
+)
 from zincladder.core.direct_routing import DirectRouting
 from zincladder.core.endpoint_list import EndpointList
 from zincladder.core.health_checks import HealthChecks
@@ -61,7 +67,7 @@
         self.router = Router(settings, seed)
         self.transport = transport
         self.clock = clock or Clock()
-        self.counts: Counter[tuple[str, str]] = Counter()
+        self.counts = Counts()
         self.statistics = Statistics()
         self.statistics.retain_classes(self.classes.current, ())
         self.endpoint_list = EndpointList(self.counts)
@@ -131,7 +137,7 @@
 
     def record_answer(self, request_class: int, kind: AnswerKind) -> None:
         """Counts an answer; fronts report here what they answer without the core."""
-        self.counts["answers", kind.value] += 1
+        self.counts[ANSWERS, kind.value] += 1
         self.statistics.record_answer(self.classes.names[request_class], kind.value)
 
     def next_request_number(self) -> int:
@@ -152,7 +158,7 @@
     def _rejected_without_list(self, request: ClientRequest) -> Answer:
         """The answer to a request that was never forwarded: its client may retry elsewhere at once."""
         assert self.endpoint_list.freshness is not None
-        self.counts["out_of_date", "refused"] += 1
+        self.counts[REJECTED_WITHOUT_LIST] += 1
         phase = self.endpoint_list.freshness.phase.value
         self._lines.warning(
             "request rejected: endpoint list may be out of date", trace=request.trace, coordinator=phase
@@ -194,7 +200,7 @@
         """Closes a request: the router is notified of each attempt's end exactly once."""
         context = self.open_requests.pop(number)
         if context.answer is None:
-            self.counts["answers", "withdrawn"] += 1
+            self.counts[WITHDRAWN_REQUESTS] += 1
             self._notify_router(api.ClientDisconnected(number))
         for in_flight in context.in_flight.values():
             in_flight.cancel()  # hedged requests that are outstanding, or all where the client disconnected
@@ -274,7 +280,7 @@
     ) -> api.AttemptEnded:
         """Counts the end of an attempt and builds the router's event for it."""
         attempt = in_flight.attempt
-        self.counts["attempts", end.reason.value] += 1
+        self.counts[ATTEMPTS, end.reason.value] += 1
         self.statistics.record_ended(attempt.endpoint, end.reason)
         # Guards the endpoint's record and the learned transfer times: stalls of this process are not its own.
         stalled_seconds = self.loop_monitor.stalled_seconds - attempt.stalled_seconds_before
--- a/zincladder/core/health_checks.py
+++ b/zincladder/core/health_checks.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable
 
 import structlog
@@ -10,6 +9,7 @@
 from zincladder.core.attempt import Transport
 from zincladder.core.attempt_end import AttemptEnd, EndReason
 from zincladder.core.clock import Clock
+from zincladder.core.counts import HEALTH_CHECKS, Counts
 from zincladder.core.statistics import Statistics
 from zincladder.routing import interface as api
 
@@ -24,7 +24,7 @@
         transport: Transport,
         clock: Clock,
         statistics: Statistics,
-        counts: Counter[tuple[str, str]],
+        counts: Counts,
         notify: Callable[[api.Event], None],
     ) -> None:
         """`notify` hands an event to the router."""
@@ -45,7 +45,7 @@
         except Exception:  # guards all attempts, which share its task group
             log.exception("health check failed", endpoint=endpoint.decode("latin-1"))
             end = AttemptEnd(EndReason.TIMED_OUT)
-        self._counts["probes", end.reason.value] += 1
+        self._counts[HEALTH_CHECKS, end.reason.value] += 1
         now = self._clock.now()
         self._statistics.record_health_check(endpoint, end.reason, now - started_at, end.report, now)
         self._notify(api.ProbeEnded(endpoint, end.outcome, now - started_at, end.report))
