--- a/tests/config/test_reading.py
+++ b/tests/config/test_reading.py
@@ -125,7 +125,7 @@
     return found
 
 
-def said(read: Callable[[Any], Any], data: Any) -> str:
+def outcome(read: Callable[[Any], Any], data: Any) -> str:
     try:
         read(data)
     except ConfigError as fault:
@@ -134,9 +134,9 @@
 
 
 def faults(read: Callable[[Any], Any], data: dict[str, Any]) -> dict[str, list[str]]:
-    """What is said of each value if it is missing or of another kind."""
+    """The outcome for each value if it is missing or of another kind: the text of the fault, or "taken"."""
     return {
-        ".".join(map(str, path)): [said(read, with_value(data, path, value)) for value in (GONE, *WRONG)]
+        ".".join(map(str, path)): [outcome(read, with_value(data, path, value)) for value in (GONE, *WRONG)]
         for path in paths(data)
     }
 
@@ -180,7 +180,7 @@
 def test_texts_on_faults_of_a_configuration() -> None:
     found = faults(parse_config, FULL)
     documents: list[Any] = [[], None, {}, {"settings": []}]
-    found["all"] = [said(parse_config, data) for data in documents]
+    found["all"] = [outcome(parse_config, data) for data in documents]
     assert_matches("configuration/faults.json", found)
 
 
@@ -198,7 +198,7 @@
         {"duties": {"group": "g", "keepers": {"a": "127.0.0.1:1"}, "wants": ["figures"]}},
         {"tables": {}},
     ]
-    found["more"] = [said(lambda data: parse_operator(data, NAMES), data) for data in more]
+    found["more"] = [outcome(lambda data: parse_operator(data, NAMES), data) for data in more]
     found["all at once"] = operator_faults(
         {key: value for data in more for key, value in data.items()}, NAMES
     )
@@ -216,7 +216,7 @@
         REPLICA | {"keeper": REPLICA["keeper"] | {"election_ms": 60.0}},
         REPLICA | {"table": {}},
     ]
-    found["more"] = [said(parse_replica_config, data) for data in more]
+    found["more"] = [outcome(parse_replica_config, data) for data in more]
     assert_matches("configuration/replica_faults.json", found)
 
 
--- a/tests/control/test_commands.py
+++ b/tests/control/test_commands.py
@@ -50,7 +50,7 @@
             await again.ask()
             assert (await again.reply()).kind == "served"
             assert json.loads((await admission("show", "127.0.0.1")).output)["lane"] == "listed"
-        for words, said in (
+        for words, text in (
             (("unblock", "10.0.0.0/8"), "was not blocked"),
             (("show", "10.0.0.1"), "not on record"),
             (("show", "x"), "not an address"),
@@ -58,7 +58,7 @@
             (("block", "10.0.0.0/8", "--for", "soon"), "no time like"),
         ):
             found = await admission(*words)
-            assert found.exit_code and said in found.output
+            assert found.exit_code and text in found.output
     assert not Path(path).exists()
 
 
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -27,18 +27,20 @@
 
 
 def test_ready_says_what_is_missing_and_stats_ends_with_eot() -> None:
-    why = ""
-    calls = StatusCalls(lambda: why, lambda: [("succeeded.page", 812), ("outstanding", 14)])
+    missing = ""
+    calls = StatusCalls(lambda: missing, lambda: [("succeeded.page", 812), ("outstanding", 14)])
     assert calls.answer(b"READY\r") == b"SUCCESS\n"
-    why = "this process is ending"
+    missing = "this process is ending"
     assert calls.answer(b"READY") == b"FAILURE this process is ending\n"
     assert calls.answer(b"STATS") == b"app.succeeded.page=812\napp.outstanding=14\nEOT\n"
 
 
 @pytest.mark.parametrize("line", [b"", b"ready", b"STATS now", b"\xff\xfe\x00", b"x" * 200])
 def test_an_unknown_call_gets_one_line_that_says_so(line: bytes) -> None:
-    said = StatusCalls(str, list).answer(line)
-    assert said.startswith(b"FAILURE ") and said.count(b"\n") == 1 and said.isascii() and len(said) < 200
+    answer = StatusCalls(str, list).answer(line)
+    assert (
+        answer.startswith(b"FAILURE ") and answer.count(b"\n") == 1 and answer.isascii() and len(answer) < 200
+    )
 
 
 def test_a_line_comes_in_pieces_and_is_bounded() -> None:
@@ -48,21 +50,21 @@
         LineReader().feed(b"x" * (MAX_LINE_BYTES + 1))
 
 
-async def call(w: World, line: bytes = b"STATS\n") -> bytes:
+async def ask_front(w: World, line: bytes = b"STATS\n") -> bytes:
     assert w.listening.operators
     async with await anyio.connect_tcp(*w.listening.operators) as stream:
         await stream.send(line)
-        said = b""
+        answer = b""
         with anyio.fail_after(1.0):
             while True:
                 try:
-                    said += await stream.receive()
+                    answer += await stream.receive()
                 except anyio.EndOfStream:
-                    return said
+                    return answer
 
 
-def read(said: bytes) -> dict[str, int]:
-    lines = said.decode().splitlines()
+def parse_statistics(answer: bytes) -> dict[str, int]:
+    lines = answer.decode().splitlines()
     assert lines[-1] == "EOT"
     return {name: int(value) for name, _, value in (line.partition("=") for line in lines[:-1])}
 
@@ -73,21 +75,21 @@
         held = [socket.create_connection(w.listening.operators) for _ in range(20)]
         for sock in held[::2]:
             sock.sendall(b"STA")
-        while await call(w, b"READY\n") != b"SUCCESS\n":
+        while await ask_front(w, b"READY\n") != b"SUCCESS\n":
             await anyio.sleep(0.05)
-        assert read(await call(w))["app.discovered"] == 1
+        assert parse_statistics(await ask_front(w))["app.discovered"] == 1
         held[-2].sendall(b"TS\n")  # the last to come still has its place
         assert (await anyio.to_thread.run_sync(held[-2].recv, 4096)).startswith(b"app.")
         for sock in held:
             sock.close()
 
 
-@pytest.mark.parametrize("said", [b"READY\n" * 200, b"x" * 2000], ids=["calls", "bytes"])
-async def test_bytes_past_a_call_do_not_lose_its_answer(said: bytes) -> None:
+@pytest.mark.parametrize("data", [b"READY\n" * 200, b"x" * 2000], ids=["calls", "bytes"])
+async def test_bytes_past_a_call_do_not_lose_its_answer(data: bytes) -> None:
     async with world(serve, control="127.0.0.1:0") as w:
         assert w.listening.operators
         with socket.create_connection(w.listening.operators) as sock:
-            sock.sendall(said)  # more than is read at once: a close over the rest would be a reset
+            sock.sendall(data)  # more than is read at once: a close over the rest would be a reset
             sock.setblocking(False)
             answer = await rest(sock)
         assert answer in (b"SUCCESS\n", b"FAILURE a call of over 256 bytes\n") or b"coordinator" in answer
@@ -98,12 +100,12 @@
         await fetch.answer(500)
 
     async with world(serve, origin=script, control="127.0.0.1:0") as w, client(w) as c:
-        before = read(await call(w))
+        before = parse_statistics(await ask_front(w))
         assert before["app.aborted.booking"] == before["app.succeeded.page"] == before["app.forwards"] == 0
         for route in ("page", "page", "booking", "nonsense"):
             await c.ask(route=route)
             await c.reply()
-        after = read(await call(w))
+        after = parse_statistics(await ask_front(w))
         ends = {name: count for name, count in after.items() if count and "." in name[4:]}
         # A class that does not exist is counted under none.
         assert ends == {"app.succeeded.page": 2, "app.aborted.booking": 1}
--- a/tests/core/test_statistics.py
+++ b/tests/core/test_statistics.py
@@ -5,7 +5,7 @@
 import pytest
 
 from zincladder.core.attempt_end import EndReason
-from zincladder.core.statistics import Statistics
+from zincladder.core.statistics import MAX_CLASSES, Statistics
 from zincladder.routing import interface as api
 
 
@@ -36,3 +36,13 @@
     statistics.record_ended(one, EndReason.CONNECTION_LOST)
     statistics.record_started(one, 21.0, "page")
     assert list(statistics.endpoints) == [other]
+
+
+def test_classes_that_come_and_go_all_day_are_bounded_in_the_statistics() -> None:
+    statistics = Statistics()
+    for i in range(10 * MAX_CLASSES):
+        statistics.retain_classes([f"c{i}", "page"], ())
+        statistics.record_answer(f"c{i}", "served")
+        statistics.record_answer("page", "served")
+    assert len(statistics.classes) <= MAX_CLASSES + 2 and len(statistics.answers) <= MAX_CLASSES + 2
+    assert statistics.answers["page", "served"] == 10 * MAX_CLASSES
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -71,12 +71,14 @@
 
 
 async def test_an_upgrade_loses_no_connection_and_no_request(tmp_path: Path) -> None:
-    cache_, origin = StubCache("s-00000001", 0), StubCache("s-000000b0", 2)
+    stub_cache, origin = StubCache("s-00000001", 0), StubCache("s-000000b0", 2)
     async with anyio.create_task_group() as tasks:
-        await tasks.start(cache_.run)
+        await tasks.start(stub_cache.run)
         await tasks.start(origin.run)
         where = ("127.0.0.1", free_port())
-        config = configuration([cache_.endpoint(), origin.endpoint()]) | {"listen": f"{where[0]}:{where[1]}"}
+        config = configuration([stub_cache.endpoint(), origin.endpoint()]) | {
+            "listen": f"{where[0]}:{where[1]}"
+        }
         fronts = [FrontProcess(tmp_path, config)]
         storm = None
         try:
@@ -187,7 +189,7 @@
             await fronts[0].until(lambda path=path, inode=inode: path.stat().st_ino != inode)  # type: ignore[misc]
         assert fronts[0].ready()
         ask = [sys.executable, "-m", "zincladder"]
-        for command, said in (
+        for command, text in (
             ("ready", b"SUCCESS"),
             ("stats", b"discovered: 0"),
             ("stats --json", b'"forwards": 0'),
@@ -195,7 +197,7 @@
             done = subprocess.run(
                 [*ask, *command.split(), fronts[0].control], capture_output=True, check=True
             )
-            assert said in done.stdout
+            assert text in done.stdout
         fronts[0].process.send_signal(signal.SIGTERM)
         assert await fronts[0].ended() == 0 and not path.exists()
         late = subprocess.run(
