--- a/zincladder/cli/admission.py
+++ b/zincladder/cli/admission.py
@@ -11,6 +11,7 @@
 import click
 
 from zincladder.cli.client import send_command, socket_path
+from zincladder.control.model import AdmissionReport, BlockResult
 
 SECONDS_PER_UNIT = {"s": 1, "m": 60, "h": 3600, "d": 86400}
 DURATION = re.compile(r"(\d+(?:\.\d+)?)([smhd])")
@@ -54,8 +55,8 @@
     """Show the sources by what they use."""
     control_socket = socket_path(path)
 
-    def fetch() -> dict[str, Any]:
-        report: dict[str, Any] = send_command(control_socket, "admission.top", most=most)
+    def fetch() -> AdmissionReport:
+        report: AdmissionReport = send_command(control_socket, "admission.top", most=most)
         return report
 
     if as_json:
@@ -64,7 +65,7 @@
         _print_table(fetch, watch)
 
 
-def _print_json(fetch: Callable[[], dict[str, Any]], watch: float | None) -> None:
+def _print_json(fetch: Callable[[], AdmissionReport], watch: float | None) -> None:
     while True:
         click.echo(json.dumps(fetch()))
         if watch is None:
@@ -72,7 +73,7 @@
         time.sleep(watch)
 
 
-def _print_table(fetch: Callable[[], dict[str, Any]], watch: float | None) -> None:
+def _print_table(fetch: Callable[[], AdmissionReport], watch: float | None) -> None:
     from rich.console import Console
     from rich.live import Live
 
@@ -87,7 +88,7 @@
             live.update(_table(fetch(), columns), refresh=True)
 
 
-def _table(report: dict[str, Any], columns: tuple[str, ...]) -> Any:
+def _table(report: AdmissionReport, columns: tuple[str, ...]) -> Any:
     from rich.table import Table
 
     descriptors = (
@@ -102,7 +103,7 @@
         is_text = name in TEXT_COLUMNS
         table.add_column(name.replace("_", " "), justify="left" if is_text else "right", no_wrap=is_text)
     for row in report["sources"]:
-        style = BLOCKED_STYLE if row["blocked"] else LANE_STYLES[row["lane"]]
+        style = BLOCKED_STYLE if row["blocked"] else LANE_STYLES[str(row["lane"])]
         table.add_row(*(str(row[name]) for name in columns), style=style)
     return table
 
@@ -122,7 +123,7 @@
 def block(path: str | None, network: str, seconds: float | None) -> None:
     """Turn a NETWORK away and end its connections; what it has open is answered first."""
     fields = {} if seconds is None else {"seconds": seconds}
-    result = send_command(socket_path(path), "admission.block", network=network, **fields)
+    result: BlockResult = send_command(socket_path(path), "admission.block", network=network, **fields)
     click.echo(f"{network} is blocked, {result['ended']} idle connections ended")
 
 
--- a/zincladder/config/reload.py
+++ b/zincladder/config/reload.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Protocol
 
 import structlog
@@ -38,10 +38,24 @@
         self._own = self._in_force = config
         self.processes = 1  # of this front, that run now
         self.subscribers: list[Callable[[Config], None]] = []
-        self.limits: Callable[[Limits], None] | None = None  # of admission by source, where it is on
-        self.counts: Counter[tuple[str, str]] = Counter()  # the core's
+        self.limits: Callable[[Limits], None] | None = None
+        self.counts: Counter[tuple[str, str]] = Counter()
         self.overlay: Overlay | None = None
 
+    def connect(
+        self,
+        subscribers: Sequence[Callable[[Config], None]],
+        counts: Counter[tuple[str, str]],
+        limits: Callable[[Limits], None] | None,
+    ) -> None:
+        """Connect the parts of a front.
+
+        Parameters: `subscribers` take each new configuration, `counts` are the core's counters, and `limits`
+        takes those of admission by source, where it is on.
+        """
+        self.subscribers += subscribers
+        self.counts, self.limits = counts, limits
+
     @property
     def own(self) -> Config:
         """The configuration as this front's own file has it."""
--- a/zincladder/control/commands.py
+++ b/zincladder/control/commands.py
@@ -12,6 +12,7 @@
 
 from zincladder.admission.gate import Gate
 from zincladder.admission.interface import Admission
+from zincladder.control.model import AdmissionReport, BlockResult
 
 MAX_LINE_BYTES = 65_536
 MAX_ROWS = 1000
@@ -68,7 +69,7 @@
             raise CommandError("admission by source is off: the operator's file has no [admission]")
         return self._admission
 
-    def top(self, request: CommandRequest, now: float) -> dict[str, Any]:
+    def top(self, request: CommandRequest, now: float) -> AdmissionReport:
         """The sources that use most, and the totals."""
         admission = self._by_source
         max_rows = min(MAX_ROWS, int(request.number("most", DEFAULT_ROWS)))
@@ -85,7 +86,7 @@
             "penalties": admission.tallies.penalties,
         }
 
-    def show(self, request: CommandRequest, now: float) -> dict[str, Any]:
+    def show(self, request: CommandRequest, now: float) -> dict[str, object]:
         """All that is recorded of one address."""
         address = request.text("address")
         recorded = self._by_source.show(address, now)
@@ -93,19 +94,19 @@
             raise CommandError(f"{address} is not on record: it has had no connection of late")
         return recorded
 
-    def block(self, request: CommandRequest, now: float) -> dict[str, Any]:
+    def block(self, request: CommandRequest, now: float) -> BlockResult:
         """Reject a network's connections, for a time if one is given, and end those that are idle."""
         network, seconds = request.text("network"), request.number("seconds", FOREVER)
         return {"ended": self._by_source.block(network, now + seconds, now)}
 
-    def unblock(self, request: CommandRequest, now: float) -> dict[str, Any]:
+    def unblock(self, request: CommandRequest, now: float) -> dict[str, object]:
         """Take an operator's block back."""
         network = request.text("network")
         if not self._by_source.unblock(network):
             raise CommandError(f"{network} was not blocked by an operator while this front ran")
         return {}
 
-    def trust(self, request: CommandRequest, now: float) -> dict[str, Any]:
+    def trust(self, request: CommandRequest, now: float) -> dict[str, object]:
         """Treat a network as known until the front ends."""
         self._by_source.trust(request.text("network"))
         return {}
--- a/zincladder/net/clients.py
+++ b/zincladder/net/clients.py
@@ -57,8 +57,14 @@
     """The front's service on one listening socket."""
 
     def __init__(
-        self, config: Config, core: Core, admission: Admission, listening: socket.socket | None = None
+        self,
+        config: Config,
+        core: Core,
+        admission: Admission,
+        listening: socket.socket | None = None,
+        has_successor: Callable[[], bool] = lambda: False,
     ) -> None:
+        """`has_successor` is whether another process takes new clients from the queue."""
         self._core, self._config, self._admission = core, config, admission
         self._clients: dict[Seat, ClientConnection] = {}
         self._traces: set[str] = set()  # of the requests that are open
@@ -74,7 +80,7 @@
             core.loop_monitor.turns,
             listening,
         )
-        self.succeeded: Callable[[], bool] = lambda: False  # another process takes new clients from the queue
+        self._has_successor = has_successor
         self.stopping = False
         self._until = math.inf
 
@@ -122,7 +128,7 @@
         longest = max(request_class.timeout for request_class in self._core.settings.classes)
         self._until = monotonic() + min(MOST_STAY, longest) + LAST
         log.info("stopping", open=len(self._traces), clients=len(self._clients))
-        if self.succeeded():
+        if self._has_successor():
             self._listener.hand_on = True
         else:
             await anyio.sleep(STAY)
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import time
+from collections.abc import Callable
 from dataclasses import asdict, dataclass
 from functools import partial
 from typing import TYPE_CHECKING
@@ -69,7 +70,9 @@
         self.core = Core(config.settings, config.seed, self.caches, clock, classes)
         self.last_event = self._apply_known_events()
         # Listens only now: what clients send while the list is taken in would wait unread.
-        self.clients = Clients(config, self.core, self.admission, self.inherited_listener)
+        self.clients = Clients(
+            config, self.core, self.admission, self.inherited_listener, self._has_successor
+        )
         self.listening = ListeningAddresses(self.clients.address)
         self.watch: Feed | None = None
         self.policy: FleetPolicy | None = None
@@ -80,6 +83,10 @@
         _, port = self.config.listen
         return Handover(folder, self.config.listen, self.reload.share) if folder and port else None
 
+    def _has_successor(self) -> bool:
+        """Whether a newer process of this front takes new clients."""
+        return self.handover is not None and self.handover.generations.has_successor
+
     def _apply_known_events(self) -> int:
         """Apply the events that the configuration holds; the number of the last one."""
         last_event, events = known_news(self.config)
@@ -119,21 +126,19 @@
             group.start_soon(self.watch.run)
 
     def _subscribe_to_reloads(self) -> None:
-        self.reload.subscribers += [
+        subscribers: list[Callable[[Config], None]] = [
             partial(apply_settings, self.core),
             self.clients.use,
             self.caches.use,
             partial(apply_bounds, self.admission),
         ]
-        self.reload.counts = self.core.counts
-        self.reload.limits = self.admission.use if isinstance(self.admission, Gate) else None
         if self.watch:
-            self.reload.subscribers.append(partial(follow_coordinator, self.watch))
+            subscribers.append(partial(follow_coordinator, self.watch))
+        limits = self.admission.use if isinstance(self.admission, Gate) else None
+        self.reload.connect(subscribers, self.core.counts, limits)
 
     def _start_handover(self, group: TaskGroup) -> None:
         if self.handover:
-            generations = self.handover.generations
-            self.clients.succeeded = lambda: generations.has_successor
             group.start_soon(self.handover.run, self.clients.listener)
 
     def _start_policy(self, group: TaskGroup) -> None:
