--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -27,7 +27,7 @@
 
 from tests.processes import Asked, Rig, Traffic
 from tests.test_policy_processes import Fleet, fleet
-from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.consensus.model import Entry, EntryKind, Membership, Output
 from zincladder.consensus.store import ReplicaStore
 from zincladder.policy.model import Outcome
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -13,6 +13,7 @@
 from hypothesis import strategies as st
 
 from tests.support.raft_simulation import Broken, Disk, World
+from zincladder.consensus.election import Election
 from zincladder.consensus.key_value_state import (
     CapacityExceeded,
     CompareAndSwap,
@@ -33,7 +34,9 @@
     Snapshot,
     StoredState,
 )
-from zincladder.consensus.raft import RaftNode, Role
+from zincladder.consensus.raft import RaftNode
+from zincladder.consensus.raft_state import RaftState, Role
+from zincladder.consensus.read_index import ReadIndex
 from zincladder.consensus.store import ReplicaStore
 from zincladder.durable.files import FileSystem
 from zincladder.durable.journal import Journal, JournalError
@@ -111,23 +114,23 @@
 
 
 def reads_unconfirmed(monkeypatch: pytest.MonkeyPatch) -> None:
-    def spoilt(self: RaftNode) -> None:
-        self._ready += [read.ticket for read in self._reads]
-        self._reads.clear()
+    def spoilt(self: ReadIndex) -> None:
+        self._ready += [read.ticket for read in self._pending]
+        self._pending.clear()
 
-    monkeypatch.setattr(RaftNode, "_confirm", spoilt)
+    monkeypatch.setattr(ReadIndex, "confirm", spoilt)
 
 
 def votes_for_anybody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(RaftNode, "_current", lambda self, m: True)
+    monkeypatch.setattr(Election, "_is_up_to_date", lambda self, message: True)
 
 
 def half_is_a_majority(monkeypatch: pytest.MonkeyPatch) -> None:
-    def spoilt(self: RaftNode, names: object) -> bool:
+    def spoilt(self: RaftState, names: object) -> bool:
         voters = self.membership.voters
         return 2 * len(voters.keys() & set(names)) >= len(voters) - 1  # type: ignore[call-overload]
 
-    monkeypatch.setattr(RaftNode, "_majority", spoilt)
+    monkeypatch.setattr(RaftState, "is_quorum", spoilt)
 
 
 Breaking = Callable[[pytest.MonkeyPatch], None]
@@ -239,10 +242,10 @@
     # seen on a busy machine: a keeper that was only late was set aside until it would have been added anew
     member = led_by_b()
     member.receive("c", AppendEntriesResponse(1, 1, False, 0), 10.1)  # to what b sent when it led before
-    assert member.stale == []
+    assert member.stale_peers == []
     member.receive("c", AppendEntriesResponse(1, 2, True, 1), 10.2)
     member.receive("c", AppendEntriesResponse(1, 3, False, 1), 10.3)  # it had stored that
-    assert member.stale == ["c"]
+    assert member.stale_peers == ["c"]
 
 
 # On disk ------------------------------------------------------------------------------------------
--- a/tests/consensus/test_replica_processes.py
+++ b/tests/consensus/test_replica_processes.py
@@ -13,7 +13,8 @@
 
 from tests.processes import Rig, rig
 from zincladder.consensus import rpc
-from zincladder.consensus.client import Client, OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.client import Client
+from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.consensus.key_value_state import Swapped, VersionMismatch
 
 pytestmark = pytest.mark.anyio
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -27,7 +27,8 @@
 from tests import stands
 from tests.stands import KEY, SETTINGS, Fetch, StubCache, configuration
 from zincladder.consensus import rpc
-from zincladder.consensus.client import Client, OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.client import Client
+from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.consensus.key_value_state import VersionMismatch
 from zincladder.links.connection import LINK_ERRORS
 from zincladder.policy import book
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -7,10 +7,11 @@
 from dataclasses import dataclass, field
 
 from tests.support.raft_simulation import Broken, Process, World
+from zincladder.consensus.errors import BusyError, NotLeaderError
 from zincladder.consensus.key_value_state import CompareAndSwap, KeyValueState
 from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.consensus.model import Entry, EntryKind, Snapshot
-from zincladder.consensus.raft import BusyError, NotLeaderError, Role
+from zincladder.consensus.raft_state import Role
 from zincladder.policy import book
 from zincladder.policy.conductor import Conductor, proposed
 from zincladder.policy.holder import Holder
--- a/tests/support/raft_simulation.py
+++ b/tests/support/raft_simulation.py
@@ -11,7 +11,8 @@
 
 import msgspec
 
-from zincladder.consensus import raft as rules
+from zincladder.consensus import snapshot_transfer
+from zincladder.consensus.errors import BusyError, NotLeaderError
 from zincladder.consensus.model import (
     Entry,
     EntryKind,
@@ -22,10 +23,13 @@
     Snapshot,
     StoredState,
 )
-from zincladder.consensus.raft import BusyError, NotLeaderError, RaftNode, RaftTiming, Role
+from zincladder.consensus.raft import RaftNode
+from zincladder.consensus.raft_state import RaftTiming, Role
 
-TIMING = RaftTiming(heartbeat=0.5, election=2.0)
-rules.SNAPSHOT_CHUNK_BYTES = 24  # bytes: snapshots go in several pieces, and the log goes on meanwhile
+TIMING = RaftTiming(heartbeat_seconds=0.5, election_timeout_seconds=2.0)
+snapshot_transfer.SNAPSHOT_CHUNK_BYTES = (
+    24  # bytes: snapshots go in several pieces, and the log goes on meanwhile
+)
 
 
 class Broken(AssertionError):
--- a/tests/test_duties_processes.py
+++ b/tests/test_duties_processes.py
@@ -23,7 +23,7 @@
 
 from tests.processes import Process, Rig, Traffic, free_port, marking, rig
 from tests.stands import StubCache
-from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.consensus.key_value_state import FencingTokenRejected
 from zincladder.export import messages
 from zincladder.ownership.fence import Fence
--- a/tests/test_policy_processes.py
+++ b/tests/test_policy_processes.py
@@ -20,7 +20,7 @@
 
 from tests.processes import Process, Rig, Traffic, free_port, marked, marking, rig
 from tests.stands import StubCache
-from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.policy.document import canonical
 from zincladder.policy.model import Outcome, Phase
 
--- a/zincladder/cli/replica.py
+++ b/zincladder/cli/replica.py
@@ -159,7 +159,7 @@
     """What an async call returns; a ClickException says whether nothing, or perhaps something, was done."""
     import anyio
 
-    from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
+    from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 
     try:
         return anyio.run(call)
--- a/zincladder/consensus/client.py
+++ b/zincladder/consensus/client.py
@@ -9,6 +9,7 @@
 
 from zincladder.config import address
 from zincladder.consensus import rpc
+from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.consensus.key_value_state import CompareAndSwap, CompareAndSwapResult, VersionedValue
 from zincladder.links.connection import LINK_ERRORS, Link, connect
 from zincladder.links.frames import VERSION, HandshakeRejectedError, Hello
@@ -22,14 +23,6 @@
 RETRY_SECONDS = 0.1  # seconds before the keepers are asked once more who leads
 
 
-class RequestFailedError(Exception):
-    """Nothing was done: no keeper that leads could be reached; the text says what each one said."""
-
-
-class OutcomeUnknownError(Exception):
-    """It may have been done: the link, or the leader, was lost after it had been asked."""
-
-
 class Client:
     """One caller. Not for two tasks at once."""
 
--- a/zincladder/consensus/leader_services.py
+++ b/zincladder/consensus/leader_services.py
@@ -17,10 +17,11 @@
 import msgspec
 import structlog
 
+from zincladder.consensus.errors import BusyError, CommitUnknownError, NotLeaderError
 from zincladder.consensus.key_value_state import CompareAndSwap
 from zincladder.consensus.lease_timing import LEASE_TIMING_KEY, LeaseTiming
-from zincladder.consensus.raft import BusyError, NotLeaderError, Role
-from zincladder.consensus.server import CommitUnknownError, ReplicaServer
+from zincladder.consensus.raft_state import Role
+from zincladder.consensus.server import ReplicaServer
 from zincladder.links.clocks import boottime
 from zincladder.links.connection import LINK_ERRORS, Link, SendQueue
 from zincladder.links.frames import Hello
--- a/zincladder/consensus/model.py
+++ b/zincladder/consensus/model.py
@@ -1,4 +1,4 @@
-"""What the members of a group say to each other and store. Shapes only.
+"""Messages between the members of a group, and their records on disk. Types only.
 
 All are msgspec structs written as arrays. Indexes count the log's entries from 1; terms count elections.
 Names, terms and rules are those of the Raft paper (Ongaro and Ousterhout, 2014) and its dissertation.
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import enum
-from typing import TypeAlias
+from typing import NamedTuple, TypeAlias
 
 import msgspec
 
@@ -67,17 +67,17 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """A candidate asks for a vote; with `pre` only whether it would get one, in a term yet to begin."""
+    """A candidate asks for a vote; with `pre_vote`, whether it would get one in a term not begun yet."""
 
     term: int
     last_index: int
     last_term: int
     pre_vote: bool = False
-    leadership_transfer: bool = False  # the leader itself wishes it
+    leadership_transfer: bool = False  # at the leader's own request
 
 
 class RequestVoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
-    """The answer to `Ask`; the term is that of the election where it is granted, else the voter's."""
+    """The answer; `term` is that of the election if it is granted, else the voter's."""
 
     term: int
     granted: bool
@@ -85,7 +85,7 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="append"):
-    """Entries that follow the one at `prev`; with none a heartbeat. `serial` rises with each message."""
+    """Entries that follow `prev_index`; a heartbeat without any. `serial` rises with each message."""
 
     term: int
     serial: int
@@ -96,9 +96,9 @@
 
 
 class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
-    """The answer: all up to `index` is stored as the leader has it, or what is at `index` differs.
+    """The answer: all up to `index` is stored as the leader has it, or the entry at `index` differs.
 
-    `hint` is where to go on trying.
+    `next_index_hint` is where to try next.
     """
 
     term: int
@@ -109,7 +109,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="install"):
-    """A piece of a snapshot, from `offset` of `size` bytes."""
+    """A chunk of a snapshot, at `offset` of `total_bytes`."""
 
     term: int
     serial: int
@@ -122,7 +122,7 @@
 
 
 class InstallSnapshotResponse(msgspec.Struct, frozen=True, array_like=True, tag="installing"):
-    """The answer: the piece that is wanted next."""
+    """The answer: the offset of the chunk that is wanted next."""
 
     term: int
     serial: int
@@ -131,7 +131,7 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag="now"):
-    """The leader wishes to be followed by whoever gets this."""
+    """The leader tells its successor to stand for election at once."""
 
     term: int
 
@@ -147,12 +147,19 @@
 )
 
 
+class OutgoingMessage(NamedTuple):
+    """A message and the name of the member that it goes to."""
+
+    to: str
+    message: Message
+
+
 class Output(msgspec.Struct, frozen=True):
-    """What a member wants done, in this order: written and on the disk; then sent; then applied.
+    """What a node wants done, in this order: written and synced to disk; then sent; then applied.
 
-    `first` is the index of the first of `entries`, which take the place of all that is stored from there on.
-    A `snapshot` goes before them and takes the place of all up to its index; with `fresh` the state is to
-    be read from it. `committed` are to be applied from index `applied` + 1 on.
+    `entries` begin at `first_index` and replace all stored entries from there on. A `snapshot` goes before
+    them and replaces all up to its index; with `restore_state` the state is to be read from it. `committed`
+    entries are to be applied from index `applied_index` + 1 on.
     """
 
     hard_state: HardState | None = None
@@ -160,11 +167,11 @@
     restore_state: bool = False
     first_index: int = 0
     entries: tuple[Entry, ...] = ()
-    messages: tuple[tuple[str, Message], ...] = ()
+    messages: tuple[OutgoingMessage, ...] = ()
     applied_index: int = 0
     committed: tuple[Entry, ...] = ()
-    ready_reads: tuple[int, ...] = ()  # tickets: the state may be read once all that is committed is applied
-    failed_reads: tuple[int, ...] = ()  # tickets that this member can't answer for any more
+    ready_reads: tuple[int, ...] = ()  # tickets: the state may be read once all of `committed` is applied
+    failed_reads: tuple[int, ...] = ()  # tickets that this node can't answer any more
 
     @property
     def has_writes(self) -> bool:
--- a/zincladder/consensus/server.py
+++ b/zincladder/consensus/server.py
@@ -16,9 +16,11 @@
 from zincladder.config import address
 from zincladder.config.replica import ReplicaConfig
 from zincladder.consensus import rpc
+from zincladder.consensus.errors import BusyError, CommitUnknownError, NotLeaderError
 from zincladder.consensus.key_value_state import CompareAndSwap, CompareAndSwapResult, KeyValueState
 from zincladder.consensus.model import Entry, EntryKind, Membership, Message, Output
-from zincladder.consensus.raft import BusyError, NotLeaderError, RaftNode, RaftTiming, Role
+from zincladder.consensus.raft import RaftNode
+from zincladder.consensus.raft_state import RaftTiming, Role
 from zincladder.consensus.store import ReplicaStore
 from zincladder.links.connection import (
     LINK_ERRORS,
@@ -47,10 +49,6 @@
 log = structlog.get_logger()
 
 
-class CommitUnknownError(Exception):
-    """It may come about or not: the text says what is known."""
-
-
 class PendingResult:
     """Who waits for what becomes of an entry or a reading."""
 
@@ -427,7 +425,7 @@
             learners=m.membership.learners,
             stored={n: p.match_index for n, p in m.peers.items()},
             silent=sorted(n for n, p in m.peers.items() if now - p.heard_at > self.config.election),
-            older=m.stale,
+            older=m.stale_peers,
             registers=len(self.state),
             bytes_kept=self._store.size,
         )
--- a/zincladder/ownership/host.py
+++ b/zincladder/ownership/host.py
@@ -11,11 +11,11 @@
 import structlog
 
 from zincladder.consensus import rpc
+from zincladder.consensus.errors import BusyError, CommitUnknownError, NotLeaderError
 from zincladder.consensus.key_value_state import CompareAndSwap, KeyValueState, Swapped
 from zincladder.consensus.leader_services import RETRY_SECONDS, LeaderService
 from zincladder.consensus.lease_timing import LeaseTiming
-from zincladder.consensus.raft import BusyError, NotLeaderError
-from zincladder.consensus.server import CommitUnknownError, ReplicaServer
+from zincladder.consensus.server import ReplicaServer
 from zincladder.links.clocks import boottime
 from zincladder.ownership.model import DUTIES, PROGRESS, Duty, Elsewhere, FromWorker, Tells, key
 from zincladder.ownership.steward import Steward, Take
--- a/zincladder/ownership/worker.py
+++ b/zincladder/ownership/worker.py
@@ -15,7 +15,8 @@
 
 from zincladder.config import DutiesConfig
 from zincladder.consensus import rpc
-from zincladder.consensus.client import Client, OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.client import Client
+from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.consensus.key_value_state import (
     CapacityExceeded,
     FencingTokenRejected,
