--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -41,7 +41,7 @@
 from zincladder.durable.files import FileSystem
 from zincladder.durable.journal import Journal, JournalError
 from zincladder.links.frames import FrameDecoder, FrameError, encode_frame
-from zincladder.policy.book import encode
+from zincladder.policy.change_log import encode
 
 FOUNDERS = Membership({"a": "127.0.0.1:1", "b": "127.0.0.1:2", "c": "127.0.0.1:3"})
 
--- a/tests/test_member_links.py
+++ b/tests/test_member_links.py
@@ -18,16 +18,16 @@
 from tests.stands import KEY, SETTINGS, Fetch, StubCache, client, configuration, serve, world
 from tests.test_endings import cores_of
 from tests.test_front import hold
-from zincladder import interface as api
 from zincladder.admission.ledger import SHARED, Ledger, Use
-from zincladder.config import REPORTS, Config, config_of
-from zincladder.core.attempt import Ask, Hold, NoGuard, Order
-from zincladder.core.ends import End, How
-from zincladder.decide import NEVER_RAN
+from zincladder.config import LOAD_REPORT_NAMES, Config, parse_config
+from zincladder.core.attempt import AbortReason, AttemptRequest, ClientRequest, NoAttemptGuard
+from zincladder.core.attempt_end import AttemptEnd, EndReason
 from zincladder.net import caches as cache_side
 from zincladder.net.caches import Caches, _Link
 from zincladder.net.stream import Outbox, connect
-from zincladder.support.lingering import LINGER
+from zincladder.routing import interface as api
+from zincladder.routing.retry import NEVER_RAN
+from zincladder.support.lingering_close import LINGER_SECONDS
 
 pytestmark = pytest.mark.anyio
 LARGE = 1 << 20  # bytes: more than the systems of both sides hold between them
@@ -54,8 +54,8 @@
     return caches._ledger.accounts[Use.CACHES].used
 
 
-def order(trace: str = "a" * 16, **more: Any) -> Order:
-    return Order(Ask(trace, 0, 1, 0, 0, math.inf), b"s-00000001", **more)
+def order(trace: str = "a" * 16, **more: Any) -> AttemptRequest:
+    return AttemptRequest(ClientRequest(trace, 0, 1, 0, 0, math.inf), b"s-00000001", **more)
 
 
 class Wire:
@@ -65,20 +65,20 @@
         self,
         config: Config,
         ours: socket.socket,
-        member: socket.socket,
+        endpoint: socket.socket,
         tasks: anyio.abc.TaskGroup,
         now: Callable[[], float],
     ) -> None:
         self.caches = Caches(config, now, Ledger(100, SHARED), ["page"])
-        self.link, self.member, self._tasks = _Link(ours, self.caches._report_names), member, tasks
-        self.ends: list[End] = []
+        self.link, self.endpoint, self._tasks = _Link(ours, self.caches._report_names), endpoint, tasks
+        self.ends: list[AttemptEnd] = []
 
-    async def send(self, message: bytes, asks: Order) -> anyio.CancelScope:
+    async def send(self, message: bytes, asks: AttemptRequest) -> anyio.CancelScope:
         """Begins an attempt; its end is added to `ends`, and cancelling what is given back gives it up."""
-        return await self.attempt(asks.ask.trace, lambda: [message], asks)
+        return await self.attempt(asks.request.trace, lambda: [message], asks)
 
     async def attempt(
-        self, name: str, write: Callable[[], Sequence[bytes]], asks: Order
+        self, name: str, write: Callable[[], Sequence[bytes]], asks: AttemptRequest
     ) -> anyio.CancelScope:
         """The same with a message that is written down as it goes."""
         scope = anyio.CancelScope()
@@ -94,7 +94,7 @@
     async def answer(self, data: bytes) -> None:
         """Sends this, and waits until the front has read it and done what follows from it."""
         whole = self.link.inbox.received + len(data)
-        self.member.sendall(data)
+        self.endpoint.sendall(data)
         with anyio.fail_after(5):
             while self.link.inbox.received < whole:
                 await anyio.sleep(0.001)
@@ -106,9 +106,9 @@
         with anyio.fail_after(5):
             while not until(found):
                 try:
-                    got = self.member.recv(1 << 16)
+                    got = self.endpoint.recv(1 << 16)
                 except BlockingIOError:
-                    await anyio.wait_readable(self.member)
+                    await anyio.wait_readable(self.endpoint)
                     continue
                 except ConnectionResetError:
                     break  # the front's end too: what its system had not sent is dropped
@@ -122,7 +122,7 @@
 async def wire(config: Config | None = None, now: Callable[[], float] = time.time) -> AsyncIterator[Wire]:
     with pair() as (ours, theirs):
         async with anyio.create_task_group() as tasks:
-            found = Wire(config or config_of(configuration([])), ours, theirs, tasks, now)
+            found = Wire(config or parse_config(configuration([])), ours, theirs, tasks, now)
             tasks.start_soon(found.link.run)
             yield found
             tasks.cancel_scope.cancel()
@@ -211,7 +211,7 @@
     room: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with pair() as (ours, theirs):
-        caches = Caches(config_of(configuration([])), time.time, Ledger(100, SHARED), ["page"])
+        caches = Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"])
         async with anyio.create_task_group() as tasks:
             link = _Link(ours)
             caches._links[b"s-00000001"] = [link]
@@ -225,7 +225,7 @@
                 caches.close_idle(b"s-00000001")
             await anyio.wait_all_tasks_blocked()
             if room:
-                with anyio.fail_after(LINGER / 2):  # the descriptor is free at once
+                with anyio.fail_after(LINGER_SECONDS / 2):  # the descriptor is free at once
                     while caches._links:
                         await anyio.sleep(0.001)
             else:
@@ -241,7 +241,7 @@
 
 async def test_a_connection_that_lingers_makes_room_for_one_that_is_needed() -> None:
     with pair() as (ours, theirs):
-        caches = Caches(config_of(configuration([])), time.time, Ledger(100, SHARED), ["page"])
+        caches = Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"])
         async with anyio.create_task_group() as tasks:
             link = _Link(ours)
             caches._links[b"s-00000001"] = [link]
@@ -252,34 +252,34 @@
             await anyio.wait_all_tasks_blocked()
             assert held_by(caches) == 1  # the member has not ended its side
             assert caches._make_room() and not caches._make_room()
-            with anyio.fail_after(LINGER / 2):
+            with anyio.fail_after(LINGER_SECONDS / 2):
                 while held_by(caches):
                     await anyio.sleep(0.001)
             assert theirs.recv(100) == b""
 
 
 @pytest.mark.parametrize(
-    ("hold", "how", "note"),
+    ("abort", "reason", "fill_outcome"),
     [
-        (Hold.CALLED_OFF, How.CALLED_OFF, api.Note.NONE),
-        (Hold.TIME_OVER, How.TOO_LATE, api.Note.NONE),
-        (Hold.CLIENT_LEFT, How.CALLED_OFF, api.Note.NONE),
-        (Hold.WINDOW_OVER, How.TOO_LATE, api.Note.NONE),
-        (Hold.MEMBER_DRAINS, How.TURNED, api.Note.NONE),
-        (Hold.SOURCE_DRAINS, How.TURNED, api.Note.SOURCE_FAILED),
+        (AbortReason.CANCELLED, EndReason.CANCELLED, api.FillOutcome.NONE),
+        (AbortReason.DEADLINE_EXCEEDED, EndReason.DEADLINE_EXCEEDED, api.FillOutcome.NONE),
+        (AbortReason.CLIENT_DISCONNECTED, EndReason.CANCELLED, api.FillOutcome.NONE),
+        (AbortReason.DEDUPLICATION_EXPIRED, EndReason.DEADLINE_EXCEEDED, api.FillOutcome.NONE),
+        (AbortReason.ENDPOINT_NOT_READY, EndReason.DRAINING, api.FillOutcome.NONE),
+        (AbortReason.SOURCE_NOT_READY, EndReason.DRAINING, api.FillOutcome.SOURCE_FAILED),
     ],
 )
 async def test_an_attempt_that_may_not_begin_ends_as_one_that_never_ran(
-    hold: Hold, how: How, note: api.Note
+    abort: AbortReason, reason: EndReason, fill_outcome: api.FillOutcome
 ) -> None:
-    class Held(NoGuard):
-        def hold(self, order: Order) -> Hold | None:
-            return hold
+    class Held(NoAttemptGuard):
+        def abort_reason(self, attempt: AttemptRequest) -> AbortReason | None:
+            return abort
 
-    caches = Caches(config_of(configuration([])), time.time, Ledger(100, SHARED), ["page"])
-    end = await caches.carry(order(guard=Held()))
-    assert (end.how, end.note, end.why) == (how, note, hold.value)
-    assert end.result in (*NEVER_RAN, api.Result.CANCELLED)
+    caches = Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"])
+    end = await caches.send(order(guard=Held()))
+    assert (end.reason, end.fill_outcome, end.detail) == (reason, fill_outcome, abort.description)
+    assert end.outcome in (*NEVER_RAN, api.AttemptOutcome.CANCELLED)
 
 
 # Connections that come up late -----------------------------------------------------------------------
@@ -304,9 +304,9 @@
     made: list[Caches] = []
     init = Caches.__init__
 
-    def keep(self: Caches, *how: Any) -> None:
+    def keep(self: Caches, *reason: Any) -> None:
         made.append(self)
-        init(self, *how)
+        init(self, *reason)
 
     monkeypatch.setattr(Caches, "__init__", keep)
     return made
@@ -382,10 +382,10 @@
     tried, held = hang_after(monkeypatch, 1), Held()
     hand_on = Caches._hand_on
 
-    def crossing(self: Caches, member: bytes, link: _Link) -> None:
-        hand_on(self, member, link)
+    def crossing(self: Caches, endpoint: bytes, link: _Link) -> None:
+        hand_on(self, endpoint, link)
         if link.reserved:
-            self.close_idle(member)  # its member is gone
+            self.close_idle(endpoint)  # its member is gone
 
     monkeypatch.setattr(Caches, "_hand_on", crossing)
     async with world(hold, origin=held) as w, client(w) as c:
@@ -422,23 +422,23 @@
 ) -> None:
     hang_after(monkeypatch, 0)
     with pair() as (ours, _):
-        caches, member = (
-            Caches(config_of(configuration([])), time.time, Ledger(100, SHARED), ["page"]),
+        caches, endpoint = (
+            Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"]),
             b"s-1",
         )
-        caches.know(member, ("127.0.0.1", 1))
+        caches.know(endpoint, ("127.0.0.1", 1))
         link, got = _Link(ours), list[tuple[bytes, _Link]]()
         async with anyio.create_task_group() as tasks:
             scopes = [anyio.CancelScope(), anyio.CancelScope()]
 
             async def waits(name: bytes, scope: anyio.CancelScope) -> None:
                 with scope:
-                    got.append((name, await caches._link(member, name)))
+                    got.append((name, await caches._link(endpoint, name)))
 
             for name, scope in zip((b"a", b"b"), scopes, strict=True):
                 tasks.start_soon(waits, name, scope)
                 await anyio.wait_all_tasks_blocked()
-            caches._hand_on(member, link)
+            caches._hand_on(endpoint, link)
             scopes[0].cancel()  # in the same turn of the loop
         assert got == [(b"b", link)] and not link.reserved and not caches._waiters and held_by(caches) == 0
 
@@ -451,15 +451,15 @@
     # the decisions take each figure by its place: in the order of older settings, cores would be shares
     settings = copy.deepcopy(SETTINGS)
     settings["report"]["names"] = ["busy", "rif"]
-    before = config_of(configuration([], settings=settings))
+    before = parse_config(configuration([], settings=settings))
     settings = copy.deepcopy(settings)
     settings["report"]["names"] = names
     async with wire(before) as w:
         await w.send(b"stats p1\r\n", order("a" * 16))
-        w.caches.use(config_of(configuration([], settings=settings)))
+        w.caches.use(parse_config(configuration([], settings=settings)))
         await w.answer(b"a" * 16 + b" 200 tell=local,meter=util:0.5;inflight:7 3\r\nown\r\n")
         figures = {"busy": 0.5, "held": 7.0}
-        assert w.caches._report_names() == tuple(REPORTS.get(n, n) for n in names)
+        assert w.caches._report_names() == tuple(LOAD_REPORT_NAMES.get(n, n) for n in names)
         assert w.ends[0].report == tuple(figures[n] for n in w.caches._report_names())
 
 
@@ -491,10 +491,10 @@
         if len(cache.fetches) == 1:
             waiting.append(fetch)
 
-    def crossing(self: Caches, member: bytes, name: bytes) -> Any:
+    def crossing(self: Caches, endpoint: bytes, name: bytes) -> Any:
         while waiting and cores[0].open_requests:
             push(waiting.pop(), more)  # it comes just before the next request goes out
-        return link_for(self, member, name)
+        return link_for(self, endpoint, name)
 
     cores = cores_of(monkeypatch)
     made = caches_of(monkeypatch)
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -5,13 +5,13 @@
 from collections import Counter
 
 from tests.conftest import FLEET, ORIGIN_MEMBER, Driver, cache, parent
-from zincladder.decide import Ring, point
+from zincladder.routing.ring import Ring, ring_position
 
 KEYS = range(3000)
 
 
 def homes(driver: Driver) -> dict[int, bytes]:
-    return {key: driver.serve(key + 1, key).member for key in KEYS}
+    return {key: driver.serve(key + 1, key).endpoint for key in KEYS}
 
 
 def sources(driver: Driver) -> dict[int, bytes]:
@@ -28,7 +28,7 @@
     sent = {n: d.serve(n, key=5, part=n) for n in range(1, 20)}
     again = {n: Driver(seed=9).serve(n, key=5, part=n) for n in range(1, 20)}
     assert sent == again
-    assert len({s.member for s in sent.values()}) == 4
+    assert len({s.endpoint for s in sent.values()}) == 4
     assert len({s.source for s in sent.values()}) == 1
 
 
@@ -72,9 +72,9 @@
 
 
 def test_shares_follow_listed_weights_only_where_weights_are_listed() -> None:
-    members = (cache(0, weight=5.0), cache(1, weight=10.0), parent(0))
-    big = Counter(homes(Driver(members)).values())[b"cache1"] / len(KEYS)
-    even = Counter(homes(Driver(members, weights_listed=False)).values())[b"cache1"] / len(KEYS)
+    endpoints = (cache(0, weight=5.0), cache(1, weight=10.0), parent(0))
+    big = Counter(homes(Driver(endpoints)).values())[b"cache1"] / len(KEYS)
+    even = Counter(homes(Driver(endpoints, weights_known=False)).values())[b"cache1"] / len(KEYS)
     assert 0.58 < big < 0.75
     assert 0.4 < even < 0.6
 
@@ -82,17 +82,17 @@
 def test_an_object_belongs_to_the_first_point_going_down() -> None:
     ring = Ring({b"a": 4, b"b": 4})
     for key in range(200):
-        place = point(key.to_bytes(8, "big"))
-        below = [p for p in ring.places if p <= place]
-        owner = ring.owners[ring.places.index(max(below or ring.places))]
+        place = ring_position(key.to_bytes(8, "big"))
+        below = [p for p in ring.positions if p <= place]
+        owner = ring.endpoint_ids[ring.positions.index(max(below or ring.positions))]
         assert next(ring.walk(place)) == owner
 
 
 def test_a_ring_is_kept_while_its_membership_stays() -> None:
     d = Driver()
-    ring = d.router.caches
+    ring = d.endpoints.caches
     d.change(cache(1, weight=9.0), cache(7, zone=2))
-    assert d.router.caches is ring
+    assert d.endpoints.caches is ring
 
 
 def test_with_no_parent_up_the_source_is_the_origin() -> None:
@@ -102,4 +102,4 @@
 
 def test_cacheable_fills_are_kept_at_one_rank() -> None:
     d = Driver()
-    assert {d.serve(n, key=n, klass=n % 2, kb=10.0 * n).keep for n in range(1, 60)} == {1}
+    assert {d.serve(n, key=n, request_class=n % 2, kb=10.0 * n).cache_rank for n in range(1, 60)} == {1}
--- a/zincladder/cli/__init__.py
+++ b/zincladder/cli/__init__.py
@@ -7,15 +7,14 @@
 import os
 import sys
 from pathlib import Path
-from typing import Any
 
 import click
 
 from zincladder.cli.admission import admission
-from zincladder.cli.day import ready, stats
-from zincladder.cli.duties import duties
 from zincladder.cli.policy import policy
 from zincladder.cli.replica import replica, replicas
+from zincladder.cli.status import ready, stats
+from zincladder.cli.tasks import tasks
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -30,7 +29,7 @@
 
     RELAY_CONFIG names its configuration and ZINCLADDER_OPERATOR the operator's file.
     """
-    # In this process's place: the front then holds nothing of what the commands import.
+    # Replaces this process, so that the front's memory holds nothing that only the commands import.
     os.execv(sys.executable, [sys.executable, "-m", "zincladder"])
 
 
@@ -42,26 +41,31 @@
     FILES ending in .toml are operator's files, all others a front's configuration. Names of classes in an
     operator's file are checked against the configuration given beside it. Exits with 1 if there is a fault.
     """
-    from zincladder.config import ConfigError, read_operator
-    from zincladder.config.check import faults_of_config
-    from zincladder.config.operator import faults_of
+    sys.exit(0 if _all_valid(files) else 1)
 
-    names, found, good = None, [], True
-    for path in sorted(files, key=lambda p: p.suffix == ".toml"):
+
+def _all_valid(files: tuple[Path, ...]) -> bool:
+    """Print the faults of each file, the operator's files last, as they refer to the others' classes."""
+    from zincladder.config import ConfigError, Names, read_operator
+    from zincladder.config.check import config_faults, operator_faults
+
+    all_valid = True
+    names: Names | None = None
+    faults: list[str]
+    for path in sorted(files, key=lambda path: path.suffix == ".toml"):
         try:
             if path.suffix == ".toml":
-                found = faults_of(read_operator(path), names)
+                faults = operator_faults(read_operator(path), names)
             else:
-                data: Any = json.loads(path.read_bytes())
-                found, names = faults_of_config(data)
-        except (OSError, ValueError, ConfigError) as fault:
-            found = [str(fault)]
-        for text in found:
-            click.echo(f"{path}: {text}", err=True)
-        if not found:
+                faults, names = config_faults(json.loads(path.read_bytes()))
+        except (OSError, ValueError, ConfigError) as error:
+            faults = [str(error)]
+        for fault in faults:
+            click.echo(f"{path}: {fault}", err=True)
+        if not faults:
             click.echo(f"{path}: good")
-        good = good and not found
-    sys.exit(0 if good else 1)
+        all_valid = all_valid and not faults
+    return all_valid
 
 
 def _hidden_alias(command: click.Command, name: str) -> click.Command:
@@ -71,7 +75,7 @@
     return alias
 
 
-for command in (admission, duties, policy, ready, replica, replicas, stats):
+for command in (admission, policy, ready, replica, replicas, stats, tasks):
     main.add_command(command)
-for command, earlier_name in ((replica, "keep"), (replicas, "keepers")):
+for command, earlier_name in ((replica, "keep"), (replicas, "keepers"), (tasks, "duties")):
     main.add_command(_hidden_alias(command, earlier_name))
--- a/zincladder/cli/replica.py
+++ b/zincladder/cli/replica.py
@@ -76,8 +76,8 @@
     from zincladder.consensus.model import Membership
     from zincladder.consensus.server import ReplicaServer
     from zincladder.consensus.store import ReplicaStore
-    from zincladder.ownership.host import Stewarding
-    from zincladder.policy.host import Conducting
+    from zincladder.policy.host import PolicyLeaderService
+    from zincladder.tasks.host import TaskLeaderService
 
     store = ReplicaStore(config.directory, config.group, config.name, Membership(config.founders))
     try:
@@ -92,20 +92,19 @@
             lease.patient_s,
             lease.act_s,
         )
-        conducting = Conducting(server, terms)
-        stewarding = Stewarding(server, terms)
+        policy_service = PolicyLeaderService(server, terms)
+        task_service = TaskLeaderService(server, terms)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async with anyio.create_task_group() as tasks:
                 await tasks.start(server.run)
-                tasks.start_soon(conducting.run)
-                tasks.start_soon(stewarding.run)
+                tasks.start_soon(policy_service.run)
+                tasks.start_soon(task_service.run)
                 if config.metrics:
-                    from zincladder.metrics.endpoint import Endpoint
+                    from zincladder.metrics.exporter import MetricsExporter
                     from zincladder.metrics.replica import ConnectionLimit, ReplicaRegistry
 
-                    told = Endpoint(
-                        config.metrics, ReplicaRegistry(server, conducting, stewarding), ConnectionLimit()
-                    )
+                    registry = ReplicaRegistry(server, policy_service, task_service)
+                    told = MetricsExporter(config.metrics, registry, ConnectionLimit())
                     where = await tasks.start(told.run)
                     structlog.get_logger().info("metrics", listen=where)
                 async for _ in signals:
--- a/zincladder/config/replica.py
+++ b/zincladder/config/replica.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import Meta
 
-from zincladder.config import Address, ConfigError, address
-from zincladder.config.operator import fault_at
+from zincladder.config import Address, ConfigError, parse_address
+from zincladder.config.operator_tables import faulty_key
 
 T = TypeVar("T")
 Name = Annotated[str, Meta(pattern=r"^[0-9A-Za-z_.-]{1,64}$")]
@@ -18,7 +18,7 @@
 
 
 class LeaseTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[lease]"""
+    """[lease]: the times of leases, in seconds."""
 
     seconds: Annotated[float, Meta(ge=0.5, le=3600)] = 5.0
     renew_s: Annotated[float, Meta(ge=0.05, le=600)] = 1.0
@@ -31,7 +31,7 @@
 
 
 class ReplicaTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[keeper]"""
+    """[keeper]: one replica of a group."""
 
     group: Name
     name: Name
@@ -67,7 +67,7 @@
 
 def _place(text: str, key: str) -> Address:
     try:
-        return address(text)
+        return parse_address(text)
     except ValueError:
         raise ConfigError(f"'{key}' must be an address like 127.0.0.1:7300, not {text[:40]!r}") from None
 
@@ -76,7 +76,7 @@
     try:
         return msgspec.convert(data.get(name, {}), kind)
     except msgspec.ValidationError as fault:
-        path, said = fault_at(fault, name)
+        path, said = faulty_key(fault, name)
         raise ConfigError(f"'{path}': {said}") from None
 
 
--- a/zincladder/consensus/client.py
+++ b/zincladder/consensus/client.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from zincladder.config import address
+from zincladder.config import parse_address
 from zincladder.consensus import rpc
 from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.consensus.key_value_state import CompareAndSwap, CompareAndSwapResult, VersionedValue
@@ -33,7 +33,7 @@
 
     async def ask_at(self, where: str, what: rpc.RequestBody, patience: float = 8.0) -> rpc.ResponseBody:
         """One question to the keeper at an address, whatever its role. One of FAILED if it can't be asked."""
-        link, _ = await connect(address(where), self._hello)
+        link, _ = await connect(parse_address(where), self._hello)
         try:
             with anyio.fail_after(patience):
                 return await self._call(link, what)
@@ -58,7 +58,7 @@
                 while places:
                     name, where = places.popitem()
                     try:
-                        link, _ = await connect(address(where), self._hello)
+                        link, _ = await connect(parse_address(where), self._hello)
                     except HandshakeRejectedError as fault:
                         heard[name] = str(fault)
                         continue
--- a/zincladder/consensus/server.py
+++ b/zincladder/consensus/server.py
@@ -13,7 +13,7 @@
 import msgspec
 import structlog
 
-from zincladder.config import address
+from zincladder.config import parse_address
 from zincladder.config.replica import ReplicaConfig
 from zincladder.consensus import rpc
 from zincladder.consensus.errors import BusyError, CommitUnknownError, NotLeaderError
@@ -215,7 +215,7 @@
         with scope:
             while True:
                 try:
-                    link, welcome = await connect(address(where), self._hello)
+                    link, welcome = await connect(parse_address(where), self._hello)
                     try:
                         await self._check_birth(name, welcome)
                         patience.met()
@@ -400,7 +400,7 @@
         members = self.node.membership
         for name, where in what.add.items():
             try:
-                address(where)
+                parse_address(where)
             except ValueError:
                 raise BusyError(f"{where[:40]!r} is no address like 127.0.0.1:7300") from None
             if name in members.addresses:
--- /dev/null
+++ b/zincladder/tasks/wiring.py
@@ -0,0 +1,26 @@
+"""Joins the fleet's singleton tasks to a front: its counters, and the tasks in its operator's file."""
+
+from __future__ import annotations
+
+from zincladder.config import TasksConfig
+from zincladder.core.engine import Core
+from zincladder.export.fleet_metrics import ANSWERS, ATTEMPTS, FleetMetricsTask, series
+from zincladder.tasks.context import TaskFunction
+from zincladder.tasks.runner import TaskRunner
+
+
+def front_counters(core: Core) -> dict[str, float]:
+    """A front's answers by class and attempts by cache, since its start."""
+    counters = {series(ANSWERS, *key): float(count) for key, count in core.statistics.answers.items()}
+    for cache, statistics in core.statistics.endpoints.items():
+        for end, count in statistics.attempts.items():
+            counters[series(ATTEMPTS, cache.decode("latin-1"), end)] = float(count)
+    return counters
+
+
+def build_task_runner(config: TasksConfig, name: str, core: Core) -> TaskRunner:
+    """A front's part in the singleton tasks of its fleet."""
+    functions: dict[str, TaskFunction] = {}
+    if config.metrics_receiver is not None and "figures" in config.offered:
+        functions["figures"] = FleetMetricsTask(config.metrics_receiver)
+    return TaskRunner(config, name, functions, lambda: front_counters(core))
