--- a/benchmarks/export.py
+++ b/benchmarks/export.py
@@ -26,7 +26,7 @@
 from benchmarks import rig
 from zincladder.export import messages
 from zincladder.export.spool import Spool
-from zincladder.metrics.registry import Sample
+from zincladder.metrics.exposition import Sample
 
 
 @contextlib.asynccontextmanager
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -205,7 +205,7 @@
         for first in range(1, entries + 1, 1000):
             batch = tuple(Entry(1, EntryKind.DATA, b"x" * 100) for _ in range(1000))
             store.write(Output(first_index=first, entries=batch))
-        size = store.size
+        size = store.size_bytes
         store.close()
         began = time.monotonic()
         store = ReplicaStore(Path(folder) / "s", "g", "a", members)
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -38,9 +38,11 @@
 from zincladder.consensus.raft_state import RaftState, Role
 from zincladder.consensus.read_index import ReadIndex
 from zincladder.consensus.store import ReplicaStore
+from zincladder.durable.errors import JournalError
 from zincladder.durable.files import FileSystem
-from zincladder.durable.journal import Journal, JournalError
-from zincladder.links.frames import FrameDecoder, FrameError, encode_frame
+from zincladder.durable.journal import Item, Journal
+from zincladder.links.errors import FrameError
+from zincladder.links.frames import FrameDecoder, encode_frame
 from zincladder.policy.change_log import encode
 
 FOUNDERS = Membership({"a": "127.0.0.1:1", "b": "127.0.0.1:2", "c": "127.0.0.1:3"})
@@ -266,19 +268,19 @@
     store = reopened(store, tmp_path / "s")
     assert store.stored.hard_state == HardState(1, "b")
     assert [e.term for e in store.stored.entries] == [1, 2]
-    assert store.met("b", "first") and not store.met("b", "second")
+    assert store.remember_peer("b", "first") and not store.remember_peer("b", "second")
     store.write(Output(snapshot=Snapshot(2, 2, FOUNDERS, b"state"), first_index=3, entries=some(2)))
     store = reopened(store, tmp_path / "s")
     assert store.stored.snapshot == Snapshot(2, 2, FOUNDERS, b"state")
     assert [e.term for e in store.stored.entries] == [2] and store.stored.hard_state == HardState(1, "b")
-    assert not store.met("b", "second")
+    assert not store.remember_peer("b", "second")
     assert len(list((tmp_path / "s").glob("*.log"))) == 1
 
 
 def test_a_store_cut_at_any_byte_holds_all_that_was_written_before_the_last_batch(tmp_path: Path) -> None:
     store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
     store.write(Output(hard_state=HardState(3, "b"), first_index=1, entries=some(1, 1)))
-    before = store.size
+    before = store.size_bytes
     store.write(Output(hard_state=HardState(4, "c"), first_index=3, entries=some(4, 4, 4)))
     store.close()
     (path,) = (tmp_path / "s").glob("*.log")
@@ -296,9 +298,9 @@
 def test_a_byte_that_changed_in_what_was_promised_is_told_by_name(tmp_path: Path) -> None:
     # guards promises: what is cut off at a spoilt place may hold a vote
     journal = Journal(tmp_path / "j")
-    journal.rewrite([(1, b"first"), (2, b"second")])
+    journal.rewrite([Item(1, b"first"), Item(2, b"second")])
     for n in range(3):
-        journal.append([(1, b"%d" % n), (2, b"more")])
+        journal.append([Item(1, b"%d" % n), Item(2, b"more")])
     journal.close()
     (path,) = (tmp_path / "j").glob("*.log")
     whole = path.read_bytes()
--- a/tests/consensus/test_replica_processes.py
+++ b/tests/consensus/test_replica_processes.py
@@ -164,13 +164,13 @@
         r.processes[lost].kill()
         shutil.rmtree(r.processes[lost].folder / "kept")
         await r.start(lost)
-        await r.until("it is told why", lambda: r.processes[lost].events("refused by another keeper"))
-        said = r.processes[lost].events("refused by another keeper")[0]["why"]
+        await r.until("it is told why", lambda: r.processes[lost].events("rejected by another replica"))
+        said = r.processes[lost].events("rejected by another replica")[0]["reason"]
         assert "directory is not the one" in said
         found = await r.standing(lost)
         assert found is not None and found.last == 0
         client = r.client()
-        assert await client.ask(rpc.ChangeMembership(remove=lost)) == rpc.Done()
+        assert await client.request(rpc.ChangeMembership(remove=lost)) == rpc.Done()
         r.processes[lost].kill()
         shutil.rmtree(r.processes[lost].folder / "kept")
         file = r.processes[lost].folder / "keeper.toml"  # it no longer founds: it is added
@@ -178,7 +178,7 @@
         before, _, after = text.partition("[keeper.members]")
         file.write_text(before + "[keeper.via]" + after.partition("[keeper.via]")[2])
         await r.start(lost)
-        assert await client.ask(rpc.ChangeMembership(add={lost: "127.0.0.1:1"})) == rpc.Done()
+        assert await client.request(rpc.ChangeMembership(add={lost: "127.0.0.1:1"})) == rpc.Done()
 
         async def votes() -> bool:
             found = await r.standing(lost)
@@ -209,7 +209,7 @@
         async def stored() -> bool:
             leader = await r.leader()
             if leader == late:  # elected on a busy machine; what it has stored only another leader can tell
-                await r.client().ask(rpc.TransferLeadership())
+                await r.client().request(rpc.TransferLeadership())
                 return False
             found = await r.standing(leader)
             return found is not None and found.stored.get(late) == found.last
@@ -253,8 +253,8 @@
         for n in range(12):
             await r.write(f"x/{n:02}", b"%d" % n * 100)
         assert await full.ended() == 1
-        (said,) = full.events("the keeper ends")
-        assert "File too large" in said["why"]
+        (said,) = full.events("replica failed")
+        assert "File too large" in said["reason"]
         await r.start(full.name)  # with room again
         found = await r.client().get("x/")
         assert [v.data for v in found.values()] == [b"%d" % n * 100 for n in range(12)]
@@ -291,7 +291,7 @@
         whole = path.read_bytes()
         path.write_bytes(whole + b"\7" * 33)
         await r.start("k1")
-        assert process.events("keeping")[0]["torn"] == 33
+        assert process.events("replica started")[0]["torn_bytes"] == 33
         assert len(await r.client().get("x/")) == 5
         process.kill()
         spoilt = bytearray(path.read_bytes())
@@ -299,8 +299,8 @@
         path.write_bytes(spoilt)
         process.start()
         assert await process.ended() == 1
-        (said,) = process.events("the keeper ends")
-        assert path.name in said["why"] and "whole records behind it" in said["why"]
+        (said,) = process.events("replica failed")
+        assert path.name in said["reason"] and "whole records behind it" in said["reason"]
 
 
 async def test_two_processes_never_share_a_directory(tmp_path: Path) -> None:
@@ -312,7 +312,7 @@
         r.processes["twin"] = twin
         twin.start()
         assert await twin.ended() == 1
-        assert "another process uses it" in twin.events("the keeper ends")[0]["why"]
+        assert "another process uses it" in twin.events("replica failed")[0]["reason"]
 
 
 async def test_a_leader_that_is_told_to_end_hands_over_first(tmp_path: Path) -> None:
@@ -322,13 +322,13 @@
         await r.write("a", b"1")
         r.processes[old].send(signal.SIGTERM)
         assert await r.processes[old].ended() == 0
-        (said,) = r.processes[old].events("ended")
-        assert said["led"] is False  # it was let go by whoever stood at its word, before it ended
+        (said,) = r.processes[old].events("replica stopped")
+        assert said["was_leader"] is False  # it was let go by whoever stood at its word, before it ended
         await r.until("another leads", lambda: [n for n in names if n != old and led(r, n)])
 
 
 def led(r: Rig, name: str) -> bool:
-    return any(line["role"] == "leader" for line in r.processes[name].events("standing"))
+    return any(line["role"] == "leader" for line in r.processes[name].events("role changed"))
 
 
 async def test_a_keeper_far_behind_takes_a_snapshot_in(tmp_path: Path) -> None:
--- a/tests/consensus/test_stored_and_sent_bytes.py
+++ b/tests/consensus/test_stored_and_sent_bytes.py
@@ -44,7 +44,7 @@
 )
 from zincladder.consensus.store import RecordKind, ReplicaIdentity, ReplicaStore
 from zincladder.durable import records
-from zincladder.durable.journal import Journal
+from zincladder.durable.journal import Item, Journal
 from zincladder.links.frames import FrameDecoder, Greeting, Hello, Rejected, Welcome, encode_frame
 
 DATA = Path(__file__).resolve().parent.parent / "data"
@@ -203,9 +203,9 @@
 
 def test_a_journal_is_written_to_the_same_bytes(tmp_path: Path) -> None:
     journal = Journal(tmp_path / "j")
-    journal.rewrite([(0, b"first"), (2, b"")])
-    journal.append([(1, b"alone")])
-    journal.append([(3, b"one"), (127, b"two"), (3, b"three")])
+    journal.rewrite([Item(0, b"first"), Item(2, b"")])
+    journal.append([Item(1, b"alone")])
+    journal.append([Item(3, b"one"), Item(127, b"two"), Item(3, b"three")])
     journal.close()
     (path,) = (tmp_path / "j").glob("*.log")
     assert path.name == "00000000000000000001.log"
@@ -216,10 +216,10 @@
     monkeypatch.setattr(os, "urandom", lambda size: b"\xab" * size)
     store = ReplicaStore(tmp_path / "s", "fleet", "k1", Membership(VOTERS))
     store.write(Output(HardState(3, "k2"), None, False, 1, ENTRIES[:2]))
-    assert store.met("k2", "0011")
+    assert store.remember_peer("k2", "0011")
     first = (tmp_path / "s" / "00000000000000000001.log").read_bytes()
     store.write(Output(HardState(4, "k1"), Snapshot(2, 3, MEMBERS, b"state"), True, 3, ENTRIES[2:]))
-    store.forget("k2")
+    store.forget_peer("k2")
     store.close()
     second = (tmp_path / "s" / "00000000000000000002.log").read_bytes()
     assert lines("replica_journal.hex") == {"first": first, "after a snapshot": second}
@@ -230,8 +230,8 @@
     shutil.copytree(DATA / "replica", folder)
     store = ReplicaStore(folder, "test", "k2", Membership({}))
     assert store.identity == ReplicaIdentity(1, "test", "k2", "67944e2e3c4a6bb4")
-    assert store.births == {"k1": "04910c05ed696596", "k3": "911b7ca07892bbf0"}
-    assert store.found and store.torn == 0
+    assert store.peer_instances == {"k1": "04910c05ed696596", "k3": "911b7ca07892bbf0"}
+    assert store.existed and store.torn_bytes == 0
     hard, snapshot, entries = msgspec.structs.astuple(store.stored)
     members = Membership(dict.fromkeys(("k1", "k2", "k3"), "127.0.0.1:1"))
     dumped = msgspec.structs.astuple(snapshot)[3]
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -411,7 +411,9 @@
         """Starts a keeper, and returns once it listens."""
         process = self.processes[name]
         process.start()
-        said = await self.until(f"{name} listens", lambda: process.events("keeping") or self._dead(process))
+        said = await self.until(
+            f"{name} listens", lambda: process.events("replica started") or self._dead(process)
+        )
         assert said is not True, f"{name} has ended\n{self.logs()}"
         self.ports[name] = said[0]["port"]
         for (_, to), relay in self.relays.items():
@@ -445,7 +447,7 @@
 
     async def standing(self, name: str) -> rpc.ReplicaStatus | None:
         try:
-            said = await self.client().ask_at(f"127.0.0.1:{self.ports[name]}", rpc.GetStatus(), 1.0)
+            said = await self.client().request_from(f"127.0.0.1:{self.ports[name]}", rpc.GetStatus(), 1.0)
         except LINK_ERRORS:
             return None
         assert isinstance(said, rpc.ReplicaStatus)
--- a/tests/support/raft_simulation.py
+++ b/tests/support/raft_simulation.py
@@ -239,7 +239,7 @@
                 self.read(process)
                 return
             else:
-                process.node.transfer_leadership(self.clock(process))
+                process.node.transfer_leadership()
         except (BusyError, NotLeaderError):
             return
         self.settle(process)
--- a/tests/tasks/test_task_processes.py
+++ b/tests/tasks/test_task_processes.py
@@ -240,7 +240,7 @@
         c.r.cut_front(old)
         client = c.r.client_of_replicas()
         kept = (await client.get("progress/figures"))["progress/figures"]
-        assert await client.ask(
+        assert await client.request(
             write_checkpoint("figures", before, kept.version, b"late")
         ) == FencingTokenRejected(c.newest())
         await c.more(after=before)
--- a/tests/test_export.py
+++ b/tests/test_export.py
@@ -32,7 +32,7 @@
 from zincladder.export.delivery import Delivery, Fate, Next, Outcome, Rules, retry_after
 from zincladder.export.sender import RemoteWrite
 from zincladder.export.spool import MemoryStore, Spool
-from zincladder.metrics.registry import Sample
+from zincladder.metrics.exposition import Sample
 
 SAMPLES = [
     Sample("zincladder_answers_total", (("kind", "served"), ("front", "n0")), 3.0),
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -42,7 +42,8 @@
 from zincladder.core.engine import Core
 from zincladder.core.request_classes import RequestClasses
 from zincladder.metrics import registry as front_metrics
-from zincladder.metrics.registry import Registry, Sample
+from zincladder.metrics.exposition import Sample
+from zincladder.metrics.registry import Registry
 from zincladder.metrics.replica import NAMES as NAMES_OF_A_REPLICA
 from zincladder.metrics.replica import ReplicaRegistry
 from zincladder.policy.front import FleetPolicy, PolicyHooks
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -28,7 +28,7 @@
 from zincladder.durable import records
 from zincladder.export import messages
 from zincladder.export.spool import Spool
-from zincladder.metrics.registry import Sample
+from zincladder.metrics.exposition import Sample
 from zincladder.net import protocol, thrift
 from zincladder.net.events import FrameReader, read_frame
 from zincladder.net.stream import Ended
--- a/zincladder/cli/__init__.py
+++ b/zincladder/cli/__init__.py
@@ -12,7 +12,8 @@
 
 from zincladder.cli.admission import admission
 from zincladder.cli.policy import policy
-from zincladder.cli.replica import replica, replicas
+from zincladder.cli.replica import replica
+from zincladder.cli.replicas import replicas
 from zincladder.cli.status import ready, stats
 from zincladder.cli.tasks import tasks
 
--- a/zincladder/cli/policy.py
+++ b/zincladder/cli/policy.py
@@ -13,8 +13,8 @@
 
 from zincladder.cli import policy_client as client
 from zincladder.cli import policy_output as output
+from zincladder.cli.group import group_options
 from zincladder.cli.policy_client import Group
-from zincladder.cli.replica import group_options
 
 POLL_SECONDS = 0.1  # between two looks at a change that is followed
 EXIT_FAILED = 1  # not proposed, or withdrawn
--- a/zincladder/cli/policy_client.py
+++ b/zincladder/cli/policy_client.py
@@ -10,7 +10,7 @@
 
 import click
 
-from zincladder.cli.replica import group_client, run_call
+from zincladder.cli.group import group_client, run_call
 
 if TYPE_CHECKING:
     from zincladder.policy.change_log import ChangeLog
@@ -110,7 +110,7 @@
 
     result = run_call(lambda: group_client(group).compare_and_swap(swap.key, swap.expected, swap.data))
     if isinstance(result, CapacityExceeded):
-        raise click.ClickException(f"not proposed: {result.why}")
+        raise click.ClickException(f"not proposed: {result.reason}")
     if proposal and isinstance(result, VersionMismatch):
         record = read_change_log(group).record
         change = record.open_change
@@ -125,7 +125,7 @@
     """What the leader sees of the fronts; {} if that can't be told."""
     from zincladder.consensus import rpc
 
-    reply = run_call(lambda: group_client(group).ask(rpc.GetProgress()))
+    reply = run_call(lambda: group_client(group).request(rpc.GetProgress()))
     view: dict[str, Any] = json.loads(reply.data) if isinstance(reply, rpc.ProgressReport) else {}
     return view
 
--- /dev/null
+++ b/zincladder/cli/replicas.py
@@ -0,0 +1,175 @@
+"""`zincladder replicas`: the status of a group of replicas, and changes of its members."""
+
+from __future__ import annotations
+
+import json
+import sys
+from functools import partial
+from typing import TYPE_CHECKING, Any
+
+import click
+
+from zincladder.cli.group import Group, group_client, group_options, run_call
+
+if TYPE_CHECKING:  # imported only where a command needs it: commands start without the links' libraries
+    from rich.table import Table
+
+    from zincladder.consensus import rpc
+
+STATUS_TIMEOUT_SECONDS = 2.0
+BYTES_PER_KB = 1024
+# The table's columns, and whether each is text, to be aligned to the left.
+COLUMNS = {
+    "replica": True,
+    "role": True,
+    "term": False,
+    "entries": False,
+    "behind": False,
+    "kept kb": False,
+    "note": True,
+}
+
+
+@click.group()
+@group_options
+@click.pass_context
+def replicas(context: click.Context, group: Group) -> None:
+    """Who replicates a fleet's state: who leads, how far each one is, and who belongs to the group."""
+    context.obj = group
+
+
+@replicas.command()
+@click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
+@click.pass_obj
+def status(group: Group, as_json: bool) -> None:
+    """Ask each replica for its status. Exits with 1 if none of them leads."""
+    answers = run_call(partial(_ask_all, group))
+    statuses = {name: answer for name, answer in answers.items() if not isinstance(answer, str)}
+    leaders = [each for each in statuses.values() if each.role == "leader"]
+    leader = max(leaders, key=lambda each: each.term, default=None)
+    if as_json:
+        from msgspec.structs import asdict
+
+        rows = {
+            name: {"error": answer} if isinstance(answer, str) else asdict(answer)
+            for name, answer in answers.items()
+        }
+        click.echo(json.dumps(rows))
+    else:
+        from rich.console import Console
+
+        Console().print(_table(group[0], answers, leader))
+    sys.exit(0 if leader else 1)
+
+
+async def _ask_all(group: Group) -> dict[str, rpc.ReplicaStatus | str]:
+    """Each replica's status, or why it could not be asked."""
+    import anyio
+
+    from zincladder.consensus import rpc
+    from zincladder.links.connection import LINK_ERRORS
+
+    client = group_client(group)
+    answers: dict[str, rpc.ReplicaStatus | str] = {}
+
+    async def ask(name: str, address: str) -> None:
+        try:
+            answer = await client.request_from(address, rpc.GetStatus(), STATUS_TIMEOUT_SECONDS)
+            answers[name] = answer if isinstance(answer, rpc.ReplicaStatus) else str(answer)
+        except LINK_ERRORS as error:
+            answers[name] = str(error) or "no answer"
+
+    async with anyio.create_task_group() as tasks:
+        for name, address in group[1].items():
+            tasks.start_soon(ask, name, address)
+    return dict(sorted(answers.items()))
+
+
+def _table(
+    group: str, answers: dict[str, rpc.ReplicaStatus | str], leader: rpc.ReplicaStatus | None
+) -> Table:
+    from rich.table import Table
+
+    title = f"{group}: {leader.name} leads in term {leader.term}" if leader else f"{group}: nobody leads"
+    table = Table(title=title)
+    for column, is_text in COLUMNS.items():
+        table.add_column(column, justify="left" if is_text else "right")
+    members = leader.voters | leader.learners if leader else {}
+    for name in sorted(answers.keys() | members.keys()):
+        answer = answers.get(name, "not asked")
+        notes = _notes(name, leader) if leader else []
+        if isinstance(answer, str):
+            table.add_row(name, "?", "", "", "", "", "; ".join([*notes, answer]), style="red")
+        else:
+            table.add_row(name, *_row(answer, leader, notes))
+    return table
+
+
+def _notes(name: str, leader: rpc.ReplicaStatus) -> list[str]:
+    """What the leader knows of a replica that an operator should see."""
+    notes: list[str] = []
+    if name not in leader.voters | leader.learners:
+        notes.append("no member")
+    if name in leader.learners:
+        notes.append("learns, has no vote yet")
+    if name in leader.older:
+        notes.append("came back with an older directory: remove it, and add it anew")
+    if name in leader.silent:
+        notes.append("silent")
+    return notes
+
+
+def _row(answer: rpc.ReplicaStatus, leader: rpc.ReplicaStatus | None, notes: list[str]) -> list[str]:
+    lag_entries = str(max(0, leader.commit - answer.commit)) if leader else ""
+    return [
+        answer.role,
+        str(answer.term),
+        str(answer.last),
+        lag_entries,
+        f"{answer.bytes_kept / BYTES_PER_KB:.0f}",
+        "; ".join(notes),
+    ]
+
+
+def _request(group: Group, body: Any) -> None:
+    """Sends a request that the leader carries out. A ClickException if it didn't, or may not have."""
+    from zincladder.consensus import rpc
+
+    response = run_call(partial(group_client(group).request, body))
+    if isinstance(response, rpc.OutcomeUnknown):
+        raise click.ClickException(f"it may have been done, look at the status: {response.reason}")
+    if not isinstance(response, rpc.Done):
+        raise click.ClickException(f"nothing was done: {getattr(response, 'reason', response)}")
+
+
+@replicas.command()
+@click.argument("name")
+@click.argument("address")
+@click.pass_obj
+def add(group: Group, name: str, address: str) -> None:
+    """Add the replica NAME, which runs at ADDRESS with an empty directory. It votes once it has the log."""
+    from zincladder.consensus import rpc
+
+    _request(group, rpc.ChangeMembership(add={name: address}))
+    click.echo(f"{name} was added and takes the log in")
+
+
+@replicas.command()
+@click.argument("name")
+@click.pass_obj
+def remove(group: Group, name: str) -> None:
+    """Remove the replica NAME. One that comes back under the name needs an empty directory."""
+    from zincladder.consensus import rpc
+
+    _request(group, rpc.ChangeMembership(remove=name))
+    click.echo(f"{name} was removed")
+
+
+@replicas.command("hand-over")
+@click.pass_obj
+def transfer_leadership(group: Group) -> None:
+    """Let another replica lead, as before work on the machine of the one that does."""
+    from zincladder.consensus import rpc
+
+    _request(group, rpc.TransferLeadership())
+    click.echo("the leader hands over")
--- a/zincladder/cli/tasks.py
+++ b/zincladder/cli/tasks.py
@@ -10,7 +10,7 @@
 
 import click
 
-from zincladder.cli.replica import group_client, group_options, run_call
+from zincladder.cli.group import group_client, group_options, run_call
 
 Group = tuple[str, dict[str, str]]  # the group's name, and its replicas' addresses by name
 
@@ -41,12 +41,12 @@
     client = group_client(group)
 
     async def read() -> Any:
-        reply = await client.ask(rpc.GetProgress())
+        reply = await client.request(rpc.GetProgress())
         return reply, await client.get(TASK_PREFIX), await client.get(CHECKPOINT_PREFIX)
 
     reply, registers, checkpoints = run_call(read)
     if not isinstance(reply, rpc.ProgressReport):
-        raise click.ClickException(str(getattr(reply, "why", reply)))
+        raise click.ClickException(str(getattr(reply, "reason", reply)))
     assignments: dict[str, tuple[Any, int]] = {
         key.removeprefix(TASK_PREFIX): (
             msgspec.msgpack.decode(value.data, type=TaskAssignment),
@@ -128,9 +128,9 @@
     assignment, version = assignments[task]
     vacant = {"lease_holder": "", "process": "", "preferred_runner": "", "changed_at": time.time()}
     data = msgspec.msgpack.encode(msgspec.structs.replace(assignment, **(vacant | changes)))
-    result = run_call(lambda: group_client(group).ask(CompareAndSwap(task_key(task), version, data)))
+    result = run_call(lambda: group_client(group).request(CompareAndSwap(task_key(task), version, data)))
     if not isinstance(result, Swapped):
-        reason = getattr(result, "why", "the task has changed meanwhile")
+        reason = getattr(result, "reason", "the task has changed meanwhile")
         raise click.ClickException(f"nothing was done: {reason}")
 
 
--- a/zincladder/config/replica.py
+++ b/zincladder/config/replica.py
@@ -1,4 +1,4 @@
-"""A keeper's file: its checks and defaults. Imported by the commands only."""
+"""A replica's configuration file: its checks and defaults. Imported by the commands only."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 from zincladder.config import Address, ConfigError, parse_address
 from zincladder.config.operator_tables import faulty_key
 
+MS_PER_SECOND = 1000
 T = TypeVar("T")
 Name = Annotated[str, Meta(pattern=r"^[0-9A-Za-z_.-]{1,64}$")]
 Place = Annotated[str, Meta(min_length=3)]
@@ -46,11 +47,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaConfig:
-    """One of the processes that keep a group's state.
+    """The configuration of one replica of a group.
 
-    `founders` are the members, with their addresses, that the group begins with; none for a keeper that will
-    be added to a group that runs. `via` goes before the addresses of others where this process reaches them
-    by another one. Times in seconds.
+    `founders` are the members, with their addresses, that the group begins with; none for a replica that
+    will be added to a running group. `address_overrides` are addresses by which this process reaches others
+    in place of those that the group has.
     """
 
     group: str
@@ -58,14 +59,14 @@
     listen: Address
     directory: Path
     founders: dict[str, str]
-    via: dict[str, str]
-    heartbeat: float
-    election: float
+    address_overrides: dict[str, str]
+    heartbeat_seconds: float
+    election_timeout_seconds: float
     lease: LeaseTable
-    metrics: Address | None  # where they are told; None: nowhere
+    metrics: Address | None  # where they are served; None: nowhere
 
 
-def _place(text: str, key: str) -> Address:
+def _parse_address(text: str, key: str) -> Address:
     try:
         return parse_address(text)
     except ValueError:
@@ -75,9 +76,9 @@
 def _read(data: dict[str, Any], name: str, kind: type[T]) -> T:
     try:
         return msgspec.convert(data.get(name, {}), kind)
-    except msgspec.ValidationError as fault:
-        path, said = faulty_key(fault, name)
-        raise ConfigError(f"'{path}': {said}") from None
+    except msgspec.ValidationError as error:
+        path, reason = faulty_key(error, name)
+        raise ConfigError(f"'{path}': {reason}") from None
 
 
 def parse_replica_config(data: dict[str, Any]) -> ReplicaConfig:
@@ -93,22 +94,22 @@
         raise ConfigError("'lease.act_s' must leave two times 'renew_s' of the lease")
     for key, places in (("members", table.members), ("via", table.via)):
         for name, where in places.items():
-            _place(where, f"keeper.{key}.{name}")
+            _parse_address(where, f"keeper.{key}.{name}")
     if table.members and table.name not in table.members:
-        raise ConfigError(f"'keeper.members' must name this keeper too, {table.name!r}")
+        raise ConfigError(f"'keeper.members' must name this replica too, {table.name!r}")
     if len(table.members) not in (0, 1, 3, 5, 7):
-        raise ConfigError("'keeper.members' must be 1, 3, 5 or 7 keepers: one more than that adds no safety")
+        raise ConfigError("'keeper.members' must be 1, 3, 5 or 7 replicas: one more than that adds no safety")
     if table.election_ms < 4 * table.heartbeat_ms:
         raise ConfigError("'keeper.election_ms' must be at least four times 'heartbeat_ms'")
     return ReplicaConfig(
-        table.group,
-        table.name,
-        _place(table.listen, "keeper.listen"),
-        Path(table.directory),
-        table.members,
-        table.via,
-        table.heartbeat_ms / 1000,
-        table.election_ms / 1000,
-        lease,
-        _place(table.metrics, "keeper.metrics") if table.metrics else None,
+        group=table.group,
+        name=table.name,
+        listen=_parse_address(table.listen, "keeper.listen"),
+        directory=Path(table.directory),
+        founders=table.members,
+        address_overrides=table.via,
+        heartbeat_seconds=table.heartbeat_ms / MS_PER_SECOND,
+        election_timeout_seconds=table.election_ms / MS_PER_SECOND,
+        lease=lease,
+        metrics=_parse_address(table.metrics, "keeper.metrics") if table.metrics else None,
     )
--- a/zincladder/consensus/leader_services.py
+++ b/zincladder/consensus/leader_services.py
@@ -1,7 +1,7 @@
-"""What a keeper does for the fleet while it leads: a deciding part of the term's own, and the links to it.
+"""Services that a replica runs for the fleet while it leads: the state of one term, and the links to it.
 
-On anyio. The part is without I/O; it is made once a majority has confirmed that this keeper leads, and
-dropped with all links when it leads no more. Whatever a link says is handed in only after such a
+On anyio. The term's state decides without I/O. It is made once a majority has confirmed that this replica
+leads, and dropped with all links when it leads no more. Messages are handed in only after such a
 confirmation.
 """
 
@@ -10,6 +10,7 @@
 import math
 from abc import ABC, abstractmethod
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any, Generic, Protocol, TypeVar
 
 import anyio
@@ -27,15 +28,15 @@
 from zincladder.links.frames import Hello
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-MAX_QUEUED_MESSAGES = 64  # messages to one link; one that is lost is asked for again
-RETRY_SECONDS = 0.1  # seconds after a write that came to nothing
+MAX_QUEUED_MESSAGES = 64  # to one link; one that is dropped is asked for again
+RETRY_SECONDS = 0.1  # after a write that failed
 MIN_WAIT_SECONDS = 0.005
 COMMIT_ERRORS = (NotLeaderError, BusyError, CommitUnknownError)
 log = structlog.get_logger()
 
 
 class TermState(Protocol):
-    """What decides, without I/O."""
+    """The decisions of one leader's term, without I/O."""
 
     term: int
 
@@ -47,77 +48,85 @@
         """Does what is due."""
 
     def linked(self, number: int, name: str, process: str, now: float) -> str:
-        """A process has come; why it can't take part, or nothing."""
+        """A process has linked; why it can't take part, empty if it can."""
 
     def unlinked(self, number: int, now: float) -> None:
-        """Its link is gone."""
+        """Its link is closed."""
 
     def heard(self, number: int, message: Any, now: float) -> None:
-        """What it said."""
+        """One of its messages."""
 
 
 P = TypeVar("P", bound=TermState)
 
 
+@dataclass(frozen=True, slots=True)
+class LinkedProcess:
+    """A process that takes part: the queue of messages to it, and the scope of its link."""
+
+    queue: SendQueue
+    scope: anyio.CancelScope
+
+
 class LeaderService(ABC, Generic[P]):
-    """One kind of work that the leading keeper does, and the links of the processes that take part."""
+    """One service of the leader, and the links of the processes that take part."""
 
-    role: str  # of those that link
-    messages: Any  # what they say
+    role: str  # in the greetings of the processes
+    messages: Any  # the type of their messages
 
     def __init__(
         self, replica: ReplicaServer, terms: LeaseTiming, clock: Callable[[], float] = boottime
     ) -> None:
         self.replica, self.terms, self.clock = replica, terms, clock
-        self._own = terms
+        self._configured_terms = terms
         self.term_state: P | None = None
-        self.links: dict[int, tuple[SendQueue, anyio.CancelScope]] = {}
-        self._number = 0
-        self.read_at = -1  # the place in the log that the part was told of last; -1: it is to be told anew
-        self._due = anyio.Event()
+        self.links: dict[int, LinkedProcess] = {}
+        self._last_number = 0
+        self.read_at = -1  # index up to which the term's state knows the log; -1: it is to be told anew
+        self._wake_event = anyio.Event()
         self._warning = RateLimitedLog().warning
         replica.state_listeners.append(self.wake)
         replica.link_handlers[self.role] = self.serve
         replica.progress.append(self.progress)
 
-    # What each kind says for itself ------------------------------------------------------------------
+    # What each service defines ----------------------------------------------------------------------
 
     @abstractmethod
     def begin_term(self, since: float, term: int) -> P:
-        """The part of this term, under `self.terms`. What a predecessor lent was lent before `since`."""
+        """The state of this term, under `self.terms`. A predecessor granted its leases before `since`."""
 
     @abstractmethod
     def state_changed(self, term_state: P) -> None:
-        """Tells the part of what the group has decided."""
+        """Tells the term's state what the group has committed."""
 
     @abstractmethod
     def execute(self, term_state: P, tasks: anyio.abc.TaskGroup) -> None:
-        """Does what the part wishes."""
+        """Does what the term's state has decided."""
 
     @abstractmethod
     def not_leader_message(self, leader: str) -> Any:
-        """The message to whoever comes to a keeper that does not lead."""
+        """The message to a process that links to a replica which does not lead."""
 
     @abstractmethod
     def progress(self) -> dict[str, object]:
-        """How the leader sees it; empty where this keeper doesn't lead."""
+        """How the leader sees the service; empty where this replica doesn't lead."""
 
     def message_received(self, number: int, message: Any) -> None:
-        """A message for the host rather than the part; called for all."""
+        """A message, before it is handed to the term's state."""
 
     def link_closed(self, number: int) -> None:
-        """A link has ended."""
+        """A link is closed."""
 
     # Leading --------------------------------------------------------------------------------------
 
     def wake(self) -> None:
-        self._due.set()
+        self._wake_event.set()
 
     async def run(self) -> None:
         """Until it is cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                self._due = due = anyio.Event()
+                self._wake_event = due = anyio.Event()
                 try:
                     await self._lead()
                 except COMMIT_ERRORS:
@@ -134,15 +143,15 @@
                     await due.wait()
 
     async def _lead(self) -> None:
-        """A part of this term's own, once the group has confirmed that this keeper leads, or none."""
-        member = self.replica.node
-        if member.role is not Role.LEADER:
+        """A state for this term, once the group has confirmed that this replica leads; else none."""
+        node = self.replica.node
+        if node.role is not Role.LEADER:
             self._drop()
             return
-        if self.term_state is not None and self.term_state.term == member.term:
+        if self.term_state is not None and self.term_state.term == node.term:
             return
         self._drop()
-        since, term = self.clock(), member.term
+        since, term = self.clock(), node.term
         await self.replica.confirm_leadership()
         # A predecessor may have granted leases until it was replaced; that was before `since`.
         self.terms = await self._agreed()
@@ -152,37 +161,37 @@
         self.term_state, self.read_at = term_state, -1
 
     async def _agreed(self) -> LeaseTiming:
-        """The group's terms: those of whoever led first. A keeper whose file says others goes by these."""
+        """The group's lease timing: that of its first leader, whatever this replica's file says."""
         if self.replica.state.get(LEASE_TIMING_KEY) is None:
             await self.replica.compare_and_swap(
-                CompareAndSwap(LEASE_TIMING_KEY, 0, msgspec.msgpack.encode(self._own))
+                CompareAndSwap(LEASE_TIMING_KEY, 0, msgspec.msgpack.encode(self._configured_terms))
             )
-        found = self.replica.state.get(LEASE_TIMING_KEY)
-        assert found is not None
-        terms: LeaseTiming = msgspec.msgpack.decode(found.data, type=LeaseTiming)
-        if terms != self._own:
-            log.warning("the group's terms hold, not those of this keeper's file", terms=str(terms))
+        stored = self.replica.state.get(LEASE_TIMING_KEY)
+        assert stored is not None
+        terms: LeaseTiming = msgspec.msgpack.decode(stored.data, type=LeaseTiming)
+        if terms != self._configured_terms:
+            log.warning("lease timing of the group overrides this replica's file", lease_timing=str(terms))
         return terms
 
     def _drop(self) -> None:
         if self.term_state is not None:
             self.term_state = None
-            for _, scope in self.links.values():
-                scope.cancel()
+            for process in self.links.values():
+                process.scope.cancel()
             self.links.clear()
 
     def refresh(self, term_state: P) -> None:
-        """The part is told of what the group has decided since it was told last."""
+        """Tells the term's state what the group has committed since it was told last."""
         if self.replica.applied_index != self.read_at:
             self.read_at = self.replica.applied_index
             self.state_changed(term_state)
 
     def send(self, number: int, message: Any) -> None:
         if number in self.links:
-            self.links[number][0].put(message)
+            self.links[number].queue.put(message)
 
     async def try_compare_and_swap(self, swap: CompareAndSwap) -> None:
-        """One that is tried again at the next occasion if it comes to nothing."""
+        """A swap that is tried again on the next occasion if it fails."""
         try:
             await self.replica.compare_and_swap(swap)
         except COMMIT_ERRORS:
@@ -191,23 +200,23 @@
     # Links ----------------------------------------------------------------------------------------
 
     async def serve(self, link: Link, hello: Hello) -> None:
-        """One process's link, until it fails or this keeper leads no more."""
+        """One process's link, until it fails or this replica leads no more."""
         term_state = self.term_state
         if term_state is None or self.replica.node.role is not Role.LEADER:
             await link.send(self.not_leader_message(self.replica.node.leader))
             return
-        self._number += 1
-        number, outbox = self._number, SendQueue(MAX_QUEUED_MESSAGES)
+        self._last_number += 1
+        number, queue = self._last_number, SendQueue(MAX_QUEUED_MESSAGES)
         with anyio.CancelScope() as scope:
-            self.links[number] = (outbox, scope)
+            self.links[number] = LinkedProcess(queue, scope)
             try:
-                if why := term_state.linked(number, hello.name, hello.birth, self.clock()):
-                    self._warning("a process is turned away", role=self.role, name=hello.name, why=why)
+                if reason := term_state.linked(number, hello.name, hello.instance_id, self.clock()):
+                    self._warning("process rejected", role=self.role, name=hello.name, reason=reason)
                     return
                 self.wake()
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(outbox.send_to, link)
-                    await self._hear(link, number, term_state)
+                    tasks.start_soon(queue.send_to, link)
+                    await self._receive(link, number, term_state)
                     tasks.cancel_scope.cancel()
             except* (*COMMIT_ERRORS, *LINK_ERRORS):
                 pass
@@ -217,10 +226,10 @@
                 self.link_closed(number)
                 self.wake()
 
-    async def _hear(self, link: Link, number: int, term_state: P) -> None:
+    async def _receive(self, link: Link, number: int, term_state: P) -> None:
         while True:
             message = await link.receive(self.messages)
-            # Guards leases: nothing is granted on a word that a successor's wait would not cover.
+            # Guards leases: nothing is granted on a message that a successor's wait would not cover.
             await self.replica.confirm_leadership()
             if self.term_state is not term_state:
                 return
--- a/zincladder/consensus/lease_timing.py
+++ b/zincladder/consensus/lease_timing.py
@@ -1,33 +1,32 @@
-"""The terms of a group's leases. Shapes only; times in seconds."""
+"""The timing of a group's leases. Types only."""
 
 from __future__ import annotations
 
 import msgspec
 
-LEASE_TIMING_KEY = "terms"  # the register that holds them
+LEASE_TIMING_KEY = "terms"  # of the value that holds it, in the group's state
 
 
 class LeaseTiming(msgspec.Struct, frozen=True, array_like=True):
-    """What all keepers of a group hold alike, so that a lease means one thing. A register has it.
+    """The timing that all replicas of a group share, so that a lease means one thing. The state holds it.
 
-    `drift` bounds how far a clock runs off in a second. A front counts its lease from when it asked, by its
-    own clock, and a keeper from when it granted it, by its own: 1 - drift of it here, 1 + drift of it there.
+    `clock_drift` bounds by how much a clock errs in a second. A front counts its lease from its request, by
+    its own clock; a replica from the grant, by its own: 1 - drift of the lease there, 1 + drift of it here.
     """
 
     lease_seconds: float = 5.0
-    renew_seconds: float = 1.0  # between two askings
+    renew_seconds: float = 1.0  # between two renewals
     clock_drift: float = 0.01
-    check_timeout_seconds: float = 3.0  # a front's time to say whether it can take a policy
-    release_timeout_seconds: float = (
-        0.3  # the fronts' time to let go, before all go on under the old version for now
-    )
-    min_agreeing_share: float = 0.5  # of the fronts that are known: more than this share has to agree
-    max_deferral_seconds: float = (
-        15.0  # for which a decided change waits for a moment in which nobody is gone
-    )
-    max_action_seconds: float = (
-        0.2  # for which the owner of a duty may sleep between its look at the clock and its effect
-    )
+    # In which a front says whether it can apply a policy.
+    check_timeout_seconds: float = 3.0
+    # In which the fronts release their leases, before all go on under the old version for now.
+    release_timeout_seconds: float = 0.3
+    # Of the known fronts: more than this share has to agree.
+    min_agreeing_share: float = 0.5
+    # For which a decided change waits for a moment in which no front is missing.
+    max_deferral_seconds: float = 15.0
+    # For which a lease holder may be paused between its look at the clock and its effect.
+    max_action_seconds: float = 0.2
 
     @property
     def trusted_seconds(self) -> float:
@@ -36,10 +35,10 @@
 
     @property
     def holder_seconds(self) -> float:
-        """How long the owner of a duty does: `act` less, as it acts some time after it looked."""
+        """How long the holder of a task's lease relies on it: it acts some time after it looked."""
         return self.trusted_seconds - self.max_action_seconds
 
     @property
     def expiry_seconds(self) -> float:
-        """How long a keeper waits for one that nobody gives back."""
+        """How long a replica waits for a lease that nobody releases."""
         return self.lease_seconds * (1 + self.clock_drift)
--- a/zincladder/consensus/log.py
+++ b/zincladder/consensus/log.py
@@ -1,22 +1,31 @@
-"""The part of the log that is held in memory: a snapshot and what follows it. No I/O."""
+"""The log of a node, in memory: a snapshot and the entries after it. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from dataclasses import dataclass
 
 import msgspec
 
 from zincladder.consensus.model import Entry, EntryKind, Membership, Snapshot, StoredState
 
 
+@dataclass(frozen=True, slots=True)
+class _MembershipAt:
+    """Members, and the index of the entry that they come from."""
+
+    index: int
+    membership: Membership
+
+
 class Log:
-    """Entries from the snapshot on. The members in force are those of its latest entry on them."""
+    """A snapshot and the entries after it. The members in force are those of the latest entry on them."""
 
     def __init__(self, stored: StoredState) -> None:
         self.snapshot = stored.snapshot
         self._entries: list[Entry] = []
-        self._members: list[tuple[int, Membership]] = [(self.snapshot_index, stored.snapshot.membership)]
-        self.stored_index = self.snapshot_index  # all up to here is stored
+        self._memberships = [_MembershipAt(self.snapshot_index, stored.snapshot.membership)]
+        self.stored_index = self.snapshot_index  # of the last entry that is on disk
         for entry in stored.entries:
             self.append(entry)
         self.stored_index = self.last_index
@@ -35,83 +44,88 @@
 
     @property
     def membership(self) -> Membership:
-        return self._members[-1][1]
+        return self._memberships[-1].membership
 
     @property
     def membership_index(self) -> int:
         """The index of the entry that the members in force come from."""
-        return self._members[-1][0]
+        return self._memberships[-1].index
 
     def term_at(self, index: int) -> int:
-        """The term of the entry at an index; -1 if it isn't known (not there, or before the snapshot)."""
+        """The term of the entry at an index; -1 if it isn't known (not there, or compacted away)."""
         if index == self.snapshot_index:
             return self.snapshot.term
-        return (
-            self._entries[index - self.snapshot_index - 1].term
-            if self.snapshot_index < index <= self.last_index
-            else -1
-        )
+        if self.snapshot_index < index <= self.last_index:
+            return self._entries[self._position(index)].term
+        return -1
+
+    def _position(self, index: int) -> int:
+        return index - self.snapshot_index - 1
 
     def entries_from(
-        self, first: int, most: int | None = None, weight: int | None = None
+        self, first_index: int, max_entries: int | None = None, max_bytes: int | None = None
     ) -> tuple[Entry, ...]:
-        """Entries from `first` on, at most so many and of so many bytes (but one whatever its size)."""
-        at = first - self.snapshot_index - 1
-        found = self._entries[at : None if most is None else at + most]
-        if weight is not None:
-            for n, entry in enumerate(found):
-                weight -= len(entry.data)
-                if n and weight < 0:
-                    return tuple(found[:n])
-        return tuple(found)
+        """Entries from `first_index` on, up to these bounds; the first one whatever its size."""
+        start = self._position(first_index)
+        entries = self._entries[start : None if max_entries is None else start + max_entries]
+        if max_bytes is not None:
+            total_bytes = 0
+            for count, entry in enumerate(entries):
+                total_bytes += len(entry.data)
+                if count and total_bytes > max_bytes:
+                    return tuple(entries[:count])
+        return tuple(entries)
 
     def first_index_of_term(self, index: int) -> int:
-        """The first index of the run of one term that `index` stands in."""
+        """The first index of the entries of one term that the entry at `index` is among."""
         term = self.term_at(index)
         while index - 1 > self.snapshot_index and self.term_at(index - 1) == term:
             index -= 1
         return index
 
     def append(self, entry: Entry) -> int:
-        """Its index."""
+        """Appends an entry; its index."""
         self._entries.append(entry)
         if entry.kind is EntryKind.MEMBERS:
-            self._members.append((self.last_index, msgspec.msgpack.decode(entry.data, type=Membership)))
+            membership: Membership = msgspec.msgpack.decode(entry.data, type=Membership)
+            self._memberships.append(_MembershipAt(self.last_index, membership))
         return self.last_index
 
-    def replace_from(self, first: int, entries: Iterable[Entry]) -> None:
-        """Makes the log hold these from `first` on; only from where they differ does it change."""
-        for index, entry in enumerate(entries, first):
+    def replace_from(self, first_index: int, entries: Iterable[Entry]) -> None:
+        """Makes the log hold these from `first_index` on. It is cut only where an entry differs."""
+        for index, entry in enumerate(entries, first_index):
             if index <= self.last_index and self.term_at(index) != entry.term:
-                self._cut(index)
+                self._truncate(index)
             if index > self.last_index:
                 self.append(entry)
 
-    def _cut(self, index: int) -> None:
-        del self._entries[index - self.snapshot_index - 1 :]
-        while self._members[-1][0] >= index:
-            self._members.pop()
+    def _truncate(self, index: int) -> None:
+        del self._entries[self._position(index) :]
+        while self._memberships[-1].index >= index:
+            self._memberships.pop()
         self.stored_index = min(self.stored_index, index - 1)
 
     def compact(self, index: int, state: bytes) -> None:
-        """A snapshot takes the place of all up to `index`, which have been applied."""
-        membership = next(m for at, m in reversed(self._members) if at <= index)
+        """A snapshot replaces all entries up to `index`, which have been applied."""
+        membership = next(known.membership for known in reversed(self._memberships) if known.index <= index)
         snapshot = Snapshot(index, self.term_at(index), membership, state)
         del self._entries[: index - self.snapshot_index]
-        self._members = [(index, membership), *(pair for pair in self._members if pair[0] > index)]
+        later = [known for known in self._memberships if known.index > index]
+        self._memberships = [_MembershipAt(index, membership), *later]
         self.snapshot = snapshot
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """A leader's snapshot takes the place of everything, but for entries that follow what it holds."""
-        same = self.term_at(snapshot.index) == snapshot.term
-        follow = self.entries_from(snapshot.index + 1) if same else ()
+        """A leader's snapshot replaces the log, but for entries that are known to follow it."""
+        matches = self.term_at(snapshot.index) == snapshot.term
+        following = self.entries_from(snapshot.index + 1) if matches else ()
         self.snapshot, self._entries = snapshot, []
-        self._members = [(snapshot.index, snapshot.membership)]
-        for entry in follow:
+        self._memberships = [_MembershipAt(snapshot.index, snapshot.membership)]
+        for entry in following:
             self.append(entry)
         self.stored_index = snapshot.index
 
     def take_unstored(self) -> tuple[int, tuple[Entry, ...]]:
-        """What has to be written since the last time that this was asked, and its first index."""
-        first, self.stored_index = max(self.stored_index, self.snapshot_index) + 1, self.last_index
-        return first, self.entries_from(first)
+        """The entries that were not on disk at the last call, and the index of the first."""
+        first_index = max(self.stored_index, self.snapshot_index) + 1
+        self.stored_index = self.last_index
+        return first_index, self.entries_from(first_index)
--- a/zincladder/consensus/raft.py
+++ b/zincladder/consensus/raft.py
@@ -256,7 +256,7 @@
         index = self._changes.request(membership)
         return index, self.term
 
-    def transfer_leadership(self, now: float) -> None:
+    def transfer_leadership(self) -> None:
         """Lets another voter lead once one has the whole log; nothing is accepted meanwhile."""
         self._transfer.start()
 
--- a/zincladder/consensus/rpc.py
+++ b/zincladder/consensus/rpc.py
@@ -1,46 +1,39 @@
-"""What fronts and operators ask of a keeper over a link, and what they are told. Shapes only."""
+"""Requests of fronts, workers and operators to a replica, and its responses. Types only."""
 
 from __future__ import annotations
 
 import msgspec
 
-from zincladder.consensus.key_value_state import (
-    CapacityExceeded,
-    CompareAndSwap,
-    FencingTokenRejected,
-    Swapped,
-    VersionedValue,
-    VersionMismatch,
-)
+from zincladder.consensus.key_value_state import CompareAndSwap, CompareAndSwapResult, VersionedValue
 
 
 class GetStatus(msgspec.Struct, frozen=True, array_like=True, tag="status"):
-    """How this keeper stands; answered by whoever is asked, from what it knows."""
+    """How the replica that is asked sees the group, whether it leads or not."""
 
 
 class GetByPrefix(msgspec.Struct, frozen=True, array_like=True, tag="get"):
-    """All registers whose keys begin so, no older than the question."""
+    """All values whose keys begin so, no older than the request."""
 
     prefix: str
 
 
 class ChangeMembership(msgspec.Struct, frozen=True, array_like=True, tag="change"):
-    """One member added, with its address, or removed."""
+    """Adds one member, by its name and address, or removes one."""
 
     add: dict[str, str] = {}
     remove: str = ""
 
 
 class TransferLeadership(msgspec.Struct, frozen=True, array_like=True, tag="hand_over"):
-    """The leader is to let another lead."""
+    """The leader is to let another replica lead."""
 
 
 class GetProgress(msgspec.Struct, frozen=True, array_like=True, tag="progress"):
-    """How the work that the leader does for the fleet is coming on."""
+    """How the leader's services for the fleet are getting on."""
 
 
 class CollectCounters(msgspec.Struct, frozen=True, array_like=True, tag="collect"):
-    """The sums of what processes have told the leader."""
+    """The sums of the counters that processes have reported to the leader."""
 
 
 RequestBody = (
@@ -55,14 +48,19 @@
 
 
 class RpcRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A question; its number comes back with the answer."""
+    """A request; its number comes back with the response."""
 
     number: int
-    what: RequestBody
+    body: RequestBody
 
 
 class ReplicaStatus(msgspec.Struct, frozen=True, array_like=True, tag="standing"):
-    """How a keeper stands. A leader also tells what each other one has stored, and who is silent."""
+    """The status of a replica.
+
+    `commit`, `last` and `base` are indexes of the log: the last committed entry, the last entry, and the
+    last one that the snapshot covers. Only a leader fills in `stored` (the last index that each other
+    replica has stored), `silent` (those not heard lately) and `older` (those on an older directory).
+    """
 
     name: str
     role: str
@@ -81,38 +79,38 @@
 
 
 class ValuesByPrefix(msgspec.Struct, frozen=True, array_like=True, tag="found"):
-    """The answer to `Get`."""
+    """The answer to GetByPrefix."""
 
     values: dict[str, VersionedValue]
 
 
 class NotLeader(msgspec.Struct, frozen=True, array_like=True, tag="moved"):
-    """Another leads, or nobody that is known: nothing was done."""
+    """Nothing was done: another replica leads, or none that is known."""
 
     leader: str
-    where: str
+    address: str
 
 
 class RequestFailed(msgspec.Struct, frozen=True, array_like=True, tag="failed"):
-    """Nothing was done; the text says why."""
+    """Nothing was done."""
 
-    why: str
+    reason: str
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True, array_like=True, tag="unknown"):
     """It may have been done, or may still be: read again to know."""
 
-    why: str
+    reason: str
 
 
 class ProgressReport(msgspec.Struct, frozen=True, array_like=True, tag="told"):
-    """The answer to `Progress`: JSON."""
+    """The answer to GetProgress, as JSON."""
 
     data: bytes
 
 
 class CollectedCounters(msgspec.Struct, frozen=True, array_like=True, tag="collected"):
-    """The answer to `Collect`: sums since the epoch began, which is one leader's in one term."""
+    """The answer to CollectCounters: sums since the epoch began, which is one leader's term."""
 
     epoch: str
     totals: dict[str, float]
@@ -127,10 +125,7 @@
     | ValuesByPrefix
     | ProgressReport
     | CollectedCounters
-    | Swapped
-    | VersionMismatch
-    | CapacityExceeded
-    | FencingTokenRejected
+    | CompareAndSwapResult
     | NotLeader
     | RequestFailed
     | OutcomeUnknown
@@ -139,7 +134,7 @@
 
 
 class RpcResponse(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to the call with this number."""
+    """The response to the request with this number."""
 
     number: int
-    what: ResponseBody
+    body: ResponseBody
--- a/zincladder/consensus/store.py
+++ b/zincladder/consensus/store.py
@@ -1,6 +1,6 @@
-"""What a member of a group keeps on disk: who it is, its vote, its snapshot and its log, in one journal.
+"""What a replica stores: its identity, vote, snapshot and log, in one journal.
 
-Blocks; its host calls it in a worker thread, one call at a time.
+All calls block; the host makes them in a worker thread, one at a time.
 """
 
 from __future__ import annotations
@@ -12,33 +12,36 @@
 import msgspec
 
 from zincladder.consensus.model import Entry, HardState, Membership, Output, Snapshot, StoredState
+from zincladder.durable.errors import JournalError
 from zincladder.durable.files import FileSystem
-from zincladder.durable.journal import Item, Journal, JournalError
+from zincladder.durable.journal import Item, Journal
 
 VERSION = 1
-MIN_COMPACTION_BYTES = 1 << 20  # bytes
+INSTANCE_ID_BYTES = 8
+MIN_COMPACTION_BYTES = 1 << 20
+COMPACTION_FACTOR = 4  # a journal this many times as long as the snapshot's state is rewritten
 
 
 class RecordKind(enum.IntEnum):
-    """The kinds of records."""
+    """The kinds of records, as numbered on disk."""
 
     IDENTITY = 0
-    HARD = 1
+    HARD_STATE = 1
     SNAPSHOT = 2
     ENTRY = 3
-    BIRTHS = 4
+    PEER_INSTANCES = 4
 
 
 class ReplicaIdentity(msgspec.Struct, frozen=True, array_like=True):
-    """Whose directory this is. `birth` is drawn when it is made: no other directory has the same one."""
+    """Whose directory this is. `instance_id` is drawn when it is made: no other directory has the same."""
 
     version: int
     group: str
     name: str
-    birth: str
+    instance_id: str
 
 
-class _Placed(msgspec.Struct, frozen=True, array_like=True):
+class _IndexedEntry(msgspec.Struct, frozen=True, array_like=True):
     index: int
     entry: Entry
 
@@ -47,36 +50,37 @@
 
 
 class ReplicaStore:
-    """The directory of one member. JournalError where it is another's, spoilt, or not to be written."""
+    """The directory of one replica. JournalError where it is another's, corrupt, or can't be written."""
 
     def __init__(
         self, folder: Path, group: str, name: str, founders: Membership, files: FileSystem | None = None
     ) -> None:
         self.folder = folder
-        self.births: dict[str, str] = {}  # of the others' directories, as first met
+        self.peer_instances: dict[str, str] = {}  # the other replicas' directories, as first met
         self._journal = Journal(folder, files)
-        self.torn = self._journal.torn
-        self._hard, self._snapshot = HardState(), Snapshot(0, 0, founders)
+        self.torn_bytes = self._journal.torn_bytes
+        self._hard_state, self._snapshot = HardState(), Snapshot(0, 0, founders)
         self._entries: list[Entry] = []
-        self.found: bool = bool(self._journal.items)
+        self.existed = bool(self._journal.items)
         try:
-            self.identity = self._identity(group, name)
+            self.identity = self._read_identity(group, name)
             self._replay()
-        except (msgspec.DecodeError, ValueError) as fault:
+        except (msgspec.DecodeError, ValueError) as error:
             self._journal.close()
-            raise JournalError(f"{folder}: a record that cannot be read: {fault}") from None
+            raise JournalError(f"{folder}: a record that cannot be read: {error}") from None
         except JournalError:
             self._journal.close()
             raise
 
     @property
     def stored(self) -> StoredState:
-        return StoredState(self._hard, self._snapshot, tuple(self._entries))
+        return StoredState(self._hard_state, self._snapshot, tuple(self._entries))
 
-    def _identity(self, group: str, name: str) -> ReplicaIdentity:
-        if not self.found:
-            identity = ReplicaIdentity(VERSION, group, name, os.urandom(8).hex())
-            self._journal.rewrite([(RecordKind.IDENTITY, encode(identity)), *self._rest()])
+    def _read_identity(self, group: str, name: str) -> ReplicaIdentity:
+        """Guards votes: a directory of another replica holds promises that this one did not make."""
+        if not self.existed:
+            identity = ReplicaIdentity(VERSION, group, name, os.urandom(INSTANCE_ID_BYTES).hex())
+            self._journal.rewrite([Item(RecordKind.IDENTITY, encode(identity)), *self._state_items()])
             return identity
         kind, data = self._journal.items[0]
         if kind != RecordKind.IDENTITY:
@@ -84,88 +88,97 @@
         version = msgspec.msgpack.decode(data)[0]
         if version != VERSION:
             raise JournalError(f"{self.folder}: of version {version}, not {VERSION}")
-        found: ReplicaIdentity = msgspec.msgpack.decode(data, type=ReplicaIdentity)
-        if (found.group, found.name) != (group, name):
+        stored: ReplicaIdentity = msgspec.msgpack.decode(data, type=ReplicaIdentity)
+        if (stored.group, stored.name) != (group, name):
             raise JournalError(
-                f"{self.folder}: it is {found.name!r}'s of {found.group!r}, not {name!r}'s of {group!r}"
+                f"{self.folder}: it is {stored.name!r}'s of {stored.group!r}, not {name!r}'s of {group!r}"
             )
-        return found
+        return stored
 
     def _replay(self) -> None:
         decode = msgspec.msgpack.decode
         for kind, data in self._journal.items[1:]:
-            if kind == RecordKind.HARD:
-                self._hard = decode(data, type=HardState)
+            if kind == RecordKind.HARD_STATE:
+                self._hard_state = decode(data, type=HardState)
             elif kind == RecordKind.SNAPSHOT:
                 self._snapshot, self._entries = decode(data, type=Snapshot), []
             elif kind == RecordKind.ENTRY:
-                placed: _Placed = decode(data, type=_Placed)
-                self._place(placed.index, (placed.entry,))
-            elif kind == RecordKind.BIRTHS:
-                self.births = decode(data, type=dict[str, str])
+                indexed: _IndexedEntry = decode(data, type=_IndexedEntry)
+                self._replace_from(indexed.index, (indexed.entry,))
+            elif kind == RecordKind.PEER_INSTANCES:
+                self.peer_instances = decode(data, type=dict[str, str])
             else:
                 raise ValueError(f"kind {kind}")
         self._journal.items.clear()
 
-    def _place(self, first: int, entries: tuple[Entry, ...]) -> None:
-        at = first - self._snapshot.index - 1
-        if not 0 <= at <= len(self._entries):
-            raise ValueError(f"entry {first} after {self._snapshot.index + len(self._entries)}")
-        self._entries[at:] = entries
+    def _replace_from(self, first_index: int, entries: tuple[Entry, ...]) -> None:
+        position = first_index - self._snapshot.index - 1
+        if not 0 <= position <= len(self._entries):
+            raise ValueError(f"entry {first_index} after {self._snapshot.index + len(self._entries)}")
+        self._entries[position:] = entries
 
-    def _rest(self) -> list[Item]:
+    def _state_items(self) -> list[Item]:
+        """All records but the identity."""
         return [
-            (RecordKind.BIRTHS, encode(self.births)),
-            (RecordKind.SNAPSHOT, encode(self._snapshot)),
-            (RecordKind.HARD, encode(self._hard)),
-            *self._placed(self._snapshot.index + 1, tuple(self._entries)),
+            Item(RecordKind.PEER_INSTANCES, encode(self.peer_instances)),
+            Item(RecordKind.SNAPSHOT, encode(self._snapshot)),
+            Item(RecordKind.HARD_STATE, encode(self._hard_state)),
+            *self._entry_items(self._snapshot.index + 1, tuple(self._entries)),
         ]
 
     @staticmethod
-    def _placed(first: int, entries: tuple[Entry, ...]) -> list[Item]:
-        return [(RecordKind.ENTRY, encode(_Placed(i, entry))) for i, entry in enumerate(entries, first)]
+    def _entry_items(first_index: int, entries: tuple[Entry, ...]) -> list[Item]:
+        return [
+            Item(RecordKind.ENTRY, encode(_IndexedEntry(index, entry)))
+            for index, entry in enumerate(entries, first_index)
+        ]
 
     def write(self, output: Output) -> None:
-        """On the disk when this returns. JournalError: nothing may be said or applied any more."""
+        """Synced to disk when this returns. JournalError: nothing may be sent or applied any more."""
         if not output.has_writes:
             return
         if output.hard_state:
-            self._hard = output.hard_state
+            self._hard_state = output.hard_state
         if output.snapshot:
             self._snapshot, self._entries = output.snapshot, list(output.entries)
             self._rewrite()
             return
-        items: list[Item] = [(RecordKind.HARD, encode(output.hard_state))] if output.hard_state else []
+        items: list[Item] = []
+        if output.hard_state:
+            items.append(Item(RecordKind.HARD_STATE, encode(output.hard_state)))
         if output.entries:
-            self._place(output.first_index, output.entries)
-            items += self._placed(output.first_index, output.entries)
+            self._replace_from(output.first_index, output.entries)
+            items += self._entry_items(output.first_index, output.entries)
         self._journal.append(items)
 
     def _rewrite(self) -> None:
-        self._journal.rewrite([(RecordKind.IDENTITY, encode(self.identity)), *self._rest()])
+        self._journal.rewrite([Item(RecordKind.IDENTITY, encode(self.identity)), *self._state_items()])
 
-    def met(self, name: str, birth: str) -> bool:
-        """Whether that member's directory is the one it always had. The first time counts, and is kept."""
-        known = self.births.get(name)
+    def remember_peer(self, name: str, instance_id: str) -> bool:
+        """Whether that member's directory is the one it always had; the first one met is remembered."""
+        known = self.peer_instances.get(name)
         if known is None:
-            self.births[name] = birth
-            self._journal.append([(RecordKind.BIRTHS, encode(self.births))])
+            self.peer_instances[name] = instance_id
+            self._append_peer_instances()
             return True
-        return known == birth
+        return known == instance_id
+
+    def forget_peer(self, name: str) -> None:
+        """A member was removed from the group: another directory may come under its name."""
+        if self.peer_instances.pop(name, None) is not None:
+            self._append_peer_instances()
 
-    def forget(self, name: str) -> None:
-        """A member that was removed from the group: under its name another directory may come."""
-        if self.births.pop(name, None) is not None:
-            self._journal.append([(RecordKind.BIRTHS, encode(self.births))])
+    def _append_peer_instances(self) -> None:
+        self._journal.append([Item(RecordKind.PEER_INSTANCES, encode(self.peer_instances))])
 
     @property
-    def size(self) -> int:
-        return self._journal.size
+    def size_bytes(self) -> int:
+        return self._journal.size_bytes
 
     @property
-    def long(self) -> bool:
-        """Whether the journal holds so much more than the state that a snapshot is due."""
-        return self.size > max(MIN_COMPACTION_BYTES, 4 * len(self._snapshot.state))
+    def needs_compaction(self) -> bool:
+        """Whether the journal is so much longer than the state that a snapshot is due."""
+        return self.size_bytes > max(MIN_COMPACTION_BYTES, COMPACTION_FACTOR * len(self._snapshot.state))
 
     def close(self) -> None:
         self._journal.close()
--- a/zincladder/durable/__init__.py
+++ b/zincladder/durable/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives the process: records with checksums, and a journal of them."""
+"""Durable state: records with checksums, and a journal of them."""
--- a/zincladder/durable/files.py
+++ b/zincladder/durable/files.py
@@ -1,4 +1,4 @@
-"""The seam between what is kept and the disk, so that tests can make every call fail. All methods block."""
+"""The calls that change files, in one place, so that tests can make each of them fail. All block."""
 
 from __future__ import annotations
 
@@ -9,32 +9,34 @@
 
 
 class FileSystem:
-    """Calls that write, each whole or an OSError."""
+    """Calls that write; each does all of it, or raises OSError."""
 
     def create(self, path: Path) -> int:
-        """An empty file to append to; what stood there goes."""
+        """An empty file to append to, in place of any that is there."""
         return os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
 
     def reopen(self, path: Path) -> int:
+        """A file that is there, to append to."""
         return os.open(path, os.O_RDWR | os.O_APPEND | os.O_CLOEXEC)
 
     def append(self, file: int, data: bytes) -> None:
-        left = memoryview(data)
-        while left:
-            written = os.write(file, left)
+        """All of `data`, in as many writes as it takes."""
+        remaining = memoryview(data)
+        while remaining:
+            written = os.write(file, remaining)
             if not written:
                 raise OSError(errno.ENOSPC, "no space left on device")
-            left = left[written:]
+            remaining = remaining[written:]
 
     def sync(self, file: int) -> None:
-        """Once this has returned, what was appended outlives a loss of power."""
+        """Once this has returned, what was appended survives a loss of power."""
         os.fdatasync(file)
 
     def truncate(self, file: int, size: int) -> None:
         os.ftruncate(file, size)
 
     def rename(self, old: Path, new: Path) -> None:
-        """At one moment, and for good: the folder is synced too."""
+        """Atomic and durable: the folder is synced too."""
         os.rename(old, new)
         self.sync_folder(new.parent)
 
@@ -46,7 +48,7 @@
             os.close(file)
 
     def lock(self, path: Path) -> int:
-        """Held until it is closed or the process ends. BlockingIOError while another process holds it."""
+        """Locked until it is closed or the process ends. BlockingIOError if another process has the lock."""
         file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/zincladder/export/fleet_metrics.py
+++ b/zincladder/export/fleet_metrics.py
@@ -19,7 +19,7 @@
 from zincladder.export import messages
 from zincladder.export.delivery import Outcome
 from zincladder.export.push import FAILED, post
-from zincladder.metrics.registry import Sample
+from zincladder.metrics.exposition import Sample
 from zincladder.tasks.context import TaskContext
 from zincladder.tasks.counter_sums import FleetTotals, decode_totals, encode_totals, next_sample_at
 
--- a/zincladder/export/messages.py
+++ b/zincladder/export/messages.py
@@ -13,7 +13,7 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 from google.protobuf.message import DecodeError
 
-from zincladder.metrics.registry import Sample
+from zincladder.metrics.exposition import Sample
 
 _K = descriptor_pb2.FieldDescriptorProto
 _Field = tuple[
--- a/zincladder/export/sender.py
+++ b/zincladder/export/sender.py
@@ -19,7 +19,7 @@
 from zincladder.export.delivery import Delivery, Fate, Next, Outcome, Rules
 from zincladder.export.push import FAILED, post
 from zincladder.export.spool import Kept, MemoryStore, Spool, SpoolError
-from zincladder.metrics.registry import Sample
+from zincladder.metrics.exposition import Sample
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 LIMIT = 10.0  # seconds for one push
--- a/zincladder/export/spool.py
+++ b/zincladder/export/spool.py
@@ -122,7 +122,7 @@
                 continue
             whole, count = records.HEADER.size, 0
             for record in records.scan(data, records.SPOOL):
-                whole, count, last = record.at + record.size, count + 1, record.number
+                whole, count, last = record.offset + record.size, count + 1, record.number
             if whole < len(data):
                 os.truncate(path, whole)  # what was being written when the process was killed
             if count == 0:
--- a/zincladder/leases/client.py
+++ b/zincladder/leases/client.py
@@ -60,7 +60,7 @@
     ) -> None:
         hello = Hello(VERSION, group, self.role, name, os.urandom(8).hex())
         self.participant, self.clock = participant, clock
-        self.random = random.Random(hello.birth)
+        self.random = random.Random(hello.instance_id)
         self.leader = LeaderLink(replicas, hello, self.messages, self, self.random)
         self._wakeup = anyio.Event()
 
--- a/zincladder/metrics/registry.py
+++ b/zincladder/metrics/registry.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Iterator, Mapping
-from dataclasses import dataclass
+from collections.abc import Callable, Iterator, Mapping
 
 from zincladder.admission.gate import Gate
 from zincladder.admission.interface import Admission
 from zincladder.admission.model import Lane
 from zincladder.core.engine import Core
+from zincladder.metrics.exposition import Sample, exposition
 
 # Counters of the core by their group: the metric's name, its label and its help line.
 COUNTERS = {
@@ -103,15 +103,6 @@
 NAMES = frozenset(row[0] for table in TABLES for row in table.values()) | {PENALTIES, FORWARDS}
 
 
-@dataclass(frozen=True, slots=True)
-class Sample:
-    """One value of one series."""
-
-    name: str
-    labels: tuple[tuple[str, str], ...]
-    value: float
-
-
 class Registry:
     """All samples of one front."""
 
@@ -209,21 +200,3 @@
         others = (*ADMISSION_GAUGES.values(), *CACHE.values(), *CLASS.values())
         kinds |= {n: ("counter" if n.endswith("_total") else "gauge", text) for n, _, text in others}
         return exposition(self.samples(), kinds)
-
-
-def exposition(samples: Iterable[Sample], kinds: Mapping[str, tuple[str, str]]) -> str:
-    """The text format of Prometheus; `kinds` gives each name's type and help line."""
-    lines, seen = [], set()
-    # The text format wants all lines of one name together.
-    for sample in sorted(samples, key=lambda s: s.name):
-        if sample.name not in seen:
-            seen.add(sample.name)
-            kind, text = kinds[sample.name]
-            lines += [f"# HELP {sample.name} {text}", f"# TYPE {sample.name} {kind}"]
-        labels = ",".join(f'{k}="{_escaped(v)}"' for k, v in sample.labels)
-        lines.append(f"{sample.name}{{{labels}}} {sample.value:g}")
-    return "\n".join(lines) + "\n"
-
-
-def _escaped(text: str) -> str:
-    return text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/zincladder/metrics/replica.py
+++ b/zincladder/metrics/replica.py
@@ -1,4 +1,4 @@
-"""A keeper's metrics: the group as this member sees it, and the change that is open."""
+"""A replica's metrics: the group as this member sees it, and the change of the policy that is open."""
 
 from __future__ import annotations
 
@@ -7,12 +7,13 @@
 from zincladder.admission.ledger import Use
 from zincladder.admission.model import Why
 from zincladder.consensus.server import ReplicaServer
-from zincladder.metrics.registry import Sample, exposition
+from zincladder.metrics.exposition import Sample, exposition
 from zincladder.policy.host import PolicyLeaderService
 from zincladder.tasks.host import TaskLeaderService
 
-MAX_CONNECTIONS = 16  # connections at once
-KEEPER = {
+MAX_CONNECTIONS = 16
+# Each metric's name, type and help line, by the key of its value.
+REPLICA_METRICS = {
     "leads": ("zincladder_keeper_leads", "gauge", "1 while this keeper leads its group."),
     "led": ("zincladder_keeper_led", "gauge", "1 while this keeper leads or knows who does."),
     "term": ("zincladder_keeper_term", "counter", "Term of the group's log that this keeper knows."),
@@ -21,8 +22,8 @@
     "bytes": ("zincladder_keeper_journal_bytes", "gauge", "Size of the journal's file."),
     "registers": ("zincladder_keeper_registers", "gauge", "Registers held."),
 }
-# What only the leader can tell; others leave them out.
-LEADER = {
+# Of the leader only.
+LEADER_METRICS = {
     "silent": (
         "zincladder_keeper_members_silent",
         "gauge",
@@ -47,58 +48,59 @@
     ),
     "waits": ("zincladder_keeper_change_waits", "gauge", "Fronts that the open change waits for."),
 }
-NAMES = frozenset(row[0] for table in (KEEPER, LEADER) for row in table.values())
+NAMES = frozenset(row[0] for table in (REPLICA_METRICS, LEADER_METRICS) for row in table.values())
 
 
 class ReplicaRegistry:
-    """All samples of one keeper."""
+    """All samples of one replica."""
 
     def __init__(
         self, replica: ReplicaServer, policy_service: PolicyLeaderService, task_service: TaskLeaderService
     ) -> None:
-        self._keeper, self._policy_service, self._task_service = replica, policy_service, task_service
+        self._replica, self._policy_service, self._task_service = replica, policy_service, task_service
 
     def samples(self) -> Iterator[Sample]:
-        replica = self._keeper
-        labels = (("group", replica.config.group), ("keeper", replica.config.name))
-        standing = replica.status()
+        """The samples of this moment; those of LEADER_METRICS only while this replica leads."""
+        config = self._replica.config
+        labels = (("group", config.group), ("keeper", config.name))
+        status = self._replica.status()
         values = {
-            "leads": standing.role == "leader",
-            "led": bool(standing.leader),
-            "term": standing.term,
-            "commit": standing.commit,
-            "unapplied": standing.last - standing.commit,
-            "bytes": standing.bytes_kept,
-            "registers": standing.registers,
+            "leads": status.role == "leader",
+            "led": bool(status.leader),
+            "term": status.term,
+            "commit": status.commit,
+            "unapplied": status.last - status.commit,
+            "bytes": status.bytes_kept,
+            "registers": status.registers,
         }
         for key, value in values.items():
-            yield Sample(KEEPER[key][0], labels, float(value))
-        if standing.role != "leader":
+            yield Sample(REPLICA_METRICS[key][0], labels, float(value))
+        if status.role != "leader":
             return
-        leading = {
-            "silent": len(standing.silent),
-            "older": len(standing.older),
-            "learners": len(standing.learners),
+        leader_values = {
+            "silent": len(status.silent),
+            "older": len(status.older),
+            "learners": len(status.learners),
             **self._policy_service.figures(),
             **self._task_service.figures(),
         }
-        for key, figure in leading.items():
-            yield Sample(LEADER[key][0], labels, float(figure))
+        for key, leader_value in leader_values.items():
+            yield Sample(LEADER_METRICS[key][0], labels, float(leader_value))
 
     def text(self) -> str:
         """The text format of Prometheus."""
-        rows = (*KEEPER.values(), *LEADER.values())
-        return exposition(self.samples(), {name: (kind, text) for name, kind, text in rows})
+        rows = (*REPLICA_METRICS.values(), *LEADER_METRICS.values())
+        return exposition(self.samples(), {name: (kind, help_line) for name, kind, help_line in rows})
 
 
 class ConnectionLimit:
-    """A keeper's own bound on who asks for its metrics: so many connections at once."""
+    """Bounds the connections to a replica's metrics, which has no admission control of its own."""
 
-    def __init__(self, most: int = MAX_CONNECTIONS) -> None:
-        self._most, self._open = most, 0
+    def __init__(self, max_connections: int = MAX_CONNECTIONS) -> None:
+        self._max_connections, self._open = max_connections, 0
 
     def visit(self, use: Use, host: str, now: float) -> Why:
-        if self._open >= self._most:
+        if self._open >= self._max_connections:
             return Why.FULL
         self._open += 1
         return Why.NONE
--- a/zincladder/tasks/context.py
+++ b/zincladder/tasks/context.py
@@ -67,7 +67,7 @@
         swap = write_checkpoint(self.task, self.token(), expected_version, data)
         while True:
             try:
-                result = await self._host.client().ask(swap)
+                result = await self._host.client().request(swap)
             except (RequestFailedError, OutcomeUnknownError):
                 result = rpc.OutcomeUnknown("")
             match result:
@@ -93,7 +93,7 @@
 
     async def collect(self) -> rpc.CollectedCounters:
         """The sums of the counters that all processes have reported to the leader."""
-        reply = await self._host.client().ask(rpc.CollectCounters())
+        reply = await self._host.client().request(rpc.CollectCounters())
         if not isinstance(reply, rpc.CollectedCounters):
             raise RequestFailedError(str(reply))
         return reply
