--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -13,6 +13,7 @@
 from hypothesis import strategies as st
 
 from tests.support.raft_simulation import Broken, Disk, World
+from zincladder.consensus.election import Election
 from zincladder.consensus.key_value_state import (
     CapacityExceeded,
     CompareAndSwap,
@@ -33,11 +34,15 @@
     Snapshot,
     StoredState,
 )
-from zincladder.consensus.raft import RaftNode, Role
+from zincladder.consensus.raft import RaftNode
+from zincladder.consensus.raft_state import RaftState, Role
+from zincladder.consensus.read_index import ReadIndex
 from zincladder.consensus.store import ReplicaStore
+from zincladder.durable.errors import JournalError
 from zincladder.durable.files import FileSystem
-from zincladder.durable.journal import Journal, JournalError
-from zincladder.links.frames import FrameDecoder, FrameError, encode_frame
+from zincladder.durable.journal import Item, Journal
+from zincladder.links.errors import FrameError
+from zincladder.links.frames import FrameDecoder, encode_frame
 from zincladder.policy.change_log import encode
 
 FOUNDERS = Membership({"a": "127.0.0.1:1", "b": "127.0.0.1:2", "c": "127.0.0.1:3"})
@@ -111,23 +116,23 @@
 
 
 def reads_unconfirmed(monkeypatch: pytest.MonkeyPatch) -> None:
-    def spoilt(self: RaftNode) -> None:
-        self._ready += [read.ticket for read in self._reads]
-        self._reads.clear()
+    def spoilt(self: ReadIndex) -> None:
+        self._ready += [read.ticket for read in self._pending]
+        self._pending.clear()
 
-    monkeypatch.setattr(RaftNode, "_confirm", spoilt)
+    monkeypatch.setattr(ReadIndex, "confirm", spoilt)
 
 
 def votes_for_anybody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(RaftNode, "_current", lambda self, m: True)
+    monkeypatch.setattr(Election, "_is_up_to_date", lambda self, message: True)
 
 
 def half_is_a_majority(monkeypatch: pytest.MonkeyPatch) -> None:
-    def spoilt(self: RaftNode, names: object) -> bool:
+    def spoilt(self: RaftState, names: object) -> bool:
         voters = self.membership.voters
         return 2 * len(voters.keys() & set(names)) >= len(voters) - 1  # type: ignore[call-overload]
 
-    monkeypatch.setattr(RaftNode, "_majority", spoilt)
+    monkeypatch.setattr(RaftState, "is_quorum", spoilt)
 
 
 Breaking = Callable[[pytest.MonkeyPatch], None]
@@ -239,10 +244,10 @@
     # seen on a busy machine: a keeper that was only late was set aside until it would have been added anew
     member = led_by_b()
     member.receive("c", AppendEntriesResponse(1, 1, False, 0), 10.1)  # to what b sent when it led before
-    assert member.stale == []
+    assert member.stale_peers == []
     member.receive("c", AppendEntriesResponse(1, 2, True, 1), 10.2)
     member.receive("c", AppendEntriesResponse(1, 3, False, 1), 10.3)  # it had stored that
-    assert member.stale == ["c"]
+    assert member.stale_peers == ["c"]
 
 
 # On disk ------------------------------------------------------------------------------------------
@@ -263,19 +268,19 @@
     store = reopened(store, tmp_path / "s")
     assert store.stored.hard_state == HardState(1, "b")
     assert [e.term for e in store.stored.entries] == [1, 2]
-    assert store.met("b", "first") and not store.met("b", "second")
+    assert store.remember_peer("b", "first") and not store.remember_peer("b", "second")
     store.write(Output(snapshot=Snapshot(2, 2, FOUNDERS, b"state"), first_index=3, entries=some(2)))
     store = reopened(store, tmp_path / "s")
     assert store.stored.snapshot == Snapshot(2, 2, FOUNDERS, b"state")
     assert [e.term for e in store.stored.entries] == [2] and store.stored.hard_state == HardState(1, "b")
-    assert not store.met("b", "second")
+    assert not store.remember_peer("b", "second")
     assert len(list((tmp_path / "s").glob("*.log"))) == 1
 
 
 def test_a_store_cut_at_any_byte_holds_all_that_was_written_before_the_last_batch(tmp_path: Path) -> None:
     store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
     store.write(Output(hard_state=HardState(3, "b"), first_index=1, entries=some(1, 1)))
-    before = store.size
+    before = store.size_bytes
     store.write(Output(hard_state=HardState(4, "c"), first_index=3, entries=some(4, 4, 4)))
     store.close()
     (path,) = (tmp_path / "s").glob("*.log")
@@ -293,9 +298,9 @@
 def test_a_byte_that_changed_in_what_was_promised_is_told_by_name(tmp_path: Path) -> None:
     # guards promises: what is cut off at a spoilt place may hold a vote
     journal = Journal(tmp_path / "j")
-    journal.rewrite([(1, b"first"), (2, b"second")])
+    journal.rewrite([Item(1, b"first"), Item(2, b"second")])
     for n in range(3):
-        journal.append([(1, b"%d" % n), (2, b"more")])
+        journal.append([Item(1, b"%d" % n), Item(2, b"more")])
     journal.close()
     (path,) = (tmp_path / "j").glob("*.log")
     whole = path.read_bytes()
