--- a/zincladder/cli/policy.py
+++ b/zincladder/cli/policy.py
@@ -91,7 +91,7 @@
 @following_options
 @click.pass_obj
 def back(group: Group, version: int, note: str, author: str, wait_seconds: float, as_json: bool) -> None:
-    """Propose what VERSION said, as a new change. Exits as `propose` does."""
+    """Propose the document of VERSION again, as a new change. Exits as `propose` does."""
     document = client.document_of_version(client.read_change_log(group), version)
     restored = client.read_document(group, document)
     note = note or f"back to version {version}"
--- a/zincladder/cli/policy_client.py
+++ b/zincladder/cli/policy_client.py
@@ -122,7 +122,7 @@
 
 
 def leader_view(group: Group) -> dict[str, Any]:
-    """What the leader sees of the fronts; {} if that can't be told."""
+    """What the leader sees of the fronts; {} if it cannot be known."""
     from zincladder.consensus import rpc
 
     reply = run_call(lambda: group_client(group).request(rpc.GetProgress()))
--- a/zincladder/config/replica.py
+++ b/zincladder/config/replica.py
@@ -96,9 +96,9 @@
         for name, where in places.items():
             _parse_address(where, f"keeper.{key}.{name}")
     if table.members and table.name not in table.members:
-        raise ConfigError(f"'keeper.members' must name this replica too, {table.name!r}")
+        raise ConfigError(f"'keeper.members' must name this keeper too, {table.name!r}")
     if len(table.members) not in (0, 1, 3, 5, 7):
-        raise ConfigError("'keeper.members' must be 1, 3, 5 or 7 replicas: one more than that adds no safety")
+        raise ConfigError("'keeper.members' must be 1, 3, 5 or 7 keepers: one more than that adds no safety")
     if table.election_ms < 4 * table.heartbeat_ms:
         raise ConfigError("'keeper.election_ms' must be at least four times 'heartbeat_ms'")
     return ReplicaConfig(
--- a/zincladder/consensus/leader_services.py
+++ b/zincladder/consensus/leader_services.py
@@ -82,7 +82,9 @@
         self.term_state: P | None = None
         self.links: dict[int, LinkedProcess] = {}
         self._last_number = 0
-        self.read_at = -1  # index up to which the term's state knows the log; -1: it is to be told anew
+        self.read_at = (
+            -1
+        )  # index up to which the term's state knows the log; -1: it has to read everything anew
         self._wake_event = anyio.Event()
         self._warning = RateLimitedLog().warning
         replica.state_listeners.append(self.wake)
@@ -181,7 +183,7 @@
             self.links.clear()
 
     def refresh(self, term_state: P) -> None:
-        """Tells the term's state what the group has committed since it was told last."""
+        """Applies to the term's state what the group has committed since the last time."""
         if self.replica.applied_index != self.read_at:
             self.read_at = self.replica.applied_index
             self.state_changed(term_state)
--- a/zincladder/core/attempt_end.py
+++ b/zincladder/core/attempt_end.py
@@ -34,7 +34,7 @@
 
 
 # Outcomes that claim a request never ran (REJECTED, UNREACHABLE, NOT_SENT, MISS) need proof: no byte was
-# written, or the endpoint said so. A wrong claim here would let a write run twice.
+# written, or the endpoint stated it. A wrong claim here would let a write run twice.
 OUTCOME_OF_END: dict[EndReason, api.AttemptOutcome] = {
     EndReason.SERVED: api.AttemptOutcome.OK,
     EndReason.NOT_MODIFIED: api.AttemptOutcome.OK,
--- a/zincladder/handover/host.py
+++ b/zincladder/handover/host.py
@@ -177,7 +177,7 @@
                 return
             with contextlib.suppress(OSError):
                 sock, _ = server.accept()
-                tasks.start_soon(self._hand_over, sock, listening)
+                tasks.start_soon(self._transfer_listener, sock, listening)
 
     def _must_publish_again(self) -> bool:
         """Whether a newer process took the path and has ended.
@@ -191,7 +191,7 @@
         generations.lost_successor = False
         return not self._is_published()
 
-    async def _hand_over(self, sock: socket.socket, listening: socket.socket) -> None:
+    async def _transfer_listener(self, sock: socket.socket, listening: socket.socket) -> None:
         try:
             hello = await self._receive_hello(sock)
             number = self.generations.add(newer=True)
--- a/zincladder/links/clocks.py
+++ b/zincladder/links/clocks.py
@@ -1,4 +1,4 @@
-"""The clock that leases are counted on. No fronts' or keepers' parts are loaded for it."""
+"""The clock that leases are counted on. It loads neither a front's nor a replica's modules."""
 
 from __future__ import annotations
 
--- a/zincladder/policy/change_states.py
+++ b/zincladder/policy/change_states.py
@@ -30,7 +30,7 @@
     """The record with a change under way that was made from `base_version`; `now` is Unix time.
 
     Raises ChangeRejectedError if another change is under way or came first: the second of two operators is
-    told what it missed instead of overwriting it. A version that was withdrawn is never given again.
+    notified of what it missed instead of overwriting it. A version that was withdrawn is never given again.
     """
     change = record.open_change
     if change is not None:
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -18,7 +18,7 @@
 from zincladder.policy.fronts import LinkedFront
 from zincladder.policy.model import ChangePhase, FromParticipant
 
-REREAD = -1  # as the place in the log that was read: the coordinator is told again what stands
+REREAD = -1  # as the place in the log that was read: the coordinator reads all that is committed again
 log = structlog.get_logger()
 
 
--- a/zincladder/routing/__init__.py
+++ b/zincladder/routing/__init__.py
@@ -1,7 +1,7 @@
 """The decisions of one router, without I/O: events and a time in, actions out.
 
 `router.Router` takes each event to the rules, a module for each; `state.RouterState` is what they share, and
-`interface` has the types of events and actions. Where to look when a router on duty surprises:
+`interface` has the types of events and actions. Where to look when a running router surprises:
 
 - A request was rejected with Retry-After: `Router._plan_attempt` lists the reasons in their order, and
   `Router._on_request` has one more, `load_shedding.is_hopeless`. `retry.is_harmless_to_repeat` tells which
--- a/zincladder/routing/fill_throttle.py
+++ b/zincladder/routing/fill_throttle.py
@@ -120,9 +120,9 @@
         throttle = self._by_source.get(source)
         if throttle is None or not throttle.is_overloaded(now):
             return True
-        elsewhere = self._common.admitted_share(now) if self._is_another_overloaded(source, now) else 1.0
+        common = self._common.admitted_share(now) if self._is_another_overloaded(source, now) else 1.0
         own = throttle.admitted_share(now)
-        return own >= elsewhere or random() * elsewhere <= own
+        return own >= common or random() * common <= own
 
     def is_overloaded(self, source: api.EndpointId, now: float) -> bool:
         """Whether fills from a source are slow for sure: then a cache that says nothing may wait for one."""
--- a/zincladder/routing/interface.py
+++ b/zincladder/routing/interface.py
@@ -97,14 +97,14 @@
     timeout: float  # seconds that a client waits, over all its tries
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     objective_per_transfer: float = 0.0  # seconds for each second of transfer
-    priority_weight: float = 1.0  # what an answer in time is worth
+    priority_weight: float = 1.0  # of an answer in time
     late_weight: float = 0.0  # share of it for a late one
     scope: Scope = Scope.ALL
     deduplication_window: float = 0.0  # seconds from the first attempt that may have run
     streamed: bool = False
     fresh_seconds: float = 0.0  # 0: a copy is fresh until it is purged
     stale_if_error_seconds: float = 0.0  # past its fresh time, where the origin fails
-    stale_weight: float = 0.0  # share of the worth for a stale copy
+    stale_weight: float = 0.0  # share of the priority weight that a stale copy earns
     uncacheable: bool = False  # it runs at the origin
     partitioned: bool = False  # objects come in parts that clients ask for in turn
 
--- a/zincladder/routing/utilization.py
+++ b/zincladder/routing/utilization.py
@@ -23,7 +23,7 @@
 
 
 def are_links_known(state: RouterState) -> bool:
-    """Whether the caches' links are listed, or told of by enough reports.
+    """Whether the caches' links are listed, or known from enough load reports.
 
     Without this check a router that has just started would reject what a lost cache leaves over.
     """
--- a/zincladder/tasks/lease_manager.py
+++ b/zincladder/tasks/lease_manager.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """When, and on which link, a runner was told of its assignment under a token."""
+    """When, and on which link, a runner was notified of its assignment under a token."""
 
     token: int
     link: int
