--- a/tests/routing/test_imports.py
+++ b/tests/routing/test_imports.py
@@ -5,23 +5,8 @@
 import ast
 import subprocess
 import sys
-from pathlib import Path
-
-PACKAGE = Path(__file__).resolve().parents[2] / "zincladder"
-PARENTS = ("zincladder", "zincladder.routing")  # packages from which modules are imported by name
-
-
-def imported(name: str) -> set[str]:
-    found: set[str] = set()
-    for node in ast.walk(ast.parse((PACKAGE / name).read_text())):
-        if isinstance(node, ast.Import):
-            found |= {alias.name for alias in node.names}
-        elif isinstance(node, ast.ImportFrom):
-            assert node.level == 0
-            module = node.module or ""
-            found |= {f"{module}.{a.name}" for a in node.names} if module in PARENTS else {module}
-    return found
 
+from tests.support.imports import PACKAGE, imported
 
 # The modules of the decisions, each with those of the package that it imports, from the bottom up.
 DECISIONS = {
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -15,8 +15,8 @@
 from zincladder.simulator import wire
 from zincladder.simulator.adapter import Host, run
 
-STORE = bytes.fromhex("0a124a075b1b")
-CONF: dict[str, Any] = {
+CACHE_ID = bytes.fromhex("0a124a075b1b")
+SETTINGS: dict[str, Any] = {
     "az": 1,
     "categories": [
         {"deadline": 5.0, "effect": "idempotent", "keyScope": "all", "onTime": 0.6, "value": 2.0, "new": 1},
@@ -46,20 +46,20 @@
     return struct.pack("<II", number, len(body)) + body
 
 
-def born(instance: int = 3, conf: Any = None) -> bytes:
-    text = json.dumps(CONF if conf is None else conf).encode()
+def instance_started(instance: int = 3, settings: Any = None) -> bytes:
+    text = json.dumps(SETTINGS if settings is None else settings).encode()
     return record(30, struct.pack("<IQI", instance, 9, len(text)) + text)
 
 
-def entry(store: bytes, kind: int, zone: int, state: int = 1) -> bytes:
-    return struct.pack("<HBfHdH", kind, state, 4.0, 0, 0.0, zone) + store
+def endpoint_entry(endpoint_id: bytes, kind: int, zone: int, state: int = 1) -> bytes:
+    return struct.pack("<HBfHdH", kind, state, 4.0, 0, 0.0, zone) + endpoint_id
 
 
 def endpoints(*entries: bytes, instance: int = 3, mode: int = 4) -> bytes:
     return record(110, struct.pack("<IBQI", instance, mode, 1, len(entries)) + b"".join(entries))
 
 
-def query(request: int = 1, deadline: float = 4.0, instance: int = 3) -> bytes:
+def request_record(request: int = 1, deadline: float = 4.0, instance: int = 3) -> bytes:
     return record(50, struct.pack("<IQffBQBfHd", instance, request, 11.0, 641.0, 3, 77, 0, 3.0, 0, deadline))
 
 
@@ -87,38 +87,40 @@
 
 
 def test_every_event_is_read() -> None:
-    ended = struct.pack("<QH6sHdBBdB2f", 5, 1, STORE, 8, 0.25, 1, 8, 0.125, 2, 0.5, 1.0)
+    ended = struct.pack("<QH6sHdBBdB2f", 5, 1, CACHE_ID, 8, 0.25, 1, 8, 0.125, 2, 0.5, 1.0)
     assert event(40, ended) == api.AttemptEnded(
-        5, 1, STORE, api.AttemptOutcome.MISS, 0.25, True, api.FillOutcome.SOURCE_MISS, 0.125, (0.5, 1.0)
+        5, 1, CACHE_ID, api.AttemptOutcome.MISS, 0.25, True, api.FillOutcome.SOURCE_MISS, 0.125, (0.5, 1.0)
     )
     assert event(20, struct.pack("<QHd", 9, 4, 0.5)) == api.Purged(9, 4, 0.5)
     assert event(20, struct.pack("<QHd", 0, 4, 0.5)) == api.Purged(None, 4, 0.5)
     assert event(70, struct.pack("<Q", 77)) == api.TimerFired(77)
     assert event(80, struct.pack("<Q", 5)) == api.ClientDisconnected(5)
-    probed = struct.pack("<6sdHBf", STORE, 0.5, 1, 1, 0.25)
-    assert event(100, probed) == api.ProbeEnded(STORE, api.AttemptOutcome.OK, 0.5, (0.25,))
+    probed = struct.pack("<6sdHBf", CACHE_ID, 0.5, 1, 1, 0.25)
+    assert event(100, probed) == api.ProbeEnded(CACHE_ID, api.AttemptOutcome.OK, 0.5, (0.25,))
     assert decoded(record(90, struct.pack("<I", 3))) == (wire.InstanceStopped(3),)
-    (listed,) = decoded(endpoints(entry(STORE, 2, 5, state=0)))
+    (listed,) = decoded(endpoints(endpoint_entry(CACHE_ID, 2, 5, state=0)))
     assert isinstance(listed, wire.RouterEvent)
-    endpoint = api.Endpoint(STORE, 2, 5, api.EndpointState.GONE, 4.0, 0, 0.0)
+    endpoint = api.Endpoint(CACHE_ID, 2, 5, api.EndpointState.GONE, 4.0, 0, 0.0)
     assert listed.event == api.EndpointUpdate(api.UpdateKind.CACHED, 1, (endpoint,))
 
 
 def test_events_that_no_decision_depends_on_are_read_and_passed_over() -> None:
-    started, message = struct.pack("<IQH6sd", 3, 5, 1, STORE, 0.5), struct.pack("<IIH2s", 3, 2, 2, b"hi")
+    started, message = struct.pack("<IQH6sd", 3, 5, 1, CACHE_ID, 0.5), struct.pack("<IIH2s", 3, 2, 2, b"hi")
     assert decoded(record(10, message)) == (wire.IgnoredEvent(3, wire.PeerMessage(2, b"hi")),)
-    assert decoded(record(60, started)) == (wire.IgnoredEvent(3, wire.AnswerStarted(5, 1, STORE, 0.5)),)
+    assert decoded(record(60, started)) == (wire.IgnoredEvent(3, wire.AnswerStarted(5, 1, CACHE_ID, 0.5)),)
     for code, fields in ((10, message), (60, started)):
         for wrong in (fields[:-1], fields + b"x"):
             with pytest.raises(wire.WireError):
                 decoded(record(code, wrong))
     host = Host()
-    (batch,) = wire.read_batches(io.BytesIO(frame(1, born(), record(10, message), record(60, started))))
+    (batch,) = wire.read_batches(
+        io.BytesIO(frame(1, instance_started(), record(10, message), record(60, started)))
+    )
     assert host.reply(batch)[8:] == b"" and not host.routers[3].pending
 
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
-    (got,) = decoded(born())
+    (got,) = decoded(instance_started())
     assert isinstance(got, wire.InstanceStarted) and got.seed == 9
     s = got.settings
     assert (s.zone, s.routers, s.parent_kind, s.max_attempts) == (1, 3, 1, 6)
@@ -130,17 +132,17 @@
 def test_every_action_is_written() -> None:
     head = struct.pack("<IQ", 3, 5)
     expected: list[tuple[api.Action, int, bytes]] = [
-        (api.Lookup(5, STORE), 10, head + STORE + struct.pack("<d", 0.0)),
+        (api.Lookup(5, CACHE_ID), 10, head + CACHE_ID + struct.pack("<d", 0.0)),
         (api.Reject(5, 0.25), 20, head + struct.pack("<d", 0.25)),
         (api.Fail(5), 30, head),
         (api.Cancel(5, 2), 40, head + struct.pack("<H", 2)),
         (api.SetTimer(0.5, 77), 50, struct.pack("<IdQ", 3, 0.5, 77)),
-        (api.Probe(STORE), 60, struct.pack("<I", 3) + STORE),
+        (api.Probe(CACHE_ID), 60, struct.pack("<I", 3) + CACHE_ID),
         (api.Subscribe(), 110, struct.pack("<IB", 3, 1)),
         (
-            api.Fetch(5, STORE, b"origin", 2, 1.5, coalesce=True, renew=True),
+            api.Fetch(5, CACHE_ID, b"origin", 2, 1.5, coalesce=True, renew=True),
             130,
-            head + STORE + b"origin" + struct.pack("<BdBd", 2, 1.5, 9, 0.0),
+            head + CACHE_ID + b"origin" + struct.pack("<BdBd", 2, 1.5, 9, 0.0),
         ),
     ]
     for action, code, fields in expected:
@@ -157,18 +159,20 @@
 
 def test_a_request_is_decided_end_to_end() -> None:
     sink = io.BytesIO()
-    fleet = endpoints(entry(STORE, 0, 1), entry(b"parent", 1, 0), entry(b"origin", 2, 0))
-    run(io.BytesIO(frame(1, born(), fleet) + frame(2, query())), sink)
+    fleet = endpoints(
+        endpoint_entry(CACHE_ID, 0, 1), endpoint_entry(b"parent", 1, 0), endpoint_entry(b"origin", 2, 0)
+    )
+    run(io.BytesIO(frame(1, instance_started(), fleet) + frame(2, request_record())), sink)
     reply = sink.getvalue()[8:]
     assert struct.unpack_from("<I", reply)[0] == 2 and reply[8] == 130
-    assert STORE + b"parent" in reply
+    assert CACHE_ID + b"parent" in reply
 
 
 @pytest.mark.parametrize(
-    ("data", "said"),
+    ("data", "message"),
     [
         (frame(1)[:5], "inside a frame header"),
-        (frame(1, query())[:-3], "input ends inside batch 1"),
+        (frame(1, request_record())[:-3], "input ends inside batch 1"),
         (struct.pack("<II", 1, 1 << 30), "impossible length"),
         (struct.pack("<II", 1, 4) + b"abcd", "too short for its header"),
         (frame(1, record(77, b"")), "unknown event code 77"),
@@ -176,19 +180,19 @@
         (frame(1, record(80, bytes(13))), "'gone' has 1 bytes too many"),
         (frame(1, record(40, bytes(18) + b"\xff" + bytes(40))), "bytes too many"),
         (frame(1, endpoints(b"")), "'members' is too short"),
-        (frame(1, endpoints(entry(STORE, 0, 1, state=9))), "unknown code 9"),
-        (frame(1, born(conf=[])), "settings cannot be read"),
-        (frame(1, born(conf={"categories": [{}]})), "0].onTime' is missing"),
+        (frame(1, endpoints(endpoint_entry(CACHE_ID, 0, 1, state=9))), "unknown code 9"),
+        (frame(1, instance_started(settings=[])), "settings cannot be read"),
+        (frame(1, instance_started(settings={"categories": [{}]})), "0].onTime' is missing"),
         (struct.pack("<IIdI", 1, 12, 1.0, 2), "ends before record 0 of 2"),
         (struct.pack("<IIdIB", 1, 13, 1.0, 0, 0), "1 bytes after its last record"),
     ],
 )
-def test_malformed_input_is_named(data: bytes, said: str) -> None:
-    with pytest.raises(wire.WireError, match=said.replace("(", r"\(")):
+def test_malformed_input_is_named(data: bytes, message: str) -> None:
+    with pytest.raises(wire.WireError, match=message.replace("(", r"\(")):
         run(io.BytesIO(data), io.BytesIO())
 
 
-def test_the_process_ends_with_a_plain_message_and_a_status() -> None:
+def test_the_process_ends_with_a_message_and_a_status() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "zincladder.simulator.adapter"],
         input=frame(1, record(77, b"")),
@@ -203,26 +207,32 @@
     assert clean.returncode == 0 and clean.stderr == b""
 
 
-def test_a_fault_in_one_router_is_broken_for_its_instance_only(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_one_router_is_reported_for_its_instance_only(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     host = Host()
 
     def reply(*records: bytes) -> bytes:
         (batch,) = wire.read_batches(io.BytesIO(frame(1, *records)))
         return host.reply(batch)[8:]
 
-    fleet = [endpoints(entry(STORE, 0, 1), entry(b"origin", 2, 0), instance=i) for i in (3, 4)]
-    reply(born(3), born(4), *fleet)
+    fleet = [
+        endpoints(endpoint_entry(CACHE_ID, 0, 1), endpoint_entry(b"origin", 2, 0), instance=i) for i in (3, 4)
+    ]
+    reply(instance_started(3), instance_started(4), *fleet)
 
     def fail(*_: object) -> None:
         raise ValueError("no such thing")
 
     monkeypatch.setattr(host.routers[3], "handle", fail)
-    said = reply(query(instance=3), query(instance=4))
-    assert said[0] == 100 and b"ValueError in fail" in said and b"no such thing" in said
-    assert said.count(STORE) == 1 and set(host.routers) == {4}
+    answer = reply(request_record(instance=3), request_record(instance=4))
+    assert answer[0] == 100 and b"ValueError in fail" in answer and b"no such thing" in answer
+    assert answer.count(CACHE_ID) == 1 and set(host.routers) == {4}
 
 
-def test_a_halted_instance_is_forgotten() -> None:
+def test_a_stopped_instance_is_forgotten() -> None:
     host = Host()
-    (batch,) = wire.read_batches(io.BytesIO(frame(1, born(3), record(90, struct.pack("<I", 3)), query())))
+    (batch,) = wire.read_batches(
+        io.BytesIO(frame(1, instance_started(3), record(90, struct.pack("<I", 3)), request_record()))
+    )
     assert host.reply(batch)[8:] == b"" and host.routers == {}
--- /dev/null
+++ b/tests/support/imports.py
@@ -0,0 +1,22 @@
+"""What a module of the package imports, read from its source."""
+
+from __future__ import annotations
+
+import ast
+from pathlib import Path
+
+PACKAGE = Path(__file__).resolve().parents[2] / "zincladder"
+PARENTS = ("zincladder", "zincladder.routing")  # packages from which modules are imported by name
+
+
+def imported(name: str) -> set[str]:
+    """The modules that a file of the package imports, also inside functions."""
+    found: set[str] = set()
+    for node in ast.walk(ast.parse((PACKAGE / name).read_text())):
+        if isinstance(node, ast.Import):
+            found |= {alias.name for alias in node.names}
+        elif isinstance(node, ast.ImportFrom):
+            assert node.level == 0
+            module = node.module or ""
+            found |= {f"{module}.{a.name}" for a in node.names} if module in PARENTS else {module}
+    return found
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -2,31 +2,12 @@
 
 from __future__ import annotations
 
-import ast
-from pathlib import Path
-
+from tests.support.imports import PACKAGE, imported
 from zincladder.consensus import server
 from zincladder.policy import coordinator
 from zincladder.tasks import counter_sums
 from zincladder.tasks import model as tasks
 
-PACKAGE = Path(__file__).resolve().parent.parent / "zincladder"
-
-
-PARENTS = ("zincladder", "zincladder.routing")  # packages from which modules are imported by name
-
-
-def imported(name: str) -> set[str]:
-    found: set[str] = set()
-    for node in ast.walk(ast.parse((PACKAGE / name).read_text())):
-        if isinstance(node, ast.Import):
-            found |= {alias.name for alias in node.names}
-        elif isinstance(node, ast.ImportFrom):
-            assert node.level == 0
-            module = node.module or ""
-            found |= {f"{module}.{a.name}" for a in node.names} if module in PARENTS else {module}
-    return found
-
 
 def test_the_core_knows_no_wire_and_no_front() -> None:
     for path in (PACKAGE / "core").glob("*.py"):
--- a/zincladder/routing/__init__.py
+++ b/zincladder/routing/__init__.py
@@ -4,7 +4,7 @@
 `interface` has the types of events and actions. Where to look when a router on duty surprises:
 
 - A request was rejected with Retry-After: `Router._plan_attempt` lists the reasons in their order, and
-  `Router._on_request` has one more, `load_shedding.is_hopeless`. `retry.is_harmless_to_repeat` tells which
+  `Router._on_request` has one more, `load_shedding.is_hopeless`. `retry.is_harmless_to_repeat` says which
   requests fail instead.
 - An endpoint gets no requests: `selection.select_endpoint` lists what is passed by. `outlier_ejection` says
   what ejects an endpoint and what brings it back, `slow_start` what one that has just started is given.
--- a/zincladder/routing/capacity.py
+++ b/zincladder/routing/capacity.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-MIN_BUSY, MAX_BUSY = 0.25, 0.8  # how busy a cache must be for its load report to tell its cores
+MIN_BUSY, MAX_BUSY = 0.25, 0.8  # share of its cores in use for which a cache's load report counts
 MIN_REPORTS = 3  # before the estimate is used: a single report is noise
-# Weights of a report that tells of more cores, and of fewer: the estimate is rather too low than too high.
+# Weights of a report of more cores than estimated, and of fewer: the estimate errs on the low side.
 INCREASE_EWMA_WEIGHT, DECREASE_EWMA_WEIGHT = 0.02, 0.1
 TRANSFER_TIME_EWMA_WEIGHT = 0.02
 
@@ -35,13 +35,13 @@
 
 @dataclass(slots=True)
 class TransferTimeEstimate:
-    """The mean transfer time of one class, in seconds; 0 until something tells of it."""
+    """The mean transfer time of one class, in seconds; 0 while it is not known."""
 
     mean_seconds: float = 0.0
     _hits_timed: int = 0
 
     def record_sized(self, seconds: float) -> None:
-        """Counts a request whose size tells its transfer time."""
+        """Counts a request of known size."""
         mean = self.mean_seconds
         self.mean_seconds = mean + (seconds - mean) * TRANSFER_TIME_EWMA_WEIGHT if mean else seconds
 
--- a/zincladder/routing/fill_throttle.py
+++ b/zincladder/routing/fill_throttle.py
@@ -1,9 +1,9 @@
 """Throttles of fills, by source and for all sources together. No I/O.
 
 A source that is asked for more than it can do answers late or rejects. One such source is passed by: the next
-one on the ring serves its objects meanwhile. An overload that several sources show is that of the origin
-behind them, which no other source relieves: then a share of the requests takes only what caches and sources
-hold.
+one on the ring serves its objects meanwhile. An overload of several sources is that of the origin behind
+them, which no other source relieves: then a share of the requests takes only copies that caches and sources
+have.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 # Share of overloaded fills that changes nothing: some are slow on any day, and where sizes are not announced
 # one in nine takes twice the mean by its size alone (lognormal, spread 1).
 TOLERATED_OVERLOADED_SHARE = 0.3
-# What a good fill multiplies the admitted share by: at the tolerated share, decreases and increases cancel
-# out.
+# What a good fill multiplies the admitted share by: decreases and increases cancel out at the tolerated
+# share.
 GOOD_FILL_FACTOR = (1 - OVERLOAD_DECREASE) ** (-TOLERATED_OVERLOADED_SHARE / (1 - TOLERATED_OVERLOADED_SHARE))
 UNCONFIRMED_WEIGHT = 0.5  # of an overloaded fill that no other source confirms: common or not, at even odds
-# Of a fill's slack (what the latency objective leaves beside the transfer), past which a fill is overloaded.
-# What a fill tells of a queue is as old as the fill; where fills are few, the next one comes a second later.
+# Share of its slack (what the latency objective leaves beside the transfer) above which a fill is overloaded.
+# A fill shows a queue as it was when the fill began; where fills are few, the next one comes a second later.
 SLACK_SHARE_FEW_FILLS, SLACK_SHARE_MANY_FILLS = 0.5, 0.75
 MIN_ADMITTED_SHARE = 0.05  # under the worst overload: these fills show that it is over
 OVERLOADED_BELOW = 0.5  # admitted share below which fills are slow for sure
-# Outcomes that tell of an overload where they come late; a cache gives slow fills up with an error.
+# Outcomes that show an overload where they come late; a cache gives slow fills up with an error.
 LATE_OUTCOMES = (
     api.AttemptOutcome.OK,
     api.AttemptOutcome.TIMED_OUT,
@@ -101,7 +101,7 @@
         self._common.record_fill(overloaded, now, weight)
 
     def slack_share(self, now: float) -> float:
-        """The share of its slack past which a fill is overloaded."""
+        """The share of its slack above which a fill is overloaded."""
         return SLACK_SHARE_FEW_FILLS if self._common.has_few_fills(now) else SLACK_SHARE_MANY_FILLS
 
     def keep_only(self, sources: Container[api.EndpointId]) -> None:
@@ -140,7 +140,7 @@
     caches_own_fault: bool,
     slack_share: float,
 ) -> bool | None:
-    """Whether an attempt's end tells of an overload of its source; `None` where it tells nothing of a fill.
+    """Whether an attempt's end shows an overload of its source; `None` where it shows nothing of a fill.
 
     `caches_own_fault` says that a rejection was the cache's own, not its source's. A fill that takes more
     than `slack_share` of what the latency objective leaves beside its transfer is overloaded.
--- a/zincladder/routing/freshness.py
+++ b/zincladder/routing/freshness.py
@@ -1,4 +1,4 @@
-"""How old a copy may be. No I/O."""
+"""The maximum age of copies. No I/O."""
 
 from __future__ import annotations
 
--- a/zincladder/routing/interface.py
+++ b/zincladder/routing/interface.py
@@ -48,7 +48,7 @@
 
 
 class UpdateKind(IntEnum):
-    """How an update relates to the list before it."""
+    """The relation of an update to the list before it."""
 
     DELTA = 0  # the entries that changed
     FULL = 1
@@ -57,7 +57,7 @@
 
 
 class AttemptOutcome(IntEnum):
-    """How an attempt ended."""
+    """The end of an attempt."""
 
     ERROR = 0
     OK = 1
@@ -71,14 +71,14 @@
 
 
 class FillOutcome(IntEnum):
-    """What an answer tells of the copy or of the fill, where it tells any."""
+    """What an answer says about the copy or the fill, where it says anything."""
 
     NONE = 0
     HIT = 1
     FILLED = 2
     FILLED_VIA_ORIGIN = 3
     COALESCED = 4  # it joined a fill under way; with a miss: one is under way
-    STALE = 5  # a copy past its fresh time
+    STALE = 5  # a copy older than its fresh time
     SOURCE_REJECTED = 6
     SOURCE_FAILED = 7  # not reached, broken off or out of time
     SOURCE_MISS = 8
@@ -103,7 +103,7 @@
     deduplication_window: float = 0.0  # seconds from the first attempt that may have run
     streamed: bool = False
     fresh_seconds: float = 0.0  # 0: a copy is fresh until it is purged
-    stale_if_error_seconds: float = 0.0  # past its fresh time, where the origin fails
+    stale_if_error_seconds: float = 0.0  # after its fresh time, where the origin fails
     stale_weight: float = 0.0  # share of the worth for a stale copy
     uncacheable: bool = False  # it runs at the origin
     partitioned: bool = False  # objects come in parts that clients ask for in turn
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """How much a role's endpoints bear after their start, and what overloads them.
+    """What endpoints of a role bear after their start, and what overloads them.
 
     Work at `overload_factor` times the present capacity for `overload_seconds` brings one down.
     """
@@ -139,7 +139,7 @@
     cache_slow_start: SlowStart = SlowStart(1.0, 0.0, 0.0, 1.0)
     parent_slow_start: SlowStart = SlowStart(1.0, 0.0, 0.0, 1.0)
     drain_grace: float = 0.0  # seconds in which requests to a draining endpoint have to end
-    answer_slack: float = 0.0  # seconds past a client's deadline in which an answer still counts
+    answer_slack: float = 0.0  # seconds after a client's deadline in which an answer still counts
     purge_grace: float = 0.0  # seconds from a purge event on, after which no older copy may be served
     purge_done: float = 0.0  # seconds from a purge on, after which no endpoint has an older copy
     max_attempts: int = 1  # of one request
@@ -291,7 +291,7 @@
 class Fetch:
     """An attempt that says what to do on a miss.
 
-    With the endpoint itself as its source nothing is filled; with rank 0 no copy is kept.
+    With the endpoint itself as its source nothing is filled; with rank 0 nothing is cached.
     """
 
     request: int
@@ -301,7 +301,7 @@
     max_age: float = 0.0  # of a copy that will do, in seconds; 0: the class's own
     coalesce: bool = False  # it may join a fill under way
     cached_only: bool = False  # the source gives only what it has
-    parent_proxies: bool = False  # the source keeps no copy
+    parent_proxies: bool = False  # the source caches no copy
     renew: bool = False  # a stale copy is served and renewed afterwards
 
 
--- a/zincladder/routing/load_shedding.py
+++ b/zincladder/routing/load_shedding.py
@@ -10,8 +10,8 @@
 
 # Of a class's latency objective, by which a transfer may be prolonged by an overload.
 MAX_OBJECTIVE_OVERRUN = 1.0
-# Load of the location's link, in transfers over those at full pace, from which fills are slower than it
-# tells.
+# Load of the location's link, in transfers over those at full pace, from which fills are slower than the
+# load.
 SATURATED_LINK_LOAD = 2.5
 # Of a class's timeout: with more than this left, a request is never hopeless.
 SURE_TIMEOUT_SHARE = 0.5
@@ -27,7 +27,7 @@
 
 
 def is_hopeless(seconds_left: float, transfer_seconds: float, timeout: float) -> bool:
-    """Whether a client gives up before its answer can be complete, even if the first cache holds it.
+    """Whether a client gives up before its answer can be complete, even with a copy at the first cache.
 
     `seconds_left` is the time until then, `timeout` that of the request's class in seconds. Half of the
     timeout is always enough: where sizes are not announced, `transfer_seconds` is a mean that load moves.
--- a/zincladder/routing/outcomes.py
+++ b/zincladder/routing/outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt tells each rule: the budgets, the throttles, outlier ejection. No I/O."""
+"""The end of an attempt is counted by each rule: budgets, throttles, outlier ejection. No I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 MAX_FAST_FAILURE_OBJECTIVES = 0.5  # latency objectives within which a failure comes at once
 
-# Outcomes that tell nothing of the endpoint.
+# Outcomes that show nothing about the endpoint.
 NO_EVIDENCE = (api.AttemptOutcome.CANCELLED, api.AttemptOutcome.NOT_SENT)
 # Outcomes that are answers of the cache itself.
 ANSWERS = (
@@ -35,7 +35,7 @@
 def learn_from(
     state: RouterState, event: api.AttemptEnded, attempt: Attempt, blamed: api.EndpointIds, now: float
 ) -> None:
-    """Counts the end of an attempt with every rule that it tells something.
+    """Counts the end of an attempt with every rule that it concerns.
 
     `blamed` are the endpoints at fault if it failed.
     """
@@ -84,7 +84,7 @@
     )
     if overloaded is not None:
         record_fill(state, attempt, overloaded, now)
-    # No other outcome tells what a sibling holds.
+    # No other outcome shows whether a sibling has copies.
     if event.outcome in SUCCESSES and state.endpoints.is_sibling_fill(attempt.cache, attempt.source):
         hit = max(MIN_SIBLING_HIT, event.outcome is api.AttemptOutcome.OK)
         state.sibling_hit_share += SIBLING_HIT_EWMA_WEIGHT * (hit - state.sibling_hit_share)
--- a/zincladder/routing/outlier_ejection.py
+++ b/zincladder/routing/outlier_ejection.py
@@ -1,9 +1,9 @@
 """Outliers: endpoints that fail are ejected, caches that are slow by themselves are passed by. No I/O.
 
-An endpoint is ejected when the moving average of its failures passes `EJECTION_FAILURE_RATE`, or is silent as
-often, but at most `MAX_EJECTED_SHARE` of its ring are. A success brings it back: of an attempt that was under
-way, or of the trial request that it is sent every `TRIAL_INTERVAL_SECONDS`. So does a new start time on the
-list.
+An endpoint is ejected when the moving average of its failures, silences among them, exceeds
+`EJECTION_FAILURE_RATE`, unless `MAX_EJECTED_SHARE` of its ring are ejected. A success brings it back: of an
+attempt in flight, or of the trial request that it is sent every `TRIAL_INTERVAL_SECONDS`. So does a new start
+time on the list.
 """
 
 from __future__ import annotations
@@ -17,19 +17,20 @@
 from zincladder.routing.state import RouterState
 
 FAILURE_EWMA_WEIGHT = 0.3  # of the newest outcome
-# By which one endpoint's failure rate passes another's to tell which of both failed.
+# By which the failure rate of one endpoint must exceed that of another for only the first to be blamed.
 MIN_FAILURE_RATE_DIFFERENCE = 0.1
 EJECTION_FAILURE_RATE = 0.6  # three failures in a row, or most of many
 MAX_EJECTED_SHARE = 0.5  # of a ring: a fault of the whole location must not empty it
-TRIAL_INTERVAL_SECONDS = 2.0  # each trial may cost one request its patience
+TRIAL_INTERVAL_SECONDS = 2.0  # each trial may cost one request a silence timeout
 # An attempt at a cache that says nothing at all for longer than this many latency objectives of its class
 # plus transfer times of its own is silent; answers share links, and fills come before them.
 SILENCE_TIMEOUT_OBJECTIVES = 1.5
 SILENCE_TIMEOUT_TRANSFERS = 3.0
-# Times the median slowdown of the location's caches: past it a cache is slow by itself, and so are its fills.
+# Times the median slowdown of the location's caches: above it a cache is slow by itself, and so are its
+# fills.
 SLOW_OUTLIER_RATIO = 4.0
 SLOWDOWN_EWMA_WEIGHT = 0.3  # of the newest answer
-SLOWDOWN_EWMA_WEIGHT_UNSIZED = 0.02  # where sizes are not announced, which are noise then
+SLOWDOWN_EWMA_WEIGHT_UNSIZED = 0.02  # where sizes, which are noise then, are not announced
 MIN_TRANSFER_SECONDS = 1e-3
 
 # Outcomes that may be a rejection or a fault of the source, where caches do not report those of fills.
@@ -37,7 +38,7 @@
 
 
 def attribute_failure(state: RouterState, event: api.AttemptEnded, attempt: Attempt) -> api.EndpointIds:
-    """The endpoints to blame if the attempt failed: the cache, its source, or both where nothing tells.
+    """The endpoints to blame if the attempt failed: the cache, its source, or both where it is not known.
 
     Guards against a source that rejects without a note: all its caches would be asked in vain, and ejected.
     """
@@ -95,10 +96,10 @@
 
 
 def is_silent(state: RouterState, cache: EndpointStats, attempt: Attempt, now: float) -> bool:
-    """Whether a cache past its silence timeout is taken to be silent: it answered nothing else meanwhile.
+    """Whether a cache is silent after its silence timeout: it answered nothing else meanwhile.
 
-    Slow fills look like silence: it is not judged while those of its source are slow, or retries have run
-    out.
+    Slow fills look like silence: no cache counts as silent while the fills of its source are slow, or while
+    there is no retry left.
     """
     if cache.last_answer_at > attempt.checked_at or not state.retry_budget.available():
         return False
@@ -117,7 +118,7 @@
     transfer_times: float,
     sized: bool,
 ) -> None:
-    """Counts how many transfer times a success took of the endpoint that sent the content.
+    """Counts the transfer times that a success took of the endpoint that sent the content.
 
     `filling_cache` is the cache through which a source was measured: what a slow outlier adds is taken off.
     `sized` says that the size of the answer was announced.
--- a/zincladder/routing/purges.py
+++ b/zincladder/routing/purges.py
@@ -6,7 +6,7 @@
 
 
 class Purges:
-    """When objects, and groups of objects, were last purged; kept until no endpoint has older copies."""
+    """When objects, and groups of objects, were last purged, until no endpoint has older copies."""
 
     def __init__(self) -> None:
         self._purged_at: dict[tuple[int | None, int], float] = {}
--- a/zincladder/routing/requests.py
+++ b/zincladder/routing/requests.py
@@ -21,7 +21,7 @@
     in_flight: set[int] = field(default_factory=set)  # numbers of its attempts
     failed_endpoints: api.EndpointIds = field(default_factory=set)  # asked again only where all else is unfit
     waits_for_fill: bool = False  # a fill of the object is under way at the cache
-    accepts_stale: bool = False  # the origin failed: a copy past its fresh time will do
+    accepts_stale: bool = False  # the origin failed: a copy older than its fresh time will do
     may_have_run_at: list[float] = field(
         default_factory=list
     )  # when the attempts that may have run were sent
--- a/zincladder/routing/retry.py
+++ b/zincladder/routing/retry.py
@@ -18,7 +18,7 @@
     api.AttemptOutcome.NOT_SENT,
     api.AttemptOutcome.MISS,
 )
-# Fill outcomes that tell of the fill's source.
+# Faults of the source of a fill.
 SOURCE_FAULTS = (api.FillOutcome.SOURCE_REJECTED, api.FillOutcome.SOURCE_FAILED)
 # Fill outcomes for which the cache is not to blame.
 BLAMES_SOURCE = (*SOURCE_FAULTS, api.FillOutcome.SOURCE_MISS, api.FillOutcome.ORIGIN_FAILED)
--- a/zincladder/routing/router.py
+++ b/zincladder/routing/router.py
@@ -253,7 +253,7 @@
             self._check_silence(key, now)
 
     def _check_silence(self, key: tuple[int, int], now: float) -> None:
-        """Cancels an attempt past its silence timeout at a cache that answered nothing else meanwhile.
+        """Cancels an attempt after its silence timeout at a cache that answered nothing else meanwhile.
 
         Guards a request against waiting for an endpoint that is gone. The cancellation leads to a retry.
         """
--- a/zincladder/routing/selection.py
+++ b/zincladder/routing/selection.py
@@ -14,8 +14,8 @@
 from zincladder.routing.state import RouterState
 from zincladder.routing.utilization import cache_utilization, mean_utilization
 
-# Utilization of a cache past which its objects go on to the next one on the ring, but only past so many times
-# the mean of the caches: slow fills load all caches alike, and then no object is better off elsewhere.
+# Utilization of a cache above which its objects go on to the next one on the ring, but only above this
+# multiple of the mean: slow fills load all caches alike, and then no object is better off elsewhere.
 SPILLOVER_UTILIZATION = 0.75
 SPILLOVER_MEAN_RATIO = 1.5
 
@@ -54,10 +54,11 @@
 ) -> EndpointStats | None:
     """The first endpoint on the object's walk along a ring that may be asked; `None` if there is none.
 
-    Passed by in turn: what is not ready, what would answer too late, what slow start does not admit, what is
-    ejected or has failed this request, and past the spillover utilization whoever is utilized most. An
-    ejected endpoint whose trial is due is asked. Where nothing else is left, one that fails at once may be
-    asked again. `transfer_seconds` is the work that slow start counts.
+    Passed by are, in this order, endpoints that are not ready, that would answer too late, that slow start
+    does not admit, and that are ejected or failed this request; an ejected one is asked once its trial is
+    due. Of those above the spillover utilization, or with an overloaded throttle, the least utilized is asked
+    if there is no other, and then one that fails at once. `transfer_seconds` is the work that slow start
+    counts.
     """
     of_caches = ring is state.endpoints.caches
     mean = mean_utilization(state) if of_caches else 0.0
@@ -108,8 +109,7 @@
 ) -> EndpointStats | None:
     """The parent of an object, or the origin where none is fit and its budget allows.
 
-    Guards the origin, which alone runs writes: where parents fail, all routers would fall back on it
-    together.
+    Guards the origin, which alone runs writes: all routers would fall back on it where parents fail.
     """
     parents = state.endpoints.parents
     parent = select_endpoint(state, parents, pending, pending.transfer_seconds, now)
@@ -120,7 +120,7 @@
 
 def _is_fill_overloaded(state: RouterState, pending: PendingRequest, source: EndpointStats | None) -> bool:
     """Whether the location's link, or the pace of the source, would make a fill too late."""
-    # Where sizes are not announced, the pace of a source tells of sizes alone.
+    # Where sizes are not announced, the pace of a source shows sizes alone.
     slowdown = source.slowdown if source and pending.request.size_kb > 0 else 0.0
     return would_miss_objective(pending, max(state.location_link_load / SATURATED_LINK_LOAD, slowdown))
 
@@ -150,7 +150,7 @@
 def _bypass_caches(
     state: RouterState, pending: PendingRequest, source: EndpointStats | None, origin: EndpointStats | None
 ) -> Route | None:
-    """No cache is fit: straight to the source, as far as the location's clients are not too many for that."""
+    """No cache is fit: straight to the source, unless the location's clients are too many for that."""
     if source is None or would_miss_objective(pending, mean_utilization(state)):
         return None
     return Route(source, origin or source)
@@ -184,11 +184,11 @@
 def has_other_limit(state: RouterState, route: Route) -> bool:
     """Whether a route needs neither the retry budget nor the fill throttles.
 
-    A fill from the origin past listed parents has a budget of its own, and a copy of a cache costs no fill.
+    A fill from the origin although parents are listed has its own budget; a copy of a cache costs no fill.
     """
     endpoints = state.endpoints
     source = route.source
     if source.endpoint.id in endpoints.caches.ids:
         return True
-    past_parents = source.endpoint.id == endpoints.origin_id and route.target.role is not Role.PARENT
-    return past_parents and len(endpoints.parents.ids) > 0
+    bypasses_parents = source.endpoint.id == endpoints.origin_id and route.target.role is not Role.PARENT
+    return bypasses_parents and len(endpoints.parents.ids) > 0
--- a/zincladder/routing/state.py
+++ b/zincladder/routing/state.py
@@ -32,7 +32,7 @@
     def apply_settings(self, event: api.SettingsChanged) -> None:
         """Other settings from now on.
 
-        What was learned of a class that stays is kept; the fill throttles start anew.
+        What was learned of a class that stays goes on; the fill throttles start anew.
         """
         self.settings = settings = event.settings
         self.transfer_times = [
--- a/zincladder/routing/utilization.py
+++ b/zincladder/routing/utilization.py
@@ -1,4 +1,4 @@
-"""How much of the caches' links is in use, as this router sees it. No I/O."""
+"""The share of the caches' links in use, as this router sees it. No I/O."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def are_links_known(state: RouterState) -> bool:
-    """Whether the caches' links are listed, or told of by enough reports.
+    """Whether the caches' links are listed, or estimated from enough load reports.
 
     Without this check a router that has just started would reject what a lost cache leaves over.
     """
