--- a/zincladder/consensus/disk_writer.py
+++ b/zincladder/consensus/disk_writer.py
@@ -19,6 +19,7 @@
         self._lock = anyio.Lock()
 
     async def write(self, output: Output) -> None:
+        """Stores what a node wants to be stored."""
         if output.has_writes:
             async with self._lock:
                 await anyio.to_thread.run_sync(self._store.write, output)
--- a/zincladder/consensus/election.py
+++ b/zincladder/consensus/election.py
@@ -25,6 +25,7 @@
         self.timeout_at = now + self._state.timing.election_timeout_seconds * spread
 
     def leader_heard(self, now: float) -> None:
+        """A message of the term's leader has come."""
         self._leader_heard_at = now
         self.restart_timeout(now)
 
@@ -35,6 +36,7 @@
         return now - self._leader_heard_at < self._state.timing.election_timeout_seconds
 
     def clear_votes(self) -> None:
+        """Forgets the votes of an election that is over."""
         self._votes = set()
 
     def start(self, now: float, pre_vote: bool, leadership_transfer: bool = False) -> None:
@@ -87,6 +89,7 @@
         state.send(sender, RequestVoteResponse(term, granted, True))
 
     def vote_answered(self, message: RequestVoteResponse, sender: str, now: float) -> None:
+        """Counts a vote of the election or pre-vote that is under way."""
         state = self._state
         role = Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE
         term = state.term + 1 if message.pre_vote else state.term
--- a/zincladder/consensus/key_value_state.py
+++ b/zincladder/consensus/key_value_state.py
@@ -77,6 +77,7 @@
         return len(self._values)
 
     def get(self, key: str) -> VersionedValue | None:
+        """The value of a key; None where there is none."""
         return self._values.get(key)
 
     def with_prefix(self, prefix: str) -> dict[str, VersionedValue]:
--- a/zincladder/consensus/leader_services.py
+++ b/zincladder/consensus/leader_services.py
@@ -120,6 +120,7 @@
     # Leading --------------------------------------------------------------------------------------
 
     def wake(self) -> None:
+        """The role, the state or a link has changed: looks again at once."""
         self._wake_event.set()
 
     async def run(self) -> None:
@@ -187,6 +188,7 @@
             self.state_changed(term_state)
 
     def send(self, number: int, message: Any) -> None:
+        """Queues a message to a process; dropped where its link is closed."""
         if number in self.links:
             self.links[number].queue.put(message)
 
--- a/zincladder/consensus/leadership_transfer.py
+++ b/zincladder/consensus/leadership_transfer.py
@@ -14,6 +14,7 @@
         self.active = False
 
     def start(self) -> None:
+        """Begins, if this node leads."""
         if self._state.is_leader:
             self.active = True
             self.proceed()
--- a/zincladder/consensus/log.py
+++ b/zincladder/consensus/log.py
@@ -32,18 +32,22 @@
 
     @property
     def snapshot_index(self) -> int:
+        """The index of the last entry that the snapshot covers."""
         return self.snapshot.index
 
     @property
     def last_index(self) -> int:
+        """The index of the last entry."""
         return self.snapshot_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
+        """The term of the last entry."""
         return self._entries[-1].term if self._entries else self.snapshot.term
 
     @property
     def membership(self) -> Membership:
+        """The members in force."""
         return self._memberships[-1].membership
 
     @property
--- a/zincladder/consensus/model.py
+++ b/zincladder/consensus/model.py
@@ -36,6 +36,7 @@
 
     @property
     def addresses(self) -> dict[str, str]:
+        """The address of each member, voter or learner."""
         return self.voters | self.learners
 
 
@@ -175,4 +176,5 @@
 
     @property
     def has_writes(self) -> bool:
+        """Whether anything has to be written before the messages are sent."""
         return self.hard_state is not None or self.snapshot is not None or bool(self.entries)
--- a/zincladder/consensus/pending.py
+++ b/zincladder/consensus/pending.py
@@ -21,6 +21,7 @@
         self._resolved = anyio.Event()
 
     def resolve(self, outcome: T) -> None:
+        """The outcome is known."""
         self._outcome = outcome
         self._resolved.set()
 
--- a/zincladder/consensus/raft.py
+++ b/zincladder/consensus/raft.py
@@ -63,14 +63,17 @@
 
     @property
     def name(self) -> str:
+        """The member's name."""
         return self._state.name
 
     @property
     def term(self) -> int:
+        """The latest term that this node knows."""
         return self._state.term
 
     @property
     def role(self) -> Role:
+        """What this node is in that term."""
         return self._state.role
 
     @property
@@ -80,10 +83,12 @@
 
     @property
     def log(self) -> Log:
+        """The log, in memory."""
         return self._state.log
 
     @property
     def commit_index(self) -> int:
+        """The index of the last entry that is known to be committed."""
         return self._state.commit_index
 
     @property
@@ -93,6 +98,7 @@
 
     @property
     def membership(self) -> Membership:
+        """The members in force, committed or not."""
         return self._state.membership
 
     @property
--- a/zincladder/consensus/raft_state.py
+++ b/zincladder/consensus/raft_state.py
@@ -69,10 +69,12 @@
 
     @property
     def is_leader(self) -> bool:
+        """Whether this node leads, as far as it knows."""
         return self.role is Role.LEADER
 
     @property
     def is_voter(self) -> bool:
+        """Whether this node has a vote."""
         return self.name in self.membership.voters
 
     def is_quorum(self, names: Iterable[str]) -> bool:
@@ -89,4 +91,5 @@
         return self.log.membership_index > self.commit_index
 
     def send(self, to: str, message: Message) -> None:
+        """Queues a message for the next output."""
         self.outgoing.append(OutgoingMessage(to, message))
--- a/zincladder/consensus/server.py
+++ b/zincladder/consensus/server.py
@@ -274,9 +274,11 @@
 
     @property
     def is_leader(self) -> bool:
+        """Whether this replica leads, as far as it knows."""
         return self.node.role is Role.LEADER
 
     def start_leadership_transfer(self) -> None:
+        """Lets another replica lead, and returns at once."""
         self.node.transfer_leadership()
         self._wake()
 
--- a/zincladder/consensus/store.py
+++ b/zincladder/consensus/store.py
@@ -74,6 +74,7 @@
 
     @property
     def stored(self) -> StoredState:
+        """What a node starts from."""
         return StoredState(self._hard_state, self._snapshot, tuple(self._entries))
 
     def _read_identity(self, group: str, name: str) -> ReplicaIdentity:
@@ -173,6 +174,7 @@
 
     @property
     def size_bytes(self) -> int:
+        """The size of the journal's file."""
         return self._journal.size_bytes
 
     @property
@@ -181,4 +183,5 @@
         return self.size_bytes > max(MIN_COMPACTION_BYTES, COMPACTION_FACTOR * len(self._snapshot.state))
 
     def close(self) -> None:
+        """Another process may open the directory."""
         self._journal.close()
--- a/zincladder/durable/files.py
+++ b/zincladder/durable/files.py
@@ -33,6 +33,7 @@
         os.fdatasync(file)
 
     def truncate(self, file: int, size: int) -> None:
+        """Cuts the file off at a size in bytes."""
         os.ftruncate(file, size)
 
     def rename(self, old: Path, new: Path) -> None:
@@ -41,6 +42,7 @@
         self.sync_folder(new.parent)
 
     def sync_folder(self, folder: Path) -> None:
+        """Once this has returned, names of files in the folder survive a loss of power."""
         file = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(file)
--- a/zincladder/links/clocks.py
+++ b/zincladder/links/clocks.py
@@ -1,4 +1,4 @@
-"""The clock that leases are counted on. No fronts' or keepers' parts are loaded for it."""
+"""The clock that leases are counted on. Importing it loads no parts of fronts or replicas."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def boottime() -> float:
-    """Seconds by a clock that goes on while the machine sleeps, and that nobody sets."""
+    """Seconds of a clock that goes on while the machine is suspended, and that nobody sets."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/zincladder/links/connection.py
+++ b/zincladder/links/connection.py
@@ -71,6 +71,7 @@
         self._decoder.max_body_bytes = MAX_BODY_BYTES
 
     async def close(self) -> None:
+        """Ends the connection at once, whatever was not sent."""
         with anyio.CancelScope(shield=True), contextlib.suppress(*CONNECTION_ERRORS):
             await anyio.aclose_forcefully(self._stream)
 
@@ -118,14 +119,17 @@
         self._message_came = anyio.Event()
 
     def put(self, message: Any) -> None:
+        """Adds a message."""
         self._messages.append(message)
         self._message_came.set()
 
     def clear(self) -> None:
+        """Drops all messages."""
         self._messages.clear()
 
     @property
     def is_empty(self) -> bool:
+        """Whether all messages are on their way."""
         return not self._messages
 
     async def send_to(self, link: Link) -> None:
