--- a/tests/consensus/test_replica_processes.py
+++ b/tests/consensus/test_replica_processes.py
@@ -1,4 +1,4 @@
-"""A group of keepers as real processes: what was answered holds, whatever is killed, stopped or cut off."""
+"""A group of replicas as real processes, which are killed, paused and partitioned."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_what_was_answered_outlives_every_keepers_kill(tmp_path: Path) -> None:
+async def test_acknowledged_writes_survive_a_kill_of_every_replica(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
         names = await r.replicas(3)
         version = await r.write("a", b"1")
@@ -32,7 +32,7 @@
         assert found["a"].data == b"1" and found["a"].version == version
 
 
-async def test_a_write_holds_when_the_leader_is_killed_the_moment_it_was_answered(tmp_path: Path) -> None:
+async def test_a_write_survives_a_kill_of_the_leader_right_after_its_response(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
         await r.replicas(3)
         for n in range(3):
@@ -44,23 +44,23 @@
             await r.start(leader)
 
 
-async def test_one_of_two_writers_that_saw_the_same_version_is_told_what_it_missed(tmp_path: Path) -> None:
+async def test_one_of_two_writers_with_the_same_version_gets_a_version_mismatch(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
         await r.replicas(3)
-        said: list[object] = []
+        results: list[object] = []
 
         async def write(value: bytes) -> None:
-            said.append(await r.client().compare_and_swap("x", 0, value))
+            results.append(await r.client().compare_and_swap("x", 0, value))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(write, b"one")
             tasks.start_soon(write, b"two")
-        (won,) = [s for s in said if isinstance(s, Swapped)]
-        assert [s for s in said if isinstance(s, VersionMismatch)] == [VersionMismatch(won.version)]
+        (won,) = [s for s in results if isinstance(s, Swapped)]
+        assert [s for s in results if isinstance(s, VersionMismatch)] == [VersionMismatch(won.version)]
 
 
-async def test_a_keeper_takes_no_record_that_it_cannot_read(tmp_path: Path) -> None:
-    # seen: one such write ended every keeper that came to lead, one after the other
+async def test_a_replica_accepts_no_record_that_it_cannot_decode(tmp_path: Path) -> None:
+    # seen: one such write ended every replica that came to lead, one after the other
     async with rig(tmp_path) as r:
         await r.replicas(1)
         for key, said in (("policy", "no record"), ("terms", "own"), ("document/1", "by its content")):
@@ -69,7 +69,7 @@
         assert isinstance(await r.client().compare_and_swap("x", 0, b"1"), Swapped)
 
 
-async def test_a_leader_that_was_stopped_answers_nothing_old_when_it_wakes(tmp_path: Path) -> None:
+async def test_a_leader_that_was_paused_answers_no_stale_read(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
         await r.replicas(3)
         old = await r.leader()
@@ -87,7 +87,7 @@
             assert new in str(fault) or "knows no leader" in str(fault)
 
 
-async def test_a_minority_decides_nothing_and_says_so(tmp_path: Path) -> None:
+async def test_a_minority_commits_nothing_and_reports_it(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
         names = await r.replicas(3)
         leader = await r.leader()
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("heard, hears", [(True, True), (True, False), (False, True)])
-async def test_a_leader_that_is_cut_off_is_followed_and_its_open_write_is_not_half_done(
+async def test_a_partitioned_leader_is_replaced_and_its_open_write_is_done_or_not(
     tmp_path: Path, heard: bool, hears: bool
 ) -> None:
     # cut off both ways, or one way: it hears and isn't heard, or is heard and hears nothing
@@ -126,17 +126,17 @@
         found = await r.client().get("")
         assert found["b"].data == b"1"
         assert found["a"].data == b"2" or not taken
-        await r.until("all three agree", lambda: _same(r, names))
+        await r.until("all three agree", lambda: have_same_commit_index(r, names))
 
 
-async def _same(r: Rig, names: list[str]) -> bool:
+async def have_same_commit_index(r: Rig, names: list[str]) -> bool:
     found = [await r.standing(n) for n in names]
     return (
         all(f and f.commit == found[0].commit and f.leader for f in found if found[0]) and None not in found
     )
 
 
-async def test_links_that_are_torn_in_the_middle_of_messages_cost_nothing_that_was_answered(
+async def test_links_reset_in_the_middle_of_messages_lose_no_acknowledged_write(
     tmp_path: Path,
 ) -> None:
     async with rig(tmp_path) as r:
@@ -152,7 +152,7 @@
         assert [v.data for v in found.values()] == [b"%d" % n for n in range(12)]
 
 
-async def test_a_keeper_with_an_empty_directory_is_refused_by_name_until_it_is_added_anew(
+async def test_a_replica_with_an_empty_directory_is_rejected_until_it_is_added_anew(
     tmp_path: Path,
 ) -> None:
     # guards votes: one that forgot its own could elect a leader that lacks what was answered
@@ -190,7 +190,7 @@
         await r.write("a", b"2", leader, lost)
 
 
-async def test_an_older_copy_of_a_directory_is_named_and_not_counted_until_it_is_added_anew(
+async def test_an_older_copy_of_a_directory_is_reported_and_not_counted_for_the_quorum(
     tmp_path: Path,
 ) -> None:
     async with rig(tmp_path) as r:
@@ -240,7 +240,7 @@
         assert len(await r.client().get("b/")) == 5
 
 
-async def test_a_keeper_whose_disk_is_full_loses_its_vote_and_nothing_that_was_answered(
+async def test_a_replica_with_a_full_disk_ends_and_loses_no_acknowledged_write(
     tmp_path: Path,
 ) -> None:
     async with rig(tmp_path) as r:
@@ -260,7 +260,7 @@
         assert [v.data for v in found.values()] == [b"%d" % n * 100 for n in range(12)]
 
 
-async def test_more_than_a_message_holds_is_told_and_ends_no_link(tmp_path: Path) -> None:
+async def test_a_response_too_large_for_a_frame_is_an_error_and_ends_no_link(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
         await r.replicas(1)
         for n in range(6):
@@ -270,7 +270,7 @@
         assert len(await r.client().get("big/1")) == 1
 
 
-async def test_a_keeper_of_another_group_or_name_is_refused_by_name(tmp_path: Path) -> None:
+async def test_a_replica_of_another_group_or_name_is_rejected_with_the_reason(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
         await r.replicas(1)
         where = f"127.0.0.1:{r.ports['k1']}"
@@ -280,7 +280,7 @@
             await Client("test", {"k1": where}, "stranger", "keeper").get("a", 0.5)
 
 
-async def test_a_torn_tail_is_cut_off_and_a_spoilt_middle_is_refused_by_name(tmp_path: Path) -> None:
+async def test_a_torn_tail_is_truncated_and_corruption_before_it_is_reported(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
         await r.replicas(1)
         for n in range(5):
@@ -315,7 +315,7 @@
         assert "another process uses it" in twin.events("replica failed")[0]["reason"]
 
 
-async def test_a_leader_that_is_told_to_end_hands_over_first(tmp_path: Path) -> None:
+async def test_a_leader_transfers_leadership_before_a_graceful_shutdown(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
         names = await r.replicas(3)
         old = await r.leader()
@@ -324,14 +324,14 @@
         assert await r.processes[old].ended() == 0
         (said,) = r.processes[old].events("replica stopped")
         assert said["was_leader"] is False  # it was let go by whoever stood at its word, before it ended
-        await r.until("another leads", lambda: [n for n in names if n != old and led(r, n)])
+        await r.until("another leads", lambda: [n for n in names if n != old and has_led(r, n)])
 
 
-def led(r: Rig, name: str) -> bool:
+def has_led(r: Rig, name: str) -> bool:
     return any(line["role"] == "leader" for line in r.processes[name].events("role changed"))
 
 
-async def test_a_keeper_far_behind_takes_a_snapshot_in(tmp_path: Path) -> None:
+async def test_a_replica_far_behind_installs_a_snapshot(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
         names = await r.replicas(3)
         leader = await r.leader()
@@ -361,7 +361,7 @@
         assert (await r.client(leader, late).get("big"))["big"].data[:2] == b"11"
 
 
-async def test_a_keepers_metrics_tell_who_leads_and_who_is_silent(tmp_path: Path) -> None:
+async def test_a_replicas_metrics_show_the_leader_and_silent_replicas(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
         for name in await r.replicas(3):
             process = r.processes[name]
@@ -383,10 +383,10 @@
             assert all(f'{{group="test",keeper="{name}"}}' in line for line, _, _ in lines)
             return {line.partition("{")[0]: float(value) for line, _, value in lines}
 
-        async def led() -> bool:
+        async def all_know_leader() -> bool:
             return all([(await told(name))["zincladder_keeper_led"] for name in r.ports])
 
-        await r.until("all know who leads", led)
+        await r.until("all know who leads", all_know_leader)
         found = {name: await told(name) for name in r.ports}
         assert [n for n, figures in found.items() if figures["zincladder_keeper_leads"]] == [leader]
         r.processes[next(n for n in r.ports if n != leader)].kill()
--- /dev/null
+++ b/tests/links/test_frames.py
@@ -0,0 +1,27 @@
+"""The frames of links: any split of the bytes, and damage."""
+
+from __future__ import annotations
+
+import contextlib
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from zincladder.links.errors import FrameError
+from zincladder.links.frames import FrameDecoder, encode_frame
+
+
+@given(st.lists(st.binary(max_size=200), max_size=8), st.integers(1, 40))
+def test_frames_are_decoded_however_the_bytes_are_split(bodies: list[bytes], step: int) -> None:
+    data = b"".join(map(encode_frame, bodies))
+    frames = FrameDecoder()
+    found = [body for at in range(0, len(data), step) for body in frames.feed(data[at : at + step])]
+    assert found == bodies
+
+
+@given(st.binary(min_size=1, max_size=60), st.data())
+def test_a_frame_with_a_changed_byte_is_never_decoded(body: bytes, data: st.DataObject) -> None:
+    spoilt = bytearray(encode_frame(body))
+    spoilt[data.draw(st.integers(0, len(spoilt) - 1))] ^= data.draw(st.integers(1, 255))
+    with contextlib.suppress(FrameError):
+        assert FrameDecoder().feed(bytes(spoilt)) == []  # it waits for more, by a length that grew
