--- a/tests/core/test_statistics.py
+++ b/tests/core/test_statistics.py
@@ -1,4 +1,4 @@
-"""What is counted by endpoint."""
+"""What is counted by endpoint and by request class."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     assert list(statistics.endpoints) == [other]
 
 
-def test_classes_that_come_and_go_all_day_are_bounded_in_the_statistics() -> None:
+def test_classes_that_come_and_go_all_day_are_bounded() -> None:
     statistics = Statistics()
     for i in range(10 * MAX_CLASSES):
         statistics.retain_classes([f"c{i}", "page"], ())
--- a/tests/tasks/test_task_processes.py
+++ b/tests/tasks/test_task_processes.py
@@ -23,7 +23,7 @@
 
 from tests.processes import Process, Rig, Traffic, free_port, marking, rig
 from tests.stands import StubCache
-from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.consensus.key_value_state import FencingTokenRejected
 from zincladder.export import messages
 from zincladder.export.fleet_metrics import HTTP_FENCED
@@ -240,7 +240,7 @@
         c.r.cut_front(old)
         client = c.r.client_of_replicas()
         kept = (await client.get("progress/figures"))["progress/figures"]
-        assert await client.ask(
+        assert await client.request(
             write_checkpoint("figures", before, kept.version, b"late")
         ) == FencingTokenRejected(c.newest())
         await c.more(after=before)
--- a/zincladder/cli/policy.py
+++ b/zincladder/cli/policy.py
@@ -13,8 +13,8 @@
 
 from zincladder.cli import policy_client as client
 from zincladder.cli import policy_output as output
+from zincladder.cli.group import group_options
 from zincladder.cli.policy_client import Group
-from zincladder.cli.replica import group_options
 
 POLL_SECONDS = 0.1  # between two looks at a change that is followed
 EXIT_FAILED = 1  # not proposed, or withdrawn
@@ -91,7 +91,7 @@
 @following_options
 @click.pass_obj
 def back(group: Group, version: int, note: str, author: str, wait_seconds: float, as_json: bool) -> None:
-    """Propose what VERSION said, as a new change. Exits as `propose` does."""
+    """Propose the document of VERSION again, as a new change. Exits as `propose` does."""
     document = client.document_of_version(client.read_change_log(group), version)
     restored = client.read_document(group, document)
     note = note or f"back to version {version}"
