--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -152,8 +152,9 @@
         """
         if self.decisions_paused_for is None:
             return 0.0
-        replaced = not self.classes.in_force(request_class)
-        return self.decisions_paused_for() or (REPLACED_CLASS_RETRY_AFTER_SECONDS if replaced else 0.0)
+        if paused := self.decisions_paused_for():
+            return paused
+        return 0.0 if self.classes.in_force(request_class) else REPLACED_CLASS_RETRY_AFTER_SECONDS
 
     def _rejected_without_list(self, request: ClientRequest) -> Answer:
         """The answer to a request that was never forwarded: its client may retry elsewhere at once."""
