--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -25,8 +25,8 @@
 
 import anyio
 
-from tests.policy.test_change_processes import Fleet, fleet
 from tests.processes import Asked, Rig, Traffic
+from tests.support.policy_fleet import PolicyFleet, policy_fleet
 from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
 from zincladder.consensus.model import Entry, EntryKind, Membership, Output
 from zincladder.consensus.store import ReplicaStore
@@ -96,7 +96,7 @@
     return round(sum(a.kind in ("served", "booked") for a in answered) / max(1, len(answered)), 4)
 
 
-async def quiet(f: Fleet, changes: int, mark: int) -> dict[str, Any]:
+async def quiet(f: PolicyFleet, changes: int, mark: int) -> dict[str, Any]:
     """Changes without faults, one every quarter of a second."""
     traffic = f.traffic()
     await f.everywhere(traffic, 1)
@@ -114,7 +114,7 @@
     }
 
 
-async def trouble(f: Fleet, draw: random.Random) -> None:
+async def trouble(f: PolicyFleet, draw: random.Random) -> None:
     """A third of the fronts down at any time, each in its own way."""
     while True:
         name = draw.choice(f.fronts)
@@ -135,7 +135,7 @@
         await anyio.sleep(draw.uniform(0, 0.5))
 
 
-async def troubled(f: Fleet, changes: int, mark: int, seed: int) -> dict[str, Any]:
+async def troubled(f: PolicyFleet, changes: int, mark: int, seed: int) -> dict[str, Any]:
     """Changes while fronts fail; those that were withdrawn because too few answered are counted apart."""
     traffic = f.traffic()
     before, outcomes = len(taking_hold(f.r)), list[ChangeOutcome]()
@@ -178,7 +178,7 @@
     return 0
 
 
-async def leaders(f: Fleet, times: int) -> list[float]:
+async def leaders(f: PolicyFleet, times: int) -> list[float]:
     """From the kill of a leader to the next decision of its successor."""
     found = []
     for n in range(times):
@@ -220,7 +220,7 @@
             "write_and_sync_ms": round(1000 * write, 3)}  # fmt: skip
 
 
-async def costs(f: Fleet, seconds: float) -> dict[str, Any]:
+async def costs(f: PolicyFleet, seconds: float) -> dict[str, Any]:
     """A front under a policy, idle but for its lease, beside one without; and the keepers."""
     plain = await f.r.front("plain", f.caches)
     plain.kill()
@@ -249,7 +249,7 @@
 async def main(wanted: argparse.Namespace) -> dict[str, Any]:
     found: dict[str, Any] = {"keepers": wanted.keepers, "fronts": wanted.fronts}
     with tempfile.TemporaryDirectory() as folder:
-        async with fleet(Path(folder), fronts=wanted.fronts, replicas=wanted.keepers) as f:
+        async with policy_fleet(Path(folder), fronts=wanted.fronts, replicas=wanted.keepers) as f:
             found["quiet"] = await quiet(f, wanted.changes, 10)
             found["troubled"] = await troubled(f, wanted.changes, 1_000, wanted.seed)
             found["leader_lost_ms"] = spread(await leaders(f, 3 if wanted.quick else 20))
--- a/benchmarks/tasks.py
+++ b/benchmarks/tasks.py
@@ -24,7 +24,7 @@
 
 from benchmarks.policy import spread, used
 from tests.processes import LEASE
-from tests.tasks.test_task_processes import TaskFleet, task_fleet
+from tests.support.task_fleet import TaskFleet, task_fleet
 from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.tasks.lease_holder import LeaseHolder
 from zincladder.tasks.lease_manager import LeaseManager
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -6,6 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
+from tests.support.fleet_judge import FleetJudge
 from tests.support.raft_simulation import Broken, Process, World
 from zincladder.consensus.key_value_state import CompareAndSwap, KeyValueState
 from zincladder.consensus.lease_timing import LeaseTiming
@@ -18,7 +19,6 @@
 from zincladder.policy.model import (
     POLICY_KEY,
     ChangeOutcome,
-    ChangePhase,
     DocumentValidated,
     FromCoordinator,
     FromParticipant,
@@ -74,11 +74,7 @@
         self.read_at: dict[str, int] = {}
         self.fronts: dict[str, SimulatedFront] = {}
         self.link_numbers = itertools.count(1)
-        self.agreed: set[tuple[str, str]] = set()
-        self.objections_heard: set[tuple[str, int, str]] = set()  # by a leader in its term
-        self.decided: dict[int, str] = {}
-        self.expected_at_proposal: dict[int, int] = {}  # expected fronts when a change was proposed
-        self.in_force = 0
+        self.rules = FleetJudge(terms.min_agreeing_share)
         self.proposals = itertools.count()
         self.isolated: dict[str, set[str]] = {}  # directions that are cut, by front
         super().__init__(seed, voters)
@@ -171,7 +167,7 @@
             for check in actions.validate:
                 no = check.document in front.objects_to
                 if not no:
-                    self.agreed.add((front.name, check.document))
+                    self.rules.agreed.add((front.name, check.document))
                 participant.validated(check, ("it can't",) if no else ())
             if link is not None:
                 for message in actions.messages:
@@ -259,7 +255,7 @@
             registers = self.registers[process.name]
             found = registers.get(POLICY_KEY)
             if found is not None and found.version == process.index:
-                self.judge_record(change_log.read(registers.with_prefix("")))
+                self.rules.record_applied(change_log.read(registers.with_prefix("")))
 
     def settle(self, process: Process) -> None:
         super().settle(process)
@@ -276,7 +272,7 @@
             if message is not None:
                 known = link.number in coordinator.fronts
                 if known and isinstance(message, DocumentValidated) and message.reasons:
-                    self.objections_heard.add((process.name, coordinator.term, message.document))
+                    self.rules.objections_heard.add((process.name, coordinator.term, message.document))
                 coordinator.heard(link.number, message, self.clock(process))
 
     def read_registers(self, process: Process, coordinator: ChangeCoordinator) -> None:
@@ -323,9 +319,7 @@
         swaps = [change_log.write_expected_front(name) for name in actions.expect_fronts]
         if actions.write:
             change = actions.write.record.open_change
-            no = change and (process.name, coordinator.term, change.document) in self.objections_heard
-            if no and change and change.phase is ChangePhase.DECIDED and not self.decided.get(change.version):
-                raise Broken(f"version {change.version} is decided against a front's objection")
+            self.rules.leader_writes(process.name, coordinator.term, change)
             swaps.append(change_log.write_record(actions.write.expected_version, actions.write.record))
         for swap in swaps:
             self.put(process, swap)
@@ -415,33 +409,7 @@
                 if version:
                     serving[front.name] = version
                     self.figures["served"] += 1
-        if len(set(serving.values())) > 1:
-            raise Broken(f"two versions in force: {serving}")
-        if serving:
-            (version,) = set(serving.values())
-            if version < self.in_force:
-                raise Broken(f"version {version} is served after {self.in_force} was")
-            self.in_force = version
-            if version not in self.decided:
-                raise Broken(f"version {version} is served and was never decided")
-
-    def judge_record(self, found: change_log.ChangeLog) -> None:
-        record, change = found.record, found.record.open_change
-        if change is not None:
-            self.expected_at_proposal.setdefault(change.version, len(found.expected_fronts))
-        if (
-            change is not None
-            and change.phase is not ChangePhase.CHECKING
-            and change.version not in self.decided
-        ):
-            self.decided[change.version] = change.document
-            names = {n for n, d in self.agreed if d == change.document}
-            expected = self.expected_at_proposal.get(change.version, 0)
-            if expected and len(names) <= self.terms.min_agreeing_share * expected:
-                raise Broken(f"version {change.version} was decided with {len(names)} of {expected}")
-        for entry in record.log:
-            if entry.version in self.decided and entry.outcome is ChangeOutcome.WITHDRAWN:
-                raise Broken(f"version {entry.version} was decided and withdrawn")
+        self.rules.serving(serving)
 
     def mend(self) -> None:
         self.cut.clear()
@@ -464,7 +432,7 @@
                 for f in self.fronts.values()
             }
             ill = any(record.document in f.objects_to for f in self.fronts.values())
-            done = record.open_change is None and self.decided.keys() <= {p.version for p in record.log}
+            done = record.open_change is None and self.rules.decided.keys() <= {p.version for p in record.log}
             if done and (versions == {record.version} or ill or not record.version):
                 break
         else:
--- /dev/null
+++ b/tests/support/policy_fleet.py
@@ -0,0 +1,71 @@
+"""Real replicas and fronts under a policy, with stub caches and clients at every front."""
+
+from __future__ import annotations
+
+import contextlib
+from collections import Counter
+from collections.abc import AsyncIterator
+from functools import partial
+from pathlib import Path
+
+import anyio
+
+from tests.processes import Rig, Traffic, marking, rig
+from tests.stands import StubCache
+from zincladder.policy.model import ChangeOutcome
+
+
+class PolicyFleet:
+    """A rig with replicas, stub caches and fronts that serve under version 1."""
+
+    def __init__(self, r: Rig, caches: list[StubCache], tasks: anyio.abc.TaskGroup) -> None:
+        self.r, self.caches, self._tasks = r, caches, tasks
+        self.fronts: list[str] = []
+
+    def traffic(self, *names: str, each: int = 2, pause: float = 0.01) -> Traffic:
+        return Traffic(self.r, self._tasks, names or self.fronts, each, pause)
+
+    async def everywhere(self, traffic: Traffic, mark: int, *names: str) -> None:
+        """Waits until each of the fronts has served a client under that mark."""
+        for name in names or self.fronts:
+            await self.r.until(f"{name} serves under mark {mark}", partial(traffic.served, name, mark))
+
+
+@contextlib.asynccontextmanager
+async def policy_fleet(
+    folder: Path,
+    fronts: int = 3,
+    replicas: int = 3,
+    cut_off: str = "stop",
+    begun: bool = True,
+    drift: float = 0.0,
+) -> AsyncIterator[PolicyFleet]:
+    """Replicas, fronts and caches; at the end no booking may have run twice."""
+    async with rig(folder, drift) as r, anyio.create_task_group() as tasks:
+        caches = [StubCache(f"s-{n:08x}", 0, marking) for n in (1, 2)]
+        caches += [StubCache("s-000000a0", 1, marking), StubCache("s-000000b0", 2, marking)]
+        for cache in caches:
+            await tasks.start(cache.run)
+        await r.replicas(replicas)
+        f = PolicyFleet(r, caches, tasks)
+        for n in range(fronts):
+            f.fronts.append(f"f{n}")
+            await r.front(f"f{n}", caches, cut_off)
+        if begun:
+            assert (await r.change(1)).outcome is ChangeOutcome.ACTIVATED
+            await r.serving(*f.fronts)
+        yield f
+        tasks.cancel_scope.cancel()
+        written = Counter(e.name for cache in caches for e in cache.fetches if e.fields["cls"] == "booking")
+        assert not [name for name, times in written.items() if times > 1]  # no booking ran twice
+
+
+def longest_pause(traffic: Traffic) -> float:
+    """The longest time for which a front that serves again had rejected every request, in seconds."""
+    longest, since = 0.0, dict[str, float]()
+    for asked in sorted(traffic.history, key=lambda a: a.ended):
+        if asked.kind == "served":
+            longest = max(longest, asked.ended - since.pop(asked.front, asked.ended))
+        else:
+            since.setdefault(asked.front, asked.began)
+    return longest
