--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -27,7 +27,7 @@
 
 from tests.processes import Asked, Rig, Traffic
 from tests.support.policy_fleet import PolicyFleet, policy_fleet
-from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.consensus.model import Entry, EntryKind, Membership, Output
 from zincladder.consensus.store import ReplicaStore
 from zincladder.policy.model import ChangeOutcome
@@ -205,7 +205,7 @@
         for first in range(1, entries + 1, 1000):
             batch = tuple(Entry(1, EntryKind.DATA, b"x" * 100) for _ in range(1000))
             store.write(Output(first_index=first, entries=batch))
-        size = store.size
+        size = store.size_bytes
         store.close()
         began = time.monotonic()
         store = ReplicaStore(Path(folder) / "s", "g", "a", members)
--- a/tests/policy/test_leader_processes.py
+++ b/tests/policy/test_leader_processes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.support.policy_fleet import policy_fleet
-from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.policy.model import ChangeOutcome, ChangePhase
 
 pytestmark = pytest.mark.anyio
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -8,10 +8,11 @@
 
 from tests.support.fleet_judge import FleetJudge
 from tests.support.raft_simulation import Broken, Process, World
+from zincladder.consensus.errors import BusyError, NotLeaderError
 from zincladder.consensus.key_value_state import CompareAndSwap, KeyValueState
 from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.consensus.model import Entry, EntryKind, Snapshot
-from zincladder.consensus.raft import BusyError, NotLeaderError, Role
+from zincladder.consensus.raft_state import Role
 from zincladder.policy import change_log
 from zincladder.policy.change_states import propose_change
 from zincladder.policy.coordinator import ChangeCoordinator
--- a/tests/tasks/test_task_processes.py
+++ b/tests/tasks/test_task_processes.py
@@ -17,7 +17,7 @@
 
 from tests.processes import Process, free_port
 from tests.support.task_fleet import PUSH_INTERVAL_SECONDS, Push, TaskFleet, task_fleet
-from zincladder.consensus.client import OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.consensus.key_value_state import FencingTokenRejected
 from zincladder.tasks.model import write_checkpoint
 
@@ -81,7 +81,7 @@
         c.r.cut_front(old)
         client = c.r.client_of_replicas()
         kept = (await client.get("progress/figures"))["progress/figures"]
-        assert await client.ask(
+        assert await client.request(
             write_checkpoint("figures", before, kept.version, b"late")
         ) == FencingTokenRejected(c.newest())
         await c.more(after=before)
--- a/zincladder/tasks/runner.py
+++ b/zincladder/tasks/runner.py
@@ -12,7 +12,8 @@
 import structlog
 
 from zincladder.config import TasksConfig
-from zincladder.consensus.client import Client, OutcomeUnknownError, RequestFailedError
+from zincladder.consensus.client import Client
+from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.leases.client import LeaseClient
 from zincladder.links.clocks import boottime
 from zincladder.tasks.context import TaskContext, TaskFunction
