--- a/benchmarks/tasks.py
+++ b/benchmarks/tasks.py
@@ -99,19 +99,19 @@
     counted: Counter[int] = Counter()
     writes = 0
     for n, holder in holders.items():
-        manager.linked(n, f"f{n}", "p", now)
-        holder.link(True, now)
+        manager.link_opened(n, f"f{n}", "p", now)
+        holder.link_changed(True, now)
     while now < seconds:
         for n, holder in holders.items():
             holder.tick(now)
             for message in holder.take_actions().messages:
                 counted[int(now)] += 1
-                manager.heard(n, message, now)
+                manager.message_received(n, message, now)
         manager.tick(now)
         actions = manager.take_actions()
         for number, reply in actions.messages:
             counted[int(now)] += 1
-            holders[number].heard(reply, now)
+            holders[number].message_received(reply, now)
         for write in actions.writes:
             index += 1
             writes += 1
--- a/tests/policy/test_coordinator.py
+++ b/tests/policy/test_coordinator.py
@@ -42,7 +42,7 @@
         self.phases: list[tuple[float, str]] = []
         self.read_record()
         for n in range(1, fronts + 1):
-            self.coordinator.linked(n, f"f{n}", "p", self.now)
+            self.coordinator.link_opened(n, f"f{n}", "p", self.now)
 
     def read_record(self) -> None:
         self.coordinator.record_read(
@@ -68,7 +68,7 @@
                 self.now = min(until, self.now + 0.05)
 
     def hears(self, number: int, message: Any) -> list[tuple[int, Any]]:
-        self.coordinator.heard(number, message, self.now)
+        self.coordinator.message_received(number, message, self.now)
         return self.step()
 
 
@@ -84,7 +84,7 @@
     leader.step(6.0)
     for number in (1, 2):
         assert [type(m) for _, m in leader.hears(number, RenewPolicyLease(1, "d1"))] == [PolicyLeaseGranted]
-    leader.coordinator.unlinked(2, leader.now)  # killed, or cut off: nobody knows
+    leader.coordinator.link_closed(2, leader.now)  # killed, or cut off: nobody knows
     leader.record, leader.record_version = DECIDED, leader.record_version + 1
     leader.read_record()
     began, serial = leader.now, 1
@@ -125,9 +125,9 @@
     leader, serial, revoking_seconds = Leader(PolicyRecord(1, "d1"), 3), 0, 0.0
 
     def comes_and_goes() -> None:
-        leader.coordinator.linked(100 + serial, "f9", f"p{serial}", leader.now)
+        leader.coordinator.link_opened(100 + serial, "f9", f"p{serial}", leader.now)
         leader.hears(100 + serial, RenewPolicyLease(serial, "d1"))  # it gets a lease, and is gone again
-        leader.coordinator.unlinked(100 + serial, leader.now)
+        leader.coordinator.link_closed(100 + serial, leader.now)
 
     leader.step(6.0)
     for number in (1, 2, 3):
@@ -159,8 +159,8 @@
 def test_the_objection_of_a_front_that_is_gone_counts() -> None:
     leader = Leader(PolicyRecord(1, "d1", PolicyChange(2, "d2", "ana", "", 0.0)), 3)
     leader.step(0.1)
-    leader.coordinator.heard(1, DocumentValidated(2, "d2", ("it can't",)), leader.now)
-    leader.coordinator.unlinked(1, leader.now)
+    leader.coordinator.message_received(1, DocumentValidated(2, "d2", ("it can't",)), leader.now)
+    leader.coordinator.link_closed(1, leader.now)
     for number in (2, 3):
         leader.hears(number, DocumentValidated(2, "d2"))
     (entry,) = leader.record.log
--- a/tests/policy/test_fleet_simulation.py
+++ b/tests/policy/test_fleet_simulation.py
@@ -65,22 +65,22 @@
 
 
 def accepts_an_outdated_release(monkeypatch: pytest.MonkeyPatch) -> None:
-    heard = ChangeCoordinator.heard
+    message_received = ChangeCoordinator.message_received
 
     def releases_all(self: ChangeCoordinator, number: int, message: Any, now: float) -> None:
         if isinstance(message, PolicyLeaseReleased):
             message = PolicyLeaseReleased(message.version, 10**9)
-        heard(self, number, message, now)
+        message_received(self, number, message, now)
 
-    monkeypatch.setattr(ChangeCoordinator, "heard", releases_all)
-    participant_heard = ChangeParticipant.heard
+    monkeypatch.setattr(ChangeCoordinator, "message_received", releases_all)
+    participant_heard = ChangeParticipant.message_received
 
     def renews_before_release(self: ChangeParticipant, message: Any, now: float) -> None:
         participant_heard(self, message, now)
         if isinstance(message, RevokePolicyLease):
             self._actions.messages.reverse()
 
-    monkeypatch.setattr(ChangeParticipant, "heard", renews_before_release)
+    monkeypatch.setattr(ChangeParticipant, "message_received", renews_before_release)
 
 
 MUTATIONS: list[Callable[[pytest.MonkeyPatch], None]] = [
--- a/tests/policy/test_participant.py
+++ b/tests/policy/test_participant.py
@@ -16,11 +16,11 @@
 def serving_participant(serves_when_cut_off: bool = False) -> ChangeParticipant:
     """A front that serves under version 1 from a lease requested at 100, for 5 s."""
     participant = ChangeParticipant(100.0, serves_when_cut_off)
-    participant.link(True, 100.0)
+    participant.link_changed(True, 100.0)
     participant.tick(100.0)
     (request,) = participant.take_actions().messages
     assert isinstance(request, RenewPolicyLease)
-    participant.heard(PolicyLeaseGranted(request.serial, 1, "d1", 5.0, 1.0), 100.4)
+    participant.message_received(PolicyLeaseGranted(request.serial, 1, "d1", 5.0, 1.0), 100.4)
     assert participant.serving_version(100.4) == 0  # the document isn't there yet
     participant.take_actions()
     participant.applied("d1")
@@ -35,9 +35,9 @@
 def test_the_first_lease_sets_the_renewal_interval_at_once() -> None:
     # Seen with real processes: renewed a second later instead, the leader's silence looked like its death.
     participant = ChangeParticipant(100.0)
-    participant.link(True, 100.0)
+    participant.link_changed(True, 100.0)
     participant.tick(100.0)
-    participant.heard(PolicyLeaseGranted(1, 1, "d1", 1.5, 0.25), 100.1)
+    participant.message_received(PolicyLeaseGranted(1, 1, "d1", 1.5, 0.25), 100.1)
     assert participant.next_at == pytest.approx(100.35)
 
 
@@ -48,7 +48,7 @@
 def test_a_front_that_is_cut_off_serves_on_where_configured_unless_it_has_released() -> None:
     participant = serving_participant(serves_when_cut_off=True)
     assert participant.serving_version(3700.0) == 1
-    participant.heard(RevokePolicyLease(2), 101.0)
+    participant.message_received(RevokePolicyLease(2), 101.0)
     assert participant.serving_version(101.0) == 0 and participant.serving_version(3700.0) == 0
 
 
@@ -57,10 +57,10 @@
     participant.tick(101.0)
     (request,) = participant.take_actions().messages
     assert isinstance(request, RenewPolicyLease)
-    participant.heard(RevokePolicyLease(2), 101.1)
+    participant.message_received(RevokePolicyLease(2), 101.1)
     messages = participant.take_actions().messages
     assert [type(message) for message in messages] == [PolicyLeaseReleased, RenewPolicyLease]
-    participant.heard(PolicyLeaseGranted(request.serial, 1, "d1", 5.0, 1.0), 101.2)
+    participant.message_received(PolicyLeaseGranted(request.serial, 1, "d1", 5.0, 1.0), 101.2)
     assert participant.serving_version(101.2) == 0
 
 
@@ -69,7 +69,7 @@
     participant.tick(101.0)
     (request,) = participant.take_actions().messages
     assert isinstance(request, RenewPolicyLease)
-    participant.heard(PolicyLeaseGranted(request.serial, 2, "d2", 5.0, 1.0), 101.1)
+    participant.message_received(PolicyLeaseGranted(request.serial, 2, "d2", 5.0, 1.0), 101.1)
     participant.applied("d2", "'settings.az' waits")
     assert participant.serving_version(101.1) == 0 and participant.failed_documents == {
         "d2": "'settings.az' waits"
--- a/tests/policy/test_state_space.py
+++ b/tests/policy/test_state_space.py
@@ -70,16 +70,16 @@
 
 
 def grant_under_way_counts_after_release(patch: pytest.MonkeyPatch) -> None:
-    heard = ChangeParticipant.heard
+    message_received = ChangeParticipant.message_received
 
     def forgets(self: ChangeParticipant, message: Any, now: float) -> None:
         pending = dict(self.renewals.requested_at)
-        heard(self, message, now)
+        message_received(self, message, now)
         if isinstance(message, RevokePolicyLease):
             self._void_serial = 0
             self.renewals.requested_at = pending | self.renewals.requested_at
 
-    patch.setattr(ChangeParticipant, "heard", forgets)
+    patch.setattr(ChangeParticipant, "message_received", forgets)
 
 
 @pytest.mark.parametrize(
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -133,8 +133,8 @@
             return
         assert front.participant is not None
         link = front.link = FrontLink(next(self.link_numbers), front.name, process.name, process.lives)
-        coordinator.linked(link.number, front.name, str(front.process), self.clock(process))
-        front.participant.link(True, self.front_clock(front))
+        coordinator.link_opened(link.number, front.name, str(front.process), self.clock(process))
+        front.participant.link_changed(True, self.front_clock(front))
 
     def break_link(self, link: FrontLink | None) -> None:
         """Each side learns of it at a time of its own."""
@@ -149,12 +149,12 @@
         if front.link is link:
             front.link = None
             if front.participant is not None:
-                front.participant.link(False, self.front_clock(front))
+                front.participant.link_changed(False, self.front_clock(front))
 
     def _leader_notices_lost_link(self, link: FrontLink) -> None:
         process, coordinator = self.processes[link.replica], self.coordinators.get(link.replica)
         if coordinator is not None and process.node is not None and process.lives == link.replica_generation:
-            coordinator.unlinked(link.number, self.clock(process))
+            coordinator.link_closed(link.number, self.clock(process))
             if not process.asleep:
                 self.advance_coordinator(process)
 
@@ -225,7 +225,7 @@
         if front.asleep:
             front.undelivered.append((link, message))
             return
-        front.participant.heard(message, self.front_clock(front))
+        front.participant.message_received(message, self.front_clock(front))
         self.carry_out(front)
         self.judge()
 
@@ -274,7 +274,7 @@
                 known = link.number in coordinator.fronts
                 if known and isinstance(message, DocumentValidated) and message.reasons:
                     self.rules.objections_heard.add((process.name, coordinator.term, message.document))
-                coordinator.heard(link.number, message, self.clock(process))
+                coordinator.message_received(link.number, message, self.clock(process))
 
     def read_registers(self, process: Process, coordinator: ChangeCoordinator) -> None:
         found = change_log.read(self.registers[process.name].with_prefix(""))
--- a/tests/support/state_space.py
+++ b/tests/support/state_space.py
@@ -127,12 +127,12 @@
 
     def deliver_to_leader(self, n: int) -> None:
         process = self.processes[n]
-        self.leader.heard(process.link, process.to_leader.pop(0), self.time)
+        self.leader.message_received(process.link, process.to_leader.pop(0), self.time)
         self.advance_leader()
 
     def deliver_to_process(self, n: int) -> None:
         process = self.processes[n]
-        process.participant.heard(process.from_leader.pop(0), self.time)
+        process.participant.message_received(process.from_leader.pop(0), self.time)
         self.carry_out(process)
 
     def write_lands(self, n: int) -> None:
@@ -155,8 +155,8 @@
         process = self.processes[n]
         self.links += 1
         process.link = self.links
-        self.leader.linked(process.link, f"f{n}", str(process.generation), self.time)
-        process.participant.link(True, self.time)
+        self.leader.link_opened(process.link, f"f{n}", str(process.generation), self.time)
+        process.participant.link_changed(True, self.time)
         process.participant.tick(self.time)
         self.carry_out(process)
         self.advance_leader()
@@ -172,7 +172,7 @@
         if self.processes[n].link > 0:
             self.spend(breaks=-1)
         self._unlink(self.processes[n])
-        self.processes[n].participant.link(False, self.time)
+        self.processes[n].participant.link_changed(False, self.time)
         self.carry_out(self.processes[n])
 
     def kill(self, n: int) -> None:
@@ -182,7 +182,7 @@
 
     def leader_notices_lost_link(self, number: int) -> None:
         self.lost_links.remove(number)
-        self.leader.unlinked(number, self.time)
+        self.leader.link_closed(number, self.time)
         self.advance_leader()
 
     def next_leader(self, surviving_writes: int) -> None:
--- a/tests/tasks/test_lease_holder.py
+++ b/tests/tasks/test_lease_holder.py
@@ -12,14 +12,14 @@
 
 def holding_process(now: float = 100.0) -> LeaseHolder:
     lease_holder = LeaseHolder(["a", "b"], now)
-    lease_holder.link(True, now)
-    lease_holder.heard(Assigned("a", 7), now)
+    lease_holder.link_changed(True, now)
+    lease_holder.message_received(Assigned("a", 7), now)
     (offer, idle, request) = lease_holder.take_actions().messages
     assert offer == Offer(("a", "b"))
     assert isinstance(idle, RenewLease) and not idle.assigned and isinstance(request, RenewLease)
     assert request == RenewLease(idle.serial + 1, (("a", 7),))
     assert lease_holder.active_token("a", now) == 0  # it is assigned, and there is no lease yet
-    lease_holder.heard(LeaseGranted(request.serial, (("a", 7),), 5.0, 1.0), now + 0.4)
+    lease_holder.message_received(LeaseGranted(request.serial, (("a", 7),), 5.0, 1.0), now + 0.4)
     assert lease_holder.take_actions().begin == ["a"]
     return lease_holder
 
@@ -36,23 +36,23 @@
 
 def test_the_first_lease_sets_the_renewal_interval_at_once() -> None:
     lease_holder = LeaseHolder(["a"], 100.0)
-    lease_holder.link(True, 100.0)
-    lease_holder.heard(Assigned("a", 7), 100.0)
+    lease_holder.link_changed(True, 100.0)
+    lease_holder.message_received(Assigned("a", 7), 100.0)
     request = lease_holder.take_actions().messages[-1]
     assert isinstance(request, RenewLease)
-    lease_holder.heard(LeaseGranted(request.serial, (("a", 7),), 1.5, 0.25), 100.1)
+    lease_holder.message_received(LeaseGranted(request.serial, (("a", 7),), 1.5, 0.25), 100.1)
     assert lease_holder.next_at == pytest.approx(100.35)
 
 
 def test_a_task_ends_with_its_lease_and_begins_anew_with_the_next() -> None:
     lease_holder = holding_process()
-    lease_holder.link(False, 101.0)
+    lease_holder.link_changed(False, 101.0)
     lease_holder.tick(106.0)
     assert lease_holder.take_actions().end == ["a"]
-    lease_holder.link(True, 107.0)
+    lease_holder.link_changed(True, 107.0)
     request = lease_holder.take_actions().messages[-1]
     assert isinstance(request, RenewLease) and request.assigned == (("a", 7),)
-    lease_holder.heard(LeaseGranted(request.serial, (("a", 7),), 5.0, 1.0), 107.1)
+    lease_holder.message_received(LeaseGranted(request.serial, (("a", 7),), 5.0, 1.0), 107.1)
     assert lease_holder.take_actions().begin == ["a"] and lease_holder.active_token("a", 108.0) == 7
 
 
@@ -61,7 +61,7 @@
     lease_holder.tick(101.0)
     (request,) = lease_holder.take_actions().messages
     assert isinstance(request, RenewLease)
-    lease_holder.heard(LeaseGranted(request.serial, (), 5.0, 1.0), 101.1)
+    lease_holder.message_received(LeaseGranted(request.serial, (), 5.0, 1.0), 101.1)
     assert (
         lease_holder.active_token("a", 101.1) == 0
         and lease_holder.take_actions().end == ["a"]
@@ -71,9 +71,9 @@
 
 def test_a_revocation_is_answered_and_an_outdated_one_ends_nothing() -> None:
     lease_holder = holding_process()
-    lease_holder.heard(Revoke("a", 6), 100.5)
+    lease_holder.message_received(Revoke("a", 6), 100.5)
     assert lease_holder.active_token("a", 100.5) == 7
-    lease_holder.heard(Revoke("a", 7), 100.6)
+    lease_holder.message_received(Revoke("a", 7), 100.6)
     assert lease_holder.active_token("a", 100.6) == 0 and lease_holder.take_actions().messages == [
         ReleaseLease("a", 7)
     ]
@@ -84,7 +84,7 @@
     lease_holder.leave()
     actions = lease_holder.take_actions()
     assert actions.messages == [Offer(()), ReleaseLease("a", 7)] and actions.end == ["a"]
-    lease_holder.heard(Assigned("b", 9), 101.0)
+    lease_holder.message_received(Assigned("b", 9), 101.0)
     assert not lease_holder.leases
 
 
@@ -101,5 +101,5 @@
 
 def test_an_outdated_assignment_changes_nothing() -> None:
     lease_holder = holding_process()
-    lease_holder.heard(Assigned("a", 5), 100.5)  # late
+    lease_holder.message_received(Assigned("a", 5), 100.5)  # late
     assert lease_holder.leases["a"] == HeldLease(7, 105.0, lease_holder.leases["a"].assigned_after_serial)
--- a/tests/tasks/test_lease_manager.py
+++ b/tests/tasks/test_lease_manager.py
@@ -27,11 +27,11 @@
         self.lease_manager.assignments_read(self.registers, self.now)
         self.messages: list[tuple[int, Any]] = []
         for n, name in enumerate(names, 1):
-            self.lease_manager.linked(n, name, "p", self.now)
+            self.lease_manager.link_opened(n, name, "p", self.now)
             self.hears(n, Offer(("a",)))
 
     def hears(self, number: int, message: Any) -> None:
-        self.lease_manager.heard(number, message, self.now)
+        self.lease_manager.message_received(number, message, self.now)
         self.settle()
 
     def settle(self, seconds: float = 0.0) -> None:
@@ -71,7 +71,7 @@
     leader.lease_manager.tick(leader.now)
     (write,) = leader.lease_manager.take_actions().writes
     leader.lease_manager.assignments_read(leader.registers, leader.now)  # of something else
-    leader.lease_manager.heard(number, RenewLease(1, (("a", token),)), leader.now)
+    leader.lease_manager.message_received(number, RenewLease(1, (("a", token),)), leader.now)
     actions = leader.lease_manager.take_actions()
     assert not actions.writes
     assert [message for _, message in actions.messages] == [
@@ -102,14 +102,14 @@
     first = leader.holder()
     number = leader.lease_manager.holder_link("a")
     leader.hears(number, RenewLease(1, (("a", leader.registers["a"][1]),)))
-    leader.lease_manager.unlinked(number, leader.now)
+    leader.lease_manager.link_closed(number, leader.now)
     leader.settle(TERMS.expiry_seconds - 0.1)
     assert leader.holder() == first
     leader.settle(0.2)
     second = leader.holder()
     assert second and second != first
     other = leader.lease_manager.holder_link("a")
-    leader.lease_manager.linked(9, "z", "p", leader.now)
+    leader.lease_manager.link_opened(9, "z", "p", leader.now)
     leader.hears(9, Offer(("a",)))
     leader.hears(other, Offer(()))
     leader.hears(other, ReleaseLease("a", leader.registers["a"][1]))
@@ -120,10 +120,10 @@
     # Guards what a former leader may have granted; and names are a runner's own claims.
     lease_manager = LeaseManager(TERMS, 100.0)
     lease_manager.assignments_read({"a": (TaskAssignment("x", "p"), 7)}, 100.0)
-    lease_manager.linked(1, "y", "p", 100.0)
-    lease_manager.heard(1, Offer(("a",)), 100.0)
+    lease_manager.link_opened(1, "y", "p", 100.0)
+    lease_manager.message_received(1, Offer(("a",)), 100.0)
     for name in ("a", "b", "c"):
-        lease_manager.heard(1, ReleaseLease(name, 0), 100.0)
+        lease_manager.message_received(1, ReleaseLease(name, 0), 100.0)
     assert not lease_manager.leases and not lease_manager.take_actions().writes
     lease_manager.tick(100.0 + TERMS.expiry_seconds)
     assert lease_manager.take_actions().writes
@@ -132,7 +132,7 @@
 def test_an_assignment_is_announced_on_the_holders_latest_link() -> None:
     # An older one may be half open: nothing sent on it arrives, and nobody notices that it is gone.
     leader = Leader("x")
-    leader.lease_manager.linked(5, "x", "p", leader.now)
+    leader.lease_manager.link_opened(5, "x", "p", leader.now)
     leader.messages.clear()
     leader.hears(5, Offer(("a",)))
     assert leader.messages == [(5, Assigned("a", leader.registers["a"][1]))]
@@ -162,7 +162,7 @@
     def assigned(order: list[str]) -> dict[str, str]:
         leader = Leader()
         for n, name in enumerate(order, 1):
-            leader.lease_manager.linked(n, name, "p", leader.now)
+            leader.lease_manager.link_opened(n, name, "p", leader.now)
             leader.lease_manager.runners[n].offered = frozenset(f"d{i}" for i in range(12))
         leader.settle()
         return {task: assignment.lease_holder for task, (assignment, _) in leader.registers.items()}
--- a/zincladder/consensus/leader_services.py
+++ b/zincladder/consensus/leader_services.py
@@ -47,13 +47,13 @@
     def tick(self, now: float) -> None:
         """Does what is due."""
 
-    def linked(self, number: int, name: str, process: str, now: float) -> str:
+    def link_opened(self, number: int, name: str, process: str, now: float) -> str:
         """A process has linked; why it can't take part, empty if it can."""
 
-    def unlinked(self, number: int, now: float) -> None:
+    def link_closed(self, number: int, now: float) -> None:
         """Its link is closed."""
 
-    def heard(self, number: int, message: Any, now: float) -> None:
+    def message_received(self, number: int, message: Any, now: float) -> None:
         """One of its messages."""
 
 
@@ -210,7 +210,7 @@
         with anyio.CancelScope() as scope:
             self.links[number] = LinkedProcess(queue, scope)
             try:
-                if reason := term_state.linked(number, hello.name, hello.instance_id, self.clock()):
+                if reason := term_state.link_opened(number, hello.name, hello.instance_id, self.clock()):
                     self._warning("process rejected", role=self.role, name=hello.name, reason=reason)
                     return
                 self.wake()
@@ -222,7 +222,7 @@
                 pass
             finally:
                 self.links.pop(number, None)
-                term_state.unlinked(number, self.clock())
+                term_state.link_closed(number, self.clock())
                 self.link_closed(number)
                 self.wake()
 
@@ -235,5 +235,5 @@
                 return
             self.refresh(term_state)
             self.message_received(number, message)
-            term_state.heard(number, message, self.clock())
+            term_state.message_received(number, message, self.clock())
             self.wake()
--- a/zincladder/leases/client.py
+++ b/zincladder/leases/client.py
@@ -31,10 +31,10 @@
     def tick(self, now: float) -> None:
         """Does what is due."""
 
-    def link(self, up: bool, now: float) -> None:
+    def link_changed(self, up: bool, now: float) -> None:
         """The link to the leader is up, or is down with all messages under way on it."""
 
-    def heard(self, message: Any, now: float) -> None:
+    def message_received(self, message: Any, now: float) -> None:
         """Takes a message of the leader."""
 
     def leave(self) -> None:
@@ -74,25 +74,25 @@
 
     # Of the link ----------------------------------------------------------------------------------
 
-    def link(self, up: bool) -> None:
+    def link_changed(self, up: bool) -> None:
         """The link is up, or is down with all messages under way on it."""
-        self.participant.link(up, self.clock())
+        self.participant.link_changed(up, self.clock())
         self.carry_out()
         self.wake()
 
-    def heard(self, message: Any) -> str | None:
+    def message_received(self, message: Any) -> str | None:
         """Takes a message.
 
         Returns None, or the leader's name ("" if it is unknown) where this replica does not lead.
         """
         if isinstance(message, NotLeaderReply):
             return message.leader
-        self.participant.heard(message, self.clock())
+        self.participant.message_received(message, self.clock())
         self.carry_out()
         self.wake()
         return None
 
-    def silence(self) -> float:
+    def silence_timeout_seconds(self) -> float:
         """Seconds without a message after which another replica is tried."""
         return SILENCE_RENEWALS * self.participant.renewal_interval_seconds
 
--- a/zincladder/links/leader_link.py
+++ b/zincladder/links/leader_link.py
@@ -22,13 +22,13 @@
 class LeaderLinkHandler(Protocol):
     """Who talks over the link."""
 
-    def link(self, up: bool) -> None:
+    def link_changed(self, up: bool) -> None:
         """The link is up, or down and all that was sent on it is lost."""
 
-    def heard(self, message: Any) -> str | None:
+    def message_received(self, message: Any) -> str | None:
         """A message of the replica. None: the link goes on. Else it ends: the leader's name, if known."""
 
-    def silence(self) -> float:
+    def silence_timeout_seconds(self) -> float:
         """Seconds without a message after which another replica is tried."""
 
 
@@ -95,20 +95,20 @@
 
     async def _exchange(self, link: Link, backoff: ReconnectBackoff) -> str:
         self.outbox.clear()
-        self._handler.link(True)
+        self._handler.link_changed(True)
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.outbox.send_to, link)
                 leader = None
                 while leader is None:
                     # Guards against a paused leader and a network that loses all: the link stays up.
-                    with anyio.fail_after(self._handler.silence()):
+                    with anyio.fail_after(self._handler.silence_timeout_seconds()):
                         message = await link.receive(self._messages)
-                    leader = self._handler.heard(message)
+                    leader = self._handler.message_received(message)
                     if leader is None:
                         backoff.reset()
                         self._log_rejection("")
                 tasks.cancel_scope.cancel()
         finally:
-            self._handler.link(False)
+            self._handler.link_changed(False)
         return leader or ""
--- a/zincladder/policy/coordinator.py
+++ b/zincladder/policy/coordinator.py
@@ -156,7 +156,7 @@
 
     # Fronts ---------------------------------------------------------------------------------------
 
-    def linked(self, number: int, name: str, process: str, now: float) -> str:
+    def link_opened(self, number: int, name: str, process: str, now: float) -> str:
         """A front has connected; the reason why it can't take part, or nothing."""
         if len(self.fronts) >= MAX_FRONTS:
             return f"{MAX_FRONTS} fronts at most"
@@ -167,12 +167,12 @@
         self._advance(now)
         return ""
 
-    def unlinked(self, number: int, now: float) -> None:
+    def link_closed(self, number: int, now: float) -> None:
         """A link is gone. The front may be alive all the same: its lease runs on."""
         self.fronts.pop(number, None)
         self._advance(now)
 
-    def heard(self, number: int, message: FromParticipant, now: float) -> None:
+    def message_received(self, number: int, message: FromParticipant, now: float) -> None:
         """Takes a front's message, received before a moment at which this replica was confirmed to lead."""
         front = self.fronts.get(number)
         if front is None:
--- a/zincladder/policy/participant.py
+++ b/zincladder/policy/participant.py
@@ -89,7 +89,7 @@
         """When `tick` is due."""
         return self.renewals.next_at if self.linked else float("inf")
 
-    def link(self, up: bool, now: float) -> None:
+    def link_changed(self, up: bool, now: float) -> None:
         """The link to the leader is up, or is down with all messages under way on it."""
         self.linked, self.renewals.next_at, self._fetching = up, now, ""
         self._actions = ParticipantActions(apply=self._actions.apply)
@@ -107,7 +107,7 @@
     def _send(self, message: FromParticipant) -> None:
         self._actions.messages.append(message)
 
-    def heard(self, message: FromCoordinator, now: float) -> None:
+    def message_received(self, message: FromCoordinator, now: float) -> None:
         """Takes a message of the leader."""
         match message:
             case PolicyLeaseGranted():
--- a/zincladder/tasks/lease_holder.py
+++ b/zincladder/tasks/lease_holder.py
@@ -79,7 +79,7 @@
         expiries = [lease.expires_at for task, lease in self.leases.items() if task in self._running]
         return min(self.renewals.next_at if self.linked else float("inf"), *expiries, float("inf"))
 
-    def link(self, up: bool, now: float) -> None:
+    def link_changed(self, up: bool, now: float) -> None:
         """The link to the leader is up, or is down with all messages under way on it."""
         self.linked, self.renewals.next_at = up, now
         self._actions.messages.clear()
@@ -103,7 +103,7 @@
         assigned = tuple((task, lease.token) for task, lease in sorted(self.leases.items()))
         self._send(RenewLease(serial, assigned))
 
-    def heard(self, message: FromLeaseManager, now: float) -> None:
+    def message_received(self, message: FromLeaseManager, now: float) -> None:
         """Takes a message of the leader."""
         match message:
             case Assigned(task, token):
--- a/zincladder/tasks/lease_manager.py
+++ b/zincladder/tasks/lease_manager.py
@@ -143,19 +143,19 @@
 
     # Runners --------------------------------------------------------------------------------------
 
-    def linked(self, number: int, name: str, process: str, now: float) -> str:
+    def link_opened(self, number: int, name: str, process: str, now: float) -> str:
         """A runner has connected; the reason why it can't take part, or nothing."""
         if len(self.runners) >= MAX_RUNNERS:
             return f"{MAX_RUNNERS} runners at most"
         self.runners[number] = LinkedRunner(name, process)
         return ""
 
-    def unlinked(self, number: int, now: float) -> None:
+    def link_closed(self, number: int, now: float) -> None:
         """A link is gone. The runner may be alive all the same: its leases run on."""
         self.runners.pop(number, None)
         self._advance(now)
 
-    def heard(self, number: int, message: FromRunner, now: float) -> None:
+    def message_received(self, number: int, message: FromRunner, now: float) -> None:
         """Takes a runner's message, received before a moment at which this replica was confirmed to lead."""
         runner = self.runners.get(number)
         if runner is None:
