--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -20,29 +20,31 @@
 from pathlib import Path
 from typing import Any
 
-from zincladder.admission.gate import Gate
-from zincladder.admission.interface import Bounds
-from zincladder.admission.ledger import SHARED, Ledger
-from zincladder.admission.model import Lane, Limits, Verdict, key_of
+from zincladder.admission.descriptor_budget import ELASTIC_POOLS, DescriptorBudget
+from zincladder.admission.interface import RequestBounds
+from zincladder.admission.model import AdmissionLimits, PriorityLane, Verdict, key_of
+from zincladder.admission.source_admission import SourceAdmission
 
 BATCH = 1000
 
 
-def gate(limits: Limits | None = None) -> Gate:
-    return Gate(limits or Limits(), Bounds(696, 34 << 20), Ledger(1024, SHARED))
+def gate(limits: AdmissionLimits | None = None) -> SourceAdmission:
+    return SourceAdmission(
+        limits or AdmissionLimits(), RequestBounds(696, 34 << 20), DescriptorBudget(1024, ELASTIC_POOLS)
+    )
 
 
-def earn(g: Gate, host: str, now: float, seconds: int = 6) -> float:
+def earn(g: SourceAdmission, host: str, now: float, seconds: int = 6) -> float:
     """A source that is served once a second until it is known."""
     for _ in range(seconds):
         now += 1.0
-        seat = g.seat(g.connect(host, now), now)
+        seat = g.open_slot(g.connect(host, now), now)
         g.may_read(seat, now)
         g.may_open(seat, now)
-        g.opened(seat)
-        g.closed(seat, now, True)
-        g.gone(seat, now)
-        g.look(now, 0.0)
+        g.request_opened(seat)
+        g.request_closed(seat, now, True)
+        g.release_slot(seat, now)
+        g.tick(now, 0.0)
     return now
 
 
@@ -90,7 +92,7 @@
     mixed = [regulars[i % 100] if i % 10 == 0 else name for i, name in enumerate(names)]
     known = [f"10.2.2.{i}" for i in range(8)]
 
-    def filled() -> tuple[Gate, float]:
+    def filled() -> tuple[SourceAdmission, float]:
         g, now = gate(), 1000.0
         for host in known:
             now = earn(g, host, now)
@@ -101,9 +103,9 @@
     result["gate"] = timed(g.connect, mixed, now, 1e-4)
     now += count * 1e-4
     lanes = [g.lane_of(g.sources.record(key_of(host), now), now) for host in known]
-    result["known_after"] = sum(lane is Lane.KNOWN for lane in lanes)
+    result["known_after"] = sum(lane is PriorityLane.KNOWN for lane in lanes)
     result["recorded"] = len(g.sources)
-    result["bound"] = g.limits.sources
+    result["bound"] = g.limits.max_sources
     result["gate_known"] = timed(g.connect, known * (BATCH * 20 // 8), now + 60, 0.02)
     plain = PlainDict()
     result["dict"] = timed(plain, mixed, now, 1e-4)
@@ -112,9 +114,11 @@
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     g, now = filled()
-    for i, host in enumerate(names[: 4 * g.limits.sources]):
+    for i, host in enumerate(names[: 4 * g.limits.max_sources]):
         at = now + i * 1e-4
-        g.gone(g.seat(g.connect(host, at), at), at)  # each has had a seat, so each is put on record
+        g.release_slot(
+            g.open_slot(g.connect(host, at), at), at
+        )  # each has had a seat, so each is put on record
     held = tracemalloc.get_traced_memory()[0] - before
     result["gate_mb"] = round(held / 1e6, 2)
     result["gate_bytes_a_record"] = round(held / len(g.sources))
@@ -129,14 +133,14 @@
 
     # A message on the calm path: may it be read, may it be opened, opened, closed.
     g, now = filled()
-    seat = g.seat(g.connect(known[0], now), now)
+    seat = g.open_slot(g.connect(known[0], now), now)
 
     def message(_: str, at: float) -> None:
         if g.may_read(seat, at) and g.may_open(seat, at).value == "none":
-            g.opened(seat)
-            g.closed(seat, at, True)
+            g.request_opened(seat)
+            g.request_closed(seat, at, True)
         if int(at * 100) != int((at - 0.0125) * 100):
-            g.look(at, 0.0)
+            g.tick(at, 0.0)
 
     result["request"] = timed(message, [""] * (20 * BATCH), now, 0.0125)
     return result
--- a/tests/core/test_late_attempts.py
+++ b/tests/core/test_late_attempts.py
@@ -30,8 +30,8 @@
 from tests.test_endings import cores_of, frame, on_connect, plain, request, some
 from tests.test_front import cut
 from tests.test_member_links import LARGE, order, wire
-from zincladder.admission.model import Decision, Verdict, Why
-from zincladder.admission.plain import Plain
+from zincladder.admission.connection_admission import ConnectionAdmission
+from zincladder.admission.model import Decision, RejectionReason, Verdict
 from zincladder.core.arrival import PROMPT_READ_SECONDS
 from zincladder.core.attempt_guard import MIN_ATTEMPT_SECONDS
 from zincladder.core.engine import Core
@@ -218,12 +218,12 @@
     reported: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     full, waited = [True], 0.4
-    ready = Plain.ready
+    ready = ConnectionAdmission.may_accept
 
-    def full_for_a_while(self: Plain, now: float) -> Decision:
-        return Decision(Verdict.WAIT, Why.FULL) if full else ready(self, now)
+    def full_for_a_while(self: ConnectionAdmission, now: float) -> Decision:
+        return Decision(Verdict.WAIT, RejectionReason.NO_CAPACITY) if full else ready(self, now)
 
-    monkeypatch.setattr(Plain, "ready", full_for_a_while)
+    monkeypatch.setattr(ConnectionAdmission, "may_accept", full_for_a_while)
     if not reported:
         monkeypatch.setattr(client_connection, "newest_byte_age", lambda _: None)
     async with world(serve, settings=NO_PROBES) as w:
@@ -240,13 +240,13 @@
 def connected_after(monkeypatch: pytest.MonkeyPatch) -> list[float]:
     """For each connection that gets a slot, how long it may have waited at most."""
     found = list[float]()
-    seat = Clients._seat
+    seat = Clients._add_client
 
     def seated(self: Clients, sock: socket.socket, decision: Decision, came_after: float) -> None:
         found.append(monotonic() - came_after)
         seat(self, sock, decision, came_after)
 
-    monkeypatch.setattr(Clients, "_seat", seated)
+    monkeypatch.setattr(Clients, "_add_client", seated)
     return found
 
 
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -22,7 +22,7 @@
     configuration,
 )
 from tests.support.front_process import FrontProcess
-from zincladder.admission.seats import SETTLED
+from zincladder.admission.connection_slots import MIN_IDLE_SECONDS
 
 pytestmark = pytest.mark.anyio
 
@@ -62,7 +62,7 @@
                 good = len(sock.recv(64)) > 4
         except OSError:
             good = False
-        return good, sent_after < SETTLED
+        return good, sent_after < MIN_IDLE_SECONDS
 
     def end(self) -> None:
         self._stop = True
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,61 +11,66 @@
 from hypothesis import settings as effort
 from hypothesis import strategies as st
 
-from zincladder.admission.gate import Gate
-from zincladder.admission.interface import Bounds
-from zincladder.admission.ledger import SHARED, Ledger, Use
-from zincladder.admission.lrfu import Lrfu
+from zincladder.admission.descriptor_budget import ELASTIC_POOLS, DescriptorBudget, DescriptorUse
+from zincladder.admission.fair_queue import LATE, REQUEST, WeightedFairQueue
+from zincladder.admission.interface import RequestBounds
+from zincladder.admission.lrfu import LrfuSet
 from zincladder.admission.model import (
-    Act,
-    Lane,
-    Limits,
-    Network,
-    Seat,
+    AdmissionLimits,
+    ConnectionSlot,
+    ListedNetwork,
+    Offense,
+    PriorityLane,
+    RejectionReason,
     Source,
     Verdict,
-    Why,
     key_of,
     text_of,
 )
 from zincladder.admission.networks import NetworkMap
-from zincladder.admission.rate import RateSketch, decayed
-from zincladder.admission.responses import Response
-from zincladder.admission.shares import LATE, REQUEST, Shares
+from zincladder.admission.rate_limiter import RateLimiter, decayed
+from zincladder.admission.response_rate_limiter import DatagramVerdict
+from zincladder.admission.source_admission import SourceAdmission
 
 PACKAGE = Path(__file__).resolve().parent.parent / "zincladder/admission"
 FRIEND, FLOOD = "192.0.2.1", "198.51.100.9"
 
 
-def gate(sockets: int = 256, *, most_open: int = 200, **changes: object) -> Gate:
-    return Gate(Limits(**changes), Bounds(most_open, 1 << 20), Ledger(sockets, SHARED), seed=7)  # type: ignore[arg-type]
+def gate(sockets: int = 256, *, max_open: int = 200, **changes: object) -> SourceAdmission:
+    return SourceAdmission(
+        AdmissionLimits(**changes),  # type: ignore[arg-type]
+        RequestBounds(max_open, 1 << 20),
+        DescriptorBudget(sockets, ELASTIC_POOLS),
+        seed=7,
+    )
 
 
-def come(g: Gate, host: str, now: float) -> Seat | None:
+def come(g: SourceAdmission, host: str, now: float) -> ConnectionSlot | None:
     decision = g.connect(host, now)
-    return g.seat(decision, now) if decision.verdict is Verdict.ADMIT else None
+    return g.open_slot(decision, now) if decision.verdict is Verdict.ADMIT else None
 
 
-def ask(g: Gate, seat: Seat, now: float) -> Why:
+def ask(g: SourceAdmission, seat: ConnectionSlot, now: float) -> RejectionReason:
     why = g.may_open(seat, now)
-    if why is Why.NONE:
-        g.opened(seat)
+    if why is RejectionReason.NONE:
+        g.request_opened(seat)
     return why
 
 
-def earn(g: Gate, host: str, now: float, seconds: int = 5) -> float:
+def earn(g: SourceAdmission, host: str, now: float, seconds: int = 5) -> float:
     """A source that is served once a second until it is known."""
     for _ in range(seconds):
         now += 1.1
         seat = come(g, host, now)
         assert seat is not None
-        assert g.may_read(seat, now) and ask(g, seat, now) is Why.NONE
-        g.closed(seat, now + 0.02, True)
-        g.gone(seat, now + 0.03)
-        g.look(now + 0.03, 0.0)
+        assert g.may_read(seat, now) and ask(g, seat, now) is RejectionReason.NONE
+        g.request_closed(seat, now + 0.02, True)
+        g.release_slot(seat, now + 0.03)
+        g.tick(now + 0.03, 0.0)
     return now
 
 
-def lane(g: Gate, host: str, now: float) -> Lane:
+def lane(g: SourceAdmission, host: str, now: float) -> PriorityLane:
     return g.lane_of(g.sources.record(key_of(host), now), now)
 
 
@@ -125,7 +130,7 @@
 
 
 def test_a_million_addresses_seen_once_evict_no_one_who_is_known() -> None:
-    g = gate(sources=256)
+    g = gate(max_sources=256)
     friends = [f"192.0.2.{i}" for i in range(40)]
     now = 0.0
     for host in friends:
@@ -134,13 +139,13 @@
         now += 0.001
         seat = come(g, f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}", now)
         if seat:
-            g.gone(seat, now)
+            g.release_slot(seat, now)
         assert len(g.sources) <= 256
-    assert [lane(g, host, now) for host in friends] == [Lane.KNOWN] * 40
+    assert [lane(g, host, now) for host in friends] == [PriorityLane.KNOWN] * 40
 
 
 def test_who_comes_often_is_kept_among_addresses_seen_once() -> None:
-    part, regular = Lrfu(20.0), Source(1)
+    part, regular = LrfuSet(20.0), Source(1)
     part.seen(regular, 0.0)
     part.add(regular)
     for i in range(2, 3000):
@@ -170,13 +175,13 @@
     now = earn(g, FRIEND, 1000.0)
     for jump in (-500.0, 3.0, -1e6, 0.0):
         now += jump
-        g.look(now, 0.0)
+        g.tick(now, 0.0)
         seat = come(g, FRIEND, now)
-        assert seat is not None and seat.lane is Lane.KNOWN, jump
-        assert g.may_read(seat, now) and ask(g, seat, now) is Why.NONE
-        g.look(now, 0.0)
-        g.closed(seat, now, True)
-        g.gone(seat, now)
+        assert seat is not None and seat.lane is PriorityLane.KNOWN, jump
+        assert g.may_read(seat, now) and ask(g, seat, now) is RejectionReason.NONE
+        g.tick(now, 0.0)
+        g.request_closed(seat, now, True)
+        g.release_slot(seat, now)
     assert decayed(4.0, 10.0, 5.0, 1.0) == 4.0
 
 
@@ -187,7 +192,7 @@
 )
 @effort(max_examples=60, deadline=None)
 def test_a_rate_is_never_exceeded_and_always_reached(rate: float, burst: int, steps: list[float]) -> None:
-    sketch, now, passed = RateSketch(3), 100.0, 0
+    sketch, now, passed = RateLimiter(3), 100.0, 0
     for step in steps:
         now += step
         passed += sketch.conforms(42, now, 1 / rate, burst)
@@ -196,7 +201,7 @@
 
 
 def test_a_flood_beside_it_takes_nothing_from_an_addresss_rate() -> None:
-    sketch, now = RateSketch(11), 5.0
+    sketch, now = RateLimiter(11), 5.0
     for _ in range(3000):  # over its rate, and so ahead of the clock in both its cells
         sketch.conforms(key_of(FLOOD), now, 0.02, 100)
     innocent = [key_of(f"10.0.{i >> 8}.{i & 255}") for i in range(2000)]
@@ -210,24 +215,24 @@
     g = gate()
     now = earn(g, FRIEND, 0.0)
     flood = [g.connect(FLOOD, now) for _ in range(1)]
-    seats = [g.seat(flood[0], now)]
+    seats = [g.open_slot(flood[0], now)]
     for _ in range(300):
         decision = g.connect(FLOOD, now + 1)
         if decision.verdict is Verdict.ADMIT:
-            seats.append(g.seat(decision, now + 1))
-    assert len(seats) <= g.limits.per_address
+            seats.append(g.open_slot(decision, now + 1))
+    assert len(seats) <= g.limits.max_per_address
     for i in range(200):  # and many addresses together leave the reserve
         come(g, f"10.{i}.0.1", now + 1)
-    account = g.ledger.accounts[Use.CLIENTS]
-    assert g.lanes[Lane.NEW] <= account.most * (1 - g.limits.reserve)
-    friends = [come(g, FRIEND, now + 1) for _ in range(int(account.most * g.limits.reserve) - 1)]
-    assert all(friends) and all(seat and seat.lane is Lane.KNOWN for seat in friends)
+    pool = g.descriptors.pools[DescriptorUse.CLIENTS]
+    assert g.slots_by_lane[PriorityLane.NEW] <= pool.most * (1 - g.limits.reserve)
+    friends = [come(g, FRIEND, now + 1) for _ in range(int(pool.most * g.limits.reserve) - 1)]
+    assert all(friends) and all(seat and seat.lane is PriorityLane.KNOWN for seat in friends)
 
 
 def test_a_network_has_a_cap_of_its_own() -> None:
     g = gate(sockets=2048)
     taken = [come(g, f"198.51.100.{i % 250}", i * 0.01) for i in range(400)]
-    assert sum(seat is not None for seat in taken) == g.limits.per_network
+    assert sum(seat is not None for seat in taken) == g.limits.max_per_network
     assert come(g, "203.0.113.1", 5.0)
 
 
@@ -236,20 +241,20 @@
     times: list[float] = []
     now = 0.0
     for _ in range(3):
-        while lane(g, FLOOD, now) is not Lane.LIMITED:
+        while lane(g, FLOOD, now) is not PriorityLane.LIMITED:
             now += 0.001
             seat = come(g, FLOOD, now)
             if seat:
-                g.gone(seat, now)
+                g.release_slot(seat, now)
         times.append(g.sources.record(key_of(FLOOD), now).until - now)
         # Limited is not banned: a few connections are still taken.
         limited = [come(g, FLOOD, now + i * 0.3) for i in range(3)]
         assert any(limited)
         for seat in filter(None, limited):
-            g.gone(seat, now + 1)
+            g.release_slot(seat, now + 1)
         now += times[-1] + 0.01
-        assert lane(g, FLOOD, now) is Lane.NEW
-    assert times[0] < times[1] < times[2] and times[0] == pytest.approx(g.limits.penalty, rel=0.2)
+        assert lane(g, FLOOD, now) is PriorityLane.NEW
+    assert times[0] < times[1] < times[2] and times[0] == pytest.approx(g.limits.penalty_seconds, rel=0.2)
 
 
 def test_a_large_gateway_with_a_few_bad_users_is_not_limited() -> None:
@@ -259,44 +264,44 @@
     assert seat
     for i in range(3000):
         now += 0.01
-        assert ask(g, seat, now) is Why.NONE
-        g.closed(seat, now, True)
+        assert ask(g, seat, now) is RejectionReason.NONE
+        g.request_closed(seat, now, True)
         if i % 50 == 0:
-            g.did(seat, Act.GARBLED, now)
-    assert lane(g, FRIEND, now) is Lane.KNOWN
+            g.record_offense(seat, Offense.MALFORMED, now)
+    assert lane(g, FRIEND, now) is PriorityLane.KNOWN
 
 
 def test_listed_networks_have_caps_of_their_own_and_no_penalty() -> None:
-    g = gate(networks=(Network("192.0.2.0/24", connections=3),))
+    g = gate(networks=(ListedNetwork("192.0.2.0/24", connections=3),))
     seats = [come(g, FRIEND, 0.0) for _ in range(5)]
     assert [bool(s) for s in seats] == [True] * 3 + [False] * 2
-    assert seats[0] and seats[0].lane is Lane.LISTED
+    assert seats[0] and seats[0].lane is PriorityLane.LISTED
     for _ in range(100):
-        g.did(seats[0], Act.GARBLED, 0.1)
-    assert lane(g, FRIEND, 0.2) is Lane.LISTED
+        g.record_offense(seats[0], Offense.MALFORMED, 0.1)
+    assert lane(g, FRIEND, 0.2) is PriorityLane.LISTED
 
 
 def test_what_stands_worse_makes_room_and_what_owes_an_answer_never_does() -> None:
-    g, now = gate(sockets=128, per_address=1000), 0.0
+    g, now = gate(sockets=128, max_per_address=1000), 0.0
     now = earn(g, FRIEND, now)
     busy = come(g, FLOOD, now)
-    assert busy and ask(g, busy, now) is Why.NONE
+    assert busy and ask(g, busy, now) is RejectionReason.NONE
     while come(g, FLOOD, now + 1):
         pass
     now += 5
     # A newcomer that has no seat yet takes one from whoever has many; a known one finds the reserve.
     newcomer = g.connect("203.0.113.5", now)
     assert newcomer.verdict is Verdict.WAIT and newcomer.evict and newcomer.evict.source.key == key_of(FLOOD)
-    g.gone(newcomer.evict, now)
-    assert g.again(newcomer, now).verdict is Verdict.ADMIT
+    g.release_slot(newcomer.evict, now)
+    assert g.reconsider(newcomer, now).verdict is Verdict.ADMIT
     while (seat := come(g, FRIEND, now)) is not None:
-        assert seat.lane is Lane.KNOWN
-    evicted: list[Seat] = []
+        assert seat.lane is PriorityLane.KNOWN
+    evicted: list[ConnectionSlot] = []
     while (decision := g.connect(FRIEND, now)).evict:
-        assert decision.evict is not busy and decision.evict.lane is Lane.NEW
+        assert decision.evict is not busy and decision.evict.lane is PriorityLane.NEW
         evicted.append(decision.evict)
-        g.gone(decision.evict, now)
-        g.seat(g.again(decision, now), now)
+        g.release_slot(decision.evict, now)
+        g.open_slot(g.reconsider(decision, now), now)
     assert evicted and g.connect(FRIEND, now).verdict is not Verdict.ADMIT
     assert busy.open == 1 and not busy.leaving
 
@@ -304,19 +309,19 @@
 def test_operators_block_and_trust_and_a_reload_keeps_it() -> None:
     g = gate()
     idle, busy = come(g, FLOOD, 0.0), come(g, FLOOD, 0.0)
-    assert idle and busy and ask(g, busy, 0.0) is Why.NONE
+    assert idle and busy and ask(g, busy, 0.0) is RejectionReason.NONE
     assert g.block("198.51.100.0/24", 60.0, 1.0) == 1  # the busy one is answered first
-    assert [seat for seat, _ in g.look(1.0, 0.0).end] == [idle]
-    g.use(Limits(per_address=3))
-    assert g.connect(FLOOD, 2.0).why is Why.BLOCKED
-    g.closed(busy, 3.0, True)
-    assert g.look(3.0, 0.0).end == [(busy, Why.BLOCKED)]
+    assert [seat for seat, _ in g.tick(1.0, 0.0).to_evict] == [idle]
+    g.apply_limits(AdmissionLimits(max_per_address=3))
+    assert g.connect(FLOOD, 2.0).reason is RejectionReason.BLOCKED
+    g.request_closed(busy, 3.0, True)
+    assert g.tick(3.0, 0.0).to_evict == [(busy, RejectionReason.BLOCKED)]
     assert g.connect(FLOOD, 61.0).verdict is Verdict.ADMIT  # it ends by itself
     assert g.unblock("198.51.100.0/24") and not g.unblock("198.51.100.0/24")
     g.trust("198.51.100.0/24")
-    g.use(Limits())
+    g.apply_limits(AdmissionLimits())
     seat = come(g, FLOOD, 62.0)
-    assert seat and seat.lane is Lane.LISTED
+    assert seat and seat.lane is PriorityLane.LISTED
     for bad in ("198.51.100.9/24", "nonsense"):
         with pytest.raises(ValueError):
             g.block(bad, 1.0, 0.0)
@@ -328,30 +333,30 @@
     g = gate(sockets=256)
     seats = [s for i in range(60) if (s := come(g, f"10.{i}.0.1", 0.0))]
     for seat in seats[:10]:
-        assert ask(g, seat, 0.0) is Why.NONE
-    g.ledger.resize(64)
-    found = g.look(1.0, 0.0)
-    assert len(found.end) == 60 + 24 - 64 and not any(seat.open for seat, _ in found.end)
-    for seat, _ in found.end:
-        g.gone(seat, 1.0)
-    assert not g.look(2.0, 0.0).end
+        assert ask(g, seat, 0.0) is RejectionReason.NONE
+    g.descriptors.resize(64)
+    found = g.tick(1.0, 0.0)
+    assert len(found.to_evict) == 60 + 24 - 64 and not any(seat.open for seat, _ in found.to_evict)
+    for seat, _ in found.to_evict:
+        g.release_slot(seat, 1.0)
+    assert not g.tick(2.0, 0.0).to_evict
 
 
 # Requests and reads --------------------------------------------------------------------------------
 
 
 def test_open_requests_of_one_source_leave_room_for_others() -> None:
-    g = gate(most_open=100)
+    g = gate(max_open=100)
     now = earn(g, FRIEND, 0.0)
     flood, friend, other = come(g, FLOOD, now), come(g, FRIEND, now), come(g, "203.0.113.1", now)
     assert flood and friend and other
     taken = 0
-    while ask(g, flood, now) is Why.NONE:
+    while ask(g, flood, now) is RejectionReason.NONE:
         taken += 1
     assert 25 <= taken <= 31  # half of what newcomers may have
-    assert ask(g, other, now) is Why.NONE
+    assert ask(g, other, now) is RejectionReason.NONE
     kept = 0
-    while ask(g, friend, now) is Why.NONE:
+    while ask(g, friend, now) is RejectionReason.NONE:
         kept += 1
     assert kept >= 100 // 3 and g.open <= 100  # an even share of all at the least
 
@@ -360,11 +365,11 @@
     g = gate()
     now = earn(g, FRIEND, 0.0)
     flood, friend = come(g, FLOOD, now), come(g, FRIEND, now)
-    assert flood and friend and ask(g, flood, now) is Why.NONE
-    g.unread(flood, 700_000)
-    assert ask(g, flood, now) is Why.SHARE and ask(g, friend, now) is Why.NONE
-    g.unread(flood, -700_000)
-    assert ask(g, flood, now) is Why.NONE
+    assert flood and friend and ask(g, flood, now) is RejectionReason.NONE
+    g.add_unread_bytes(flood, 700_000)
+    assert ask(g, flood, now) is RejectionReason.OVER_SHARE and ask(g, friend, now) is RejectionReason.NONE
+    g.add_unread_bytes(flood, -700_000)
+    assert ask(g, flood, now) is RejectionReason.NONE
 
 
 def test_when_the_loop_is_late_whoever_uses_most_is_refused_first() -> None:
@@ -374,75 +379,77 @@
     assert flood and friend
     for i in range(20_000):
         g.may_read(flood, now + i / 2000)
-        g.look(now + i / 2000, 0.0)
+        g.tick(now + i / 2000, 0.0)
     now += 10.0
-    g.look(now, 0.06)
-    assert ask(g, friend, now) is Why.NONE and ask(g, flood, now) is Why.LATE
+    g.tick(now, 0.06)
+    assert ask(g, friend, now) is RejectionReason.NONE and ask(g, flood, now) is RejectionReason.LOOP_LAGGING
 
 
 @given(
     flows=st.lists(st.integers(12, 40), min_size=1, max_size=8),
-    lanes=st.lists(st.sampled_from([Lane.KNOWN, Lane.NEW, Lane.LIMITED]), min_size=8, max_size=8),
+    lanes=st.lists(
+        st.sampled_from([PriorityLane.KNOWN, PriorityLane.NEW, PriorityLane.LIMITED]), min_size=8, max_size=8
+    ),
 )
 @effort(max_examples=60, deadline=None)
-def test_no_source_starves_and_no_lane_overdraws(flows: list[int], lanes: list[Lane]) -> None:
-    shares, now = Shares(0.6, 0.3), 10.0
+def test_no_source_starves_and_no_lane_overdraws(flows: list[int], lanes: list[PriorityLane]) -> None:
+    read_queue, now = WeightedFairQueue(0.6, 0.3), 10.0
     seats = []
     for i, count in enumerate(flows):
         source = Source(key_of(f"10.{i}.0.1"))
-        seats += [Seat(source, lanes[i], 0.0) for _ in range(count)]
-    shares.pour(now, 0.0)
-    while any(shares.ask(seat.lane) for seat in seats):
+        seats += [ConnectionSlot(source, lanes[i], 0.0) for _ in range(count)]
+    read_queue.dispatch(now, 0.0)
+    while any(read_queue.try_take(seat.lane) for seat in seats):
         pass  # until every account is empty
     for seat in seats:
-        shares.wait(seat)
+        read_queue.enqueue(seat)
     got: Counter[int] = Counter()
     ticks = 400
     for _ in range(ticks):
         now += 0.01
-        for seat in shares.pour(now, 0.0):
+        for seat in read_queue.dispatch(now, 0.0):
             got[seat.source.key] += 1
-            shares.wait(seat)  # it wants more at once
+            read_queue.enqueue(seat)  # it wants more at once
     total = sum(got.values())
-    assert total * REQUEST <= ticks * 0.01 * shares.rate + 0.2  # no more than there is
-    assert total * REQUEST >= 0.5 * ticks * 0.01 * shares.rate  # nor is it wasted
-    for chosen in (Lane.KNOWN, Lane.NEW, Lane.LIMITED):
+    assert total * REQUEST <= ticks * 0.01 * read_queue.rate + 0.2  # no more than there is
+    assert total * REQUEST >= 0.5 * ticks * 0.01 * read_queue.rate  # nor is it wasted
+    for chosen in (PriorityLane.KNOWN, PriorityLane.NEW, PriorityLane.LIMITED):
         mine = [got[key_of(f"10.{i}.0.1")] for i in range(len(flows)) if lanes[i] is chosen]
         # However many connections a source has, it gets as many turns as the others of its lane.
         assert not mine or (min(mine) > 0 and max(mine) <= 2 * min(mine) + 2)
 
 
 def test_a_lane_that_asks_little_is_served_at_once_beside_one_that_floods() -> None:
-    shares, now = Shares(0.6, 0.35), 0.0
-    flood = [Seat(Source(key_of(FLOOD)), Lane.NEW, 0.0) for _ in range(100)]
+    read_queue, now = WeightedFairQueue(0.6, 0.35), 0.0
+    flood = [ConnectionSlot(Source(key_of(FLOOD)), PriorityLane.NEW, 0.0) for _ in range(100)]
     for seat in flood:
-        shares.wait(seat)
+        read_queue.enqueue(seat)
     for i in range(300):
         now += 0.01
-        for seat in shares.pour(now, 0.0):
-            shares.wait(seat)
+        for seat in read_queue.dispatch(now, 0.0):
+            read_queue.enqueue(seat)
         if i > 5 and i % 10 == 0:
-            assert shares.ask(Lane.KNOWN)
+            assert read_queue.try_take(PriorityLane.KNOWN)
 
 
 def test_late_loops_let_less_in_and_idle_ones_more() -> None:
-    shares, now = Shares(0.6, 0.35), 0.0
+    read_queue, now = WeightedFairQueue(0.6, 0.35), 0.0
     for _ in range(50):
         now += 0.01
-        shares.pour(now, 2 * LATE)
-    low = shares.rate
+        read_queue.dispatch(now, 2 * LATE)
+    low = read_queue.rate
     for _ in range(100):
         now += 0.01
-        shares.pour(now, 0.0)
-    assert low < 0.2 < shares.rate
+        read_queue.dispatch(now, 0.0)
+    assert low < 0.2 < read_queue.rate
 
 
 def test_costs_are_fitted_to_the_machine() -> None:
-    shares = Shares(0.6, 0.35)
+    read_queue = WeightedFairQueue(0.6, 0.35)
     for _ in range(40):
-        shares.charge(Lane.NEW, 0.2)
-        shares.measured(0.4 * shares.pace / shares.pace)
-    assert shares.pace == pytest.approx(2.0, rel=0.05)
+        read_queue.charge(PriorityLane.NEW, 0.2)
+        read_queue.calibrate(0.4 * read_queue.pace / read_queue.pace)
+    assert read_queue.pace == pytest.approx(2.0, rel=0.05)
 
 
 def test_a_message_that_waits_too_long_ends_its_connection() -> None:
@@ -450,32 +457,32 @@
     seats = [s for _ in range(60) if (s := come(g, FLOOD, now))]
     waiting = [seat for seat in seats for _ in range(1) if not all(g.may_read(seat, now) for _ in range(60))]
     assert waiting
-    g.shares.rate = 0.0
-    found = g.look(now + 2.5, 1.0)
-    assert found.end and all(why is Why.OVERDUE for _, why in found.end)
+    g.read_queue.rate = 0.0
+    found = g.tick(now + 2.5, 1.0)
+    assert found.to_evict and all(why is RejectionReason.READ_TIMEOUT for _, why in found.to_evict)
     for seat in seats:
-        g.gone(seat, now + 2.5)
-    assert g.shares.waiting == 0 and not g.rows and g.lanes == [0, 0, 0, 0]
+        g.release_slot(seat, now + 2.5)
+    assert g.read_queue.waiting == 0 and not g.idle_slots and g.slots_by_lane == [0, 0, 0, 0]
 
 
 def test_a_flood_that_is_served_a_part_of_what_it_asks_earns_nothing() -> None:
     g, now = gate(), 0.0
     seats = [s for _ in range(40) if (s := come(g, FLOOD, now))]
-    asleep: set[Seat] = set()
+    asleep: set[ConnectionSlot] = set()
     for _ in range(1200):
         now += 0.01
         for seat in seats:
             while seat not in asleep:
                 if not g.may_read(seat, now):
                     asleep.add(seat)
-                elif ask(g, seat, now) is Why.NONE:
-                    g.closed(seat, now, True)
-        for seat in g.look(now, 0.0).wake:  # its message is paid for, and it has the next one ready
+                elif ask(g, seat, now) is RejectionReason.NONE:
+                    g.request_closed(seat, now, True)
+        for seat in g.tick(now, 0.0).to_wake:  # its message is paid for, and it has the next one ready
             asleep.discard(seat)
-            if ask(g, seat, now) is Why.NONE:
-                g.closed(seat, now, True)
+            if ask(g, seat, now) is RejectionReason.NONE:
+                g.request_closed(seat, now, True)
     source = g.sources.record(key_of(FLOOD), now)
-    assert source.served > 1000 and g.lane_of(source, now) is not Lane.KNOWN
+    assert source.served > 1000 and g.lane_of(source, now) is not PriorityLane.KNOWN
 
 
 # Descriptors ------------------------------------------------------------------------------------------
@@ -483,22 +490,24 @@
 
 @given(
     total=st.integers(8, 2000),
-    steps=st.lists(st.tuples(st.sampled_from(list(Use)), st.booleans()), max_size=400),
+    steps=st.lists(st.tuples(st.sampled_from(list(DescriptorUse)), st.booleans()), max_size=400),
     later=st.integers(8, 2000),
 )
 @effort(max_examples=80, deadline=None)
-def test_descriptors_are_never_overdrawn(total: int, steps: list[tuple[Use, bool]], later: int) -> None:
-    ledger = Ledger(total, SHARED)
+def test_descriptors_are_never_overdrawn(
+    total: int, steps: list[tuple[DescriptorUse, bool]], later: int
+) -> None:
+    descriptors = DescriptorBudget(total, ELASTIC_POOLS)
     for use, take in steps:
         if take:
-            ledger.take(use)
-        elif ledger.accounts[use].used:
-            ledger.give(use)
-        assert ledger.used <= max(total, 24)
-        for other, account in ledger.accounts.items():  # each is promised its floor, whatever the rest hold
-            assert account.used >= account.floor or ledger.room(other) > 0
-    ledger.resize(later)
-    assert ledger.over == max(0, ledger.used - later)
+            descriptors.take(use)
+        elif descriptors.pools[use].used:
+            descriptors.give(use)
+        assert descriptors.used <= max(total, 24)
+        for other, pool in descriptors.pools.items():  # each is promised its floor, whatever the rest hold
+            assert pool.used >= pool.floor or descriptors.room(other) > 0
+    descriptors.resize(later)
+    assert descriptors.over == max(0, descriptors.used - later)
 
 
 # Other listeners ---------------------------------------------------------------------------------------
@@ -506,21 +515,32 @@
 
 def test_visits_are_capped_by_address_and_given_back() -> None:
     g = gate()
-    assert [g.visit(Use.DNS, FLOOD, 0.0) for _ in range(9)][-2:] == [Why.NONE, Why.ADDRESS_CAP]
-    assert g.visit(Use.DNS, FRIEND, 0.0) is Why.NONE
+    assert [g.open_connection(DescriptorUse.DNS, FLOOD, 0.0) for _ in range(9)][-2:] == [
+        RejectionReason.NONE,
+        RejectionReason.ADDRESS_CAP,
+    ]
+    assert g.open_connection(DescriptorUse.DNS, FRIEND, 0.0) is RejectionReason.NONE
     for _ in range(8):
-        g.left(Use.DNS, FLOOD)
-    assert g.ledger.accounts[Use.DNS].used == 1 and g.visit(Use.DNS, FLOOD, 1.0) is Why.NONE
+        g.close_connection(DescriptorUse.DNS, FLOOD)
+    assert (
+        g.descriptors.pools[DescriptorUse.DNS].used == 1
+        and g.open_connection(DescriptorUse.DNS, FLOOD, 1.0) is RejectionReason.NONE
+    )
 
 
 def test_datagrams_past_a_networks_rate_get_a_truncated_answer_now_and_then() -> None:
     g = gate()
     now = earn(g, FRIEND, 0.0)
-    forged = Counter(g.datagram(f"192.0.2.{i % 200 + 2}", now + i * 1e-5) for i in range(4000))
-    assert forged[Response.ANSWER] <= g.limits.dns_burst + 10
-    assert 0.3 < forged[Response.TRUNCATED] / (forged[Response.TRUNCATED] + forged[Response.NOTHING]) < 0.36
+    forged = Counter(g.judge_datagram(f"192.0.2.{i % 200 + 2}", now + i * 1e-5) for i in range(4000))
+    assert forged[DatagramVerdict.ANSWER] <= g.limits.dns_burst + 10
+    assert (
+        0.3
+        < forged[DatagramVerdict.TRUNCATED]
+        / (forged[DatagramVerdict.TRUNCATED] + forged[DatagramVerdict.NOTHING])
+        < 0.36
+    )
     # What is forged in its network takes nothing from a known address.
-    assert all(g.datagram(FRIEND, now + 0.04) is Response.ANSWER for _ in range(100))
+    assert all(g.judge_datagram(FRIEND, now + 0.04) is DatagramVerdict.ANSWER for _ in range(100))
 
 
 @given(
@@ -534,9 +554,9 @@
 def test_whatever_comes_the_books_balance_and_the_known_are_let_in(
     steps: list[tuple[str, int, float]],
 ) -> None:
-    g = gate(sockets=96, most_open=40, sources=64)
+    g = gate(sockets=96, max_open=40, max_sources=64)
     now = earn(g, FRIEND, 0.0)
-    seats: list[Seat] = []
+    seats: list[ConnectionSlot] = []
     for step, n, passed in steps:
         now += passed
         seat = seats[n % len(seats)] if seats else None
@@ -544,9 +564,9 @@
             new = come(g, f"10.{n}.0.1", now)
             seats += [new] if new else []
         elif step == "look":
-            for gone, _ in g.look(now, passed / 4).end:
+            for gone, _ in g.tick(now, passed / 4).to_evict:
                 assert not gone.open
-                g.gone(gone, now)
+                g.release_slot(gone, now)
                 seats.remove(gone)
         elif seat is None:
             continue
@@ -555,17 +575,17 @@
         elif step == "ask":
             ask(g, seat, now)
         elif step == "answer" and seat.open:
-            g.closed(seat, now, n % 2 == 0)
+            g.request_closed(seat, now, n % 2 == 0)
         elif step == "garble":
-            g.did(seat, Act.GARBLED, now)
+            g.record_offense(seat, Offense.MALFORMED, now)
         elif step == "go" and not seat.open:
-            g.gone(seat, now)
+            g.release_slot(seat, now)
             seats.remove(seat)
-        assert sum(g.lanes) == len(seats) == g.ledger.accounts[Use.CLIENTS].used
-        assert sum(g.opens) == g.open == sum(s.open for s in seats) <= g.bounds.most_open
-        newcomers = g.lanes[Lane.NEW] + g.lanes[Lane.LIMITED]
-        assert newcomers <= g.ledger.accounts[Use.CLIENTS].most
+        assert sum(g.slots_by_lane) == len(seats) == g.descriptors.pools[DescriptorUse.CLIENTS].used
+        assert sum(g.open_by_lane) == g.open == sum(s.open for s in seats) <= g.bounds.max_open
+        newcomers = g.slots_by_lane[PriorityLane.NEW] + g.slots_by_lane[PriorityLane.LIMITED]
+        assert newcomers <= g.descriptors.pools[DescriptorUse.CLIENTS].most
     friend = come(g, FRIEND, now)
-    assert friend is not None and friend.lane is Lane.KNOWN
-    if g.open < g.bounds.most_open:
-        assert ask(g, friend, now) is Why.NONE
+    assert friend is not None and friend.lane is PriorityLane.KNOWN
+    if g.open < g.bounds.max_open:
+        assert ask(g, friend, now) is RejectionReason.NONE
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -449,7 +449,7 @@
 # A keyed write --------------------------------------------------------------------------------------
 
 
-class Ledger:
+class DescriptorBudget:
     """The core platform: runs a write, drops its repeats by their key for a while, loses first answers."""
 
     def __init__(self, window: float = 6.0, lost: int = 1) -> None:
@@ -476,7 +476,7 @@
 async def test_a_keyed_write_is_repeated_only_while_its_repeats_are_dropped(
     window: float, kind: str, came: int
 ) -> None:
-    core = Ledger(window)
+    core = DescriptorBudget(window)
     settings = copy.deepcopy(second.settings)
     settings["categories"][2]["window"] = window
     async with world(serve, origin=core.serve, settings=settings) as w, client(w) as c:
@@ -488,7 +488,7 @@
 @pytest.mark.parametrize("killed", [True, False])
 async def test_a_clients_repeat_at_another_front_runs_nothing_twice(killed: bool) -> None:
     # a front that is killed, or cut off from its client, has sent the write; it comes again with its key
-    core, life = Ledger(lost=0), anyio.CancelScope()
+    core, life = DescriptorBudget(lost=0), anyio.CancelScope()
 
     async def other(config: Config, *, task_status: anyio.abc.TaskStatus[ListeningAddresses]) -> None:
         with life:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -18,10 +18,10 @@
 
 from tests.stands import KEY, SETTINGS, Fetch, Script, StubCache, World, client, configuration, serve, world
 from tests.test_front import cut, hold
-from zincladder.admission.interface import Bounds
-from zincladder.admission.ledger import PLAIN, Ledger
+from zincladder.admission.connection_admission import ConnectionAdmission
+from zincladder.admission.descriptor_budget import FIXED_POOLS, DescriptorBudget
+from zincladder.admission.interface import RequestBounds
 from zincladder.admission.model import Verdict
-from zincladder.admission.plain import Plain
 from zincladder.config import parse_config
 from zincladder.core.clock import Clock
 from zincladder.core.engine import Core
@@ -276,7 +276,7 @@
 ) -> None:
     # Seen at an upgrade: a connection taken in the last moment was ended before its client had spoken.
     monkeypatch.setattr(client_side, "STAY", 0.0)
-    monkeypatch.setattr(client_side, "SETTLED", 60.0)
+    monkeypatch.setattr(client_side, "MIN_IDLE_SECONDS", 60.0)
     looks = [0]
     retire = Clients._retire_at_stop
 
@@ -329,13 +329,13 @@
     # Seen: a front with all descriptors in use answered nobody any more, without a line in its log. It stood
     # in a read of an idle connection that was to make room, and that its own task had not set up yet.
     blocking: list[bool] = []
-    seat = Clients._seat
+    seat = Clients._add_client
 
     def seated(self: Clients, sock: socket.socket, *more: Any) -> None:
         blocking.append(os.get_blocking(sock.fileno()))
         seat(self, sock, *more)
 
-    monkeypatch.setattr(Clients, "_seat", seated)
+    monkeypatch.setattr(Clients, "_add_client", seated)
     async with world(serve) as w, client(w) as c:
         await c.ask()
         assert (await c.reply()).kind == "served" and blocking == [False]
@@ -345,10 +345,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("zincladder.net.clients.LINGER_SECONDS", 60.0)
-    monkeypatch.setattr("zincladder.admission.plain.SETTLED", 0.0)
-    looks, ready = [0], Plain.ready
+    monkeypatch.setattr("zincladder.admission.connection_admission.MIN_IDLE_SECONDS", 0.0)
+    looks, ready = [0], ConnectionAdmission.may_accept
 
-    def counted(self: Plain, now: float) -> Any:
+    def counted(self: ConnectionAdmission, now: float) -> Any:
         looks[0] += 1
         return ready(self, now)
 
@@ -358,7 +358,7 @@
                 sock = crowd.enter_context(plain(w))
                 _garble(w, sock)
                 assert await rest(sock) == b""  # the front has ended its side, and waits for this one's
-            monkeypatch.setattr(Plain, "ready", counted)
+            monkeypatch.setattr(ConnectionAdmission, "may_accept", counted)
             newest = crowd.enter_context(plain(w))
             newest.sendall(request(1))
             assert KEY.encode() in await some(newest) and looks[0] < 20
@@ -396,14 +396,14 @@
 
 def test_a_seat_that_stays_is_not_waited_for() -> None:
     # else the listener would wait for ever for the descriptor of one that was not closed
-    admission = Plain(Bounds(8, 8), Ledger(10, PLAIN, own=0))
-    seats = [admission.seat(admission.connect("127.0.0.1", 0.0), 0.0) for _ in range(5)]
-    chosen = admission.ready(1.0)
+    admission = ConnectionAdmission(RequestBounds(8, 8), DescriptorBudget(10, FIXED_POOLS, own=0))
+    seats = [admission.open_slot(admission.connect("127.0.0.1", 0.0), 0.0) for _ in range(5)]
+    chosen = admission.may_accept(1.0)
     assert chosen.evict is seats[0]
-    admission.stays(seats[0], 1.0)
-    assert admission.ready(1.0).evict is seats[1] and admission.ready(1.0).evict is None
-    admission.gone(seats[1], 1.1)
-    assert admission.ready(1.1).verdict is Verdict.ADMIT
+    admission.cancel_eviction(seats[0], 1.0)
+    assert admission.may_accept(1.0).evict is seats[1] and admission.may_accept(1.0).evict is None
+    admission.release_slot(seats[1], 1.1)
+    assert admission.may_accept(1.1).verdict is Verdict.ADMIT
 
 
 # A client that has left ----------------------------------------------------------------------------
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -575,7 +575,7 @@
         while not w.caches[0].fetches:
             await w.caches[0].came.wait()
         with monkeypatch.context() as patch:
-            patch.setattr("zincladder.admission.plain.BEHIND", -1.0)
+            patch.setattr("zincladder.admission.connection_admission.MAX_LOOP_LAG_SECONDS", -1.0)
             seq = await c.ask(entity=f"{1:016x}")
             reply = await c.reply()
             assert (reply.seq, reply.kind, reply.fields["pause"]) == (seq, "Throttled", "1000")
--- a/tests/test_member_links.py
+++ b/tests/test_member_links.py
@@ -18,7 +18,7 @@
 from tests.stands import KEY, SETTINGS, Fetch, StubCache, client, configuration, serve, world
 from tests.test_endings import cores_of
 from tests.test_front import hold
-from zincladder.admission.ledger import SHARED, Ledger, Use
+from zincladder.admission.descriptor_budget import ELASTIC_POOLS, DescriptorBudget, DescriptorUse
 from zincladder.config import LOAD_REPORT_NAMES, Config, parse_config
 from zincladder.core.attempt import AbortReason, AttemptRequest, ClientRequest, NoAttemptGuard
 from zincladder.core.attempt_end import AttemptEnd, EndReason
@@ -51,7 +51,7 @@
 
 def held_by(caches: Caches) -> int:
     """Descriptors of connections to members."""
-    return caches._ledger.accounts[Use.CACHES].used
+    return caches._descriptors.pools[DescriptorUse.CACHES].used
 
 
 def order(trace: str = "a" * 16, **more: Any) -> AttemptRequest:
@@ -69,7 +69,7 @@
         tasks: anyio.abc.TaskGroup,
         now: Callable[[], float],
     ) -> None:
-        self.caches = Caches(config, now, Ledger(100, SHARED), ["page"])
+        self.caches = Caches(config, now, DescriptorBudget(100, ELASTIC_POOLS), ["page"])
         self.link, self.endpoint, self._tasks = _Link(ours, self.caches._report_names), endpoint, tasks
         self.ends: list[AttemptEnd] = []
 
@@ -211,11 +211,13 @@
     room: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with pair() as (ours, theirs):
-        caches = Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"])
+        caches = Caches(
+            parse_config(configuration([])), time.time, DescriptorBudget(100, ELASTIC_POOLS), ["page"]
+        )
         async with anyio.create_task_group() as tasks:
             link = _Link(ours)
             caches._links[b"s-00000001"] = [link]
-            caches._ledger.force(Use.CACHES)
+            caches._descriptors.force(DescriptorUse.CACHES)
             tasks.start_soon(caches._keep, b"s-00000001", link)
             await anyio.wait_all_tasks_blocked()
             theirs.sendall(b"a" * 16 + b" 200 te")  # in the front's system, and not read yet
@@ -241,11 +243,13 @@
 
 async def test_a_connection_that_lingers_makes_room_for_one_that_is_needed() -> None:
     with pair() as (ours, theirs):
-        caches = Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"])
+        caches = Caches(
+            parse_config(configuration([])), time.time, DescriptorBudget(100, ELASTIC_POOLS), ["page"]
+        )
         async with anyio.create_task_group() as tasks:
             link = _Link(ours)
             caches._links[b"s-00000001"] = [link]
-            caches._ledger.force(Use.CACHES)
+            caches._descriptors.force(DescriptorUse.CACHES)
             tasks.start_soon(caches._keep, b"s-00000001", link)
             await anyio.wait_all_tasks_blocked()
             caches.close_idle(b"s-00000001")
@@ -276,7 +280,9 @@
         def abort_reason(self, attempt: AttemptRequest) -> AbortReason | None:
             return abort
 
-    caches = Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"])
+    caches = Caches(
+        parse_config(configuration([])), time.time, DescriptorBudget(100, ELASTIC_POOLS), ["page"]
+    )
     end = await caches.send(order(guard=Held()))
     assert (end.reason, end.fill_outcome, end.detail) == (reason, fill_outcome, abort.description)
     assert end.outcome in (*NEVER_RAN, api.AttemptOutcome.CANCELLED)
@@ -423,7 +429,9 @@
     hang_after(monkeypatch, 0)
     with pair() as (ours, _):
         caches, endpoint = (
-            Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"]),
+            Caches(
+                parse_config(configuration([])), time.time, DescriptorBudget(100, ELASTIC_POOLS), ["page"]
+            ),
             b"s-1",
         )
         caches.know(endpoint, ("127.0.0.1", 1))
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -12,9 +12,9 @@
 import yaml
 
 from tests.stands import Fetch, StubCache, client, serve, world
-from zincladder.admission.interface import Bounds
-from zincladder.admission.ledger import PLAIN, Ledger
-from zincladder.admission.plain import Plain
+from zincladder.admission.connection_admission import ConnectionAdmission
+from zincladder.admission.descriptor_budget import FIXED_POOLS, DescriptorBudget
+from zincladder.admission.interface import RequestBounds
 from zincladder.config import ConfigError, Names
 from zincladder.config.operator import parse_operator
 from zincladder.core.engine import Core
@@ -30,7 +30,12 @@
     settings = Settings((), 0, (1,), 1)
     core = Core(settings, 1, None)  # type: ignore[arg-type]
     core.counts["answers", "served"] = 3
-    return Registry(core, "n0", lambda: True, Plain(Bounds(8, 8), Ledger(64, PLAIN, own=0)))
+    return Registry(
+        core,
+        "n0",
+        lambda: True,
+        ConnectionAdmission(RequestBounds(8, 8), DescriptorBudget(64, FIXED_POOLS, own=0)),
+    )
 
 
 async def test_the_endpoint_counts_what_was_answered() -> None:
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -20,11 +20,11 @@
 
 from tests.support.golden import assert_matches
 from tests.support.routing import FLEET, settings
-from zincladder.admission.gate import Gate
-from zincladder.admission.interface import Bounds
-from zincladder.admission.ledger import PLAIN, SHARED, Ledger
-from zincladder.admission.model import Act, Lane, Limits, Why
-from zincladder.admission.plain import Plain
+from zincladder.admission.connection_admission import ConnectionAdmission
+from zincladder.admission.descriptor_budget import ELASTIC_POOLS, FIXED_POOLS, DescriptorBudget
+from zincladder.admission.interface import RequestBounds
+from zincladder.admission.model import AdmissionLimits, Offense, PriorityLane, RejectionReason
+from zincladder.admission.source_admission import SourceAdmission
 from zincladder.cli import main
 from zincladder.config import Config, PolicyConfig, TasksConfig, parse_config
 from zincladder.config.operator_tables import TABLES, RemoteWriteTable
@@ -97,11 +97,15 @@
     policy, tasks = fleet_policy(), task_runner()
     found: dict[str, Any] = {}
     for name, admission in (
-        ("by source", Gate(Limits(), Bounds(8, 8), Ledger(64, SHARED), 1)),
-        ("by connection", Plain(Bounds(8, 8), Ledger(64, PLAIN, own=0))),
+        (
+            "by source",
+            SourceAdmission(AdmissionLimits(), RequestBounds(8, 8), DescriptorBudget(64, ELASTIC_POOLS), 1),
+        ),
+        ("by connection", ConnectionAdmission(RequestBounds(8, 8), DescriptorBudget(64, FIXED_POOLS, own=0))),
     ):
-        for reason in Why:
-            admission.tallies.turned[reason.value] = admission.tallies.refused[reason.value] = 1
+        for reason in RejectionReason:
+            admission.counters.rejected_connections[reason.value] = 1
+            admission.counters.rejected_requests[reason.value] = 1
         registry = Registry(
             core, "n0", lambda: True, admission, lambda: 2, lambda: policy.figures(), lambda: tasks.figures()
         )
@@ -176,10 +180,10 @@
 
 def test_lanes_reasons_and_descriptors_by_their_published_names() -> None:
     found = {
-        "lanes": [[lane.name.lower(), int(lane)] for lane in Lane],
-        "reasons": [reason.value for reason in Why],
-        "offenses": [offense.name.lower() for offense in Act],
-        "uses": [use.value for use in SHARED],
+        "lanes": [[lane.name.lower(), int(lane)] for lane in PriorityLane],
+        "reasons": [reason.value for reason in RejectionReason],
+        "offenses": [offense.value for offense in Offense],
+        "uses": [use.value for use in ELASTIC_POOLS],
     }
     assert_matches("published/admission.json", found)
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -24,7 +24,7 @@
 
 pytestmark = pytest.mark.anyio
 Stream = anyio.abc.SocketStream
-Act = Callable[["Scripted", Stream, int], Coroutine[Any, Any, None]]
+Offense = Callable[["Scripted", Stream, int], Coroutine[Any, Any, None]]
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close sends a reset
 
 
@@ -41,7 +41,7 @@
 class Scripted:
     """A coordinator that plays another act on each connection; the last one stays."""
 
-    acts: list[Act]
+    acts: list[Offense]
     newest: int = 1  # of its events
     asked: list[int] = field(default_factory=list)  # from which event on, by connection
     address: tuple[str, int] = ("127.0.0.1", 0)
@@ -161,10 +161,10 @@
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("times", [1, 3])
 async def test_a_watch_that_dies_goes_on_from_the_last_event_and_loses_none(
-    fault: Act, times: int, monkeypatch: pytest.MonkeyPatch
+    fault: Offense, times: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(watching, "SILENCE", 0.1)
-    dead: list[Act] = [fault] + [says_nothing] * (times - 1)  # and the address accepts and says nothing
+    dead: list[Offense] = [fault] + [says_nothing] * (times - 1)  # and the address accepts and says nothing
     coordinator = Scripted([*dead, tells])
     async with watch(coordinator) as (feed, told):
         await until(lambda: told[-1:] == [4])
--- a/zincladder/admission/seats.py
+++ b/zincladder/admission/connection_slots.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterator
 
-from zincladder.admission.model import Lane, Seat
+from zincladder.admission.model import ConnectionSlot, PriorityLane
 
-SETTLED = (
+MIN_IDLE_SECONDS = (
     0.1  # seconds for which a seat is left alone after it came or was answered: its request may be coming
 )
 
 
-class Rows:
+class IdleSlots:
     """Seats that may be evicted, in rows: by lane, silent ones before those that have spoken.
 
     In a row whoever has been idle longest is first, so the choice looks at the first of each row alone. A
@@ -19,10 +19,12 @@
     """
 
     def __init__(self) -> None:
-        self._by_lane: list[tuple[dict[Seat, float], dict[Seat, float]]] = [({}, {}) for _ in Lane]
-        self._ranked = [(lane, row) for lane in reversed(Lane) for row in self._by_lane[lane]]
+        self._by_lane: list[tuple[dict[ConnectionSlot, float], dict[ConnectionSlot, float]]] = [
+            ({}, {}) for _ in PriorityLane
+        ]
+        self._ranked = [(lane, row) for lane in reversed(PriorityLane) for row in self._by_lane[lane]]
 
-    def idle(self, seat: Seat, now: float) -> None:
+    def idle(self, seat: ConnectionSlot, now: float) -> None:
         """A seat that owes nothing from now on, or has just been used."""
         if seat.leaving:
             return
@@ -32,13 +34,13 @@
         row[seat] = now
         seat.row = row
 
-    def busy(self, seat: Seat) -> None:
+    def busy(self, seat: ConnectionSlot) -> None:
         """A seat with something open, or one that is gone."""
         if seat.row is not None:
             del seat.row[seat]
             seat.row = None
 
-    def choose(self, lane: Lane, now: float, even: int) -> Seat | None:
+    def choose(self, lane: PriorityLane, now: float, even: int) -> ConnectionSlot | None:
         """Who makes room for a newcomer of a lane; None if nobody may be asked to.
 
         Whoever stands worse leaves first. Of those who stand alike, silent ones leave, and of the others
@@ -48,21 +50,21 @@
             if theirs < lane:
                 return None
             for seat, since in row.items():
-                if now - since < SETTLED:
+                if now - since < MIN_IDLE_SECONDS:
                     break
                 if theirs > lane or not seat.spoke or seat.source.seats > even:
                     return seat
                 break  # the longest idle of this row may stay: none is looked for behind it
         return None
 
-    def worst(self) -> Seat | None:
+    def worst(self) -> ConnectionSlot | None:
         """Who leaves when the limit itself was lowered; nobody is settled then."""
         for _, row in self._ranked:
             for seat in row:
                 return seat
         return None
 
-    def __iter__(self) -> Iterator[Seat]:
+    def __iter__(self) -> Iterator[ConnectionSlot]:
         for _, row in self._ranked:
             yield from row
 
--- a/zincladder/admission/shares.py
+++ b/zincladder/admission/fair_queue.py
@@ -12,7 +12,7 @@
 
 from collections import OrderedDict, deque
 
-from zincladder.admission.model import Lane, Seat, Source
+from zincladder.admission.model import ConnectionSlot, PriorityLane, Source
 
 # What things cost in loop seconds, as measured by benchmarks/admission.py; `pace` fits them to the machine.
 MESSAGE = 150e-6  # read and parse one, and turn it down
@@ -34,10 +34,10 @@
     __slots__ = ("deficit", "sources")
 
     def __init__(self) -> None:
-        self.sources: OrderedDict[Source, deque[Seat]] = OrderedDict()
+        self.sources: OrderedDict[Source, deque[ConnectionSlot]] = OrderedDict()
         self.deficit = 0.0
 
-    def next(self) -> Seat:
+    def next(self) -> ConnectionSlot:
         """Takes the first waiting seat of the source whose turn it is, which then goes behind the others."""
         source, seats = next(iter(self.sources.items()))
         seat = seats.popleft()
@@ -60,7 +60,7 @@
         self.waiting = 0
 
 
-class Shares:
+class WeightedFairQueue:
     """Loop time by lane, network and source."""
 
     def __init__(self, known: float, new: float) -> None:
@@ -75,13 +75,13 @@
             new_queue,
             limited_queue,
         )  # by lane; the listed count as known
-        self.weigh(known, new)
+        self.set_shares(known, new)
         for queue in self._each:
             queue.credit = BURST * queue.share
         self._poured_at: float | None = None
         self._modelled = 0.0
 
-    def weigh(self, known: float, new: float) -> None:
+    def set_shares(self, known: float, new: float) -> None:
         """Other shares from now on; what the two leave is for sources under a penalty."""
         for queue, share in zip(self._each, (known, new, max(0.01, 1.0 - known - new)), strict=True):
             queue.share = share
@@ -90,10 +90,10 @@
     def waiting(self) -> int:
         return sum(queue.waiting for queue in self._each)
 
-    def waiting_in(self, lane: Lane) -> int:
+    def waiting_in(self, lane: PriorityLane) -> int:
         return self._queues[lane].waiting
 
-    def ask(self, lane: Lane, cost: float = REQUEST) -> bool:
+    def try_take(self, lane: PriorityLane, cost: float = REQUEST) -> bool:
         """May one message be read now? If so it is paid for."""
         queue = self._queues[lane]
         cost *= self.pace
@@ -108,7 +108,7 @@
         self._modelled += cost
         return True
 
-    def charge(self, lane: Lane, cost: float) -> None:
+    def charge(self, lane: PriorityLane, cost: float) -> None:
         """What a source cost beside its paid messages; negative gives back what was paid too much.
 
         Debts are bounded, so that what one source of a lane cost is not owed by the others for long.
@@ -118,7 +118,7 @@
         queue = self._queues[lane]
         queue.credit = max(-BURST, queue.credit - cost)
 
-    def spend(self, cost: float) -> None:
+    def charge_shared(self, cost: float) -> None:
         """What connections cost, which nobody asks for beforehand: it comes out of what all share.
 
         Not of a lane: newcomers who behave would pay for those that are turned away beside them.
@@ -127,7 +127,7 @@
         self._modelled += cost
         self._spare = max(-BURST, self._spare - cost)
 
-    def wait(self, seat: Seat) -> None:
+    def enqueue(self, seat: ConnectionSlot) -> None:
         """Puts a seat in line, once."""
         queue = self._queues[seat.lane]
         flow_key = self._flow_of(seat)
@@ -137,7 +137,7 @@
         flow.sources.setdefault(seat.source, deque()).append(seat)
         queue.waiting += 1
 
-    def leave(self, seat: Seat) -> None:
+    def remove(self, seat: ConnectionSlot) -> None:
         """A waiting seat that has ended."""
         queue = self._queues[seat.lane]
         flow_key = self._flow_of(seat)
@@ -152,10 +152,10 @@
                 del queue.flows[flow_key]
 
     @staticmethod
-    def _flow_of(seat: Seat) -> int:
-        return seat.source.key if seat.lane <= Lane.KNOWN else seat.source.net
+    def _flow_of(seat: ConnectionSlot) -> int:
+        return seat.source.key if seat.lane <= PriorityLane.KNOWN else seat.source.net
 
-    def pour(self, now: float, behind: float) -> list[Seat]:
+    def dispatch(self, now: float, behind: float) -> list[ConnectionSlot]:
         """Pays the accounts what time has brought and names the seats whose turn it is, in order."""
         if self._poured_at is None:
             self._poured_at = now
@@ -167,7 +167,7 @@
             self.rate = max(LEAST_RATE, self.rate * CUT)
         elif self.rate < MOST_RATE:
             self.rate = min(MOST_RATE, self.rate + (REGAIN if waiting else 3 * REGAIN))
-        let: list[Seat] = []
+        let: list[ConnectionSlot] = []
         for queue in self._each:
             queue.credit += since * self.rate * queue.share
             over = queue.credit - BURST * queue.share
@@ -187,7 +187,7 @@
                 self._spare = min(BURST, self._spare + over)
         return let
 
-    def _serve(self, queue: _Queue, let: list[Seat]) -> None:
+    def _serve(self, queue: _Queue, let: list[ConnectionSlot]) -> None:
         cost = REQUEST * self.pace
         while queue.waiting and queue.credit > 0.0:
             key, flow = next(iter(queue.flows.items()))
@@ -204,7 +204,7 @@
             else:
                 del queue.flows[key]
 
-    def measured(self, cpu: float) -> None:
+    def calibrate(self, cpu: float) -> None:
         """Fits the table of costs to the machine: `cpu` is the process's time since the last call.
 
         What costs nothing by the table (timers, probes, scrapes) counts as if requests had caused it, so a
--- a/zincladder/admission/lrfu.py
+++ b/zincladder/admission/lrfu.py
@@ -20,7 +20,7 @@
 FAR = 30.0  # doublings past which the smaller of two counts no longer changes their sum
 
 
-class Lrfu:
+class LrfuSet:
     """Sources in order of their decayed counts; all steps take constant time but for rare heap work."""
 
     __slots__ = ("_buckets", "_heap", "_scale", "size")
--- a/zincladder/admission/model.py
+++ b/zincladder/admission/model.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from zincladder.admission.lrfu import Lrfu
+    from zincladder.admission.lrfu import LrfuSet
 
 # The low byte of a key says what the rest of it is: a prefix of that length.
 V4, V4_24, V4_16, V6_64, V6_48 = 1, 2, 3, 4, 5
@@ -50,7 +50,7 @@
     return socket.inet_ntop(socket.AF_INET6, (key >> 8 << 128 - bits).to_bytes(16, "big")) + f"/{bits}"
 
 
-class Lane(IntEnum):
+class PriorityLane(IntEnum):
     """How a source stands. Lower is better: when room is short, whoever is in a higher lane leaves first."""
 
     LISTED = 0  # in a network that the operator named
@@ -64,37 +64,46 @@
 
     ADMIT = auto()
     WAIT = auto()  # it keeps its place for a moment: room is being made
-    TURN_AWAY = auto()
+    REJECT = auto()
 
 
-class Why(Enum):
+class RejectionReason(Enum):
     """Why a connection was turned away, a request refused or a seat taken back; a label of the metrics."""
 
     NONE = "none"
     BLOCKED = "blocked"  # by the operator
-    RATE = "rate"  # connections a second
+    RATE_LIMIT = "rate"  # connections a second
     ADDRESS_CAP = "address_cap"
     NETWORK_CAP = "network_cap"
-    RESERVE = "reserve"  # what is left is kept for known clients
-    FULL = "full"
-    SHARE = "share"  # more than its share of what may be open
-    LATE = "late"  # the loop is late
-    OVERDUE = "overdue"  # it waited too long for its turn to be read
-    ENDING = "ending"  # this process ends
-    EXHAUSTED = "exhausted"  # the system gave no descriptor
+    RESERVED = "reserve"  # what is left is kept for known clients
+    NO_CAPACITY = "full"
+    OVER_SHARE = "share"  # more than its share of what may be open
+    LOOP_LAGGING = "late"  # the loop is late
+    READ_TIMEOUT = "overdue"  # it waited too long for its turn to be read
+    SHUTTING_DOWN = "ending"  # this process ends
+    NO_DESCRIPTOR = "exhausted"  # the system gave no descriptor
 
 
-class Act(Enum):
-    """What a source did that counts against it, and how much."""
+class Offense(Enum):
+    """What a source did that counts against it."""
 
-    GARBLED = 2.0
-    STALLED = 1.0
-    ABANDONED = 0.25  # left, or took its request back, before it was answered
-    PRESSING = 0.5  # kept asking past its share or its rate
+    MALFORMED = "garbled"
+    STALLED = "stalled"
+    ABANDONED = "abandoned"  # left, or took its request back, before it was answered
+    OVERUSE = "pressing"  # kept asking past its share or its rate
+
+
+# Strikes that each offense adds.
+STRIKES_FOR_OFFENSE = {
+    Offense.MALFORMED: 2.0,
+    Offense.STALLED: 1.0,
+    Offense.ABANDONED: 0.25,
+    Offense.OVERUSE: 0.5,
+}
 
 
 @dataclass(frozen=True, slots=True)
-class Network:
+class ListedNetwork:
     """A network that the operator listed, with caps of its own."""
 
     net: str  # as in '10.0.0.0/8'
@@ -103,29 +112,29 @@
 
 
 @dataclass(frozen=True)
-class Limits:
+class AdmissionLimits:
     """What the operator may set; the defaults suit a front with 256 descriptors or more."""
 
-    per_address: int = 64  # connections of one address that is not known
-    per_network: int = 128  # of a /24 or /48
-    known_per_address: int = 128
+    max_per_address: int = 64  # connections of one address that is not known
+    max_per_network: int = 128  # of a /24 or /48
+    max_known_per_address: int = 128
     rate: float = 50.0  # connections a second of one address that is not known, four times that once it is
     burst: int = 100
     network_rate: float = 200.0  # of a /24 or /48; four times that of a /16
     network_burst: int = 400
     reserve: float = 0.4  # share of seats, open requests and unread bytes kept for known and listed sources
-    sources: int = 8192  # addresses and networks that are remembered
-    known_after: float = 3.0  # seconds with served requests in them that make a source known
-    known_for: float = 600.0  # half-life of that
-    penalty: float = 2.0  # seconds of the first one; each further one doubles it
-    penalty_most: float = 300.0
+    max_sources: int = 8192  # addresses and networks that are remembered
+    known_after_seconds: float = 3.0  # seconds with served requests in them that make a source known
+    known_half_life_seconds: float = 600.0  # half-life of that
+    penalty_seconds: float = 2.0  # seconds of the first one; each further one doubles it
+    max_penalty_seconds: float = 300.0
     known_share: float = 0.6  # of the loop's time, while others wait
     new_share: float = 0.35
-    lobby: int = 8  # connections that may wait for a seat
+    max_pending: int = 8  # connections that may wait for a seat
     dns_rate: float = 100.0  # answers a second over UDP to one network
     dns_burst: int = 200
-    dns_per_address: int = 8  # DNS connections over TCP
-    networks: tuple[Network, ...] = ()
+    max_dns_per_address: int = 8  # DNS connections over TCP
+    networks: tuple[ListedNetwork, ...] = ()
     blocked: tuple[str, ...] = ()
 
 
@@ -135,7 +144,7 @@
     Not a dataclass: a flood makes thousands a second, and an instance holds only what differs from these.
     """
 
-    home: Lrfu | None = None  # where it waits to be forgotten; None while something holds it
+    home: LrfuSet | None = None  # where it waits to be forgotten; None while something holds it
     score: float = 0.0  # binary logarithm of its decayed count
     bucket: int = 0
     held: int = 0  # seats: it is not forgotten
@@ -156,7 +165,7 @@
     level_at: float = 0.0
     until: float = float("-inf")  # end of its penalty
     served: int = 0
-    listed: Network | None = None
+    listed: ListedNetwork | None = None
 
     def __init__(self, key: int) -> None:
         self.key = key
@@ -168,17 +177,17 @@
 
 
 @dataclass(slots=True, eq=False)
-class Seat:
+class ConnectionSlot:
     """A connection that was admitted."""
 
     source: Source
-    lane: Lane
+    lane: PriorityLane
     since: float
     spoke: bool = False  # a whole message has come
     open: int = 0
     unread: int = 0
     asked_at: float = 0.0  # since when it waits to be read; 0: it does not
-    row: dict[Seat, float] | None = None  # where it may be evicted from
+    row: dict[ConnectionSlot, float] | None = None  # where it may be evicted from
     leaving: bool = False  # it has been asked to go, and its descriptor is not free yet
 
 
@@ -187,19 +196,19 @@
     """What becomes of a connection; `evict` is the seat that makes room for it."""
 
     verdict: Verdict
-    why: Why = Why.NONE
+    reason: RejectionReason = RejectionReason.NONE
     key: int = 0
-    lane: Lane = Lane.NEW
-    evict: Seat | None = None
+    lane: PriorityLane = PriorityLane.NEW
+    evict: ConnectionSlot | None = None
 
 
 @dataclass(slots=True)
-class Tallies:
+class AdmissionCounters:
     """What admission did so far, for the metrics: counts by lane and by cause, of which there are few."""
 
-    admitted: list[int] = field(default_factory=lambda: [0] * len(Lane))
-    turned: dict[str, int] = field(default_factory=dict)  # by the value of a Why
-    refused: dict[str, int] = field(default_factory=dict)
-    evicted: list[int] = field(default_factory=lambda: [0] * len(Lane))
-    waits: list[int] = field(default_factory=lambda: [0] * len(Lane))
+    admitted: list[int] = field(default_factory=lambda: [0] * len(PriorityLane))
+    rejected_connections: dict[str, int] = field(default_factory=dict)  # by the value of a Why
+    rejected_requests: dict[str, int] = field(default_factory=dict)
+    evicted: list[int] = field(default_factory=lambda: [0] * len(PriorityLane))
+    waits: list[int] = field(default_factory=lambda: [0] * len(PriorityLane))
     penalties: int = 0
--- a/zincladder/admission/rate.py
+++ b/zincladder/admission/rate_limiter.py
@@ -7,7 +7,7 @@
 EMPTY = [float("-inf")] * CELLS
 
 
-class RateSketch:
+class RateLimiter:
     """The generic cell rate algorithm (ITU-T I.371, virtual scheduling) over hashed cells.
 
     A key's theoretical arrival time is the lesser of two cells, one in each row, so one that shares a cell
--- a/zincladder/admission/responses.py
+++ b/zincladder/admission/response_rate_limiter.py
@@ -5,12 +5,12 @@
 from enum import Enum, auto
 
 from zincladder.admission.model import BITS, V4, V4_24, V6_48
-from zincladder.admission.rate import RateSketch
+from zincladder.admission.rate_limiter import RateLimiter
 
 SLIP = 3  # of what is over the rate, one in so many gets a truncated answer
 
 
-class Response(Enum):
+class DatagramVerdict(Enum):
     """What a datagram's sender gets."""
 
     ANSWER = auto()
@@ -18,7 +18,7 @@
     NOTHING = auto()
 
 
-class Responses:
+class ResponseRateLimiter:
     """At most so many answers a second to each network, /24 or /48; known addresses have ten times as much.
 
     A forger makes the answers go to somebody else's network, so the network is what the limit protects.
@@ -26,14 +26,14 @@
 
     def __init__(self, rate: float, burst: int, seed: int) -> None:
         self._rate, self._burst = rate, burst
-        self._sketch = RateSketch(seed)
+        self._sketch = RateLimiter(seed)
         self._over = 0
 
     def use(self, rate: float, burst: int) -> None:
         """Another rate from now on."""
         self._rate, self._burst = rate, burst
 
-    def judge(self, key: int, known: bool, now: float) -> Response:
+    def judge(self, key: int, known: bool, now: float) -> DatagramVerdict:
         """What the sender of one more query gets; `key` is its address."""
         kind = V4_24 if key & 0xFF == V4 else V6_48
         network = key >> 8 + (8 if kind == V4_24 else 64 - BITS[V6_48]) << 8 | kind
@@ -42,6 +42,6 @@
         if self._sketch.conforms(
             key if known else network, now, 1 / (self._rate * times), self._burst * times
         ):
-            return Response.ANSWER
+            return DatagramVerdict.ANSWER
         self._over += 1
-        return Response.TRUNCATED if self._over % SLIP == 0 else Response.NOTHING
+        return DatagramVerdict.TRUNCATED if self._over % SLIP == 0 else DatagramVerdict.NOTHING
--- a/zincladder/admission/gate.py
+++ b/zincladder/admission/source_admission.py
@@ -4,33 +4,34 @@
 
 from math import log
 
-from zincladder.admission import shares as cost
-from zincladder.admission.interface import NOTHING, TAKE, Bounds, Look
-from zincladder.admission.ledger import Ledger, Use
+from zincladder.admission import fair_queue as cost
+from zincladder.admission.connection_slots import IdleSlots
+from zincladder.admission.descriptor_budget import DescriptorBudget, DescriptorUse
+from zincladder.admission.fair_queue import WeightedFairQueue
+from zincladder.admission.interface import ADMITTED, NOTHING_DUE, RequestBounds, TickResult
 from zincladder.admission.model import (
+    STRIKES_FOR_OFFENSE,
     V4,
     V4_16,
     V4_24,
     V6_48,
-    Act,
+    AdmissionCounters,
+    AdmissionLimits,
+    ConnectionSlot,
     Decision,
-    Lane,
-    Limits,
-    Network,
-    Seat,
+    ListedNetwork,
+    Offense,
+    PriorityLane,
+    RejectionReason,
     Source,
-    Tallies,
     Verdict,
-    Why,
     key_of,
     text_of,
 )
 from zincladder.admission.networks import NetworkMap
-from zincladder.admission.rate import RateSketch, decayed
-from zincladder.admission.responses import Response, Responses
-from zincladder.admission.seats import Rows
-from zincladder.admission.shares import Shares
-from zincladder.admission.sources import Sources
+from zincladder.admission.rate_limiter import RateLimiter, decayed
+from zincladder.admission.response_rate_limiter import DatagramVerdict, ResponseRateLimiter
+from zincladder.admission.source_table import SourceTable
 
 STRIKES = 8.0  # that bring a penalty; they halve every 10 s, and each served answer takes a little off
 STRIKES_FOR, LEVEL_FOR, USED_FOR = 10.0, 60.0, 5.0  # half-lives in seconds
@@ -46,9 +47,9 @@
 LATE, TOO_LATE = 0.04, 0.25  # seconds by which the loop is late
 SAID_MOST = 1024  # networks that operators name while the front runs
 # Members at hand: looking one up on its class costs 0.2 µs in Python 3.11, and a decision needs a dozen.
-LISTED, KNOWN, NEW, LIMITED = Lane
-ADMIT, WAIT, TURN_AWAY = Verdict
-NONE, FULL, SHARE = Why.NONE, Why.FULL, Why.SHARE
+LISTED, KNOWN, NEW, LIMITED = PriorityLane
+ADMIT, WAIT, REJECT = Verdict
+NONE, FULL, SHARE = RejectionReason.NONE, RejectionReason.NO_CAPACITY, RejectionReason.OVER_SHARE
 STEP = 0.5  # seconds by which the clock may run back and forth between two looks
 APART = 1 << 80  # past all keys
 LARGE = 16_384  # bytes of an answer past which they are counted
@@ -56,31 +57,35 @@
 LEAST_EVEN = 4  # seats that nobody is asked to leave for being many
 
 
-class Gate:
+class SourceAdmission:
     """Admission by source."""
 
-    def __init__(self, limits: Limits, bounds: Bounds, ledger: Ledger, seed: int = 0) -> None:
-        self.limits, self.bounds, self.ledger = limits, bounds, ledger
-        self.tallies = Tallies()
-        self.sources = Sources(limits.sources)
-        self.shares = Shares(limits.known_share, limits.new_share)
-        self.rows = Rows()
-        self.lanes = [0] * len(Lane)  # seats
-        self.opens = [0] * len(Lane)
-        self._account = ledger.accounts[Use.CLIENTS]
+    def __init__(
+        self, limits: AdmissionLimits, bounds: RequestBounds, descriptors: DescriptorBudget, seed: int = 0
+    ) -> None:
+        self.limits, self.bounds, self.descriptors = limits, bounds, descriptors
+        self.counters = AdmissionCounters()
+        self.sources = SourceTable(limits.max_sources)
+        self.read_queue = WeightedFairQueue(limits.known_share, limits.new_share)
+        self.idle_slots = IdleSlots()
+        self.slots_by_lane = [0] * len(PriorityLane)  # seats
+        self.open_by_lane = [0] * len(PriorityLane)
+        self._pool = descriptors.pools[DescriptorUse.CLIENTS]
         self.open = self.unread_bytes = 0
-        self._listed: NetworkMap[Network] = NetworkMap()
+        self._listed: NetworkMap[ListedNetwork] = NetworkMap()
         self._blocked: NetworkMap[float] = NetworkMap()  # until when
-        self._rates = RateSketch(seed)
+        self._rates = RateLimiter(seed)
         self._pace_newcomers()
-        self._responses = Responses(limits.dns_rate, limits.dns_burst, seed + 1)
-        self._visits: dict[tuple[Use, int], int] = {}  # to other listeners, bounded by their descriptors
+        self._responses = ResponseRateLimiter(limits.dns_rate, limits.dns_burst, seed + 1)
+        self._visits: dict[
+            tuple[DescriptorUse, int], int
+        ] = {}  # to other listeners, bounded by their descriptors
         self._net_seats: dict[int, int] = {}  # by network, of those that have any
         self._any_listed = self._any_blocked = False
         self._present = 0  # sources with a seat
         self._busy = 0  # sources with a request open
-        self._waiting: dict[Seat, float] = {}
-        self._leaving: list[tuple[Seat, Why]] = []
+        self._waiting: dict[ConnectionSlot, float] = {}
+        self._leaving: list[tuple[ConnectionSlot, RejectionReason]] = []
         self._behind = 0.0
         self._looked_at = float("-inf")
         self._said_trust: dict[str, None] = {}  # by operators, while it runs
@@ -89,12 +94,12 @@
 
     # Settings ---------------------------------------------------------------------------------
 
-    def use(self, limits: Limits) -> None:
+    def apply_limits(self, limits: AdmissionLimits) -> None:
         """Other limits from now on. What is open past a lowered cap stays until it has been answered."""
         self.limits = limits
         self._pace_newcomers()
-        self.sources.most = limits.sources
-        self.shares.weigh(limits.known_share, limits.new_share)
+        self.sources.most = limits.max_sources
+        self.read_queue.set_shares(limits.known_share, limits.new_share)
         self._responses.use(limits.dns_rate, limits.dns_burst)
         self._list()
 
@@ -109,7 +114,7 @@
         for network in self.limits.networks:
             self._listed.put(network.net, network)
         for net in self._said_trust:
-            self._listed.put(net, Network(net))
+            self._listed.put(net, ListedNetwork(net))
         for net in self.limits.blocked:
             self._blocked.put(net, float("inf"))
         for net, until in self._said_block.items():
@@ -128,9 +133,9 @@
             raise ValueError(f"{SAID_MOST} networks are blocked already")
         self._blocked.put(net, until)
         self._said_block[net], self._any_blocked = until, True
-        found = [seat for seat in self.rows if self.blocked(seat.source.key, now)]
+        found = [seat for seat in self.idle_slots if self.is_blocked(seat.source.key, now)]
         for seat in found:
-            self._leave(seat, Why.BLOCKED)
+            self._leave(seat, RejectionReason.BLOCKED)
         return len(found)
 
     def unblock(self, net: str) -> bool:
@@ -147,33 +152,33 @@
         self._said_trust[net] = None
         self._list()
 
-    def _leave(self, seat: Seat, why: Why) -> None:
-        self.rows.busy(seat)
+    def _leave(self, seat: ConnectionSlot, why: RejectionReason) -> None:
+        self.idle_slots.busy(seat)
         seat.leaving = True
         self._leaving.append((seat, why))
 
     # Connections ------------------------------------------------------------------------------
 
-    def lane_of(self, source: Source, now: float) -> Lane:
+    def lane_of(self, source: Source, now: float) -> PriorityLane:
         if source.listed is not None:
             return LISTED
         if source.until > now:
             return LIMITED
-        enough = self.limits.known_after
+        enough = self.limits.known_after_seconds
         if source.standing >= enough and self._standing(source, now) >= enough:
             return KNOWN
         return NEW
 
     def _standing(self, source: Source, now: float) -> float:
-        return decayed(source.standing, source.standing_at, now, self.limits.known_for)
+        return decayed(source.standing, source.standing_at, now, self.limits.known_half_life_seconds)
 
-    def blocked(self, key: int, now: float) -> bool:
+    def is_blocked(self, key: int, now: float) -> bool:
         until = self._blocked.find(key) if self._any_blocked else None
         return until is not None and until > now
 
-    def ready(self, now: float) -> Decision:
+    def may_accept(self, now: float) -> Decision:
         """Always: who comes must be seen to be judged, and a place to turn it away from is kept."""
-        return TAKE
+        return ADMITTED
 
     def connect(self, host: str, now: float) -> Decision:
         """Whether a connection gets a seat. ValueError where `host` is no address."""
@@ -185,43 +190,45 @@
         else:
             self.sources.seen(source, now)
             lane, seats, listed = self.lane_of(source, now), source.held, source.listed
-        if self._any_blocked and self.blocked(key, now):
-            return self._turn(key, lane, Why.BLOCKED)
+        if self._any_blocked and self.is_blocked(key, now):
+            return self._turn(key, lane, RejectionReason.BLOCKED)
         why = self._over_cap(key, lane, seats, listed)
         if why is not None:
             return self._turn(key, lane, why)
         if not self._in_rate(key, lane, listed, now):
-            self._act(source or self.sources.record(key, now), Act.PRESSING, now)
-            return self._turn(key, lane, Why.RATE)
+            self._act(source or self.sources.record(key, now), Offense.OVERUSE, now)
+            return self._turn(key, lane, RejectionReason.RATE_LIMIT)
         return self._room(key, lane, seats, now)
 
-    def again(self, decision: Decision, now: float) -> Decision:
+    def reconsider(self, decision: Decision, now: float) -> Decision:
         """A connection in the lobby, judged once more; its rate has been counted."""
         key, source = decision.key, self.sources.find(decision.key)
         lane, seats = decision.lane, 0
         if source is not None:
             lane, seats = self.lane_of(source, now), source.held
-        why = Why.BLOCKED if self.blocked(key, now) else None
+        why = RejectionReason.BLOCKED if self.is_blocked(key, now) else None
         why = why or self._over_cap(key, lane, seats, self._listed.find(key))
         return self._turn(key, lane, why) if why else self._room(key, lane, seats, now)
 
-    def _over_cap(self, key: int, lane: Lane, seats: int, listed: Network | None) -> Why | None:
+    def _over_cap(
+        self, key: int, lane: PriorityLane, seats: int, listed: ListedNetwork | None
+    ) -> RejectionReason | None:
         if lane is NEW:
-            if seats >= self.limits.per_address:
-                return Why.ADDRESS_CAP
+            if seats >= self.limits.max_per_address:
+                return RejectionReason.ADDRESS_CAP
             around = key >> 16 << 8 | V4_24 if key & 0xFF == V4 else key >> 24 << 8 | V6_48
-            if self._net_seats.get(around, 0) >= self.limits.per_network:
-                return Why.NETWORK_CAP
+            if self._net_seats.get(around, 0) >= self.limits.max_per_network:
+                return RejectionReason.NETWORK_CAP
             return None
         if lane is KNOWN:
-            most = self.limits.known_per_address
+            most = self.limits.max_known_per_address
         elif lane is LIMITED:
             most = LIMITED_SEATS
         else:
             most = listed.connections if listed is not None else 0
-        return Why.ADDRESS_CAP if most and seats >= most else None
+        return RejectionReason.ADDRESS_CAP if most and seats >= most else None
 
-    def _in_rate(self, key: int, lane: Lane, listed: Network | None, now: float) -> bool:
+    def _in_rate(self, key: int, lane: PriorityLane, listed: ListedNetwork | None, now: float) -> bool:
         limits, rates = self.limits, self._rates
         if lane is NEW:
             if key & 0xFF == V4:
@@ -239,71 +246,76 @@
             return True
         return rates.conforms(key, now, 1 / listed.rate, limits.burst)
 
-    def _room(self, key: int, lane: Lane, seats: int, now: float) -> Decision:
-        account = self._account
+    def _room(self, key: int, lane: PriorityLane, seats: int, now: float) -> Decision:
+        pool = self._pool
         if lane >= NEW:
             # Guards the reserve: newcomers never hold what is kept for those who are known.
-            pool = int(account.most * (1 - self.limits.reserve))
-            _, _, new, limited = self.lanes
+            most = int(pool.most * (1 - self.limits.reserve))
+            _, _, new, limited = self.slots_by_lane
             here = new + limited
-            if lane is LIMITED and limited >= account.most * LIMITED_POOL:
-                return self._turn(key, lane, Why.RESERVE)
+            if lane is LIMITED and limited >= pool.most * LIMITED_POOL:
+                return self._turn(key, lane, RejectionReason.RESERVED)
         else:
-            pool, here = account.most, account.used
-        if here < pool and self.ledger.room_of(account) > 0:
+            most, here = pool.most, pool.used
+        if here < most and self.descriptors.room_of(pool) > 0:
             return Decision(ADMIT, NONE, key, lane)
-        even = max(LEAST_EVEN, pool // max(1, self._present))
+        even = max(LEAST_EVEN, most // max(1, self._present))
         if lane >= NEW and seats >= even:
-            return self._turn(key, lane, Why.RESERVE)
-        evict = self.rows.choose(lane, now, even)
+            return self._turn(key, lane, RejectionReason.RESERVED)
+        evict = self.idle_slots.choose(lane, now, even)
         if evict is not None:
-            self.rows.busy(evict)
+            self.idle_slots.busy(evict)
             evict.leaving = True
-            self.tallies.evicted[evict.lane] += 1
+            self.counters.evicted[evict.lane] += 1
         # Also without: a seat may fall free in the moment that the lobby gives.
         return Decision(WAIT, FULL, key, lane, evict)
 
-    def _turn(self, key: int, lane: Lane, why: Why) -> Decision:
-        name, turned = why._value_, self.tallies.turned  # as said for every connection of a flood
+    def _turn(self, key: int, lane: PriorityLane, why: RejectionReason) -> Decision:
+        name, turned = (
+            why._value_,
+            self.counters.rejected_connections,
+        )  # as said for every connection of a flood
         turned[name] = turned.get(name, 0) + 1
-        self.shares.spend(cost.TURNED)
-        return Decision(TURN_AWAY, why, key, lane)
+        self.read_queue.charge_shared(cost.TURNED)
+        return Decision(REJECT, why, key, lane)
 
-    def given_up(self, decision: Decision) -> None:
+    def record_expired(self, decision: Decision) -> None:
         """A connection that waited in the lobby in vain, or that the system had no descriptor for."""
-        self.tallies.turned[decision.why.value] = self.tallies.turned.get(decision.why.value, 0) + 1
+        self.counters.rejected_connections[decision.reason.value] = (
+            self.counters.rejected_connections.get(decision.reason.value, 0) + 1
+        )
 
-    def seat(self, decision: Decision, now: float) -> Seat:
+    def open_slot(self, decision: Decision, now: float) -> ConnectionSlot:
         lane = decision.lane
         assert decision.verdict is ADMIT
-        taken = self.ledger.take(Use.CLIENTS)
+        taken = self.descriptors.take(DescriptorUse.CLIENTS)
         assert taken, "a seat was given without room"
         source = self.sources.record(decision.key, now)
         if self._any_listed:
             source.listed = self._listed.find(source.key)
-        self.tallies.admitted[lane] += 1
-        self.lanes[lane] += 1
+        self.counters.admitted[lane] += 1
+        self.slots_by_lane[lane] += 1
         self._present += source.held == 0
         self.sources.hold(source)
         self._net_seats[source.net] = self._net_seats.get(source.net, 0) + 1
-        self.shares.spend(cost.CONNECTION)
-        seat = Seat(source, lane, now)
-        self.rows.idle(seat, now)
+        self.read_queue.charge_shared(cost.CONNECTION)
+        seat = ConnectionSlot(source, lane, now)
+        self.idle_slots.idle(seat, now)
         return seat
 
-    def stays(self, seat: Seat, now: float) -> None:
+    def cancel_eviction(self, seat: ConnectionSlot, now: float) -> None:
         seat.leaving = False
         if not (seat.open or seat.unread or seat in self._waiting):
-            self.rows.idle(seat, now)
+            self.idle_slots.idle(seat, now)
 
-    def gone(self, seat: Seat, now: float) -> None:
+    def release_slot(self, seat: ConnectionSlot, now: float) -> None:
         source = seat.source
-        self.ledger.give(Use.CLIENTS)
+        self.descriptors.give(DescriptorUse.CLIENTS)
         self._stop_waiting(seat)
-        self.rows.busy(seat)
-        self.lanes[seat.lane] -= 1
+        self.idle_slots.busy(seat)
+        self.slots_by_lane[seat.lane] -= 1
         if seat.unread:
-            self.unread(seat, -seat.unread)
+            self.add_unread_bytes(seat, -seat.unread)
         left = self._net_seats[source.net] - 1
         if left:
             self._net_seats[source.net] = left
@@ -315,51 +327,51 @@
 
     # Other listeners ----------------------------------------------------------------------
 
-    def visit(self, use: Use, host: str, now: float) -> Why:
+    def open_connection(self, use: DescriptorUse, host: str, now: float) -> RejectionReason:
         """A connection to another listener than the clients': NONE if it is taken, to be given back by
         `left`.
         """
         key = key_of(host)
-        if self.blocked(key, now):
-            return Why.BLOCKED
+        if self.is_blocked(key, now):
+            return RejectionReason.BLOCKED
         source = self.sources.find(key)
         lane = NEW if source is None else self.lane_of(source, now)
         here = self._visits.get((use, key), 0)
-        if here >= self.limits.dns_per_address and lane >= NEW:
-            return Why.ADDRESS_CAP
+        if here >= self.limits.max_dns_per_address and lane >= NEW:
+            return RejectionReason.ADDRESS_CAP
         if not self._in_rate(key, lane, self._listed.find(key), now):
-            return Why.RATE
-        if not self.ledger.take(use):
+            return RejectionReason.RATE_LIMIT
+        if not self.descriptors.take(use):
             return FULL
         self._visits[use, key] = here + 1
         return NONE
 
-    def left(self, use: Use, host: str) -> None:
+    def close_connection(self, use: DescriptorUse, host: str) -> None:
         key = key_of(host)
         here = self._visits.pop((use, key)) - 1
         if here:
             self._visits[use, key] = here
-        self.ledger.give(use)
+        self.descriptors.give(use)
 
-    def datagram(self, host: str, now: float) -> Response:
+    def judge_datagram(self, host: str, now: float) -> DatagramVerdict:
         """What the sender of one more datagram gets."""
         key = key_of(host)
-        if self._any_blocked and self.blocked(key, now):
-            return Response.NOTHING
+        if self._any_blocked and self.is_blocked(key, now):
+            return DatagramVerdict.NOTHING
         source = self.sources.find(key)
         known = source is not None and self.lane_of(source, now) <= KNOWN
         return self._responses.judge(key, known or self._listed.find(key) is not None, now)
 
     # Messages and requests --------------------------------------------------------------------
 
-    def may_read(self, seat: Seat, now: float) -> bool:
+    def may_read(self, seat: ConnectionSlot, now: float) -> bool:
         if seat in self._waiting:
             return False
         lane = self.lane_of(seat.source, now)
         if lane is not seat.lane:
             self._move(seat, lane, now)
         self._use(seat, cost.REQUEST, now)
-        if self.shares.ask(lane):
+        if self.read_queue.try_take(lane):
             return True
         seat.asked_at = now
         self._waiting[seat] = now
@@ -367,114 +379,118 @@
         if source.queued == 0 and now - source.queued_to > BREAK:
             source.queued_at = now
         source.queued += 1
-        self.tallies.waits[lane] += 1
-        self.shares.wait(seat)
+        self.counters.waits[lane] += 1
+        self.read_queue.enqueue(seat)
         return False
 
-    def _move(self, seat: Seat, lane: Lane, now: float) -> None:
-        self.lanes[seat.lane] -= 1
-        self.lanes[lane] += 1
-        self.opens[seat.lane] -= seat.open
-        self.opens[lane] += seat.open
+    def _move(self, seat: ConnectionSlot, lane: PriorityLane, now: float) -> None:
+        self.slots_by_lane[seat.lane] -= 1
+        self.slots_by_lane[lane] += 1
+        self.open_by_lane[seat.lane] -= seat.open
+        self.open_by_lane[lane] += seat.open
         seat.lane = lane
         if seat.row is not None:
-            self.rows.idle(seat, now)
+            self.idle_slots.idle(seat, now)
 
-    def _use(self, seat: Seat, amount: float, now: float) -> None:
+    def _use(self, seat: ConnectionSlot, amount: float, now: float) -> None:
         source = seat.source
-        source.used = decayed(source.used, source.used_at, now, USED_FOR) + amount * self.shares.pace
+        source.used = decayed(source.used, source.used_at, now, USED_FOR) + amount * self.read_queue.pace
         source.used_at = now
 
-    def _stop_waiting(self, seat: Seat) -> None:
+    def _stop_waiting(self, seat: ConnectionSlot) -> None:
         if self._waiting.pop(seat, None) is not None:
-            self.shares.leave(seat)
+            self.read_queue.remove(seat)
             seat.asked_at = 0.0
             seat.source.queued -= 1
 
-    def told(self, seat: Seat, now: float) -> None:
+    def record_message(self, seat: ConnectionSlot, now: float) -> None:
         self._give_back(seat, now)
         if not seat.spoke:
             seat.spoke = True
         if seat.row is not None:
-            self.rows.idle(seat, now)
+            self.idle_slots.idle(seat, now)
 
-    def _give_back(self, seat: Seat, now: float) -> None:
+    def _give_back(self, seat: ConnectionSlot, now: float) -> None:
         """A message that brought no work costs less than was paid for it."""
         back = cost.MESSAGE - cost.REQUEST
-        self.shares.charge(seat.lane, back)
+        self.read_queue.charge(seat.lane, back)
         self._use(seat, back, now)
 
-    def may_open(self, seat: Seat, now: float) -> Why:
+    def may_open(self, seat: ConnectionSlot, now: float) -> RejectionReason:
         seat.spoke = True
         why = self._over_share(seat)
         if why is not NONE:
-            self.tallies.refused[why.value] = self.tallies.refused.get(why.value, 0) + 1
+            self.counters.rejected_requests[why.value] = self.counters.rejected_requests.get(why.value, 0) + 1
             self._give_back(seat, now)
             self._press(seat.source, now)
             if seat.row is not None:
-                self.rows.idle(seat, now)
+                self.idle_slots.idle(seat, now)
         return why
 
-    def _over_share(self, seat: Seat) -> Why:
+    def _over_share(self, seat: ConnectionSlot) -> RejectionReason:
         """Past half of what there is, each source has an even part; a part of it only the known may have."""
         source, lane, bounds = seat.source, seat.lane, self.bounds
         kept = 1.0 if lane <= KNOWN else 1.0 - self.limits.reserve
-        most_open, most_unread = bounds.most_open * kept, bounds.most_unread * kept
-        if self.open >= bounds.most_open or self.unread_bytes >= bounds.most_unread:
+        max_open, max_unread_bytes = bounds.max_open * kept, bounds.max_unread_bytes * kept
+        if self.open >= bounds.max_open or self.unread_bytes >= bounds.max_unread_bytes:
             return FULL
         held, unread = self.open, self.unread_bytes
         if lane >= NEW:
-            held = self.opens[NEW] + self.opens[LIMITED]
+            held = self.open_by_lane[NEW] + self.open_by_lane[LIMITED]
         busy = max(2, self._busy + (source.open == 0))  # the next to come finds room too
-        if held >= most_open:
+        if held >= max_open:
             return SHARE
-        if held >= most_open / 2 and source.open > 0 and source.open >= most_open / busy:
+        if held >= max_open / 2 and source.open > 0 and source.open >= max_open / busy:
             return SHARE
-        if unread >= most_unread / 2 and source.unread > 0 and source.unread >= most_unread / (2 * busy):
+        if (
+            unread >= max_unread_bytes / 2
+            and source.unread > 0
+            and source.unread >= max_unread_bytes / (2 * busy)
+        ):
             return SHARE
         if self._behind > LATE and lane is not LISTED:
             # What is paid for was let in, so the loop is late through something else; who uses most yields.
-            even = USED_FOR / log(2) * self.shares.rate / busy
+            even = USED_FOR / log(2) * self.read_queue.rate / busy
             if lane is LIMITED or source.used > even or (lane is NEW and self._behind > TOO_LATE):
-                return Why.LATE
+                return RejectionReason.LOOP_LAGGING
         return NONE
 
-    def opened(self, seat: Seat) -> None:
+    def request_opened(self, seat: ConnectionSlot) -> None:
         source = seat.source
         self._busy += source.open == 0
         source.open += 1
         seat.open += 1
         self.open += 1
-        self.opens[seat.lane] += 1
-        self.rows.busy(seat)
+        self.open_by_lane[seat.lane] += 1
+        self.idle_slots.busy(seat)
 
-    def closed(self, seat: Seat, now: float, served: bool, size: int = 0) -> None:
+    def request_closed(self, seat: ConnectionSlot, now: float, served: bool, size: int = 0) -> None:
         source = seat.source
         if size > LARGE:
-            self.shares.charge(seat.lane, size * cost.PER_BYTE)
+            self.read_queue.charge(seat.lane, size * cost.PER_BYTE)
         source.open -= 1
         seat.open -= 1
         self.open -= 1
-        self.opens[seat.lane] -= 1
+        self.open_by_lane[seat.lane] -= 1
         self._busy -= source.open == 0
         if served:
             self._earn(source, now)
         self._rest(seat, now)
 
-    def _rest(self, seat: Seat, now: float) -> None:
+    def _rest(self, seat: ConnectionSlot, now: float) -> None:
         if seat.open or seat.unread:
             return
-        if self.blocked(seat.source.key, now):
-            self._leave(seat, Why.BLOCKED)
+        if self.is_blocked(seat.source.key, now):
+            self._leave(seat, RejectionReason.BLOCKED)
             return
-        self.rows.idle(seat, now)
+        self.idle_slots.idle(seat, now)
 
-    def unread(self, seat: Seat, change: int) -> None:
+    def add_unread_bytes(self, seat: ConnectionSlot, change: int) -> None:
         seat.unread += change
         seat.source.unread += change
         self.unread_bytes += change
 
-    def read_out(self, seat: Seat, now: float) -> None:
+    def answers_read(self, seat: ConnectionSlot, now: float) -> None:
         self._rest(seat, now)
 
     # Standing ---------------------------------------------------------------------------------
@@ -496,66 +512,67 @@
             source.standing, source.standing_at = max(0.0, standing - 2.0), now
             source.pressed_at = now
 
-    def did(self, seat: Seat, act: Act, now: float) -> None:
+    def record_offense(self, seat: ConnectionSlot, act: Offense, now: float) -> None:
         self._act(seat.source, act, now)
 
-    def _act(self, source: Source, act: Act, now: float) -> None:
+    def _act(self, source: Source, act: Offense, now: float) -> None:
         if source.listed is not None or source.until > now:
             return
-        if act is Act.PRESSING:
+        if act is Offense.OVERUSE:
             self._press(source, now)
-        source.strikes = decayed(source.strikes, source.strikes_at, now, STRIKES_FOR) + act.value
+        source.strikes = decayed(source.strikes, source.strikes_at, now, STRIKES_FOR)
+        source.strikes += STRIKES_FOR_OFFENSE[act]
         source.strikes_at = now
         if source.strikes < STRIKES:
             return
         # Grows with repetition, ends by itself, and limits without a ban.
         level = decayed(source.level, source.level_at, now, LEVEL_FOR)
-        source.until = now + min(self.limits.penalty_most, self.limits.penalty * 2.0**level)
+        source.until = now + min(self.limits.max_penalty_seconds, self.limits.penalty_seconds * 2.0**level)
         source.level, source.level_at = level + 1.0, now
         source.strikes, source.standing = 0.0, source.standing / 2
-        self.tallies.penalties += 1
+        self.counters.penalties += 1
         if not source.held:
             self.sources.place(source, known=False, limited=True)
 
     # The clock --------------------------------------------------------------------------------
 
-    def look(self, now: float, behind: float) -> Look:
+    def tick(self, now: float, behind: float) -> TickResult:
         """Every few milliseconds: whose turn it is, and who has to leave."""
         if now < self._looked_at - STEP:
             self._stepped_back(self._looked_at - now, now)
         self._behind = behind
-        quiet = not (self._waiting or self._leaving or self.ledger.over)
+        quiet = not (self._waiting or self._leaving or self.descriptors.over)
         if quiet and 0.0 <= now - self._looked_at < SELDOM:
-            return NOTHING
+            return NOTHING_DUE
         self._looked_at = now
-        found = Look()
-        for seat in self.shares.pour(now, behind):
+        found = TickResult()
+        for seat in self.read_queue.dispatch(now, behind):
             del self._waiting[seat]
             source = seat.source
             seat.asked_at, source.queued_to = 0.0, now
             source.queued -= 1
             if now - source.queued_at > PRESSED:
                 self._press(source, now)
-            found.wake.append(seat)
+            found.to_wake.append(seat)
         for seat, since in self._waiting.items():
             if now - since < OVERDUE:
                 break
             if not seat.open:
-                found.end.append((seat, Why.OVERDUE))
-        for seat, _ in found.end:
+                found.to_evict.append((seat, RejectionReason.READ_TIMEOUT))
+        for seat, _ in found.to_evict:
             self._stop_waiting(seat)
-            self.rows.busy(seat)
+            self.idle_slots.busy(seat)
             seat.leaving = True
-            self._act(seat.source, Act.PRESSING, now)
-        for _ in range(self.ledger.over):
-            worst = self.rows.worst()
+            self._act(seat.source, Offense.OVERUSE, now)
+        for _ in range(self.descriptors.over):
+            worst = self.idle_slots.worst()
             if worst is None:
                 break
-            self.rows.busy(worst)
+            self.idle_slots.busy(worst)
             worst.leaving = True
-            self.tallies.evicted[worst.lane] += 1
-            found.end.append((worst, Why.EXHAUSTED))
-        found.end += self._leaving
+            self.counters.evicted[worst.lane] += 1
+            found.to_evict.append((worst, RejectionReason.NO_DESCRIPTOR))
+        found.to_evict += self._leaving
         self._leaving = []
         return found
 
@@ -570,12 +587,12 @@
             source.earned_at -= by
             source.pressed_at -= by
             source.until -= by
-        for seat in list(self.rows):
-            self.rows.idle(seat, now)
+        for seat in list(self.idle_slots):
+            self.idle_slots.idle(seat, now)
         self._waiting = dict.fromkeys(self._waiting, now)
 
-    def measured(self, cpu: float) -> None:
-        self.shares.measured(cpu)
+    def record_cpu_seconds(self, cpu: float) -> None:
+        self.read_queue.calibrate(cpu)
 
     def _rate(self, source: Source, now: float) -> float:
         """Loop seconds a second that a source used lately: what decays adds up to the rate times h / ln 2."""
@@ -597,7 +614,7 @@
             "strikes": round(decayed(source.strikes, source.strikes_at, now, STRIKES_FOR), 1),
             "penalty_s": round(max(0.0, source.until - now), 1),
             "listed": source.listed.net if source.listed else "",
-            "blocked": self.blocked(source.key, now),
+            "blocked": self.is_blocked(source.key, now),
         }
 
     def top(self, now: float, most: int) -> list[dict[str, object]]:
--- a/zincladder/admission/sources.py
+++ b/zincladder/admission/source_table.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterator
 
-from zincladder.admission.lrfu import Lrfu
+from zincladder.admission.lrfu import LrfuSet
 from zincladder.admission.model import Source
 
 HALF_LIFE = 20.0  # seconds of the count by which a passing source is kept
 KNOWN_PART, LIMITED_PART = 0.5, 0.25  # of the record at most, for sources that are known or under a penalty
 
 
-class Sources:
+class SourceTable:
     """At most `most` addresses, or as many as have seats where those are more.
 
     Three parts, each with its own bound, keep them apart: those passing by, those who are known and those
@@ -22,9 +22,9 @@
     def __init__(self, most: int) -> None:
         self.most = most
         self._all: dict[int, Source] = {}
-        self._passing = Lrfu(HALF_LIFE)
-        self._known = Lrfu(HALF_LIFE)
-        self._limited = Lrfu(HALF_LIFE)
+        self._passing = LrfuSet(HALF_LIFE)
+        self._known = LrfuSet(HALF_LIFE)
+        self._limited = LrfuSet(HALF_LIFE)
         self.find = self._all.get  # the record of an address, or None
 
     def __len__(self) -> int:
--- a/zincladder/config/model.py
+++ b/zincladder/config/model.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from zincladder.admission.model import Limits
+from zincladder.admission.model import AdmissionLimits
 from zincladder.routing import interface as api
 
 Address = tuple[str, int]  # host and port
@@ -104,7 +104,7 @@
     dns: DnsConfig | None = None
     metrics: Address | None = None
     remote_write: tuple[RemoteWriteConfig, ...] = ()
-    admission: Limits | None = None
+    admission: AdmissionLimits | None = None
     control: str | None = None  # the path of the control socket
     policy: PolicyConfig | None = None
     tasks: TasksConfig | None = None
--- a/zincladder/config/operator.py
+++ b/zincladder/config/operator.py
@@ -8,7 +8,7 @@
 from typing import Any
 from urllib.parse import SplitResult, urlsplit
 
-from zincladder.admission.model import Limits, Network
+from zincladder.admission.model import AdmissionLimits, ListedNetwork
 from zincladder.admission.networks import NetworkMap
 from zincladder.config.errors import ConfigError
 from zincladder.config.model import (
@@ -166,30 +166,32 @@
 # Admission ----------------------------------------------------------------------------------------
 
 
-def _limits(table: AdmissionTable) -> Limits:
+def _limits(table: AdmissionTable) -> AdmissionLimits:
     # A table with a line for each field: longer than other functions.
     _check_admission(table)
-    return Limits(
-        per_address=table.per_address,
-        per_network=table.per_network,
-        known_per_address=table.known_per_address,
+    return AdmissionLimits(
+        max_per_address=table.per_address,
+        max_per_network=table.per_network,
+        max_known_per_address=table.known_per_address,
         rate=table.rate,
         burst=table.burst,
         network_rate=table.network_rate,
         network_burst=table.network_burst,
         reserve=table.reserve,
-        sources=table.sources,
-        known_after=table.known_after_s,
-        known_for=table.known_for_s,
-        penalty=table.penalty_s,
-        penalty_most=table.penalty_most_s,
+        max_sources=table.sources,
+        known_after_seconds=table.known_after_s,
+        known_half_life_seconds=table.known_for_s,
+        penalty_seconds=table.penalty_s,
+        max_penalty_seconds=table.penalty_most_s,
         known_share=table.known_share,
         new_share=table.new_share,
-        lobby=table.lobby,
+        max_pending=table.lobby,
         dns_rate=table.dns_rate,
         dns_burst=table.dns_burst,
-        dns_per_address=table.dns_per_address,
-        networks=tuple(Network(network.net, network.connections, network.rate) for network in table.network),
+        max_dns_per_address=table.dns_per_address,
+        networks=tuple(
+            ListedNetwork(network.net, network.connections, network.rate) for network in table.network
+        ),
         blocked=tuple(table.blocked),
     )
 
--- a/zincladder/config/operator_tables.py
+++ b/zincladder/config/operator_tables.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from zincladder.admission.model import Limits
+from zincladder.admission.model import AdmissionLimits
 from zincladder.config.errors import ConfigError
 
 T = TypeVar("T")
@@ -97,25 +97,25 @@
     """[admission]: admission by source; the defaults are those of Limits."""
 
     enabled: bool = True
-    per_address: Count = Limits.per_address
-    per_network: Count = Limits.per_network
-    dns_rate: Positive = Limits.dns_rate
-    dns_burst: Count = Limits.dns_burst
-    dns_per_address: Count = Limits.dns_per_address
-    known_per_address: Count = Limits.known_per_address
-    rate: Positive = Limits.rate
-    burst: Count = Limits.burst
-    network_rate: Positive = Limits.network_rate
-    network_burst: Count = Limits.network_burst
-    reserve: Share = Limits.reserve
-    sources: Annotated[int, Meta(ge=256, le=1_000_000)] = Limits.sources
-    known_after_s: Annotated[float, Meta(ge=1, le=60)] = Limits.known_after
-    known_for_s: Positive = Limits.known_for
-    penalty_s: Positive = Limits.penalty
-    penalty_most_s: Positive = Limits.penalty_most
-    known_share: Share = Limits.known_share
-    new_share: Share = Limits.new_share
-    lobby: Annotated[int, Meta(ge=0, le=64)] = Limits.lobby
+    per_address: Count = AdmissionLimits.max_per_address
+    per_network: Count = AdmissionLimits.max_per_network
+    dns_rate: Positive = AdmissionLimits.dns_rate
+    dns_burst: Count = AdmissionLimits.dns_burst
+    dns_per_address: Count = AdmissionLimits.max_dns_per_address
+    known_per_address: Count = AdmissionLimits.max_known_per_address
+    rate: Positive = AdmissionLimits.rate
+    burst: Count = AdmissionLimits.burst
+    network_rate: Positive = AdmissionLimits.network_rate
+    network_burst: Count = AdmissionLimits.network_burst
+    reserve: Share = AdmissionLimits.reserve
+    sources: Annotated[int, Meta(ge=256, le=1_000_000)] = AdmissionLimits.max_sources
+    known_after_s: Annotated[float, Meta(ge=1, le=60)] = AdmissionLimits.known_after_seconds
+    known_for_s: Positive = AdmissionLimits.known_half_life_seconds
+    penalty_s: Positive = AdmissionLimits.penalty_seconds
+    penalty_most_s: Positive = AdmissionLimits.max_penalty_seconds
+    known_share: Share = AdmissionLimits.known_share
+    new_share: Share = AdmissionLimits.new_share
+    lobby: Annotated[int, Meta(ge=0, le=64)] = AdmissionLimits.max_pending
     network: list[NetworkTable] = []
     blocked: list[str] = []
 
--- a/zincladder/config/reload.py
+++ b/zincladder/config/reload.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from zincladder.admission.model import Limits
+from zincladder.admission.model import AdmissionLimits
 from zincladder.config.changes import merge_reloaded
 from zincladder.config.environment import load, load_operator
 from zincladder.config.errors import ConfigError
@@ -38,7 +38,7 @@
         self._own = self._in_force = config
         self.processes = 1  # of this front, that run now
         self.subscribers: list[Callable[[Config], None]] = []
-        self.limits: Callable[[Limits], None] | None = None
+        self.limits: Callable[[AdmissionLimits], None] | None = None
         self.counts: Counter[tuple[str, str]] = Counter()
         self.overlay: Overlay | None = None
 
@@ -46,7 +46,7 @@
         self,
         subscribers: Sequence[Callable[[Config], None]],
         counts: Counter[tuple[str, str]],
-        limits: Callable[[Limits], None] | None,
+        limits: Callable[[AdmissionLimits], None] | None,
     ) -> None:
         """Connect the parts of a front.
 
--- a/zincladder/control/command_server.py
+++ b/zincladder/control/command_server.py
@@ -12,7 +12,7 @@
 import anyio
 import structlog
 
-from zincladder.admission.ledger import Ledger, Use
+from zincladder.admission.descriptor_budget import DescriptorBudget, DescriptorUse
 from zincladder.config import ConfigError
 from zincladder.control.accept_loop import accept_connections
 from zincladder.control.commands import MAX_LINE_BYTES, Command, answer
@@ -85,9 +85,9 @@
     """Answers operators' commands until it is cancelled."""
 
     def __init__(
-        self, path: str, table: Mapping[str, Command], ledger: Ledger, replaces: bool = False
+        self, path: str, table: Mapping[str, Command], descriptors: DescriptorBudget, replaces: bool = False
     ) -> None:
-        self._path, self._table, self._ledger = path, table, ledger
+        self._path, self._table, self._descriptors = path, table, descriptors
         self._listening = bind(path, replaces)
         self._inode = os.stat(path).st_ino
 
@@ -97,7 +97,7 @@
             async with anyio.create_task_group() as tasks:
 
                 def handle(sock: socket.socket) -> None:
-                    if self._ledger.take(Use.CONTROL):
+                    if self._descriptors.take(DescriptorUse.CONTROL):
                         tasks.start_soon(self._serve_connection, sock)
                     else:
                         sock.close()
@@ -123,7 +123,7 @@
             log.exception("control command failed")
         finally:
             sock.close()
-            self._ledger.give(Use.CONTROL)
+            self._descriptors.give(DescriptorUse.CONTROL)
 
     async def _answer_commands(self, sock: socket.socket) -> None:
         """Answer each line until the peer ends or sends one that is too long."""
--- a/zincladder/control/commands.py
+++ b/zincladder/control/commands.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from zincladder.admission.gate import Gate
 from zincladder.admission.interface import Admission
+from zincladder.admission.source_admission import SourceAdmission
 from zincladder.control.model import AdmissionReport, BlockResult
 
 MAX_LINE_BYTES = 65_536
@@ -64,8 +64,8 @@
         }
 
     @property
-    def _by_source(self) -> Gate:
-        if not isinstance(self._admission, Gate):
+    def _by_source(self) -> SourceAdmission:
+        if not isinstance(self._admission, SourceAdmission):
             raise CommandError("admission by source is off: the operator's file has no [admission]")
         return self._admission
 
@@ -76,14 +76,14 @@
         return {
             "sources": admission.top(now, max_rows),
             "recorded": len(admission.sources),
-            "rate": round(admission.shares.rate, 3),
-            "pace": round(admission.shares.pace, 2),
-            "waiting": admission.shares.waiting,
-            "descriptors": {use.value: account.used for use, account in admission.ledger.accounts.items()},
-            "limit": admission.ledger.total,
-            "turned_away": dict(admission.tallies.turned),
-            "refused": dict(admission.tallies.refused),
-            "penalties": admission.tallies.penalties,
+            "rate": round(admission.read_queue.rate, 3),
+            "pace": round(admission.read_queue.pace, 2),
+            "waiting": admission.read_queue.waiting,
+            "descriptors": {use.value: pool.used for use, pool in admission.descriptors.pools.items()},
+            "limit": admission.descriptors.total,
+            "turned_away": dict(admission.counters.rejected_connections),
+            "refused": dict(admission.counters.rejected_requests),
+            "penalties": admission.counters.penalties,
         }
 
     def show(self, request: CommandRequest, now: float) -> dict[str, object]:
--- a/zincladder/control/status_server.py
+++ b/zincladder/control/status_server.py
@@ -7,7 +7,7 @@
 import anyio
 import structlog
 
-from zincladder.admission.ledger import Ledger, Use
+from zincladder.admission.descriptor_budget import DescriptorBudget, DescriptorUse
 from zincladder.config import Address
 from zincladder.control.accept_loop import Warn, accept_connections
 from zincladder.control.status_calls import LineReader, StatusCalls
@@ -26,8 +26,10 @@
     is closed for a new one.
     """
 
-    def __init__(self, listening: socket.socket, calls: StatusCalls, ledger: Ledger, warn: Warn) -> None:
-        self._listening, self._calls, self._ledger, self._warn = listening, calls, ledger, warn
+    def __init__(
+        self, listening: socket.socket, calls: StatusCalls, descriptors: DescriptorBudget, warn: Warn
+    ) -> None:
+        self._listening, self._calls, self._descriptors, self._warn = listening, calls, descriptors, warn
         self._incomplete: dict[socket.socket, anyio.CancelScope] = {}  # without a whole line, oldest first
 
     @property
@@ -43,7 +45,7 @@
 
                 def handle(sock: socket.socket) -> None:
                     self._make_room()
-                    self._ledger.force(Use.CONTROL)
+                    self._descriptors.force(DescriptorUse.CONTROL)
                     scope = self._incomplete[sock] = anyio.CancelScope()
                     tasks.start_soon(self._serve_connection, sock, scope)
 
@@ -52,7 +54,7 @@
             self._listening.close()
 
     def _make_room(self) -> None:
-        if self._ledger.room(Use.CONTROL) <= 0 and len(self._incomplete) >= MIN_CONNECTIONS:
+        if self._descriptors.room(DescriptorUse.CONTROL) <= 0 and len(self._incomplete) >= MIN_CONNECTIONS:
             oldest = next(iter(self._incomplete))
             self._incomplete.pop(oldest).cancel()
 
@@ -68,7 +70,7 @@
         finally:
             self._incomplete.pop(sock, None)
             sock.close()
-            self._ledger.give(Use.CONTROL)
+            self._descriptors.give(DescriptorUse.CONTROL)
 
     async def _answer_call(self, sock: socket.socket) -> None:
         try:
--- a/zincladder/dns/server.py
+++ b/zincladder/dns/server.py
@@ -9,10 +9,10 @@
 import anyio
 import structlog
 
+from zincladder.admission.descriptor_budget import DescriptorUse
 from zincladder.admission.interface import Admission
-from zincladder.admission.ledger import Use
-from zincladder.admission.model import Why
-from zincladder.admission.responses import Response
+from zincladder.admission.model import RejectionReason
+from zincladder.admission.response_rate_limiter import DatagramVerdict
 from zincladder.config import Address
 from zincladder.core.attempt_end import EndReason
 from zincladder.core.clock import Clock
@@ -81,8 +81,8 @@
                         self._warn.warning("dns accept failed", why=str(fault))
                         await anyio.sleep(0.01)
                         continue
-                    why = self._admission.visit(Use.DNS, peer[0], monotonic())
-                    if why is Why.NONE:
+                    why = self._admission.open_connection(DescriptorUse.DNS, peer[0], monotonic())
+                    if why is RejectionReason.NONE:
                         tasks.start_soon(self._connection, sock, peer[0])
                     else:
                         turn_away(sock)  # UDP goes on
@@ -100,11 +100,11 @@
                     break
                 except OSError:  # what an earlier answer met at a peer that is gone
                     continue
-                given = self._admission.datagram(peer[0], monotonic())
-                if given is Response.ANSWER:
+                given = self._admission.judge_datagram(peer[0], monotonic())
+                if given is DatagramVerdict.ANSWER:
                     response = self._respond(data, MOST_SIZE)
                 else:
-                    response = self._answers.truncated(data) if given is Response.TRUNCATED else None
+                    response = self._answers.truncated(data) if given is DatagramVerdict.TRUNCATED else None
                 if response is not None:
                     try:
                         self._udp.sendto(response, peer)
@@ -139,7 +139,7 @@
                 tasks.cancel_scope.cancel()
         finally:
             sock.close()
-            self._admission.left(Use.DNS, host)
+            self._admission.close_connection(DescriptorUse.DNS, host)
 
     async def _write(self, outbox: Outbox, tasks: anyio.abc.TaskGroup) -> None:
         try:
--- a/zincladder/metrics/exporter.py
+++ b/zincladder/metrics/exporter.py
@@ -10,8 +10,8 @@
 import h11
 import structlog
 
-from zincladder.admission.ledger import Use
-from zincladder.admission.model import Why
+from zincladder.admission.descriptor_budget import DescriptorUse
+from zincladder.admission.model import RejectionReason
 from zincladder.config import Address
 
 IDLE = 10.0
@@ -28,10 +28,10 @@
 class Visits(Protocol):
     """Who may ask."""
 
-    def visit(self, use: Use, host: str, now: float) -> Why:
+    def open_connection(self, use: DescriptorUse, host: str, now: float) -> RejectionReason:
         """A connection has come: NONE if it may stay."""
 
-    def left(self, use: Use, host: str) -> None:
+    def close_connection(self, use: DescriptorUse, host: str) -> None:
         """One that stayed is gone."""
 
 
@@ -52,7 +52,10 @@
         talk = h11.Connection(h11.SERVER)
         async with stream:
             host = str(stream.extra(anyio.abc.SocketAttribute.remote_address)[0])
-            if self._admission.visit(Use.METRICS, host, monotonic()) is not Why.NONE:
+            if (
+                self._admission.open_connection(DescriptorUse.METRICS, host, monotonic())
+                is not RejectionReason.NONE
+            ):
                 return
             try:
                 with anyio.fail_after(IDLE):
@@ -68,7 +71,7 @@
             except (h11.ProtocolError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError) as fault:
                 log.info("metrics connection ended", why=str(fault) or type(fault).__name__)
             finally:
-                self._admission.left(Use.METRICS, host)
+                self._admission.close_connection(DescriptorUse.METRICS, host)
 
     async def _answer(
         self, talk: h11.Connection, request: h11.Request, stream: anyio.abc.SocketStream
--- a/zincladder/metrics/registry.py
+++ b/zincladder/metrics/registry.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable, Iterator, Mapping
 
-from zincladder.admission.gate import Gate
 from zincladder.admission.interface import Admission
-from zincladder.admission.model import Lane
+from zincladder.admission.model import PriorityLane
+from zincladder.admission.source_admission import SourceAdmission
 from zincladder.core.engine import Core
 from zincladder.metrics.exposition import Sample, exposition
 
@@ -163,27 +163,30 @@
                 yield Sample(CACHE["report_age"][0], cache, round(max(0.0, now - found.reported_at), 3))
 
     def _of_admission(self, front: tuple[str, str]) -> Iterator[Sample]:
-        admission, tallies = self._admission, self._admission.tallies
+        admission, counters = self._admission, self._admission.counters
         for key in ("admitted", "evicted", "waits"):
             name, label, _ = ADMISSION[key]
-            for lane, count in zip(Lane, getattr(tallies, key), strict=True):
+            for lane, count in zip(PriorityLane, getattr(counters, key), strict=True):
                 yield Sample(name, (front, (label, lane.name.lower())), float(count))
-        for key, counts in (("turned", tallies.turned), ("refused", tallies.refused)):
+        for key, counts in (
+            ("turned", counters.rejected_connections),
+            ("refused", counters.rejected_requests),
+        ):
             name, label, _ = ADMISSION[key]
             for why, count in sorted(counts.items()):
                 yield Sample(name, (front, (label, why)), float(count))
-        yield Sample(PENALTIES, (front,), float(tallies.penalties))
-        for use, account in admission.ledger.accounts.items():
-            yield Sample(ADMISSION_GAUGES["descriptors"][0], (front, ("use", use.value)), float(account.used))
-        yield Sample(ADMISSION_GAUGES["limit"][0], (front,), float(admission.ledger.total))
+        yield Sample(PENALTIES, (front,), float(counters.penalties))
+        for use, pool in admission.descriptors.pools.items():
+            yield Sample(ADMISSION_GAUGES["descriptors"][0], (front, ("use", use.value)), float(pool.used))
+        yield Sample(ADMISSION_GAUGES["limit"][0], (front,), float(admission.descriptors.total))
         yield Sample(ADMISSION_GAUGES["behind"][0], (front,), round(self._core.loop_monitor.lag_seconds, 4))
-        if isinstance(admission, Gate):
-            for lane, count in zip(Lane, admission.lanes, strict=True):
+        if isinstance(admission, SourceAdmission):
+            for lane, count in zip(PriorityLane, admission.slots_by_lane, strict=True):
                 yield Sample(ADMISSION_GAUGES["seats"][0], (front, ("lane", lane.name.lower())), float(count))
             for key, value in (
                 ("sources", len(admission.sources)),
-                ("waiting", admission.shares.waiting),
-                ("rate", admission.shares.rate),
+                ("waiting", admission.read_queue.waiting),
+                ("rate", admission.read_queue.rate),
             ):
                 yield Sample(ADMISSION_GAUGES[key][0], (front,), float(value))
 
--- a/zincladder/metrics/replica.py
+++ b/zincladder/metrics/replica.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterator
 
-from zincladder.admission.ledger import Use
-from zincladder.admission.model import Why
+from zincladder.admission.descriptor_budget import DescriptorUse
+from zincladder.admission.model import RejectionReason
 from zincladder.consensus.server import ReplicaServer
 from zincladder.metrics.exposition import Sample, exposition
 from zincladder.policy.host import PolicyLeaderService
@@ -99,11 +99,11 @@
     def __init__(self, max_connections: int = MAX_CONNECTIONS) -> None:
         self._max_connections, self._open = max_connections, 0
 
-    def visit(self, use: Use, host: str, now: float) -> Why:
+    def open_connection(self, use: DescriptorUse, host: str, now: float) -> RejectionReason:
         if self._open >= self._max_connections:
-            return Why.FULL
+            return RejectionReason.NO_CAPACITY
         self._open += 1
-        return Why.NONE
+        return RejectionReason.NONE
 
-    def left(self, use: Use, host: str) -> None:
+    def close_connection(self, use: DescriptorUse, host: str) -> None:
         self._open -= 1
--- a/zincladder/net/caches.py
+++ b/zincladder/net/caches.py
@@ -16,7 +16,7 @@
 import structlog
 from anyio.abc import TaskGroup
 
-from zincladder.admission.ledger import Ledger, Use
+from zincladder.admission.descriptor_budget import DescriptorBudget, DescriptorUse
 from zincladder.config import MAX_BODY_BYTES, Address, Config
 from zincladder.core.attempt import AbortReason, AttemptRequest
 from zincladder.core.attempt_end import AttemptEnd, EndReason
@@ -237,9 +237,13 @@
     """Connections to all members: the carrier of the core."""
 
     def __init__(
-        self, config: Config, now: Callable[[], float], ledger: Ledger, class_names: Sequence[str]
+        self,
+        config: Config,
+        now: Callable[[], float],
+        descriptors: DescriptorBudget,
+        class_names: Sequence[str],
     ) -> None:
-        self._config, self._now, self._ledger = config, now, ledger
+        self._config, self._now, self._descriptors = config, now, descriptors
         self._class_names = class_names  # by number; new settings change it in place
         self._addresses: dict[api.EndpointId, Address] = {}
         self._links: dict[api.EndpointId, list[_Link]] = {}
@@ -375,15 +379,17 @@
         usable = self._usable(endpoint, name)
         if usable and not usable.open:
             return usable
-        if self._ledger.room(Use.CACHES) <= 0 and not self._make_room():
+        if self._descriptors.room(DescriptorUse.CACHES) <= 0 and not self._make_room():
             if usable:
                 return usable
-            self._warn.warning("no descriptor for a member", used=self._ledger.used)
+            self._warn.warning("no descriptor for a member", used=self._descriptors.used)
             raise OSError("no descriptor is left for one more connection")
         where = self._addresses.get(endpoint)
         if where is None:
             raise OSError("the member is gone")
-        self._ledger.force(Use.CACHES)  # past its most by those that are making room, which close at once
+        self._descriptors.force(
+            DescriptorUse.CACHES
+        )  # past its most by those that are making room, which close at once
         waiter, sock = _Waiter(name), None
         self._waiters.setdefault(endpoint, []).append(waiter)
         try:
@@ -401,7 +407,7 @@
             if not self._waiters[endpoint]:
                 del self._waiters[endpoint]
             if sock is None:
-                self._ledger.give(Use.CACHES)
+                self._descriptors.give(DescriptorUse.CACHES)
         if sock is not None:
             link = _Link(sock, self._report_names, partial(self._hand_on, endpoint))
             self._links.setdefault(endpoint, []).append(link)
@@ -437,8 +443,8 @@
                 raise
         # The limit was lowered, or the system is short: idle clients leave within a tick, and this is for
         # one.
-        self._warn.warning("no descriptor for a member", used=self._ledger.used)
-        self._ledger.resize(min(self._ledger.total, self._ledger.used - SHORT_BY))
+        self._warn.warning("no descriptor for a member", used=self._descriptors.used)
+        self._descriptors.resize(min(self._descriptors.total, self._descriptors.used - SHORT_BY))
         await anyio.sleep(SHORT_FOR)
         return await connect(*where)
 
@@ -498,7 +504,7 @@
         except Exception:  # guards all other connections: what goes wrong with one ends that one only
             log.exception("cache connection failed", endpoint=endpoint.decode("latin-1"))
             end = AttemptEnd(EndReason.CONNECTION_LOST)
-        self._ledger.give(Use.CACHES)
+        self._descriptors.give(DescriptorUse.CACHES)
         links = self._links[endpoint]
         links.remove(link)
         if not links:
--- a/zincladder/net/client_connection.py
+++ b/zincladder/net/client_connection.py
@@ -9,7 +9,7 @@
 import anyio
 
 from zincladder.admission.interface import Admission
-from zincladder.admission.model import Seat
+from zincladder.admission.model import ConnectionSlot
 from zincladder.core.arrival import ArrivalBound
 from zincladder.core.attempt import ClientRequest
 from zincladder.net import thrift
@@ -32,7 +32,7 @@
     """One connection of a client and the requests that are open on it."""
 
     sock: socket.socket
-    seat: Seat
+    slot: ConnectionSlot
     inbox: Inbox
     outbox: Outbox
     arrival: ArrivalBound
@@ -96,14 +96,14 @@
 class UnreadAnswers:
     """Tells admission of the bytes that one client leaves unread."""
 
-    __slots__ = ("_admission", "_seat", "_size")
+    __slots__ = ("_admission", "_size", "_slot")
 
-    def __init__(self, admission: Admission, seat: Seat) -> None:
-        self._admission, self._seat = admission, seat
+    def __init__(self, admission: Admission, slot: ConnectionSlot) -> None:
+        self._admission, self._slot = admission, slot
         self._size = 0
 
     def add(self, change: int) -> None:
         self._size += change
-        self._admission.unread(self._seat, change)
+        self._admission.add_unread_bytes(self._slot, change)
         if self._size == 0:
-            self._admission.read_out(self._seat, monotonic())
+            self._admission.answers_read(self._slot, monotonic())
--- a/zincladder/net/client_listener.py
+++ b/zincladder/net/client_listener.py
@@ -17,9 +17,9 @@
 import anyio
 import anyio.lowlevel
 
-from zincladder.admission.gate import Gate
 from zincladder.admission.interface import Admission
-from zincladder.admission.model import Decision, Seat, Verdict, Why
+from zincladder.admission.model import ConnectionSlot, Decision, RejectionReason, Verdict
+from zincladder.admission.source_admission import SourceAdmission
 from zincladder.config import Address
 from zincladder.core.arrival import ArrivalBound, LoopTurns
 from zincladder.net.stream import family
@@ -30,8 +30,8 @@
 PAUSES = (0.01, 0.2)  # seconds for which the listener rests then, doubled from the first to the second
 SHORT_BY = 4  # descriptors that are made free then, for members and the feed too
 WAIT = 0.005
-LOBBY_FOR = 0.5  # seconds that a connection may wait for a seat
-TURN_AWAY = Verdict.TURN_AWAY
+PENDING_TIMEOUT_SECONDS = 0.5  # seconds that a connection may wait for a slot
+TURN_AWAY = Verdict.REJECT
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: an end that leaves nothing behind (no TIME_WAIT)
 
 
@@ -63,8 +63,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _InLobby:
-    """A connection that was taken and has no seat yet."""
+class _PendingConnection:
+    """A connection that was taken and has no slot yet."""
 
     sock: socket.socket
     decision: Decision
@@ -73,30 +73,30 @@
 
 
 class ClientListener:
-    """Takes what waits in the system's queue and hands on what gets a seat."""
+    """Takes what waits in the system's queue and hands on what gets a slot."""
 
     def __init__(
         self,
         listen: Address,
         admission: Admission,
         sockets: Callable[[], int],
-        seat: Callable[[socket.socket, Decision, float], None],
-        evict: Callable[[Seat, Why], None],
+        add_client: Callable[[socket.socket, Decision, float], None],
+        evict: Callable[[ConnectionSlot, RejectionReason], None],
         turns: LoopTurns,
         listening: socket.socket | None = None,
     ) -> None:
         """`listening` is the socket of another process of this front; without one it listens anew.
 
-        `seat` is given what has a seat, and the time after which it connected.
+        `add_client` is given what has a slot, and the time after which it connected.
         """
         self._queue = ArrivalBound(turns, monotonic())
         self.listener = listening or listener(listen)
         self.hand_on = False  # another process takes what still waits
-        self._admission, self._sockets, self._seat, self._evict = admission, sockets, seat, evict
+        self._admission, self._sockets, self._add_client, self._evict = admission, sockets, add_client, evict
         self._spare: int | None = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
         self._pause = PAUSES[0]
         self._turned = 0  # since the last look
-        self._lobby: deque[_InLobby] = deque()
+        self._pending: deque[_PendingConnection] = deque()
         self._warn = RateLimitedLog()
 
     @property
@@ -123,8 +123,8 @@
                 await self._admit()
         finally:
             self.listener.close()
-            while self._lobby:
-                turn_away(self._lobby.popleft().sock)
+            while self._pending:
+                turn_away(self._pending.popleft().sock)
             if self._spare is not None:
                 os.close(self._spare)
                 self._spare = None
@@ -134,11 +134,11 @@
         admission, turned = self._admission, False
         for taken in itertools.count(1):
             now = monotonic()
-            first = admission.ready(now)
+            first = admission.may_accept(now)
             if first.verdict is not Verdict.ADMIT:
                 if first.evict is not None:
-                    self._evict(first.evict, Why.FULL)
-                if first.why is Why.NONE:  # a descriptor is about to be free
+                    self._evict(first.evict, RejectionReason.NO_CAPACITY)
+                if first.reason is RejectionReason.NONE:  # a descriptor is about to be free
                     await anyio.lowlevel.checkpoint()
                     continue
                 self._warn.warning("too many clients")
@@ -163,47 +163,47 @@
                 turn_away(sock)
                 self._turned += 1
             else:
-                self._judge(_InLobby(sock, decision, now, self._queue.arrived_after))
+                self._judge(_PendingConnection(sock, decision, now, self._queue.arrived_after))
             if taken % TURN == 0:
                 await anyio.lowlevel.checkpoint()
         return turned
 
-    def _judge(self, taken: _InLobby) -> None:
+    def _judge(self, taken: _PendingConnection) -> None:
         sock, decision = taken.sock, taken.decision
         if decision.verdict is Verdict.ADMIT:
             # Before anybody else sees it: a look at an accepted socket that blocks halts the whole process.
             sock.setblocking(False)
-            self._seat(sock, decision, taken.came_after)
+            self._add_client(sock, decision, taken.came_after)
         elif decision.verdict is TURN_AWAY:
             turn_away(sock)
             self._turned += 1
         else:
             if decision.evict is not None:
-                self._evict(decision.evict, decision.why)
-            assert isinstance(self._admission, Gate)
-            if len(self._lobby) < self._admission.limits.lobby:
-                self._lobby.append(taken)
+                self._evict(decision.evict, decision.reason)
+            assert isinstance(self._admission, SourceAdmission)
+            if len(self._pending) < self._admission.limits.max_pending:
+                self._pending.append(taken)
             else:
-                self._admission.given_up(decision)
+                self._admission.record_expired(decision)
                 turn_away(sock)
 
     def look(self) -> None:
-        """Tries the lobby again, oldest first, and ends who has waited for too long."""
+        """Tries the pending connections again, oldest first, and ends who has waited for too long."""
         if self._turned:
-            by = dict(self._admission.tallies.turned)
+            by = dict(self._admission.counters.rejected_connections)
             self._warn.warning("connections turned away", so_far=by)
             self._turned = 0
-        for _ in range(len(self._lobby)):
-            taken = self._lobby.popleft()
+        for _ in range(len(self._pending)):
+            taken = self._pending.popleft()
             now = monotonic()
-            assert isinstance(self._admission, Gate)
-            again = self._admission.again(taken.decision, now)
-            if again.verdict is Verdict.WAIT and now - taken.since <= LOBBY_FOR:
+            assert isinstance(self._admission, SourceAdmission)
+            again = self._admission.reconsider(taken.decision, now)
+            if again.verdict is Verdict.WAIT and now - taken.since <= PENDING_TIMEOUT_SECONDS:
                 if again.evict is not None:
-                    self._evict(again.evict, again.why)
-                self._lobby.append(taken)
+                    self._evict(again.evict, again.reason)
+                self._pending.append(taken)
             elif again.verdict is Verdict.WAIT:
-                self._admission.given_up(taken.decision)
+                self._admission.record_expired(taken.decision)
                 turn_away(taken.sock)
             else:
                 self._judge(replace(taken, decision=again))
@@ -214,8 +214,8 @@
         """
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         total = min(self._sockets(), soft) if soft >= 0 else self._sockets()
-        if total != self._admission.ledger.total:
-            self._admission.ledger.resize(total)
+        if total != self._admission.descriptors.total:
+            self._admission.descriptors.resize(total)
 
     async def _short(self, fault: OSError) -> None:
         """No descriptor is left. One that waits is ended by the spare, so that the queue doesn't stay as it
@@ -223,11 +223,15 @@
 
         Guards against going round for ever on a listener that stays readable: it rests, longer each time.
         """
-        self._warn.warning("no descriptor left", why=str(fault), used=self._admission.ledger.used)
-        tallies = self._admission.tallies
-        tallies.turned[Why.EXHAUSTED.value] = tallies.turned.get(Why.EXHAUSTED.value, 0) + 1
-        ledger = self._admission.ledger
-        ledger.resize(min(ledger.total, ledger.used - SHORT_BY))  # evicts; `measure` restores it
+        self._warn.warning("no descriptor left", why=str(fault), used=self._admission.descriptors.used)
+        counters = self._admission.counters
+        counters.rejected_connections[RejectionReason.NO_DESCRIPTOR.value] = (
+            counters.rejected_connections.get(RejectionReason.NO_DESCRIPTOR.value, 0) + 1
+        )
+        descriptors = self._admission.descriptors
+        descriptors.resize(
+            min(descriptors.total, descriptors.used - SHORT_BY)
+        )  # evicts; `measure` restores it
         if self._spare is not None:
             os.close(self._spare)
             self._spare = None
--- a/zincladder/net/clients.py
+++ b/zincladder/net/clients.py
@@ -15,9 +15,9 @@
 import structlog
 from anyio.abc import TaskGroup
 
+from zincladder.admission.connection_slots import MIN_IDLE_SECONDS
 from zincladder.admission.interface import Admission
-from zincladder.admission.model import Act, Decision, Seat, Why
-from zincladder.admission.seats import SETTLED
+from zincladder.admission.model import ConnectionSlot, Decision, Offense, RejectionReason
 from zincladder.config import Config
 from zincladder.core.answers import ANSWER_MARGIN_SECONDS, Answer, AnswerKind
 from zincladder.core.arrival import PROMPT_READ_SECONDS, ArrivalBound
@@ -66,7 +66,7 @@
     ) -> None:
         """`has_successor` is whether another process takes new clients from the queue."""
         self._core, self._config, self._admission = core, config, admission
-        self._clients: dict[Seat, ClientConnection] = {}
+        self._clients: dict[ConnectionSlot, ClientConnection] = {}
         self._traces: set[str] = set()  # of the requests that are open
         self._accepting = anyio.CancelScope()
         self._warn = RateLimitedLog()
@@ -75,7 +75,7 @@
             config.listen,
             admission,
             lambda: self._config.sockets,
-            self._seat,
+            self._add_client,
             self._evict,
             core.loop_monitor.turns,
             listening,
@@ -160,31 +160,31 @@
 
     def _retire_at_stop(self, client: ClientConnection) -> bool:
         """`_retire`, but a client that has just connected gets the time to send its first request."""
-        if not client.spoke and monotonic() - client.since < SETTLED:
+        if not client.spoke and monotonic() - client.since < MIN_IDLE_SECONDS:
             return False
         return self._retire(client)
 
-    def _seat(self, sock: socket.socket, decision: Decision, came_after: float) -> None:
+    def _add_client(self, sock: socket.socket, decision: Decision, came_after: float) -> None:
         now = monotonic()
-        seat = self._admission.seat(decision, now)
-        outbox = Outbox(sock, UnreadAnswers(self._admission, seat))
+        slot = self._admission.open_slot(decision, now)
+        outbox = Outbox(sock, UnreadAnswers(self._admission, slot))
         arrival = ArrivalBound(self._core.loop_monitor.turns, came_after)
-        client = self._clients[seat] = ClientConnection(sock, seat, Inbox(sock), outbox, arrival, now, now)
+        client = self._clients[slot] = ClientConnection(sock, slot, Inbox(sock), outbox, arrival, now, now)
         assert self._tasks is not None
         self._tasks.start_soon(self._client, client)
 
-    def _evict(self, seat: Seat, why: Why) -> None:
-        client = self._clients.get(seat)
+    def _evict(self, slot: ConnectionSlot, why: RejectionReason) -> None:
+        client = self._clients.get(slot)
         if client is None:
             return
         if client.ended:
             client.lingering.cancel()  # what is here already is read all the same
             return
-        name = "crowded" if why is Why.FULL else why.value
+        name = "crowded" if why is RejectionReason.NO_CAPACITY else why.value
         if self._retire(client, name, NO_LINGER_SECONDS):
             return
-        if client.open or why is Why.FULL:
-            self._admission.stays(seat, monotonic())  # it has something to say since it was chosen
+        if client.open or why is RejectionReason.NO_CAPACITY:
+            self._admission.cancel_eviction(slot, monotonic())  # it has something to say since it was chosen
             return
         self._core.counts["client_ends", name] += 1
         self._end(client, NO_LINGER_SECONDS)
@@ -203,13 +203,13 @@
 
     def _look(self) -> None:
         """At each tick of the core: whose turn it is to be read, and who leaves."""
-        found = self._admission.look(monotonic(), self._core.loop_monitor.lag_seconds)
-        for seat in found.wake:
-            client = self._clients.get(seat)
+        found = self._admission.tick(monotonic(), self._core.loop_monitor.lag_seconds)
+        for slot in found.to_wake:
+            client = self._clients.get(slot)
             if client is not None:
                 client.turn.set()
-        for seat, why in found.end:
-            self._evict(seat, why)
+        for slot, why in found.to_evict:
+            self._evict(slot, why)
         self._listener.look()
 
     async def _sweep(self) -> None:
@@ -220,13 +220,13 @@
             now = monotonic()
             if now - measured_at >= MEASURE:
                 used = time.process_time()
-                self._admission.measured(used - cpu)
+                self._admission.record_cpu_seconds(used - cpu)
                 cpu, measured_at = used, now
                 self._listener.measure()
             for c in [c for c in self._clients.values() if not c.ended]:
                 if self._said_too_little(c, now):
                     self._warn.warning("client sent no whole message", open=len(c.open))
-                    self._admission.did(c.seat, Act.STALLED, now)
+                    self._admission.record_offense(c.slot, Offense.STALLED, now)
                     self._core.counts["client_ends", EndReason.PEER_STALLED.value] += 1
                     self._end(c, LINGER_SECONDS)
                 elif now - c.used_at > IDLE:
@@ -257,10 +257,10 @@
                             EndReason.CLOSED_BY_PEER,
                             EndReason.CONNECTION_LOST,
                         ):
-                            self._admission.did(client.seat, Act.ABANDONED, monotonic())
+                            self._admission.record_offense(client.slot, Offense.ABANDONED, monotonic())
                         if end.reason is EndReason.PROTOCOL_ERROR:
                             self._end(client, LINGER_SECONDS)
-                            self._admission.did(client.seat, Act.GARBLED, monotonic())
+                            self._admission.record_offense(client.slot, Offense.MALFORMED, monotonic())
                             self._warn.warning("client ended", why=str(end), open=len(client.open))
                     client.end()  # the client is gone: nobody waits for what is open
         except Exception:  # guards all other clients: what goes wrong with one ends its connection only
@@ -274,10 +274,10 @@
                     if client.lingering.cancelled_caught:
                         await lingering_close(sock, NO_LINGER_SECONDS)
             finally:
-                del self._clients[client.seat]
+                del self._clients[client.slot]
                 client.outbox.forget()
                 sock.close()
-                self._admission.gone(client.seat, monotonic())
+                self._admission.release_slot(client.slot, monotonic())
 
     async def _writer(self, client: ClientConnection) -> None:
         try:
@@ -285,7 +285,7 @@
         except Ended as end:
             self._core.counts["client_ends", end.reason.value] += 1
             if end.reason is EndReason.PEER_STALLED:
-                self._admission.did(client.seat, Act.STALLED, monotonic())
+                self._admission.record_offense(client.slot, Offense.STALLED, monotonic())
                 self._warn.warning("client does not read", why=str(end), open=len(client.open))
             client.end()
 
@@ -305,7 +305,7 @@
                 return
             await client.next_message()
             came, noticed = self._core.clock.now(), monotonic()  # a halt between the two makes it older
-            if not self._admission.may_read(client.seat, noticed):
+            if not self._admission.may_read(client.slot, noticed):
                 # Guards the loop: what is over its source's share stays unread, at last in the client's
                 # system.
                 client.turn = anyio.Event()
@@ -324,7 +324,7 @@
             if client.ended:
                 return  # it came after this side's end: it goes again on another connection
             if call.verb != "handle":
-                self._admission.told(client.seat, client.used_at)
+                self._admission.record_message(client.slot, client.used_at)
             if call.verb == "withdraw":
                 self._withdraw(client, call.number)
             elif call.verb == "status":
@@ -379,7 +379,7 @@
         except BadFields as fault:
             self._warn.warning("request not understood", why=str(fault))
             self._core.counts["answers", "unusable"] += 1
-            self._admission.told(client.seat, client.used_at)
+            self._admission.record_message(client.slot, client.used_at)
             client.outbox.put(
                 thrift.application_exception("handle", call.seq, thrift.PROTOCOL_ERROR, str(fault))
             )
@@ -387,10 +387,10 @@
         if self._accepting.cancel_called:
             # Guards what this client has open at a process that ends: a connection that is always busy could
             # only be cut. Refused at once, it falls idle and is closed; the next goes to another process.
-            why = Why.ENDING
+            why = RejectionReason.SHUTTING_DOWN
         else:
-            why = self._admission.may_open(client.seat, client.used_at)
-        if why is not Why.NONE:
+            why = self._admission.may_open(client.slot, client.used_at)
+        if why is not RejectionReason.NONE:
             # Guards the memory limit, which a request with its body counts against, and the loop. The
             # settings' own ceiling is kept here too: what is past it never reaches the module.
             most_pause = self._core.settings.max_retry_after
@@ -398,10 +398,10 @@
             most = self._config.max_open_requests
             self._warn.warning("too much to do", why=why.value, open=open_now, most=most, behind=behind)
             self._core.record_answer(ask.request_class, AnswerKind.REJECTED)
-            pause = min(SOON, most_pause) if why is Why.ENDING else most_pause
+            pause = min(SOON, most_pause) if why is RejectionReason.SHUTTING_DOWN else most_pause
             client.outbox.put(_reply(call.seq, Answer(AnswerKind.REJECTED, retry_after=pause)))
             return
-        self._admission.opened(client.seat)
+        self._admission.request_opened(client.slot)
         taken = client.open[call.seq] = TakenRequest(call.seq, ask)
         ask.client_is_waiting = partial(client.waits, taken)
         self._traces.add(ask.trace)
@@ -457,7 +457,7 @@
             if client.open.get(seq) is taken:
                 del client.open[seq]
             client.used_at = monotonic()
-            self._admission.closed(client.seat, client.used_at, served, size)
+            self._admission.request_closed(client.slot, client.used_at, served, size)
             self._traces.discard(ask.trace)
             client.room.set()
             if self._accepting.cancel_called and not client.ended:
--- a/zincladder/wiring/commands.py
+++ b/zincladder/wiring/commands.py
@@ -9,4 +9,4 @@
 
 def build_command_server(path: str, admission: Admission, replaces: bool) -> CommandServer:
     """A server that listens already. With `replaces` it takes the path from the old process."""
-    return CommandServer(path, AdmissionCommands(admission).table, admission.ledger, replaces)
+    return CommandServer(path, AdmissionCommands(admission).table, admission.descriptors, replaces)
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -12,7 +12,7 @@
 import structlog
 from anyio.abc import TaskGroup, TaskStatus
 
-from zincladder.admission.gate import Gate
+from zincladder.admission.source_admission import SourceAdmission
 from zincladder.config import Address, Config, Operator
 from zincladder.config.reload import Reload
 from zincladder.core.clock import Clock
@@ -66,7 +66,7 @@
         self.inherited_listener = self.handover.take_over() if self.handover else None
         self.admission = build_admission(config, operator)
         classes = RequestClasses(config.names.classes, config.settings.classes)
-        self.caches = Caches(config, clock.now, self.admission.ledger, classes.names)
+        self.caches = Caches(config, clock.now, self.admission.descriptors, classes.names)
         self.core = Core(config.settings, config.seed, self.caches, clock, classes)
         self.last_event = self._apply_known_events()
         # Listens only now: what clients send while the list is taken in would wait unread.
@@ -134,7 +134,7 @@
         ]
         if self.watch:
             subscribers.append(partial(follow_coordinator, self.watch))
-        limits = self.admission.use if isinstance(self.admission, Gate) else None
+        limits = self.admission.apply_limits if isinstance(self.admission, SourceAdmission) else None
         self.reload.connect(subscribers, self.core.counts, limits)
 
     def _start_handover(self, group: TaskGroup) -> None:
--- a/zincladder/wiring/status.py
+++ b/zincladder/wiring/status.py
@@ -44,4 +44,4 @@
     if tasks:
         sections[TASKS_SECTION] = tasks.figures
     calls = StatusCalls(readiness.missing, lambda: front_statistics(core, sections))
-    return StatusServer(listener(listen), calls, admission.ledger, RateLimitedLog().warning)
+    return StatusServer(listener(listen), calls, admission.descriptors, RateLimitedLog().warning)
