--- a/tests/consensus/test_replica_processes.py
+++ b/tests/consensus/test_replica_processes.py
@@ -130,10 +130,11 @@
 
 
 async def have_same_commit_index(r: Rig, names: list[str]) -> bool:
-    found = [await r.standing(n) for n in names]
-    return (
-        all(f and f.commit == found[0].commit and f.leader for f in found if found[0]) and None not in found
-    )
+    statuses = [await r.status(name) for name in names]
+    reached = [status for status in statuses if status is not None]
+    if len(reached) < len(names):
+        return False
+    return all(status.leader and status.commit_index == reached[0].commit_index for status in reached)
 
 
 async def test_links_reset_in_the_middle_of_messages_lose_no_acknowledged_write(
@@ -167,8 +168,8 @@
         await r.until("it is told why", lambda: r.processes[lost].events("rejected by another replica"))
         said = r.processes[lost].events("rejected by another replica")[0]["reason"]
         assert "directory is not the one" in said
-        found = await r.standing(lost)
-        assert found is not None and found.last == 0
+        found = await r.status(lost)
+        assert found is not None and found.last_index == 0
         client = r.client()
         assert await client.request(rpc.ChangeMembership(remove=lost)) == rpc.Done()
         r.processes[lost].kill()
@@ -181,7 +182,7 @@
         assert await client.request(rpc.ChangeMembership(add={lost: "127.0.0.1:1"})) == rpc.Done()
 
         async def votes() -> bool:
-            found = await r.standing(lost)
+            found = await r.status(lost)
             return found is not None and lost in found.voters and found.leader != ""
 
         await r.until("it votes again", votes)
@@ -211,8 +212,8 @@
             if leader == late:  # elected on a busy machine; what it has stored only another leader can tell
                 await r.client().request(rpc.TransferLeadership())
                 return False
-            found = await r.standing(leader)
-            return found is not None and found.stored.get(late) == found.last
+            found = await r.status(leader)
+            return found is not None and found.match_indexes.get(late) == found.last_index
 
         await r.until("it has all", stored)
         process.kill()
@@ -221,8 +222,8 @@
         await r.start(late)
 
         async def named() -> bool:
-            found = await r.standing(await r.leader(late))
-            return found is not None and found.older == [late]
+            found = await r.status(await r.leader(late))
+            return found is not None and found.stale_peers == [late]
 
         await r.until("the leader names it", named)
         leader = await r.leader(late)
@@ -230,7 +231,7 @@
         r.processes[other].stop()  # two of three run, but what this one says is not counted
 
         async def leads_no_more() -> bool:
-            found = await r.standing(leader)
+            found = await r.status(leader)
             return found is not None and found.role != "leader"
 
         await r.until("it knows no majority", leads_no_more)
@@ -345,15 +346,17 @@
             client._seen = said.version  # type: ignore[attr-defined]
 
         async def compacted() -> bool:
-            found = await r.standing(leader)
-            return found is not None and found.base > 5
+            found = await r.status(leader)
+            return found is not None and found.snapshot_index > 5
 
         await r.until("the leader has compacted its log", compacted)
         await r.start(late)
 
         async def caught_up() -> bool:
-            found, lead = await r.standing(late), await r.standing(leader)
-            return bool(found and lead and found.commit == lead.commit and found.base > 0)
+            found, lead = await r.status(late), await r.status(leader)
+            return bool(
+                found and lead and found.commit_index == lead.commit_index and found.snapshot_index > 0
+            )
 
         await r.until("it has caught up", caught_up)
         other = next(n for n in names if n not in (leader, late))
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -377,10 +377,10 @@
                 await anyio.sleep(0.1)
         return past
 
-    # Keepers --------------------------------------------------------------------------------------
+    # Replicas -------------------------------------------------------------------------------------
 
     async def replica(self, name: str, founders: list[str], others: list[str]) -> Process:
-        """A keeper that reaches each of the others through a relay; its file is written, it isn't started."""
+        """A replica that reaches each other one through a relay; its file is written, it isn't started."""
         folder = self._folder / name
         folder.mkdir()
         lines = [
@@ -394,7 +394,7 @@
                 lines.append(f'{other} = "127.0.0.1:{(await self.relay(name, other)).port}"')
         file = folder / "keeper.toml"
         file.write_text("\n".join(lines))
-        process = Process(name, folder, ["keep", str(file)], module=self._module(self.drift))
+        process = Process(name, folder, ["replica", str(file)], module=self._module(self.drift))
         self.processes[name] = process
         return process
 
@@ -408,14 +408,14 @@
         return names
 
     async def start(self, name: str) -> None:
-        """Starts a keeper, and returns once it listens."""
+        """Starts a replica, and returns once it listens."""
         process = self.processes[name]
         process.start()
-        said = await self.until(
+        started = await self.until(
             f"{name} listens", lambda: process.events("replica started") or self._dead(process)
         )
-        assert said is not True, f"{name} has ended\n{self.logs()}"
-        self.ports[name] = said[0]["port"]
+        assert started is not True, f"{name} has ended\n{self.logs()}"
+        self.ports[name] = started[0]["port"]
         for (_, to), relay in self.relays.items():
             if to == name:
                 relay.target = self.ports[name]
@@ -445,7 +445,7 @@
         places = {n: f"127.0.0.1:{p}" for n, p in self.ports.items() if not names or n in names}
         return Client(GROUP, places, "test")
 
-    async def standing(self, name: str) -> rpc.ReplicaStatus | None:
+    async def status(self, name: str) -> rpc.ReplicaStatus | None:
         try:
             said = await self.client().request_from(f"127.0.0.1:{self.ports[name]}", rpc.GetStatus(), 1.0)
         except LINK_ERRORS:
@@ -460,8 +460,8 @@
             for name, process in self.processes.items():
                 if process.popen is None or name in but or name not in self.ports:
                     continue
-                found = await self.standing(name)
-                if found and found.role == "leader" and 2 * len(found.silent) < len(found.voters):
+                found = await self.status(name)
+                if found and found.role == "leader" and 2 * len(found.silent_peers) < len(found.voters):
                     return name
             return ""
 
--- a/zincladder/cli/replicas.py
+++ b/zincladder/cli/replicas.py
@@ -18,6 +18,23 @@
 
 STATUS_TIMEOUT_SECONDS = 2.0
 BYTES_PER_KB = 1024
+# The fields of a replica's status, and the keys that `status --json` prints them under.
+JSON_KEYS = {
+    "name": "name",
+    "role": "role",
+    "leader": "leader",
+    "term": "term",
+    "commit_index": "commit",
+    "last_index": "last",
+    "snapshot_index": "base",
+    "voters": "voters",
+    "learners": "learners",
+    "match_indexes": "stored",
+    "silent_peers": "silent",
+    "stale_peers": "older",
+    "key_count": "registers",
+    "journal_bytes": "bytes_kept",
+}
 # The table's columns, and whether each is text, to be aligned to the left.
 COLUMNS = {
     "replica": True,
@@ -48,13 +65,7 @@
     leaders = [each for each in statuses.values() if each.role == "leader"]
     leader = max(leaders, key=lambda each: each.term, default=None)
     if as_json:
-        from msgspec.structs import asdict
-
-        rows = {
-            name: {"error": answer} if isinstance(answer, str) else asdict(answer)
-            for name, answer in answers.items()
-        }
-        click.echo(json.dumps(rows))
+        click.echo(json.dumps({name: json_row(answer) for name, answer in answers.items()}))
     else:
         from rich.console import Console
 
@@ -62,6 +73,13 @@
     sys.exit(0 if leader else 1)
 
 
+def json_row(answer: rpc.ReplicaStatus | str) -> dict[str, Any]:
+    """A replica's status as `status --json` prints it, or why it could not be asked."""
+    if isinstance(answer, str):
+        return {"error": answer}
+    return {key: getattr(answer, field) for field, key in JSON_KEYS.items()}
+
+
 async def _ask_all(group: Group) -> dict[str, rpc.ReplicaStatus | str]:
     """Each replica's status, or why it could not be asked."""
     import anyio
@@ -112,21 +130,21 @@
         notes.append("no member")
     if name in leader.learners:
         notes.append("learns, has no vote yet")
-    if name in leader.older:
+    if name in leader.stale_peers:
         notes.append("came back with an older directory: remove it, and add it anew")
-    if name in leader.silent:
+    if name in leader.silent_peers:
         notes.append("silent")
     return notes
 
 
 def _row(answer: rpc.ReplicaStatus, leader: rpc.ReplicaStatus | None, notes: list[str]) -> list[str]:
-    lag_entries = str(max(0, leader.commit - answer.commit)) if leader else ""
+    lag_entries = str(max(0, leader.commit_index - answer.commit_index)) if leader else ""
     return [
         answer.role,
         str(answer.term),
-        str(answer.last),
+        str(answer.last_index),
         lag_entries,
-        f"{answer.bytes_kept / BYTES_PER_KB:.0f}",
+        f"{answer.journal_bytes / BYTES_PER_KB:.0f}",
         "; ".join(notes),
     ]
 
--- a/zincladder/consensus/rpc.py
+++ b/zincladder/consensus/rpc.py
@@ -57,25 +57,24 @@
 class ReplicaStatus(msgspec.Struct, frozen=True, array_like=True, tag="standing"):
     """The status of a replica.
 
-    `commit`, `last` and `base` are indexes of the log: the last committed entry, the last entry, and the
-    last one that the snapshot covers. Only a leader fills in `stored` (the last index that each other
-    replica has stored), `silent` (those not heard lately) and `older` (those on an older directory).
+    Only a leader fills in `match_indexes` (the last index that each other replica has stored), `silent_peers`
+    (those not heard within an election timeout) and `stale_peers` (those on an older directory).
     """
 
     name: str
     role: str
     leader: str
     term: int
-    commit: int
-    last: int
-    base: int
+    commit_index: int
+    last_index: int
+    snapshot_index: int
     voters: dict[str, str]
     learners: dict[str, str]
-    stored: dict[str, int]
-    silent: list[str]
-    older: list[str]
-    registers: int
-    bytes_kept: int
+    match_indexes: dict[str, int]
+    silent_peers: list[str]
+    stale_peers: list[str]
+    key_count: int
+    journal_bytes: int
 
 
 class ValuesByPrefix(msgspec.Struct, frozen=True, array_like=True, tag="found"):
--- a/zincladder/metrics/replica.py
+++ b/zincladder/metrics/replica.py
@@ -68,18 +68,18 @@
             "leads": status.role == "leader",
             "led": bool(status.leader),
             "term": status.term,
-            "commit": status.commit,
-            "unapplied": status.last - status.commit,
-            "bytes": status.bytes_kept,
-            "registers": status.registers,
+            "commit": status.commit_index,
+            "unapplied": status.last_index - status.commit_index,
+            "bytes": status.journal_bytes,
+            "registers": status.key_count,
         }
         for key, value in values.items():
             yield Sample(REPLICA_METRICS[key][0], labels, float(value))
         if status.role != "leader":
             return
         leader_values = {
-            "silent": len(status.silent),
-            "older": len(status.older),
+            "silent": len(status.silent_peers),
+            "older": len(status.stale_peers),
             "learners": len(status.learners),
             **self._policy_service.figures(),
             **self._task_service.figures(),
