--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable, Sequence
 from dataclasses import replace
 from time import monotonic
@@ -21,13 +20,20 @@
 from zincladder.core.attempt_end import AttemptEnd, EndReason
 from zincladder.core.attempt_guard import CoreAttemptGuard
 from zincladder.core.clock import Clock
+from zincladder.core.counts import (
+    ANSWERS,
+    ATTEMPTS,
+    REJECTED_WITHOUT_LIST,
+    WITHDRAWN_REQUESTS,
+    Counts,
+)
 from zincladder.core.direct_routing import DirectRouting
 from zincladder.core.endpoint_list import EndpointList
 from zincladder.core.health_checks import HealthChecks
 from zincladder.core.loop_monitor import STALL_SECONDS, LoopMonitor, let_readers_catch_up
 from zincladder.core.request_classes import RequestClasses
 from zincladder.core.request_context import InFlightAttempt, RequestContext
-from zincladder.core.router_events import attempt_ended_event, request_event
+from zincladder.core.router_messages import attempt_ended_event, attempt_request, request_event
 from zincladder.core.statistics import Statistics
 from zincladder.core.timers import TimerQueue
 from zincladder.routing import interface as api
@@ -61,7 +67,7 @@
         self.router = Router(settings, seed)
         self.transport = transport
         self.clock = clock or Clock()
-        self.counts: Counter[tuple[str, str]] = Counter()
+        self.counts = Counts()
         self.statistics = Statistics()
         self.statistics.retain_classes(self.classes.current, ())
         self.endpoint_list = EndpointList(self.counts)
@@ -131,7 +137,7 @@
 
     def record_answer(self, request_class: int, kind: AnswerKind) -> None:
         """Counts an answer; fronts report here what they answer without the core."""
-        self.counts["answers", kind.value] += 1
+        self.counts[ANSWERS, kind.value] += 1
         self.statistics.record_answer(self.classes.names[request_class], kind.value)
 
     def next_request_number(self) -> int:
@@ -146,13 +152,14 @@
         """
         if self.decisions_paused_for is None:
             return 0.0
-        replaced = not self.classes.in_force(request_class)
-        return self.decisions_paused_for() or (REPLACED_CLASS_RETRY_AFTER_SECONDS if replaced else 0.0)
+        if paused := self.decisions_paused_for():
+            return paused
+        return 0.0 if self.classes.in_force(request_class) else REPLACED_CLASS_RETRY_AFTER_SECONDS
 
     def _rejected_without_list(self, request: ClientRequest) -> Answer:
         """The answer to a request that was never forwarded: its client may retry elsewhere at once."""
         assert self.endpoint_list.freshness is not None
-        self.counts["out_of_date", "refused"] += 1
+        self.counts[REJECTED_WITHOUT_LIST] += 1
         phase = self.endpoint_list.freshness.phase.value
         self._lines.warning(
             "request rejected: endpoint list may be out of date", trace=request.trace, coordinator=phase
@@ -194,7 +201,7 @@
         """Closes a request: the router is notified of each attempt's end exactly once."""
         context = self.open_requests.pop(number)
         if context.answer is None:
-            self.counts["answers", "withdrawn"] += 1
+            self.counts[WITHDRAWN_REQUESTS] += 1
             self._notify_router(api.ClientDisconnected(number))
         for in_flight in context.in_flight.values():
             in_flight.cancel()  # hedged requests that are outstanding, or all where the client disconnected
@@ -207,7 +214,8 @@
         context = self.open_requests[action.request]
         number, context.attempts_started = context.attempts_started, context.attempts_started + 1
         now = self.clock.now()
-        attempt = self._attempt_request(context, action, now)
+        attempt = attempt_request(action, context, self._guard)
+        attempt.stalled_seconds_before = self.loop_monitor.stalled_seconds
         timeout = max(0.0, attempt.deadline - now) + SCOPE_MARGIN_SECONDS
         scope = anyio.CancelScope(deadline=anyio.current_time() + timeout)
         in_flight = context.in_flight[number] = InFlightAttempt(number, attempt, scope, now)
@@ -220,25 +228,6 @@
         assert self._attempts is not None, "a core serves while it runs"
         self._attempts.start_soon(self._run_attempt, action.request, context, in_flight)
 
-    def _attempt_request(
-        self, context: RequestContext, action: api.Fetch | api.Lookup, now: float
-    ) -> AttemptRequest:
-        request = context.request
-        attempt = AttemptRequest(
-            request,
-            action.endpoint,
-            deadline=request.deadline,
-            start_before=context.repeat_before,
-            guard=self._guard,
-        )
-        attempt.stalled_seconds_before = self.loop_monitor.stalled_seconds
-        if isinstance(action, api.Fetch):
-            attempt.source = None if action.source == action.endpoint else action.source
-            attempt.cache_rank, attempt.max_age = action.cache_rank, action.max_age
-            attempt.coalesce, attempt.cached_only = action.coalesce, action.cached_only
-            attempt.renew, attempt.parent_proxies = action.renew, action.parent_proxies
-        return attempt
-
     async def _run_attempt(
         self, request_number: int, context: RequestContext, in_flight: InFlightAttempt
     ) -> None:
@@ -292,7 +281,7 @@
     ) -> api.AttemptEnded:
         """Counts the end of an attempt and builds the router's event for it."""
         attempt = in_flight.attempt
-        self.counts["attempts", end.reason.value] += 1
+        self.counts[ATTEMPTS, end.reason.value] += 1
         self.statistics.record_ended(attempt.endpoint, end.reason)
         # Guards the endpoint's record and the learned transfer times: stalls of this process are not its own.
         stalled_seconds = self.loop_monitor.stalled_seconds - attempt.stalled_seconds_before
