--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.support.raft_simulation import Broken, Disk, World
+from tests.support.raft_simulation import InvariantError, SimulatedDisk, SimulatedGroup
 from zincladder.consensus.election import Election
 from zincladder.consensus.model import (
     AppendEntries,
@@ -34,10 +34,10 @@
     return tuple(Entry(term, EntryKind.DATA, b"entry %d" % i) for i, term in enumerate(terms))
 
 
-def play(seed: int) -> World:
+def play(seed: int) -> SimulatedGroup:
     """Three or five members, some with spare ones that come and go; some with crashes at any step."""
-    world = World(seed, 3 + 2 * (seed % 2), spare=seed % 3)
-    world.fatal = (0.0, 0.002, 0.004, 0.03)[seed % 4]
+    world = SimulatedGroup(seed, 3 + 2 * (seed % 2), spare=seed % 3)
+    world.crash_probability = (0.0, 0.002, 0.004, 0.03)[seed % 4]
     world.play(20)
     return world
 
@@ -47,18 +47,18 @@
 
 @pytest.mark.parametrize("block", range(8))
 def test_no_acknowledged_entry_is_lost_and_no_term_has_two_leaders_under_faults(block: int) -> None:
-    figures = {"told": 0, "reads": 0, "crashes": 0, "changes": 0, "snapshots": 0}
+    figures = {"acknowledged": 0, "reads": 0, "crashes": 0, "changes": 0, "snapshots": 0}
     for seed in range(block * 60, block * 60 + 60):
         for name, count in play(seed).figures.items():
             figures[name] += count
     # the runs are worth something: entries, reads and every kind of trouble took place
-    assert figures["told"] > 300 and figures["reads"] > 100 and figures["crashes"] > 100
+    assert figures["acknowledged"] > 300 and figures["reads"] > 100 and figures["crashes"] > 100
     assert figures["changes"] > 10 and figures["snapshots"] > 50
 
 
 def test_a_replica_that_missed_two_snapshots_receives_the_later_after_the_earlier() -> None:
     # seen with real processes: the earlier one was sent again for ever, its reader never came further
-    world = World(3)
+    world = SimulatedGroup(3)
     world.run(20)
     leader = world.leader()
     assert leader is not None and leader.node is not None
@@ -72,7 +72,7 @@
         leader.node.compact(leader.index, world.dump(leader))
         world.settle(leader)
         world.run(world.now + 3)
-    world.mend()
+    world.heal_and_check()
     assert late.state == leader.state and len(late.state) >= 12
 
 
@@ -83,26 +83,26 @@
 
 
 def acknowledge_before_writing(monkeypatch: pytest.MonkeyPatch) -> None:
-    write = Disk.write
+    write = SimulatedDisk.write
 
-    def spoilt(self: Disk, output: Output) -> None:
+    def mutated(self: SimulatedDisk, output: Output) -> None:
         kept = list(self.entries)
         write(self, output)
         if len(self.entries) > len(kept) and not output.snapshot:
             self.entries = self.entries[:-1]
 
-    monkeypatch.setattr(Disk, "write", spoilt)
+    monkeypatch.setattr(SimulatedDisk, "write", mutated)
     monkeypatch.setattr(
-        Disk, "stored", property(lambda s: StoredState(s.hard_state, s.snapshot, tuple(s.entries)))
+        SimulatedDisk, "stored", property(lambda s: StoredState(s.hard_state, s.snapshot, tuple(s.entries)))
     )
 
 
 def answer_unconfirmed_reads(monkeypatch: pytest.MonkeyPatch) -> None:
-    def spoilt(self: ReadIndex) -> None:
+    def mutated(self: ReadIndex) -> None:
         self._ready += [read.ticket for read in self._pending]
         self._pending.clear()
 
-    monkeypatch.setattr(ReadIndex, "confirm", spoilt)
+    monkeypatch.setattr(ReadIndex, "confirm", mutated)
 
 
 def vote_for_any_candidate(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -110,11 +110,11 @@
 
 
 def accept_half_as_quorum(monkeypatch: pytest.MonkeyPatch) -> None:
-    def spoilt(self: RaftState, names: object) -> bool:
+    def mutated(self: RaftState, names: object) -> bool:
         voters = self.membership.voters
         return 2 * len(voters.keys() & set(names)) >= len(voters) - 1  # type: ignore[call-overload]
 
-    monkeypatch.setattr(RaftState, "is_quorum", spoilt)
+    monkeypatch.setattr(RaftState, "is_quorum", mutated)
 
 
 Mutation = Callable[[pytest.MonkeyPatch], None]
@@ -131,12 +131,12 @@
     breaks: Mutation, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     breaks(monkeypatch)
-    with pytest.raises((Broken, AssertionError)):
+    with pytest.raises((InvariantError, AssertionError)):
         for seed in range(400):
             play(seed)
 
 
-class VoteLosingDisk(Disk):
+class VoteLosingDisk(SimulatedDisk):
     """A disk that loses the vote."""
 
     def write(self, output: Output) -> None:
@@ -144,9 +144,11 @@
         self.hard_state = HardState(self.hard_state.term, "")
 
 
-def count_leaders(disk: Disk) -> int:
+def count_leaders(disk: SimulatedDisk) -> int:
     """Two candidates of one term ask the same voter, which is killed and starts again between them."""
-    others = {n: RaftNode(n, Disk(HardState(), Snapshot(0, 0, FOUNDERS)).stored, 0.0, ord(n)) for n in "ac"}
+    others = {
+        n: RaftNode(n, SimulatedDisk(HardState(), Snapshot(0, 0, FOUNDERS)).stored, 0.0, ord(n)) for n in "ac"
+    }
     voter = RaftNode("b", disk.stored, 0.0, 1)
     for pre in (True, False):
         asks = {}
@@ -169,12 +171,12 @@
 
 
 def test_a_stored_vote_survives_a_kill_and_a_lost_one_elects_two_leaders() -> None:
-    assert count_leaders(Disk(HardState(), Snapshot(0, 0, FOUNDERS))) == 1
+    assert count_leaders(SimulatedDisk(HardState(), Snapshot(0, 0, FOUNDERS))) == 1
     assert count_leaders(VoteLosingDisk(HardState(), Snapshot(0, 0, FOUNDERS))) == 2
 
 
 def test_entries_of_an_old_leader_are_rejected_with_the_new_term() -> None:
-    disk = Disk(HardState(3, "c"), Snapshot(0, 0, FOUNDERS), list(entries_of(3, 3)))
+    disk = SimulatedDisk(HardState(3, "c"), Snapshot(0, 0, FOUNDERS), list(entries_of(3, 3)))
     member = RaftNode("b", disk.stored, 0.0, 1)
     member.receive("a", AppendEntries(2, 1, 1, 3, 2, entries_of(2, 2)), 0.0)
     output = member.take_output()
@@ -185,7 +187,7 @@
 
 def test_an_entry_of_an_older_term_is_committed_only_by_one_of_the_present_term() -> None:
     # guards what figure 8 of the paper shows: a majority has it, and a later leader takes it back
-    disk = Disk(HardState(2, "b"), Snapshot(0, 0, FOUNDERS), list(entries_of(1, 2)))
+    disk = SimulatedDisk(HardState(2, "b"), Snapshot(0, 0, FOUNDERS), list(entries_of(1, 2)))
     member = RaftNode("b", disk.stored, 0.0, 1)
     for answers in ({"pre_vote": True}, {"pre_vote": False}):
         if answers["pre_vote"]:
@@ -201,7 +203,7 @@
 
 def leader_with_committed_entry() -> RaftNode:
     """A leader of three whose first entry is committed."""
-    member = RaftNode("b", Disk(HardState(), Snapshot(0, 0, FOUNDERS)).stored, 0.0, 1)
+    member = RaftNode("b", SimulatedDisk(HardState(), Snapshot(0, 0, FOUNDERS)).stored, 0.0, 1)
     member.tick(10.0)
     for pre in (True, False):
         member.receive("a", RequestVoteResponse(1, True, pre), 10.0)
@@ -223,7 +225,7 @@
 
 
 def test_a_response_to_an_earlier_term_marks_no_peer_as_stale() -> None:
-    # seen on a busy machine: a keeper that was only late was set aside until it would have been added anew
+    # seen on a busy machine: a replica that was only late counted as stale until it was added anew
     member = leader_with_committed_entry()
     member.receive("c", AppendEntriesResponse(1, 1, False, 0), 10.1)  # to what b sent when it led before
     assert member.stale_peers == []
--- a/tests/consensus/test_replica_processes.py
+++ b/tests/consensus/test_replica_processes.py
@@ -63,8 +63,8 @@
     # seen: one such write ended every replica that came to lead, one after the other
     async with rig(tmp_path) as r:
         await r.replicas(1)
-        for key, said in (("policy", "no record"), ("terms", "own"), ("document/1", "by its content")):
-            with pytest.raises(RequestFailedError, match=said):
+        for key, reason in (("policy", "no record"), ("terms", "own"), ("document/1", "by its content")):
+            with pytest.raises(RequestFailedError, match=reason):
                 await r.client().compare_and_swap(key, 0, b"1")
         assert isinstance(await r.client().compare_and_swap("x", 0, b"1"), Swapped)
 
@@ -114,8 +114,8 @@
         first = await r.write("a", b"1")
         r.cut(old, heard=heard, hears=hears)
         try:
-            said = await r.client(old).compare_and_swap("a", first, b"2", 3.0)
-            taken = isinstance(said, Swapped)
+            result = await r.client(old).compare_and_swap("a", first, b"2", 3.0)
+            taken = isinstance(result, Swapped)
         except (OutcomeUnknownError, RequestFailedError):
             taken = False
         if heard:  # its word gets through to nobody: the others elect
@@ -165,16 +165,16 @@
         r.processes[lost].kill()
         shutil.rmtree(r.processes[lost].folder / "kept")
         await r.start(lost)
-        await r.until("it is told why", lambda: r.processes[lost].events("rejected by another replica"))
-        said = r.processes[lost].events("rejected by another replica")[0]["reason"]
-        assert "directory is not the one" in said
+        await r.until("it logs the reason", lambda: r.processes[lost].events("rejected by another replica"))
+        reason = r.processes[lost].events("rejected by another replica")[0]["reason"]
+        assert "directory is not the one" in reason
         found = await r.status(lost)
         assert found is not None and found.last_index == 0
         client = r.client()
         assert await client.request(rpc.ChangeMembership(remove=lost)) == rpc.Done()
         r.processes[lost].kill()
         shutil.rmtree(r.processes[lost].folder / "kept")
-        file = r.processes[lost].folder / "keeper.toml"  # it no longer founds: it is added
+        file = r.processes[lost].folder / "keeper.toml"  # it is no founder any more: it is added
         text = file.read_text()
         before, _, after = text.partition("[keeper.members]")
         file.write_text(before + "[keeper.via]" + after.partition("[keeper.via]")[2])
@@ -254,8 +254,8 @@
         for n in range(12):
             await r.write(f"x/{n:02}", b"%d" % n * 100)
         assert await full.ended() == 1
-        (said,) = full.events("replica failed")
-        assert "File too large" in said["reason"]
+        (event,) = full.events("replica failed")
+        assert "File too large" in event["reason"]
         await r.start(full.name)  # with room again
         found = await r.client().get("x/")
         assert [v.data for v in found.values()] == [b"%d" % n * 100 for n in range(12)]
@@ -295,13 +295,13 @@
         assert process.events("replica started")[0]["torn_bytes"] == 33
         assert len(await r.client().get("x/")) == 5
         process.kill()
-        spoilt = bytearray(path.read_bytes())
-        spoilt[whole.index(b"x" * 100) + 3] ^= 1
-        path.write_bytes(spoilt)
+        corrupt = bytearray(path.read_bytes())
+        corrupt[whole.index(b"x" * 100) + 3] ^= 1
+        path.write_bytes(corrupt)
         process.start()
         assert await process.ended() == 1
-        (said,) = process.events("replica failed")
-        assert path.name in said["reason"] and "whole records behind it" in said["reason"]
+        (event,) = process.events("replica failed")
+        assert path.name in event["reason"] and "whole records behind it" in event["reason"]
 
 
 async def test_two_processes_never_share_a_directory(tmp_path: Path) -> None:
@@ -323,8 +323,8 @@
         await r.write("a", b"1")
         r.processes[old].send(signal.SIGTERM)
         assert await r.processes[old].ended() == 0
-        (said,) = r.processes[old].events("replica stopped")
-        assert said["was_leader"] is False  # it was let go by whoever stood at its word, before it ended
+        (event,) = r.processes[old].events("replica stopped")
+        assert event["was_leader"] is False  # another replica led before it ended
         await r.until("another leads", lambda: [n for n in names if n != old and has_led(r, n)])
 
 
@@ -341,9 +341,9 @@
         client = r.client()
         for n in range(12):  # each write takes 200 KB of journal, and a snapshot is due after 1 MB
             version = getattr(client, "_seen", 0)
-            said = await client.compare_and_swap("big", version, b"%02d" % n + bytes(200_000))
-            assert isinstance(said, Swapped)
-            client._seen = said.version  # type: ignore[attr-defined]
+            result = await client.compare_and_swap("big", version, b"%02d" % n + bytes(200_000))
+            assert isinstance(result, Swapped)
+            client._seen = result.version  # type: ignore[attr-defined]
 
         async def compacted() -> bool:
             found = await r.status(leader)
@@ -374,9 +374,9 @@
             await r.start(name)
         leader = await r.leader()
 
-        async def told(name: str) -> dict[str, float]:
-            (said, *_) = await r.until("it tells where", lambda: r.processes[name].events("metrics"))
-            async with await anyio.connect_tcp(*said["listen"]) as stream:
+        async def scrape(name: str) -> dict[str, float]:
+            (event, *_) = await r.until("its metrics are served", lambda: r.processes[name].events("metrics"))
+            async with await anyio.connect_tcp(*event["listen"]) as stream:
                 await stream.send(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
                 page = b""
                 with contextlib.suppress(anyio.EndOfStream):
@@ -387,14 +387,14 @@
             return {line.partition("{")[0]: float(value) for line, _, value in lines}
 
         async def all_know_leader() -> bool:
-            return all([(await told(name))["zincladder_keeper_led"] for name in r.ports])
+            return all([(await scrape(name))["zincladder_keeper_led"] for name in r.ports])
 
         await r.until("all know who leads", all_know_leader)
-        found = {name: await told(name) for name in r.ports}
-        assert [n for n, figures in found.items() if figures["zincladder_keeper_leads"]] == [leader]
+        found = {name: await scrape(name) for name in r.ports}
+        assert [n for n, samples in found.items() if samples["zincladder_keeper_leads"]] == [leader]
         r.processes[next(n for n in r.ports if n != leader)].kill()
 
         async def silent() -> bool:
-            return (await told(leader)).get("zincladder_keeper_members_silent") == 1
+            return (await scrape(leader)).get("zincladder_keeper_members_silent") == 1
 
         await r.until("one is silent", silent)
--- a/tests/consensus/test_store.py
+++ b/tests/consensus/test_store.py
@@ -107,21 +107,21 @@
     store.write(Output(hard_state=HardState(1, "b"), first_index=1, entries=entries_of(1)))
     store.close()
     store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS, FailingFileSystem(call, half))
-    told = [HardState(1, "b")]
+    written = [HardState(1, "b")]
     with pytest.raises(JournalError, match=r"input/output error"):
         for n in range(2, 9):
             snapshot = Snapshot(1, 1, FOUNDERS, b"state") if n % 3 == 0 else None
             store.write(Output(hard_state=HardState(n, "c"), snapshot=snapshot, first_index=2))
-            told.append(HardState(n, "c"))
+            written.append(HardState(n, "c"))
     with pytest.raises(JournalError):
         store.write(Output(hard_state=HardState(99, "c")))
     found = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
-    assert found.stored.hard_state in (told[-1], HardState(told[-1].term + 1, "c"))
+    assert found.stored.hard_state in (written[-1], HardState(written[-1].term + 1, "c"))
     found.close()
 
 
 @pytest.mark.parametrize(
-    "spoil, said",
+    "prepare, reason",
     [
         (
             lambda folder: ReplicaStore(folder, "other", "a", FOUNDERS).close(),
@@ -133,10 +133,10 @@
     ],
 )
 def test_a_directory_of_another_replica_is_rejected_with_the_reason(
-    tmp_path: Path, spoil: Callable[[Path], None], said: str
+    tmp_path: Path, prepare: Callable[[Path], None], reason: str
 ) -> None:
-    spoil(tmp_path / "s")
-    with pytest.raises(JournalError, match=said):
+    prepare(tmp_path / "s")
+    with pytest.raises(JournalError, match=reason):
         ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
 
 
--- a/tests/durable/test_journal.py
+++ b/tests/durable/test_journal.py
@@ -11,7 +11,7 @@
 
 
 def test_a_corrupt_byte_before_the_last_batch_is_reported_with_the_file(tmp_path: Path) -> None:
-    # guards promises: what is cut off at a spoilt place may hold a vote
+    # guards promises: what is cut off at a corrupt place may hold a vote
     journal = Journal(tmp_path / "j")
     journal.rewrite([Item(1, b"first"), Item(2, b"second")])
     for n in range(3):
@@ -21,9 +21,9 @@
     whole = path.read_bytes()
     last = whole.rindex(b"2", 0, whole.rindex(b"more")) - 24  # where the last batch begins
     for at in range(16, len(whole)):
-        spoilt = bytearray(whole)
-        spoilt[at] ^= 0x40
-        path.write_bytes(spoilt)
+        corrupt = bytearray(whole)
+        corrupt[at] ^= 0x40
+        path.write_bytes(corrupt)
         if at < last:
             with pytest.raises(JournalError, match=r"spoilt at byte \d+, with whole records behind it"):
                 Journal(tmp_path / "j")
--- a/tests/links/test_frames.py
+++ b/tests/links/test_frames.py
@@ -21,7 +21,7 @@
 
 @given(st.binary(min_size=1, max_size=60), st.data())
 def test_a_frame_with_a_changed_byte_is_never_decoded(body: bytes, data: st.DataObject) -> None:
-    spoilt = bytearray(encode_frame(body))
-    spoilt[data.draw(st.integers(0, len(spoilt) - 1))] ^= data.draw(st.integers(1, 255))
+    corrupt = bytearray(encode_frame(body))
+    corrupt[data.draw(st.integers(0, len(corrupt) - 1))] ^= data.draw(st.integers(1, 255))
     with contextlib.suppress(FrameError):
-        assert FrameDecoder().feed(bytes(spoilt)) == []  # it waits for more, by a length that grew
+        assert FrameDecoder().feed(bytes(corrupt)) == []  # it waits for more, by a length that grew
--- a/tests/policy/test_fleet_simulation.py
+++ b/tests/policy/test_fleet_simulation.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from tests.support.fleet_simulation import TERMS, FleetWorld
-from tests.support.raft_simulation import Broken
+from tests.support.raft_simulation import InvariantError
 from zincladder.policy import change_states
 from zincladder.policy.coordinator import ChangeCoordinator
 from zincladder.policy.model import PolicyLeaseReleased, RevokePolicyLease
@@ -21,7 +21,7 @@
 def play(seed: int) -> FleetWorld:
     """Three or five replicas with four fronts; in some histories replicas are killed at any step."""
     world = FleetWorld(seed, 3 + 2 * (seed // 2 % 2), 4)
-    world.fatal = 0.0005 * (seed % 3)
+    world.crash_probability = 0.0005 * (seed % 3)
     world.play(40)
     return world
 
@@ -96,7 +96,7 @@
     mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutate(monkeypatch)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantError):
         for seed in range(400):
             play(seed)
 
--- a/tests/policy/test_state_space.py
+++ b/tests/policy/test_state_space.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.support.policy_states import PolicyStateSpace, in_force
-from tests.support.raft_simulation import Broken
+from tests.support.raft_simulation import InvariantError
 from tests.support.state_space import Scope, search, walk
 from zincladder.policy.coordinator import ChangeCoordinator
 from zincladder.policy.model import PolicyLeaseGranted, RevokePolicyLease
@@ -96,6 +96,6 @@
     mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutate(monkeypatch)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantError):
         for seed in range(3000):
             play(seed)
--- a/tests/support/fleet_judge.py
+++ b/tests/support/fleet_judge.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from tests.support.raft_simulation import Broken
+from tests.support.raft_simulation import InvariantError
 from zincladder.policy.change_log import ChangeLog
 from zincladder.policy.model import ChangeOutcome, ChangePhase, PolicyChange
 
@@ -23,20 +23,20 @@
     def serving(self, versions: Mapping[str, int]) -> None:
         """The versions that fronts serve under at one moment."""
         if len(set(versions.values())) > 1:
-            raise Broken(f"two versions in force: {versions}")
+            raise InvariantError(f"two versions in force: {versions}")
         for version in set(versions.values()):
             if version < self.in_force:
-                raise Broken(f"version {version} is served after {self.in_force} was")
+                raise InvariantError(f"version {version} is served after {self.in_force} was")
             self.in_force = version
             if version not in self.decided:
-                raise Broken(f"version {version} is served and was never decided")
+                raise InvariantError(f"version {version} is served and was never decided")
 
     def leader_writes(self, leader: str, term: int, change: PolicyChange | None) -> None:
         """A leader is about to write its open change."""
         if change is None or change.phase is not ChangePhase.DECIDED or self.decided.get(change.version):
             return
         if (leader, term, change.document) in self.objections_heard:
-            raise Broken(f"version {change.version} is decided against a front's objection")
+            raise InvariantError(f"version {change.version} is decided against a front's objection")
 
     def record_applied(self, stored: ChangeLog) -> None:
         """The group has changed the policy's record."""
@@ -47,11 +47,11 @@
                 self._decided(change)
         for entry in stored.record.log:
             if entry.version in self.decided and entry.outcome is ChangeOutcome.WITHDRAWN:
-                raise Broken(f"version {entry.version} was decided and withdrawn")
+                raise InvariantError(f"version {entry.version} was decided and withdrawn")
 
     def _decided(self, change: PolicyChange) -> None:
         self.decided[change.version] = change.document
         agreed = {front for front, document in self.agreed if document == change.document}
         expected = self.expected_at_proposal.get(change.version, 0)
         if expected and len(agreed) <= self.min_agreeing_share * expected:
-            raise Broken(f"version {change.version} was decided with {len(agreed)} of {expected}")
+            raise InvariantError(f"version {change.version} was decided with {len(agreed)} of {expected}")
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from tests.support.fleet_judge import FleetJudge
-from tests.support.raft_simulation import Broken, Process, World
+from tests.support.raft_simulation import InvariantError, SimulatedGroup, SimulatedReplica
 from zincladder.consensus.errors import BusyError, NotLeaderError
 from zincladder.consensus.key_value_state import CompareAndSwap, KeyValueState
 from zincladder.consensus.lease_timing import LeaseTiming
@@ -54,17 +54,17 @@
     """A front's process."""
 
     name: str
-    rate: float
-    offset: float
+    clock_rate: float
+    clock_offset: float
     participant: ChangeParticipant | None = None
     process: int = 0
-    asleep: bool = False
+    paused: bool = False
     link: FrontLink | None = None
     objects_to: set[str] = field(default_factory=set)  # documents that it can't serve under
     undelivered: list[tuple[FrontLink, FromCoordinator]] = field(default_factory=list)
 
 
-class FleetWorld(World):
+class FleetWorld(SimulatedGroup):
     """A group of replicas with fronts; the judge looks after every event."""
 
     def __init__(self, seed: int, voters: int = 3, fronts: int = 4, terms: LeaseTiming = TERMS) -> None:
@@ -89,13 +89,13 @@
         }
         for n in range(fronts):
             drift = terms.clock_drift
-            rate = self.random.choice((1 - drift, 1.0, 1 + drift))
-            front = self.fronts[f"f{n}"] = SimulatedFront(f"f{n}", rate, self.random.uniform(0, 100))
+            clock_rate = self.random.choice((1 - drift, 1.0, 1 + drift))
+            front = self.fronts[f"f{n}"] = SimulatedFront(f"f{n}", clock_rate, self.random.uniform(0, 100))
             self.start_front(front)
             self._front_loop(front)
 
     def front_clock(self, front: SimulatedFront) -> float:
-        return self.now * front.rate + front.offset
+        return self.now * front.clock_rate + front.clock_offset
 
     # Fronts ---------------------------------------------------------------------------------------
 
@@ -108,13 +108,13 @@
         return ChangeParticipant(self.front_clock(front))
 
     def end_front(self, front: SimulatedFront) -> None:
-        front.participant, front.asleep = None, False
+        front.participant, front.paused = None, False
         front.undelivered.clear()
         self.break_link(front.link)
 
     def _front_loop(self, front: SimulatedFront) -> None:
         self.at(self.random.uniform(0.05, 0.3), lambda: self._front_loop(front))
-        if front.participant is None or front.asleep:
+        if front.participant is None or front.paused:
             return
         if front.link is None:
             self.connect(front)
@@ -124,7 +124,7 @@
 
     def connect(self, front: SimulatedFront) -> None:
         process = self.processes[self.random.choice(sorted(self.processes))]
-        if process.node is None or process.asleep or (front.name, process.name) in self.cut:
+        if process.node is None or process.paused or (front.name, process.name) in self.cut:
             return
         if front.name in self.isolated:
             return
@@ -132,7 +132,7 @@
         if coordinator is None or process.node.role is not Role.LEADER:
             return
         assert front.participant is not None
-        link = front.link = FrontLink(next(self.link_numbers), front.name, process.name, process.lives)
+        link = front.link = FrontLink(next(self.link_numbers), front.name, process.name, process.incarnation)
         coordinator.link_opened(link.number, front.name, str(front.process), self.clock(process))
         front.participant.link_changed(True, self.front_clock(front))
 
@@ -153,9 +153,13 @@
 
     def _leader_notices_lost_link(self, link: FrontLink) -> None:
         process, coordinator = self.processes[link.replica], self.coordinators.get(link.replica)
-        if coordinator is not None and process.node is not None and process.lives == link.replica_generation:
+        if (
+            coordinator is not None
+            and process.node is not None
+            and process.incarnation == link.replica_generation
+        ):
             coordinator.link_closed(link.number, self.clock(process))
-            if not process.asleep:
+            if not process.paused:
                 self.advance_coordinator(process)
 
     def carry_out(self, front: SimulatedFront) -> None:
@@ -199,14 +203,16 @@
 
     def _deliver_to_leader(self, link: FrontLink, message: FromParticipant) -> None:
         process = self.processes[link.replica]
-        if process.node is None or process.lives != link.replica_generation:
+        if process.node is None or process.incarnation != link.replica_generation:
             return
-        if process.asleep:
+        if process.paused:
             self.at(0.3, lambda: self._deliver_to_leader(link, message))
             return
         self.confirm_leadership_first(process, link, message)
 
-    def confirm_leadership_first(self, process: Process, link: FrontLink, message: FromParticipant) -> None:
+    def confirm_leadership_first(
+        self, process: SimulatedReplica, link: FrontLink, message: FromParticipant
+    ) -> None:
         """What a front says is handed in once a majority has confirmed that this keeper leads."""
         assert process.node is not None
         ticket = next(self._tickets)
@@ -222,7 +228,7 @@
         front = self.fronts[link.front]
         if front.link is not link or front.participant is None:
             return
-        if front.asleep:
+        if front.paused:
             front.undelivered.append((link, message))
             return
         front.participant.message_received(message, self.front_clock(front))
@@ -231,14 +237,14 @@
 
     # Keepers --------------------------------------------------------------------------------------
 
-    def restore(self, process: Process, snapshot: Snapshot) -> None:
+    def restore(self, process: SimulatedReplica, snapshot: Snapshot) -> None:
         process.index = snapshot.index
         self.registers[process.name] = KeyValueState(snapshot.state)
 
-    def dump(self, process: Process) -> bytes:
+    def dump(self, process: SimulatedReplica) -> bytes:
         return self.registers[process.name].dump()
 
-    def crash(self, process: Process) -> None:
+    def crash(self, process: SimulatedReplica) -> None:
         super().crash(process)
         self.coordinators.pop(process.name, None)
         self.unconfirmed.pop(process.name, None)
@@ -246,11 +252,11 @@
             if front.link and front.link.replica == process.name:
                 self.break_link(front.link)
 
-    def apply(self, process: Process, entry: Entry) -> None:
+    def apply(self, process: SimulatedReplica, entry: Entry) -> None:
         process.index += 1
         first = self.log.setdefault(process.index, entry)
         if first != entry:
-            raise Broken(f"{process.name} applies another entry at {process.index}")
+            raise InvariantError(f"{process.name} applies another entry at {process.index}")
         if entry.kind is EntryKind.DATA:
             self.registers[process.name].apply(process.index, entry.data)
             registers = self.registers[process.name]
@@ -258,11 +264,11 @@
             if found is not None and found.version == process.index:
                 self.rules.record_applied(change_log.read(registers.with_prefix("")))
 
-    def settle(self, process: Process) -> None:
+    def settle(self, process: SimulatedReplica) -> None:
         super().settle(process)
         self.advance_coordinator(process)
 
-    def ready(self, process: Process, ticket: int) -> None:
+    def ready(self, process: SimulatedReplica, ticket: int) -> None:
         queue = self.unconfirmed.get(process.name, deque())
         while queue and queue[0][0] <= ticket:
             _, link, message = queue.popleft()
@@ -276,7 +282,7 @@
                     self.rules.objections_heard.add((process.name, coordinator.term, message.document))
                 coordinator.message_received(link.number, message, self.clock(process))
 
-    def read_registers(self, process: Process, coordinator: ChangeCoordinator) -> None:
+    def read_registers(self, process: SimulatedReplica, coordinator: ChangeCoordinator) -> None:
         found = change_log.read(self.registers[process.name].with_prefix(""))
         if self.read_at.get(process.name) != process.index:
             self.read_at[process.name] = process.index
@@ -284,7 +290,7 @@
                 found.record, found.record_version, found.expected_fronts, found.contents, self.clock(process)
             )
 
-    def advance_coordinator(self, process: Process) -> None:
+    def advance_coordinator(self, process: SimulatedReplica) -> None:
         member = process.node
         if member is None:
             return
@@ -327,16 +333,16 @@
         if swaps:
             self.settle(process)
 
-    def put(self, process: Process, swap: CompareAndSwap) -> None:
+    def put(self, process: SimulatedReplica, swap: CompareAndSwap) -> None:
         assert process.node is not None
         try:
             process.node.propose(change_log.encode(swap))
         except (BusyError, NotLeaderError):
             return
 
-    def _wake(self, process: Process, life: int) -> None:
+    def _wake(self, process: SimulatedReplica, life: int) -> None:
         super()._wake(process, life)
-        if process.node is not None and process.lives == life and not process.asleep:
+        if process.node is not None and process.incarnation == life and not process.paused:
             self.advance_coordinator(process)
 
     # Operators ------------------------------------------------------------------------------------
@@ -361,17 +367,17 @@
         self.put(process, change_log.write_record(found.record_version, proposed))
         self.settle(process)
 
-    def trouble(self) -> None:
+    def inject_fault(self) -> None:
         r = self.random
         if r.random() < 0.35:
-            super().trouble()
+            super().inject_fault()
         front = r.choice(list(self.fronts.values()))
         kind = r.randrange(7)
         if kind == 0 and front.participant:
             self.end_front(front)
             self.at(r.uniform(0.1, 9), lambda: self.start_front(front))
-        elif kind == 1 and front.participant and not front.asleep:
-            front.asleep = True
+        elif kind == 1 and front.participant and not front.paused:
+            front.paused = True
             self.at(r.uniform(0.1, 8), lambda: self.wake_front(front))
         elif kind == 2:
             self.break_link(front.link)
@@ -385,16 +391,16 @@
     def reconnect(self, front: SimulatedFront) -> None:
         self.isolated.pop(front.name, None)
 
-    def read(self, process: Process) -> None:
+    def read(self, process: SimulatedReplica) -> None:
         """Fronts ask here, not clients."""
 
-    def write(self, process: Process) -> None:
+    def write(self, process: SimulatedReplica) -> None:
         """What is written here are records."""
 
     def wake_front(self, front: SimulatedFront) -> None:
-        if front.participant is None or not front.asleep:
+        if front.participant is None or not front.paused:
             return
-        front.asleep = False
+        front.paused = False
         self.judge()  # before it has heard anything
         undelivered, front.undelivered = front.undelivered, []
         for link, message in undelivered:
@@ -405,17 +411,17 @@
     def judge(self) -> None:
         serving = {}
         for front in self.fronts.values():
-            if front.participant is not None and not front.asleep:
+            if front.participant is not None and not front.paused:
                 version = front.participant.serving_version(self.front_clock(front))
                 if version:
                     serving[front.name] = version
                     self.figures["served"] += 1
         self.rules.serving(serving)
 
-    def mend(self) -> None:
+    def heal_and_check(self) -> None:
         self.cut.clear()
         self.isolated.clear()
-        self.loss = self.fatal = 0.0
+        self.loss = self.crash_probability = 0.0
         for process in self.processes.values():
             self.wake_up(process)
             self.start(process)
@@ -437,7 +443,7 @@
             if done and (versions == {record.version} or ill or not record.version):
                 break
         else:
-            raise Broken(
+            raise InvariantError(
                 f"no version everywhere {80} s after all was mended: {versions}, {record.open_change}"
             )
         self.figures["activated"] += sum(p.outcome is ChangeOutcome.ACTIVATED for p in record.log)
--- a/tests/support/policy_states.py
+++ b/tests/support/policy_states.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from tests.support.raft_simulation import Broken
+from tests.support.raft_simulation import InvariantError
 from tests.support.state_space import Event, ProcessState, Scope, StateSpace
 from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.policy.change_states import propose_change
@@ -99,16 +99,16 @@
     def judge(self) -> None:
         serving = {version for p in self.processes if (version := p.participant.serving_version(self.time))}
         if len(serving) > 1:
-            raise Broken(f"two versions in force: {serving}")
+            raise InvariantError(f"two versions in force: {serving}")
         for version in serving:
             if version < self.in_force:
-                raise Broken(f"version {version} is served after {self.in_force} was")
+                raise InvariantError(f"version {version} is served after {self.in_force} was")
             self.in_force = version
         if self.record.version < self.in_force:
-            raise Broken(f"version {self.in_force} is served before it is in force")
+            raise InvariantError(f"version {self.in_force} is served before it is in force")
         change = self.record.open_change
         if change and change.version <= self.record.version and change.phase is not ChangePhase.CHECKING:
-            raise Broken(f"version {change.version} is decided twice")
+            raise InvariantError(f"version {change.version} is decided twice")
 
 
 def in_force(state: PolicyStateSpace) -> bool:
--- a/tests/support/raft_simulation.py
+++ b/tests/support/raft_simulation.py
@@ -1,4 +1,7 @@
-"""A group in one process on a given clock: the same members, faults by seed, and a judge of what was told."""
+"""A group of Raft nodes in one process on a simulated clock, with faults by seed and checked invariants.
+
+Checked: one leader a term, the same entry at an index everywhere, no acknowledged entry lost, no stale read.
+"""
 
 from __future__ import annotations
 
@@ -27,18 +30,16 @@
 from zincladder.consensus.raft_state import RaftTiming, Role
 
 TIMING = RaftTiming(heartbeat_seconds=0.5, election_timeout_seconds=2.0)
-snapshot_transfer.SNAPSHOT_CHUNK_BYTES = (
-    24  # bytes: snapshots go in several pieces, and the log goes on meanwhile
-)
+snapshot_transfer.SNAPSHOT_CHUNK_BYTES = 24  # snapshots go in several chunks, and the log goes on meanwhile
 
 
-class Broken(AssertionError):
-    """A rule was broken; the text says which."""
+class InvariantError(AssertionError):
+    """An invariant does not hold; the text says which."""
 
 
 @dataclass
-class Disk:
-    """What a member has written, as its journal would give it back."""
+class SimulatedDisk:
+    """What a node has written, as its journal would return it."""
 
     hard_state: HardState
     snapshot: Snapshot
@@ -49,9 +50,9 @@
         if output.snapshot:
             self.snapshot, self.entries = output.snapshot, list(output.entries)
         elif output.entries:
-            at = output.first_index - self.snapshot.index - 1
-            assert 0 <= at <= len(self.entries)
-            self.entries[at:] = output.entries
+            position = output.first_index - self.snapshot.index - 1
+            assert 0 <= position <= len(self.entries)
+            self.entries[position:] = output.entries
 
     @property
     def stored(self) -> StoredState:
@@ -59,25 +60,25 @@
 
 
 @dataclass
-class Process:
-    """A member with its disk, its clock and what it has applied."""
+class SimulatedReplica:
+    """A node with its disk, its clock and the state that it has applied."""
 
     name: str
-    disk: Disk
+    disk: SimulatedDisk
     node: RaftNode | None = None
     state: list[str] = field(default_factory=list)
     index: int = 0
-    lives: int = 0
-    asleep: bool = False
-    rate: float = 1.0
-    offset: float = 0.0
-    missed: list[tuple[str, Message]] = field(default_factory=list)
-    open: dict[tuple[int, int], str] = field(default_factory=dict)  # (index, term) -> value
-    reads: dict[int, frozenset[str]] = field(default_factory=dict)  # ticket -> told before it began
+    incarnation: int = 0
+    paused: bool = False
+    clock_rate: float = 1.0
+    clock_offset: float = 0.0
+    delayed_messages: list[tuple[str, Message]] = field(default_factory=list)
+    open_proposals: dict[tuple[int, int], str] = field(default_factory=dict)  # (index, term) -> value
+    open_reads: dict[int, frozenset[str]] = field(default_factory=dict)  # ticket -> acknowledged before
 
 
-class World:
-    """Processes, links between them, a client that keeps asking, and the judge."""
+class SimulatedGroup:
+    """Replicas, links between them, a client that sends requests, and the checks."""
 
     def __init__(self, seed: int, voters: int = 3, spare: int = 0) -> None:
         self.random = random.Random(seed)
@@ -85,76 +86,84 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         names = [f"k{n}" for n in range(voters + spare)]
         self.founders = Membership({n: n for n in names[:voters]})
-        self.processes = {n: Process(n, Disk(HardState(), Snapshot(0, 0, self.founders))) for n in names}
+        self.processes = {
+            n: SimulatedReplica(n, SimulatedDisk(HardState(), Snapshot(0, 0, self.founders))) for n in names
+        }
         self.cut: set[tuple[str, str]] = set()
         self.loss = 0.0
         self.leaders: dict[int, str] = {}
-        self.log: dict[int, Entry] = {}  # as first applied by anybody
-        self.told: set[str] = set()
-        self.figures = {"told": 0, "reads": 0, "crashes": 0, "changes": 0, "snapshots": 0}
+        self.log: dict[int, Entry] = {}  # as first applied by any replica
+        self.acknowledged: set[str] = set()
+        self.figures = {"acknowledged": 0, "reads": 0, "crashes": 0, "changes": 0, "snapshots": 0}
         self._values, self._tickets = itertools.count(), itertools.count()
         for process in self.processes.values():
-            process.rate, process.offset = self.random.uniform(0.9, 1.1), self.random.uniform(0, 100)
+            process.clock_rate, process.clock_offset = (
+                self.random.uniform(0.9, 1.1),
+                self.random.uniform(0, 100),
+            )
             self.start(process)
 
     # The clock ------------------------------------------------------------------------------------
 
-    def at(self, delay: float, do: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (self.now + delay, next(self._order), do))
+    def at(self, delay: float, action: Callable[[], None]) -> None:
+        """Schedules an action, in seconds from now."""
+        heapq.heappush(self._events, (self.now + delay, next(self._order), action))
 
     def run(self, until: float) -> None:
+        """Runs all actions that are due by then."""
         while self._events and self._events[0][0] <= until:
-            self.now, _, do = heapq.heappop(self._events)
-            do()
+            self.now, _, action = heapq.heappop(self._events)
+            action()
         self.now = until
 
-    def clock(self, process: Process) -> float:
-        return self.now * process.rate + process.offset
+    def clock(self, process: SimulatedReplica) -> float:
+        """The replica's own clock, which drifts."""
+        return self.now * process.clock_rate + process.clock_offset
 
     # Processes ------------------------------------------------------------------------------------
 
-    def start(self, process: Process) -> None:
+    def start(self, process: SimulatedReplica) -> None:
         if process.node is not None:
             return
-        process.lives += 1
+        process.incarnation += 1
         seed = self.random.getrandbits(32)
         process.node = RaftNode(process.name, process.disk.stored, self.clock(process), seed, TIMING)
         self.restore(process, process.disk.snapshot)
-        self._wake(process, process.lives)
+        self._wake(process, process.incarnation)
 
-    def restore(self, process: Process, snapshot: Snapshot) -> None:
+    def restore(self, process: SimulatedReplica, snapshot: Snapshot) -> None:
         process.index = snapshot.index
         process.state = msgspec.msgpack.decode(snapshot.state, type=list[str]) if snapshot.state else []
 
-    def dump(self, process: Process) -> bytes:
+    def dump(self, process: SimulatedReplica) -> bytes:
         return msgspec.msgpack.encode(process.state)
 
-    def crash(self, process: Process) -> None:
-        process.node, process.asleep = None, False
-        process.missed.clear()
-        process.open.clear()
-        process.reads.clear()
+    def crash(self, process: SimulatedReplica) -> None:
+        process.node, process.paused = None, False
+        process.delayed_messages.clear()
+        process.open_proposals.clear()
+        process.open_reads.clear()
         self.figures["crashes"] += 1
 
-    def _wake(self, process: Process, life: int) -> None:
-        if process.node is None or process.lives != life:
+    def _wake(self, process: SimulatedReplica, incarnation: int) -> None:
+        if process.node is None or process.incarnation != incarnation:
             return
-        if not process.asleep:
+        if not process.paused:
             process.node.tick(self.clock(process))
             self.settle(process)
         if process.node is not None:
-            wait = (process.node.next_at - self.clock(process)) / process.rate
-            self.at(max(0.01, wait), lambda: self._wake(process, life))
-
-    def settle(self, process: Process) -> None:
-        """What its host does after each event; a crash may come between any two steps."""
-        member = process.node
-        assert member is not None
-        output = member.take_output()
-        if self.dies(process):
+            wait = (process.node.next_at - self.clock(process)) / process.clock_rate
+            self.at(max(0.01, wait), lambda: self._wake(process, incarnation))
+
+    def settle(self, process: SimulatedReplica) -> None:
+        """What the server does after each event; a crash may come between any two steps."""
+        node = process.node
+        assert node is not None
+        output = node.take_output()
+        if self.crashes_now(process):
             return
         process.disk.write(output)
-        if self.dies(process):
+        if self.crashes_now(process):
             return
         for to, message in output.messages:
             self.send(process.name, to, message)
@@ -163,41 +172,43 @@
         for entry in output.committed:
             self.apply(process, entry)
         for ticket in output.failed_reads:
-            process.reads.pop(ticket, None)
+            process.open_reads.pop(ticket, None)
         for ticket in output.ready_reads:
             self.ready(process, ticket)
-        if member.role is Role.LEADER and self.leaders.setdefault(member.term, process.name) != process.name:
-            raise Broken(f"two leaders in term {member.term}: {self.leaders[member.term]}, {process.name}")
+        if node.role is Role.LEADER and self.leaders.setdefault(node.term, process.name) != process.name:
+            raise InvariantError(
+                f"two leaders in term {node.term}: {self.leaders[node.term]}, {process.name}"
+            )
 
-    def ready(self, process: Process, ticket: int) -> None:
+    def ready(self, process: SimulatedReplica, ticket: int) -> None:
         """A read that is answered now."""
-        before = process.reads.pop(ticket)
+        before = process.open_reads.pop(ticket)
         self.figures["reads"] += 1
         if missing := before - set(process.state):
-            raise Broken(f"a read at {process.name} lacks {sorted(missing)}, told before it began")
+            raise InvariantError(f"a read at {process.name} lacks {sorted(missing)}")
 
-    fatal = 0.0  # chance that a process dies at a step
+    crash_probability = 0.0  # at each step
 
-    def dies(self, process: Process) -> bool:
-        if self.fatal and self.random.random() < self.fatal:
+    def crashes_now(self, process: SimulatedReplica) -> bool:
+        if self.crash_probability and self.random.random() < self.crash_probability:
             self.crash(process)
-            soon = self.random.choice((0.001, 0.05, 5.0))
-            self.at(self.random.uniform(0, soon), lambda: self.start(process))
+            max_delay = self.random.choice((0.001, 0.05, 5.0))
+            self.at(self.random.uniform(0, max_delay), lambda: self.start(process))
             return True
         return False
 
-    def apply(self, process: Process, entry: Entry) -> None:
+    def apply(self, process: SimulatedReplica, entry: Entry) -> None:
         process.index += 1
         first = self.log.setdefault(process.index, entry)
         if first != entry:
-            raise Broken(f"{process.name} applies another entry at {process.index}")
+            raise InvariantError(f"{process.name} applies another entry at {process.index}")
         if entry.kind is EntryKind.DATA:
             process.state.append(entry.data.decode())
-        value = process.open.pop((process.index, entry.term), None)
+        value = process.open_proposals.pop((process.index, entry.term), None)
         if value is not None:
             assert value == entry.data.decode()
-            self.told.add(value)
-            self.figures["told"] += 1
+            self.acknowledged.add(value)
+            self.figures["acknowledged"] += 1
 
     # Links ----------------------------------------------------------------------------------------
 
@@ -212,30 +223,31 @@
         process = self.processes[to]
         if process.node is None:
             return
-        if process.asleep:
-            process.missed.append((sender, message))
+        if process.paused:
+            process.delayed_messages.append((sender, message))
             return
         process.node.receive(sender, message, self.clock(process))
         self.settle(process)
 
     # Clients and operators ------------------------------------------------------------------------
 
-    def leader(self) -> Process | None:
-        """One that believes to lead, whether it does or not."""
-        awake = [p for p in self.processes.values() if p.node and not p.asleep]
-        found = [p for p in awake if p.node and p.node.role is Role.LEADER]
-        return self.random.choice(found) if found else None
+    def leader(self) -> SimulatedReplica | None:
+        """A replica that takes itself for the leader, whether it leads or not."""
+        running = [p for p in self.processes.values() if p.node and not p.paused]
+        leaders = [p for p in running if p.node and p.node.role is Role.LEADER]
+        return self.random.choice(leaders) if leaders else None
 
     def ask(self) -> None:
+        """One request of a client or an operator, drawn at random."""
         process = self.leader()
         if process is None or process.node is None:
             return
         try:
-            what = self.random.random()
-            if what < 0.6:
+            draw = self.random.random()
+            if draw < 0.6:
                 self.write(process)
                 return
-            elif what < 0.97:
+            elif draw < 0.97:
                 self.read(process)
                 return
             else:
@@ -244,26 +256,27 @@
             return
         self.settle(process)
 
-    def write(self, process: Process) -> None:
-        """A client's entry for one that may lead."""
+    def write(self, process: SimulatedReplica) -> None:
+        """A client's entry, to a replica that may lead."""
         value = f"v{next(self._values)}"
         if process.node is None or process.node.role is not Role.LEADER:
             return
         with contextlib.suppress(BusyError, NotLeaderError):
-            process.open[process.node.propose(value.encode())] = value
+            process.open_proposals[process.node.propose(value.encode())] = value
             self.settle(process)
 
-    def read(self, process: Process) -> None:
-        """A client's question to one that may lead."""
+    def read(self, process: SimulatedReplica) -> None:
+        """A client's read, of a replica that may lead."""
         ticket = next(self._tickets)
         if process.node is None or process.node.role is not Role.LEADER:
             return
         with contextlib.suppress(BusyError, NotLeaderError):
             process.node.request_read(ticket)
-            process.reads[ticket] = frozenset(self.told)
+            process.open_reads[ticket] = frozenset(self.acknowledged)
             self.settle(process)
 
     def change(self) -> None:
+        """An operator adds or removes a member."""
         process = self.leader()
         if process is None or process.node is None:
             return
@@ -272,8 +285,9 @@
         if outside and (len(members.voters) < 3 or self.random.random() < 0.5):
             new = Membership(members.voters, members.learners | {outside[0]: outside[0]})
         elif len(members.voters) > 2:
-            gone = self.random.choice(sorted(members.voters))
-            new = Membership({n: w for n, w in members.voters.items() if n != gone}, members.learners)
+            removed = self.random.choice(sorted(members.voters))
+            voters = {name: place for name, place in members.voters.items() if name != removed}
+            new = Membership(voters, members.learners)
         else:
             return
         try:
@@ -285,15 +299,16 @@
 
     # Faults ---------------------------------------------------------------------------------------
 
-    def trouble(self) -> None:
+    def inject_fault(self) -> None:
+        """A crash, a pause, a partition, message loss, a compaction or a change of members, at random."""
         r, names = self.random, sorted(self.processes)
         process = self.processes[r.choice(names)]
         kind = r.randrange(8)
         if kind == 0 and process.node:
             self.crash(process)
             self.at(r.uniform(0.1, 6), lambda: self.start(process))
-        elif kind == 1 and process.node and not process.asleep:
-            process.asleep = True
+        elif kind == 1 and process.node and not process.paused:
+            process.paused = True
             self.at(r.uniform(0.1, 8), lambda: self.wake_up(process))
         elif kind == 2:
             self.cut.add((r.choice(names), r.choice(names)))
@@ -304,60 +319,61 @@
             self.cut.clear()
         elif kind == 5:
             self.loss = r.choice((0.0, 0.05, 0.3))
-        elif kind == 6 and process.node and not process.asleep:
+        elif kind == 6 and process.node and not process.paused:
             process.node.compact(process.index, self.dump(process))
             self.figures["snapshots"] += 1
             self.settle(process)
         elif kind == 7 and len(names) > len(self.founders.voters):
             self.change()
 
-    def wake_up(self, process: Process) -> None:
-        if process.node is None or not process.asleep:
+    def wake_up(self, process: SimulatedReplica) -> None:
+        if process.node is None or not process.paused:
             return
-        process.asleep = False
-        missed, process.missed = process.missed, []
-        if self.random.random() < 0.5:  # its links were reset while it slept, and clients are quicker
-            missed.clear()
+        process.paused = False
+        delayed_messages, process.delayed_messages = process.delayed_messages, []
+        if self.random.random() < 0.5:  # its links were reset while it was paused, and clients are quicker
+            delayed_messages.clear()
             self.read(process)
             self.write(process)
-        for sender, message in missed:
+        for sender, message in delayed_messages:
             self.deliver(sender, process.name, message)
 
     def play(self, seconds: float, every: float = 0.5) -> None:
-        """Asks and troubles for so long; then all is mended, and what was told has to be there."""
+        """Requests and faults for so long; then all faults end, and the invariants are checked."""
         end = self.now + seconds
         while self.now < end:
             self.run(self.now + self.random.uniform(0, 2 * every))
             for _ in range(self.random.randrange(4)):
                 self.ask()
-            self.trouble()
-        self.mend()
+            self.inject_fault()
+        self.heal_and_check()
 
-    def mend(self) -> None:
+    def heal_and_check(self) -> None:
+        """Ends all faults; the group has to commit again, and to have lost nothing."""
         self.cut.clear()
-        self.loss = self.fatal = 0.0
+        self.loss = self.crash_probability = 0.0
         for process in self.processes.values():
             self.wake_up(process)
             self.start(process)
-        told = len(self.told)
+        acknowledged = len(self.acknowledged)
         for _ in range(60):
             self.run(self.now + 1)
             for _ in range(3):
                 self.ask()
             voters = self._voters()
-            if len(self.told) > told and voters and len({p.index for p in voters}) == 1:
+            if len(self.acknowledged) > acknowledged and voters and len({p.index for p in voters}) == 1:
                 break
         else:
-            raise Broken("nothing is decided a minute after all was mended")
+            raise InvariantError("nothing is committed a minute after all faults ended")
         states = [p.state for p in voters]
         if any(state != states[0] for state in states):
-            raise Broken("states differ at the same index")
-        if lost := self.told - set(states[0]):
-            raise Broken(f"told and lost: {sorted(lost)}")
+            raise InvariantError("states differ at the same index")
+        if lost := self.acknowledged - set(states[0]):
+            raise InvariantError(f"acknowledged and lost: {sorted(lost)}")
         if len(states[0]) != len(set(states[0])):
-            raise Broken("an entry was applied twice")
+            raise InvariantError("an entry was applied twice")
 
-    def _voters(self) -> list[Process]:
+    def _voters(self) -> list[SimulatedReplica]:
         leader = self.leader()
         if leader is None or leader.node is None:
             return []
--- a/tests/support/task_states.py
+++ b/tests/support/task_states.py
@@ -11,7 +11,7 @@
 from functools import partial
 from typing import Any
 
-from tests.support.raft_simulation import Broken
+from tests.support.raft_simulation import InvariantError
 from tests.support.state_space import Event, ProcessState, Scope, StateSpace
 from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.tasks.fence import Fence
@@ -121,13 +121,13 @@
     def judge(self) -> None:
         acting = [token for p in self.processes if (token := p.participant.active_token(TASK, self.time))]
         if len(acting) > 1:
-            raise Broken(f"two processes may act on the task: tokens {acting}")
+            raise InvariantError(f"two processes may act on the task: tokens {acting}")
         for token in acting:
             if token < self.acted:
-                raise Broken(f"token {token} acts after {self.acted} could")
+                raise InvariantError(f"token {token} acts after {self.acted} could")
             self.acted = token
         if self.arrived != sorted(self.arrived):
-            raise Broken(f"effects were admitted in this order: {self.arrived}")
+            raise InvariantError(f"effects were admitted in this order: {self.arrived}")
 
 
 def taken_over(state: TaskStateSpace) -> bool:
--- a/tests/tasks/test_state_space.py
+++ b/tests/tasks/test_state_space.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from tests.support.raft_simulation import Broken
+from tests.support.raft_simulation import InvariantError
 from tests.support.state_space import Scope, search, walk
 from tests.support.task_states import TaskStateSpace, taken_over
 from zincladder.tasks.fence import Fence
@@ -120,6 +120,6 @@
     mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutate(monkeypatch)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantError):
         for seed in range(3000):
             play(seed)
