--- a/zincladder/config/replica.py
+++ b/zincladder/config/replica.py
@@ -13,6 +13,10 @@
 from zincladder.config.operator_tables import faulty_key
 
 MS_PER_SECOND = 1000
+MIN_RENEWALS_PER_LEASE = 3
+MIN_RENEWALS_BEFORE_ACTION = 2  # that fit in a lease, less its drift and the time to act
+MIN_HEARTBEATS_PER_ELECTION = 4
+FOUNDER_COUNTS = (0, 1, 3, 5, 7)  # an even number of voters bears no more failures than one less
 T = TypeVar("T")
 Name = Annotated[str, Meta(pattern=r"^[0-9A-Za-z_.-]{1,64}$")]
 Place = Annotated[str, Meta(min_length=3)]
@@ -81,6 +85,26 @@
         raise ConfigError(f"'{path}': {reason}") from None
 
 
+def _check_lease(lease: LeaseTable) -> None:
+    """Guards against leases that run out between two renewals."""
+    if lease.seconds < MIN_RENEWALS_PER_LEASE * lease.renew_s:
+        raise ConfigError("'lease.seconds' must be at least three times 'renew_s'")
+    if lease.seconds * (1 - lease.drift) - lease.act_s < MIN_RENEWALS_BEFORE_ACTION * lease.renew_s:
+        raise ConfigError("'lease.act_s' must leave two times 'renew_s' of the lease")
+
+
+def _check_replica(table: ReplicaTable) -> None:
+    for key, addresses in (("members", table.members), ("via", table.via)):
+        for name, text in addresses.items():
+            _parse_address(text, f"keeper.{key}.{name}")
+    if table.members and table.name not in table.members:
+        raise ConfigError(f"'keeper.members' must name this keeper too, {table.name!r}")
+    if len(table.members) not in FOUNDER_COUNTS:
+        raise ConfigError("'keeper.members' must be 1, 3, 5 or 7 keepers: one more than that adds no safety")
+    if table.election_ms < MIN_HEARTBEATS_PER_ELECTION * table.heartbeat_ms:
+        raise ConfigError("'keeper.election_ms' must be at least four times 'heartbeat_ms'")
+
+
 def parse_replica_config(data: dict[str, Any]) -> ReplicaConfig:
     """The configuration from its parsed TOML; ConfigError names the first key that cannot be used."""
     for name in data:
@@ -88,19 +112,8 @@
             raise ConfigError(f"'{name}': there is no such table, only keeper and lease")
     table = _read(data, "keeper", ReplicaTable)
     lease = _read(data, "lease", LeaseTable)
-    if lease.seconds < 3 * lease.renew_s:
-        raise ConfigError("'lease.seconds' must be at least three times 'renew_s'")
-    if lease.seconds * (1 - lease.drift) - lease.act_s < 2 * lease.renew_s:
-        raise ConfigError("'lease.act_s' must leave two times 'renew_s' of the lease")
-    for key, places in (("members", table.members), ("via", table.via)):
-        for name, where in places.items():
-            _parse_address(where, f"keeper.{key}.{name}")
-    if table.members and table.name not in table.members:
-        raise ConfigError(f"'keeper.members' must name this keeper too, {table.name!r}")
-    if len(table.members) not in (0, 1, 3, 5, 7):
-        raise ConfigError("'keeper.members' must be 1, 3, 5 or 7 keepers: one more than that adds no safety")
-    if table.election_ms < 4 * table.heartbeat_ms:
-        raise ConfigError("'keeper.election_ms' must be at least four times 'heartbeat_ms'")
+    _check_lease(lease)
+    _check_replica(table)
     return ReplicaConfig(
         group=table.group,
         name=table.name,
