--- a/tests/core/test_late_attempts.py
+++ b/tests/core/test_late_attempts.py
@@ -29,7 +29,7 @@
 from tests.stands import SETTINGS, Fetch, StubCache, client, serve, world
 from tests.test_endings import cores_of, frame, on_connect, plain, request, some
 from tests.test_front import cut
-from tests.test_member_links import LARGE, order, wire
+from tests.test_member_links import LARGE, attempt_request, wire
 from zincladder.admission.model import Decision, Verdict, Why
 from zincladder.admission.plain import Plain
 from zincladder.core.arrival import PROMPT_READ_SECONDS
@@ -182,8 +182,8 @@
     # the second waits behind a first that the endpoint does not read yet
     now = [1000.0]
     async with wire(now=lambda: now[0]) as w:
-        await w.send(b"x" * LARGE, order("a" * 16))
-        until = order("b" * 16, deadline=now[0] + 2.0)
+        await w.send(b"x" * LARGE, attempt_request("a" * 16))
+        until = attempt_request("b" * 16, deadline=now[0] + 2.0)
         await w.attempt("b" * 16, lambda: w.caches._fetch(until), until)
         w.link.outbox._flush()  # serialized, and not accepted by the system
         now[0] += 1.5
@@ -199,9 +199,9 @@
     async with wire() as w:
         scopes = list[anyio.CancelScope]()
         while not unsent(w.link.sock):
-            scopes.append(await w.send(b"x" * 500 + b"\r\n", order(f"{len(scopes):016x}")))
+            scopes.append(await w.send(b"x" * 500 + b"\r\n", attempt_request(f"{len(scopes):016x}")))
         last = f"{len(scopes):016x}"
-        scopes.append(await w.send(b"last\r\n", order(last)))
+        scopes.append(await w.send(b"last\r\n", attempt_request(last)))
         assert all(waiting.entry and not waiting.entry.parts for waiting in w.link.open.values())
         for scope in scopes:
             scope.cancel()
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -441,7 +441,7 @@
         rows = tuple(dataclasses.replace(r, end="") if r.end == dropped else r for r in protocol.ANSWER)
         monkeypatch.setattr(protocol, "ANSWER", rows)
     else:
-        monkeypatch.setattr(protocol, "REQUEST", tuple(r for r in protocol.REQUEST if r.ask != dropped))
+        monkeypatch.setattr(protocol, "REQUEST", tuple(r for r in protocol.REQUEST if r.attribute != dropped))
     found = difference(second.settings, seed=1, steps=400)
     assert isinstance(found, str) and dropped in found
 
--- a/tests/test_member_links.py
+++ b/tests/test_member_links.py
@@ -54,7 +54,7 @@
     return caches._ledger.accounts[Use.CACHES].used
 
 
-def order(trace: str = "a" * 16, **more: Any) -> AttemptRequest:
+def attempt_request(trace: str = "a" * 16, **more: Any) -> AttemptRequest:
     return AttemptRequest(ClientRequest(trace, 0, 1, 0, 0, math.inf), b"s-00000001", **more)
 
 
@@ -73,19 +73,19 @@
         self.link, self.endpoint, self._tasks = _Link(ours, self.caches._report_names), endpoint, tasks
         self.ends: list[AttemptEnd] = []
 
-    async def send(self, message: bytes, asks: AttemptRequest) -> anyio.CancelScope:
+    async def send(self, message: bytes, outgoing: AttemptRequest) -> anyio.CancelScope:
         """Begins an attempt; its end is added to `ends`, and cancelling what is given back gives it up."""
-        return await self.attempt(asks.request.trace, lambda: [message], asks)
+        return await self.attempt(outgoing.request.trace, lambda: [message], outgoing)
 
     async def attempt(
-        self, name: str, write: Callable[[], Sequence[bytes]], asks: AttemptRequest
+        self, name: str, write: Callable[[], Sequence[bytes]], outgoing: AttemptRequest
     ) -> anyio.CancelScope:
         """The same with a message that is written down as it goes."""
         scope = anyio.CancelScope()
 
         async def attempt() -> None:
             with scope:
-                self.ends.append(await self.caches._exchange(self.link, name.encode(), write, asks))
+                self.ends.append(await self.caches._exchange(self.link, name.encode(), write, outgoing))
 
         self._tasks.start_soon(attempt)
         await anyio.wait_all_tasks_blocked()
@@ -133,8 +133,10 @@
 
 async def test_an_answer_under_the_id_of_a_request_that_has_not_gone_out_is_nobodys() -> None:
     async with wire() as w:
-        await w.send(b"x" * LARGE, order("a" * 16))  # fills both systems, so that the next one waits
-        await w.send(b"next\r\n", order("b" * 16))
+        await w.send(
+            b"x" * LARGE, attempt_request("a" * 16)
+        )  # fills both systems, so that the next one waits
+        await w.send(b"next\r\n", attempt_request("b" * 16))
         await w.answer(b"b" * 16 + b" 200 tell=local 5\r\nahead\r\n")
         assert w.ends == []
         await w.read(lambda found: found.endswith(b"next\r\n"))
@@ -163,7 +165,7 @@
 async def test_the_rest_of_a_request_that_was_given_up_is_not_written_behind() -> None:
     # it never arrived whole, so it never ran; its last bytes would have it run after its client was answered
     async with wire() as w:
-        scope = await w.send(b"x" * LARGE + b"end\r\n", order())
+        scope = await w.send(b"x" * LARGE + b"end\r\n", attempt_request())
         scope.cancel()
         await anyio.wait_all_tasks_blocked()
         found = await w.read(lambda found: False)
@@ -172,8 +174,8 @@
 
 async def test_a_connection_that_others_use_stays_and_the_request_is_taken_back_by_name() -> None:
     async with wire() as w:
-        await w.send(b"first\r\n", order("f" * 16))
-        scope = await w.send(b"x" * LARGE + b"end\r\n", order("a" * 16))
+        await w.send(b"first\r\n", attempt_request("f" * 16))
+        scope = await w.send(b"x" * LARGE + b"end\r\n", attempt_request("a" * 16))
         scope.cancel()
         await anyio.wait_all_tasks_blocked()
         found = await w.read(lambda found: b"abort" in found)
@@ -277,7 +279,7 @@
             return abort
 
     caches = Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"])
-    end = await caches.send(order(guard=Held()))
+    end = await caches.send(attempt_request(guard=Held()))
     assert (end.reason, end.fill_outcome, end.detail) == (reason, fill_outcome, abort.description)
     assert end.outcome in (*NEVER_RAN, api.AttemptOutcome.CANCELLED)
 
@@ -455,7 +457,7 @@
     settings = copy.deepcopy(settings)
     settings["report"]["names"] = names
     async with wire(before) as w:
-        await w.send(b"stats p1\r\n", order("a" * 16))
+        await w.send(b"stats p1\r\n", attempt_request("a" * 16))
         w.caches.use(parse_config(configuration([], settings=settings)))
         await w.answer(b"a" * 16 + b" 200 tell=local,meter=util:0.5;inflight:7 3\r\nown\r\n")
         figures = {"busy": 0.5, "held": 7.0}
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -131,7 +131,7 @@
     plain = ClientRequest("00000000000000a1", 0, 0x7F3A9C21E0B4D655, None, 17, 9.0)
     full = ClientRequest("00000000000000a2", 1, 5, 3, 17, 9.0, True, True, "tag-1", "k-1_Z", b"body", 12.5)
     source = b"s-000000a0"
-    orders = [
+    attempts = [
         AttemptRequest(plain, b"s-00000001"),
         AttemptRequest(full, b"s-00000001", source, 2, 1.5, True, True, True, True, 8.0),
         AttemptRequest(plain, b"s-00000001", source, 1, 0.0, True, False, False, False, 8.0),
@@ -140,7 +140,9 @@
         AttemptRequest(plain, b"s-00000001", source, 0, 31.2345, False, False, False, True, 8.0),
     ]
     found = [
-        protocol.write_fetch(o, name, left) for o in orders for name, left in (("page", 1.2345), ("b", 1e-5))
+        protocol.write_fetch(o, name, left)
+        for o in attempts
+        for name, left in (("page", 1.2345), ("b", 1e-5))
     ]
     assert_matches("wires/cache_fetch.json", found)
 
--- a/zincladder/dns/answers.py
+++ b/zincladder/dns/answers.py
@@ -139,8 +139,10 @@
         request_class = self._core.classes.number_of(target.request_class, now)
         if request_class is not None and now < deadline:
             write = self._core.settings.classes[request_class].uncacheable
-            ask = ClientRequest("", request_class, target.object, None, target.group, deadline, write=write)
-            endpoint = self._core.route_only(ask)
+            request = ClientRequest(
+                "", request_class, target.object, None, target.group, deadline, write=write
+            )
+            endpoint = self._core.route_only(request)
         where = self._where(endpoint) if endpoint is not None else None
         if where is None:
             response.set_rcode(dns.rcode.SERVFAIL)  # at once: the module gave up, or the query came too late
--- a/zincladder/net/caches.py
+++ b/zincladder/net/caches.py
@@ -226,11 +226,11 @@
 }
 
 
-def _held_back(order: AttemptRequest, hold: AbortReason) -> AttemptEnd:
+def _aborted_end(attempt: AttemptRequest, reason: AbortReason) -> AttemptEnd:
     """The end of an attempt that was not sent: what it was decided by has changed since."""
-    order.guard.aborted_before_send(order, hold)
-    note = api.FillOutcome.SOURCE_FAILED if hold is AbortReason.SOURCE_NOT_READY else api.FillOutcome.NONE
-    return AttemptEnd(END_OF_ABORT[hold], fill_outcome=note, detail=hold.description)
+    attempt.guard.aborted_before_send(attempt, reason)
+    note = api.FillOutcome.SOURCE_FAILED if reason is AbortReason.SOURCE_NOT_READY else api.FillOutcome.NONE
+    return AttemptEnd(END_OF_ABORT[reason], fill_outcome=note, detail=reason.description)
 
 
 class Caches:
@@ -288,14 +288,16 @@
             if not link.open:
                 link.end()
 
-    async def send(self, order: AttemptRequest) -> AttemptEnd:
-        if hold := order.abort_reason():
-            return _held_back(order, hold)
+    async def send(self, attempt: AttemptRequest) -> AttemptEnd:
+        if reason := attempt.abort_reason():
+            return _aborted_end(attempt, reason)
         try:
-            link = await self._link(order.endpoint, order.request.trace.encode())
+            link = await self._link(attempt.endpoint, attempt.request.trace.encode())
         except (OSError, TimeoutError) as fault:
             return AttemptEnd(EndReason.CONNECT_FAILED, detail=str(fault))
-        return await self._exchange(link, order.request.trace.encode(), partial(self._fetch, order), order)
+        return await self._exchange(
+            link, attempt.request.trace.encode(), partial(self._fetch, attempt), attempt
+        )
 
     async def check_health(self, endpoint: api.EndpointId) -> AttemptEnd:
         self._probes += 1
@@ -310,25 +312,27 @@
         return end
 
     async def _exchange(
-        self, link: _Link, name: bytes, write: Callable[[], Sequence[bytes]], order: AttemptRequest | None
+        self, link: _Link, name: bytes, write: Callable[[], Sequence[bytes]], attempt: AttemptRequest | None
     ) -> AttemptEnd:
         """One message and the wait for its answer; cancelled, it is given up on the wire too.
 
         `write` gives the message as of the moment in which its first byte goes.
         """
-        waiting = link.open[name] = _Waiting(order is None, order.request.tag if order else "")
+        waiting = link.open[name] = _Waiting(attempt is None, attempt.request.tag if attempt else "")
         link.take(name)
         began, received = monotonic(), link.inbox.received
 
         def gone(written: bool) -> None:
-            if order is not None and written:
-                order.guard.written()
-            elif order is not None:
+            if attempt is not None and written:
+                attempt.guard.written()
+            elif attempt is not None:
                 # Guards the request: it was held back at the last look, and nobody else says so.
-                waiting.finish(_held_back(order, order.abort_reason() or AbortReason.ENDPOINT_NOT_READY))
+                waiting.finish(
+                    _aborted_end(attempt, attempt.abort_reason() or AbortReason.ENDPOINT_NOT_READY)
+                )
 
         # Guards the time that the member is told: it is what is left as the first byte goes.
-        entry = waiting.entry = link.outbox.put((), order.may_start if order else None, gone, write)
+        entry = waiting.entry = link.outbox.put((), attempt.may_start if attempt else None, gone, write)
         try:
             while waiting.end is None:
                 await waiting.news.wait()
@@ -345,7 +349,7 @@
                         # Guards a request that has not wholly arrived, and so never ran: the rest of it,
                         # written behind, would have it run after all.
                         link.end()
-                    elif order is not None:
+                    elif attempt is not None:
                         link.outbox.put([b"abort " + name + b"\r\n"])
                     # Guards against a machine that is cut off: its connection stays up and silent, and only a
                     # new one, which does not come up, proves that the next request never ran.
@@ -356,14 +360,14 @@
                     link.retired |= waited > UNTAKEN_AFTER and unsent(link.sock)
             link.settle()
 
-    def _fetch(self, order: AttemptRequest) -> list[bytes]:
+    def _fetch(self, attempt: AttemptRequest) -> list[bytes]:
         """The attempt as of this moment: the time that is left, and the oldest copy that a purge allows."""
-        ask = order.request
+        request = attempt.request
         fields = protocol.write_fetch(
-            order, self._class_names[ask.request_class], order.deadline - self._now()
+            attempt, self._class_names[request.request_class], attempt.deadline - self._now()
         )
-        head = f"fetch {ask.trace} {fields} {len(ask.body)}\r\n".encode()
-        return [head, ask.body, b"\r\n"]
+        head = f"fetch {request.trace} {fields} {len(request.body)}\r\n".encode()
+        return [head, request.body, b"\r\n"]
 
     async def _link(self, endpoint: api.EndpointId, name: bytes) -> _Link:
         """A connection with nothing else open on it where the descriptors allow, else the least busy one.
--- a/zincladder/net/client_connection.py
+++ b/zincladder/net/client_connection.py
@@ -21,7 +21,7 @@
     """One request that was taken from a client."""
 
     seq: int
-    ask: ClientRequest
+    request: ClientRequest
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     begun: bool = False
     back: bool = False  # taken back
--- a/zincladder/net/clients.py
+++ b/zincladder/net/clients.py
@@ -189,9 +189,9 @@
             return
         open_now, client.open = client.open, {}
         if open_now:
-            self._core.fail_open_requests([taken.ask for taken in open_now.values()])
+            self._core.fail_open_requests([taken.request for taken in open_now.values()])
         for seq, taken in open_now.items():
-            self._core.record_answer(taken.ask.request_class, AnswerKind.FAILED)
+            self._core.record_answer(taken.request.request_class, AnswerKind.FAILED)
             client.outbox.put(_reply(seq, Answer(AnswerKind.FAILED)))
         client.end(linger)
 
@@ -369,7 +369,7 @@
 
     def _take(self, client: ClientConnection, call: thrift.Call, came: float, tasks: TaskGroup) -> None:
         try:
-            ask = self._ask(call.fields, call.body, came)
+            request = self._read_request(call.fields, call.body, came)
         except BadFields as fault:
             self._warn.warning("request not understood", why=str(fault))
             self._core.counts["answers", "unusable"] += 1
@@ -391,17 +391,17 @@
             open_now, behind = len(self._traces), round(self._core.loop_monitor.lag_seconds, 3)
             most = self._config.max_open_requests
             self._warn.warning("too much to do", why=why.value, open=open_now, most=most, behind=behind)
-            self._core.record_answer(ask.request_class, AnswerKind.REJECTED)
+            self._core.record_answer(request.request_class, AnswerKind.REJECTED)
             pause = min(SOON, most_pause) if why is Why.ENDING else most_pause
             client.outbox.put(_reply(call.seq, Answer(AnswerKind.REJECTED, retry_after=pause)))
             return
         self._admission.opened(client.seat)
-        taken = client.open[call.seq] = TakenRequest(call.seq, ask)
-        ask.client_is_waiting = partial(client.waits, taken)
-        self._traces.add(ask.trace)
-        tasks.start_soon(self._request, client, call.seq, ask, taken)
+        taken = client.open[call.seq] = TakenRequest(call.seq, request)
+        request.client_is_waiting = partial(client.waits, taken)
+        self._traces.add(request.trace)
+        tasks.start_soon(self._request, client, call.seq, request, taken)
 
-    def _ask(self, fields: Mapping[str, str], body: bytes, arrived: float) -> ClientRequest:
+    def _read_request(self, fields: Mapping[str, str], body: bytes, arrived: float) -> ClientRequest:
         said = protocol.read_request(fields)
         request_class = self._core.classes.number_of(said["request_class"], arrived)
         if request_class is None:
@@ -418,17 +418,17 @@
         if len(body) > MOST_WRITE:
             raise BadFields(f"a body of {len(body)} bytes, {MOST_WRITE} at most")
         deadline = arrived + max(0.001, patience - ANSWER_MARGIN_SECONDS)
-        ask = ClientRequest(
+        request = ClientRequest(
             **said
             | {"request_class": request_class, "deadline": deadline, "write": rules.uncacheable, "body": body}
         )
-        if ask.trace in self._traces:
+        if request.trace in self._traces:
             # Guards every request against another's answer: an id names one request at the caches too.
-            raise BadFields(f"'trace' is the id of a request that is open: {ask.trace}")
-        return ask
+            raise BadFields(f"'trace' is the id of a request that is open: {request.trace}")
+        return request
 
     async def _request(
-        self, client: ClientConnection, seq: int, ask: ClientRequest, taken: TakenRequest
+        self, client: ClientConnection, seq: int, request: ClientRequest, taken: TakenRequest
     ) -> None:
         served, size = False, 0
         try:
@@ -436,23 +436,23 @@
                 return  # taken back, or its client turned away, before it began: the module never hears of it
             taken.begun = True
             with taken.scope:
-                answer = await self._core.serve(ask)
+                answer = await self._core.serve(request)
                 if client.open.get(seq) is taken:  # else it was withdrawn meanwhile: no answer is owed
                     client.taken_back = 0
                     if answer.end is not None:
                         served, size = True, len(answer.end.body)
                     client.outbox.put(_reply(seq, answer))
         except Exception:
-            log.exception("request failed", trace=ask.trace)  # the process and its other requests go on
+            log.exception("request failed", trace=request.trace)  # the process and its other requests go on
             if client.open.get(seq) is taken:
-                self._core.record_answer(ask.request_class, AnswerKind.FAILED)
+                self._core.record_answer(request.request_class, AnswerKind.FAILED)
                 client.outbox.put(thrift.thrown("handle", seq, 2, {}))
         finally:
             if client.open.get(seq) is taken:
                 del client.open[seq]
             client.used_at = monotonic()
             self._admission.closed(client.seat, client.used_at, served, size)
-            self._traces.discard(ask.trace)
+            self._traces.discard(request.trace)
             client.room.set()
             if self._accepting.cancel_called and not client.ended:
                 self._retire(client)  # right after an answer the next request is furthest away
--- a/zincladder/net/protocol.py
+++ b/zincladder/net/protocol.py
@@ -94,10 +94,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Said:
-    """A field of a client's request, and the attribute of `Ask` that it becomes."""
+    """A field of a client's request, and the attribute of `ClientRequest` that it becomes."""
 
     name: str
-    ask: str
+    attribute: str
     read: Callable[[str], Any]
     what: str
     needed: bool = True
@@ -118,13 +118,13 @@
 
 
 def read_request(fields: Mapping[str, str]) -> dict[str, Any]:
-    """The attributes of an `Ask` that the fields state; BadFields names the first that cannot be used."""
+    """The attributes of a `ClientRequest` that the fields state; BadFields names the first unusable one."""
     found: dict[str, Any] = {}
     for row in REQUEST:
         text = fields.get(row.name, "" if row.needed else None)
         if text is not None:
             try:
-                found[row.ask] = row.read(text)
+                found[row.attribute] = row.read(text)
             except ValueError:
                 raise BadFields(f"'{row.name}' must be {row.what}, not {text[:20]!r}") from None
     return found
@@ -133,39 +133,39 @@
 # Fronts to caches ----------------------------------------------------------------------------------
 
 
-def _how(order: AttemptRequest) -> str:
+def _flags(attempt: AttemptRequest) -> str:
     how = {
-        "join": order.coalesce,
-        "held": order.cached_only,
-        "nocopy": order.parent_proxies,
-        "renew": order.renew,
+        "join": attempt.coalesce,
+        "held": attempt.cached_only,
+        "nocopy": attempt.parent_proxies,
+        "renew": attempt.renew,
     }
     return "+".join(word for word, on in how.items() if on)
 
 
-def _cap(order: AttemptRequest) -> str:
-    age = order.max_age_now()
+def _cap(attempt: AttemptRequest) -> str:
+    age = attempt.max_age_now()
     return f"{max(1, math.floor(age * 1000))}" if 0 < age < math.inf else ""
 
 
 # Each field of a `fetch`, from the order, the class's name and the seconds that are left; "" leaves it out.
 FETCH: dict[str, Callable[[AttemptRequest, str, float], str]] = {
-    "cls": lambda order, name, left: name,
-    "item": lambda order, name, left: f"{order.request.object:016x}",
-    "chunk": lambda order, name, left: "" if order.request.part is None else str(order.request.part),
-    "limit": lambda order, name, left: str(max(1, math.floor(left * 1000))),
-    "nonce": lambda order, name, left: order.request.key,
-    "up": lambda order, name, left: "" if order.source is None else order.source.decode(),
-    "store": lambda order, name, left: str(order.cache_rank) if order.cache_rank else "",
-    "cap": lambda order, name, left: _cap(order),
-    "do": lambda order, name, left: _how(order),
-    "inm": lambda order, name, left: order.request.tag,
+    "cls": lambda attempt, name, left: name,
+    "item": lambda attempt, name, left: f"{attempt.request.object:016x}",
+    "chunk": lambda attempt, name, left: "" if attempt.request.part is None else str(attempt.request.part),
+    "limit": lambda attempt, name, left: str(max(1, math.floor(left * 1000))),
+    "nonce": lambda attempt, name, left: attempt.request.key,
+    "up": lambda attempt, name, left: "" if attempt.source is None else attempt.source.decode(),
+    "store": lambda attempt, name, left: str(attempt.cache_rank) if attempt.cache_rank else "",
+    "cap": lambda attempt, name, left: _cap(attempt),
+    "do": lambda attempt, name, left: _flags(attempt),
+    "inm": lambda attempt, name, left: attempt.request.tag,
 }
 
 
-def write_fetch(order: AttemptRequest, class_name: str, left: float) -> str:
+def write_fetch(attempt: AttemptRequest, class_name: str, left: float) -> str:
     """The fields of one attempt, as they go out."""
-    said = ((field, of(order, class_name, left)) for field, of in FETCH.items())
+    said = ((field, of(attempt, class_name, left)) for field, of in FETCH.items())
     return ",".join(f"{field}={text}" for field, text in said if text)
 
 
