--- a/tests/consensus/test_stored_and_sent_bytes.py
+++ b/tests/consensus/test_stored_and_sent_bytes.py
@@ -132,6 +132,51 @@
 }
 
 
+# The order of fields, which is that of the arrays: two fields of one type could change places unnoticed.
+FIELDS: dict[type[msgspec.Struct], str] = {
+    RequestVote: "term last_index last_term pre_vote leadership_transfer",
+    RequestVoteResponse: "term granted pre_vote",
+    AppendEntries: "term serial prev_index prev_term commit_index entries",
+    Entry: "term kind data",
+    AppendEntriesResponse: "term serial success index next_index_hint",
+    InstallSnapshot: "term serial index snapshot_term membership offset total_bytes chunk",
+    Membership: "voters learners",
+    InstallSnapshotResponse: "term serial index offset",
+    TimeoutNow: "term",
+    rpc.RpcRequest: "number body",
+    rpc.GetByPrefix: "prefix",
+    CompareAndSwap: "key expected data guard",
+    VersionGuard: "key version",
+    rpc.ChangeMembership: "add remove",
+    rpc.RpcResponse: "number body",
+    rpc.ReplicaStatus: (
+        "name role leader term commit_index last_index snapshot_index voters learners match_indexes"
+        " silent_peers stale_peers key_count journal_bytes"
+    ),
+    rpc.ValuesByPrefix: "values",
+    VersionedValue: "version data",
+    rpc.ProgressReport: "data",
+    rpc.CollectedCounters: "epoch totals",
+    Swapped: "version",
+    VersionMismatch: "version",
+    CapacityExceeded: "reason",
+    FencingTokenRejected: "version",
+    rpc.NotLeader: "leader address",
+    rpc.RequestFailed: "reason",
+    rpc.OutcomeUnknown: "reason",
+    Hello: "version group role name instance_id",
+    Welcome: "name instance_id",
+    Rejected: "reason",
+    ReplicaIdentity: "version group name instance_id",
+    HardState: "term voted_for",
+    Snapshot: "index term membership state",
+    LeaseTiming: (
+        "lease_seconds renew_seconds clock_drift check_timeout_seconds release_timeout_seconds"
+        " min_agreeing_share max_deferral_seconds max_action_seconds"
+    ),
+}
+
+
 def lines(name: str) -> dict[str, bytes]:
     """A fixture file: what stands in each of its lines, by its name."""
     rows = (line.rsplit(" ", 1) for line in (DATA / name).read_text().splitlines())
@@ -173,6 +218,11 @@
         assert msgspec.msgpack.decode(data, type=type(STATE[name])) == STATE[name], name
 
 
+@pytest.mark.parametrize("message, names", FIELDS.items(), ids=lambda value: getattr(value, "__name__", ""))
+def test_fields_keep_their_places(message: type[msgspec.Struct], names: str) -> None:
+    assert message.__struct_fields__ == tuple(names.split())
+
+
 def test_the_numbers_of_the_kinds_of_records_and_entries_stay() -> None:
     assert [int(kind) for kind in RecordKind] == [0, 1, 2, 3, 4]  # identity, vote, snapshot, entry, births
     assert [int(kind) for kind in EntryKind] == [0, 1, 2]  # empty, data, members
