--- a/zincladder/admission/connection_admission.py
+++ b/zincladder/admission/connection_admission.py
@@ -17,7 +17,7 @@
 )
 from zincladder.admission.response_rate_limiter import DatagramVerdict
 
-BEHIND = 0.04  # seconds that the event loop may be late before new requests are refused at once
+MAX_LOOP_LAG_SECONDS = 0.04  # seconds that the event loop may be late before new requests are refused at once
 
 
 class ConnectionAdmission:
@@ -101,7 +101,7 @@
         """Past half of what may be open each client has an even share of the whole, and at least one."""
         seat.spoke = True
         why, most = RejectionReason.NONE, self.bounds.max_open
-        if self._behind > BEHIND:
+        if self._behind > MAX_LOOP_LAG_SECONDS:
             # Guards what is open against a rate past this front's part of a core: a refusal costs far less
             # than a request, and one that waits for its turn ends too late for anybody.
             why = RejectionReason.LOOP_LAGGING
