--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,4 +1,4 @@
-"""What changes of a fleet's policy cost and how soon they take hold, with real keepers and fronts.
+"""What changes of a fleet's policy cost and how soon they take hold, with real replicas and fronts.
 
     python -m benchmarks.policy [--quick] [--out DIR] [--changes N] [--fronts N] [--keepers N] [--seed N]
 
@@ -58,7 +58,7 @@
 
 
 def taking_hold(r: Rig) -> list[float]:
-    """From decided to in force, of each change, by the leading keepers' logs."""
+    """From decided to in force, of each change, by the leaders' logs."""
     found, decided = [], dict[int, float]()
     lines = [
         line
@@ -221,7 +221,7 @@
 
 
 async def costs(f: PolicyFleet, seconds: float) -> dict[str, Any]:
-    """A front under a policy, idle but for its lease, beside one without; and the keepers."""
+    """A front under a policy, idle but for its lease, beside one without; and the leader."""
     plain = await f.r.front("plain", f.caches)
     plain.kill()
     plain.environ.pop("ZINCLADDER_OPERATOR")
