--- a/tests/discovery/test_restart_view.py
+++ b/tests/discovery/test_restart_view.py
@@ -29,6 +29,7 @@
 import dns.rcode
 import pytest
 
+from tests.net.test_watch import frame, until
 from tests.processes import free_port
 from tests.stands import (
     Client,
@@ -45,13 +46,12 @@
 )
 from tests.support.front_process import FrontProcess
 from tests.test_endings import cores_of
-from tests.test_watch import frame, until
 from zincladder.core.engine import Core
 from zincladder.discovery.freshness import (
     WatchPhase,
 )
-from zincladder.net import feed as watching
-from zincladder.net.feed import Feed
+from zincladder.net import coordinator_watch as watching
+from zincladder.net.coordinator_watch import CoordinatorWatch
 from zincladder.net.stream import Entry, Outbox
 
 pytestmark = pytest.mark.anyio
@@ -186,7 +186,7 @@
         sock.send(frame(2, 2, record))
 
 
-async def never_begins(_: Feed) -> None:
+async def never_begins(_: CoordinatorWatch) -> None:
     """A watch that has not had its turn."""
     await anyio.sleep_forever()
 
@@ -204,7 +204,7 @@
             while stalls_left and may_go is not None:  # of an attempt
                 stalls_left.pop()
                 push_now(w, endpoint.record(DRAINING))
-                monkeypatch.setattr(watching, "LOOK_EVERY", 0.0)
+                monkeypatch.setattr(watching, "POLL_INTERVAL_SECONDS", 0.0)
             return real(self, parts, may_go, *more)
 
         monkeypatch.setattr(Outbox, "put", stalls)
@@ -294,7 +294,7 @@
 
 async def test_names_are_asked_for_in_vain_until_the_list_is_current(monkeypatch: pytest.MonkeyPatch) -> None:
     cores = cores_of(monkeypatch)
-    monkeypatch.setattr(Feed, "run", never_begins)
+    monkeypatch.setattr(CoordinatorWatch, "run", never_begins)
     async with world(serve) as w, client(w) as c, anyio.create_task_group() as tasks:
         assert w.listening.dns
         resolver, answers = Resolver(w.listening.dns), list[dns.message.Message]()
@@ -326,7 +326,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # rejected before half of its time is over, so that its client can still retry elsewhere
-    monkeypatch.setattr(Feed, "run", never_begins)
+    monkeypatch.setattr(CoordinatorWatch, "run", never_begins)
     async with world(serve) as w, client(w) as c:
         began = monotonic()
         await c.ask(patience="200")
@@ -339,7 +339,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     cores = cores_of(monkeypatch)
-    monkeypatch.setattr(Feed, "run", never_begins)
+    monkeypatch.setattr(CoordinatorWatch, "run", never_begins)
     async with world(serve) as w, client(w) as c:
         await c.ask(patience="2000")
         await until(lambda: cores[0].counts["out_of_date", "held"] == 1)
--- a/tests/net/test_feed.py
+++ b/tests/net/test_coordinator_watch.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.processes import free_port
-from zincladder.net.feed import Feed
+from zincladder.net.coordinator_watch import CoordinatorWatch
 
 pytestmark = pytest.mark.anyio
 
@@ -29,7 +29,7 @@
                 await anyio.lowlevel.checkpoint()
 
             monkeypatch.setattr(anyio, "sleep", sleep)
-            await Feed(("127.0.0.1", free_port()), 1, lambda news: None, seed).run()
+            await CoordinatorWatch(("127.0.0.1", free_port()), 1, lambda event: None, seed).run()
     first, second = tries[1], tries[2]
     assert len(first) == len(second) == 6 and not set(first) & set(second)
     assert 0.2 <= first[-1] <= 0.6 and all(0.02 < s < 0.7 for s in first + second)
--- a/tests/net/test_events.py
+++ b/tests/net/test_events.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from tests.test_watch import frame
+from tests.net.test_watch import frame
+from zincladder.net.errors import ConnectionEndedError
 from zincladder.net.events import FrameReader
-from zincladder.net.stream import Ended
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -27,5 +27,5 @@
 
 def test_a_frame_of_an_impossible_length_is_no_frame() -> None:
     for length in (0, 8, (1 << 22) + 1):
-        with pytest.raises(Ended):
+        with pytest.raises(ConnectionEndedError):
             list(FrameReader().take(struct.pack(">IQB", length, 1, 0)))
--- a/tests/net/test_stream.py
+++ b/tests/net/test_stream.py
@@ -8,7 +8,8 @@
 import pytest
 
 from zincladder.core.attempt_end import EndReason
-from zincladder.net.stream import Ended, Inbox, Outbox
+from zincladder.net.errors import ConnectionEndedError
+from zincladder.net.stream import Inbox, Outbox
 
 pytestmark = pytest.mark.anyio
 
@@ -43,6 +44,6 @@
     with ours, theirs:
         theirs.setblocking(False)
         ours.sendall(data)
-        with pytest.raises(Ended) as caught:
+        with pytest.raises(ConnectionEndedError) as caught:
             await Inbox(theirs).line(4096)
         assert caught.value.reason is EndReason.PROTOCOL_ERROR
--- a/tests/test_watch.py
+++ b/tests/net/test_watch.py
@@ -17,9 +17,9 @@
 from tests.stands import client, serve, world
 from tests.test_endings import cores_of
 from zincladder.discovery.freshness import WatchPhase
-from zincladder.net import feed as watching
-from zincladder.net.events import News, Purge
-from zincladder.net.feed import Feed
+from zincladder.net import coordinator_watch as watching
+from zincladder.net.coordinator_watch import CoordinatorWatch
+from zincladder.net.events import PurgeReceived, WatchEvent
 from zincladder.routing.interface import EndpointState
 
 pytestmark = pytest.mark.anyio
@@ -125,20 +125,20 @@
 
 
 @asynccontextmanager
-async def watch(coordinator: Scripted) -> AsyncIterator[tuple[Feed, list[int]]]:
-    """A feed on it that knows event 1, and the events that it tells."""
+async def watch(coordinator: Scripted) -> AsyncIterator[tuple[CoordinatorWatch, list[int]]]:
+    """A watch on it that knows event 1, and the events that it tells."""
     told: list[int] = []
 
-    def tell(news: News) -> None:
-        assert isinstance(news, Purge)
-        told.append(news.group)
+    def on_event(event: WatchEvent) -> None:
+        assert isinstance(event, PurgeReceived)
+        told.append(event.group)
         coordinator.read.set()
 
     async with anyio.create_task_group() as tasks:
         await tasks.start(coordinator.run)
-        feed = Feed(coordinator.address, 1, tell, 5)
-        tasks.start_soon(feed.run)
-        yield feed, told
+        follower = CoordinatorWatch(coordinator.address, 1, on_event, 5)
+        tasks.start_soon(follower.run)
+        yield follower, told
         tasks.cancel_scope.cancel()
 
 
@@ -163,30 +163,32 @@
 async def test_a_watch_that_dies_goes_on_from_the_last_event_and_loses_none(
     fault: Act, times: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watching, "SILENCE", 0.1)
+    monkeypatch.setattr(watching, "SILENCE_TIMEOUT_SECONDS", 0.1)
     dead: list[Act] = [fault] + [says_nothing] * (times - 1)  # and the address accepts and says nothing
     coordinator = Scripted([*dead, tells])
-    async with watch(coordinator) as (feed, told):
+    async with watch(coordinator) as (follower, told):
         await until(lambda: told[-1:] == [4])
         assert told == [2, 3, 4] and coordinator.asked == [1] + [2] * times
-        await until(lambda: feed.connected and feed.last == 4)
+        await until(lambda: follower.connected and follower.last_event == 4)
 
 
 async def test_events_that_come_twice_are_told_once() -> None:
     coordinator = Scripted([twice])
-    async with watch(coordinator) as (feed, told):
-        await until(lambda: feed.last == 4)
+    async with watch(coordinator) as (follower, told):
+        await until(lambda: follower.last_event == 4)
         assert told == [2, 3, 4] and coordinator.asked == [1]
 
 
 async def test_another_coordinator_is_followed_at_once_while_the_old_one_is_silent() -> None:
     old, new = Scripted([silent]), Scripted([tells], newest=4)
-    async with watch(old) as (feed, told), anyio.create_task_group() as tasks:
+    async with watch(old) as (follower, told), anyio.create_task_group() as tasks:
         await tasks.start(new.run)
         await until(lambda: told == [2])
-        with anyio.fail_after(watching.SILENCE / 2):  # the silence of the old one is not waited for
-            feed.follow(new.address)
-            await until(lambda: feed.last == 4)
+        with anyio.fail_after(
+            watching.SILENCE_TIMEOUT_SECONDS / 2
+        ):  # the silence of the old one is not waited for
+            follower.follow(new.address)
+            await until(lambda: follower.last_event == 4)
         assert told == [2, 3, 4] and new.asked == [2] and old.asked == [1]
         tasks.cancel_scope.cancel()
 
@@ -204,20 +206,20 @@
 
 async def test_a_silent_watch_is_given_up_after_one_frame_that_did_not_come() -> None:
     # frames come each second: sooner would end watches that are only late, later adds to each drain's delay
-    assert 1.0 < watching.SILENCE < 2.0
+    assert 1.0 < watching.SILENCE_TIMEOUT_SECONDS < 2.0
     coordinator = Scripted([silent, tells])
     async with watch(coordinator) as (_, told):
         await until(lambda: told == [2])
         began = anyio.current_time()
         await until(lambda: len(coordinator.asked) == 2)
-        most = watching.SILENCE + watching.RETRY[0] * watching.SPREAD[1]
+        most = watching.SILENCE_TIMEOUT_SECONDS + watching.MIN_BACKOFF_SECONDS * watching.BACKOFF_JITTER[1]
         assert 1.0 < anyio.current_time() - began < most + 0.3
 
 
 async def test_a_drain_behind_a_silent_watch_is_kept_as_soon_as_the_watch_is_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(watching, "SILENCE", 0.5)  # the stand-in sends a frame each 0.3 s
+    monkeypatch.setattr(watching, "SILENCE_TIMEOUT_SECONDS", 0.5)  # the stand-in sends a frame each 0.3 s
     cores = cores_of(monkeypatch)
     async with world(serve, serve) as w, client(w) as c:
         while not w.coordinator.streams:
--- a/tests/test_restart_soak.py
+++ b/tests/test_restart_soak.py
@@ -21,10 +21,10 @@
 import anyio.abc
 import pytest
 
+from tests.net.test_watch import frame, until
 from tests.processes import free_port
 from tests.stands import Client, Coordinator, Fetch, StubCache, configuration, serve
 from tests.support.front_process import FrontProcess
-from tests.test_watch import frame, until
 
 pytestmark = pytest.mark.anyio
 SEEDS = range(int(os.environ.get("SOAK_FROM", "0")), int(os.environ.get("SOAK_SEEDS", "4")))
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -30,8 +30,8 @@
 from zincladder.export.spool import Spool
 from zincladder.metrics.exposition import Sample
 from zincladder.net import protocol, thrift
-from zincladder.net.events import FrameReader, read_frame
-from zincladder.net.stream import Ended
+from zincladder.net.errors import ConnectionEndedError, InvalidFieldsError
+from zincladder.net.events import FrameReader, read_event
 from zincladder.routing import interface as api
 from zincladder.simulator import wire
 
@@ -120,7 +120,7 @@
     found = []
     for change in changes:
         fields = {key: value for key, value in (CALL_FIELDS | change).items() if value is not None}
-        found.append([change, outcome(partial(request_values, fields), protocol.BadFields, True)])
+        found.append([change, outcome(partial(request_values, fields), InvalidFieldsError, True)])
     assert_matches("wires/client_fields.json", found)
 
 
@@ -188,10 +188,10 @@
     by_byte = [f for data in b"".join(frames) for f in reader.take(bytes([data]))]
     assert by_byte == read and not reader.partial
     found = [
-        [data.hex(), outcome(partial(read_frame, f.kind, f.number, f.payload), Ended)]
+        [data.hex(), outcome(partial(read_event, f), ConnectionEndedError)]
         for data, f in zip(frames, read, strict=True)
     ]
-    found.append(["bad length", outcome(lambda: list(FrameReader().take(bytes(13))), Ended)])
+    found.append(["bad length", outcome(lambda: list(FrameReader().take(bytes(13))), ConnectionEndedError)])
     assert_matches("wires/coordinator_frames.json", found)
 
 
--- a/tests/wiring/test_coordinator.py
+++ b/tests/wiring/test_coordinator.py
@@ -9,7 +9,7 @@
 
 from tests.support.routing import settings
 from zincladder.core.engine import Core
-from zincladder.net.events import Listed, Purge
+from zincladder.net.events import EndpointUpdateReceived, PurgeReceived
 from zincladder.routing import interface as api
 from zincladder.support.rate_limited_log import RateLimitedLog
 from zincladder.wiring.coordinator import (
@@ -39,9 +39,9 @@
         self.calls.append(("know", endpoint, address))
 
 
-def update(is_full: bool, version: int, **states: api.EndpointState) -> Listed:
+def update(is_full: bool, version: int, **states: api.EndpointState) -> EndpointUpdateReceived:
     endpoints = (api.Endpoint(name.encode(), 0, 1, state) for name, state in states.items())
-    return Listed(is_full, version, tuple((endpoint, ADDRESS) for endpoint in endpoints))
+    return EndpointUpdateReceived(is_full, version, tuple((endpoint, ADDRESS) for endpoint in endpoints))
 
 
 def test_full_and_delta_updates_reach_the_caches_and_the_core() -> None:
@@ -63,7 +63,7 @@
     core, caches = Core(settings(), 1, None), RecordingCaches()  # type: ignore[arg-type]
     events: list[Any] = []
     core.purge = lambda *event: events.append(event)  # type: ignore[method-assign]
-    apply_update(core, caches, Purge(object_id, 3, 100.0))  # type: ignore[arg-type]
+    apply_update(core, caches, PurgeReceived(object_id, 3, 100.0))  # type: ignore[arg-type]
     assert events == [(object_id, 3, 100.0)] and not caches.calls
 
 
--- a/zincladder/__main__.py
+++ b/zincladder/__main__.py
@@ -14,7 +14,7 @@
 import structlog
 
 from zincladder import config as configuration
-from zincladder.net.events import known_news
+from zincladder.net.known_events import read_known_events
 from zincladder.support.logging_setup import configure_logging
 from zincladder.wiring.process import run_process
 
@@ -40,7 +40,7 @@
     try:
         config = configuration.load()
         operator = configuration.load_operator(config.names)
-        known_news(config)
+        read_known_events(config)
     except configuration.ConfigError as error:
         return _reject(error)
     gc.freeze()  # what lives as long as the process is not looked at again, and the rest less often
--- a/zincladder/dns/server.py
+++ b/zincladder/dns/server.py
@@ -18,7 +18,8 @@
 from zincladder.core.clock import Clock
 from zincladder.dns.answers import MOST_SIZE, Answers
 from zincladder.net.client_listener import turn_away
-from zincladder.net.stream import Ended, Inbox, Outbox, family
+from zincladder.net.errors import ConnectionEndedError
+from zincladder.net.stream import Inbox, Outbox, family
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 IDLE = 5.0  # of a TCP connection between queries, and for the rest of one
@@ -131,10 +132,12 @@
                             data = bytes(await inbox.exactly(size))
                         response = self._respond(data, None)
                         if response is None:
-                            raise Ended(EndReason.PROTOCOL_ERROR, "a message that cannot be answered")
+                            raise ConnectionEndedError(
+                                EndReason.PROTOCOL_ERROR, "a message that cannot be answered"
+                            )
                         outbox.put([len(response).to_bytes(2, "big"), response])
-                except (Ended, TimeoutError) as end:
-                    if isinstance(end, Ended) and end.reason is EndReason.PROTOCOL_ERROR:
+                except (ConnectionEndedError, TimeoutError) as end:
+                    if isinstance(end, ConnectionEndedError) and end.reason is EndReason.PROTOCOL_ERROR:
                         log.info("dns connection ended", why=str(end))
                 tasks.cancel_scope.cancel()
         finally:
@@ -144,5 +147,5 @@
     async def _write(self, outbox: Outbox, tasks: anyio.abc.TaskGroup) -> None:
         try:
             await outbox.run(IDLE)
-        except Ended:
+        except ConnectionEndedError:
             tasks.cancel_scope.cancel()
--- a/zincladder/net/caches.py
+++ b/zincladder/net/caches.py
@@ -21,7 +21,8 @@
 from zincladder.core.attempt import AbortReason, AttemptRequest
 from zincladder.core.attempt_end import AttemptEnd, EndReason
 from zincladder.net import protocol
-from zincladder.net.stream import Ended, Entry, Inbox, Outbox, connect, left, unsent
+from zincladder.net.errors import ConnectionEndedError
+from zincladder.net.stream import Entry, Inbox, Outbox, connect, left, unsent
 from zincladder.routing import interface as api
 from zincladder.support.lingering_close import LINGER_SECONDS, lingering_close
 from zincladder.support.rate_limited_log import RateLimitedLog
@@ -93,11 +94,11 @@
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(self.outbox.run, STALL)
                     await self._read()
-        except* Ended as group:
+        except* ConnectionEndedError as group:
             first = group.exceptions[0]
             while isinstance(first, BaseExceptionGroup):
                 first = first.exceptions[0]
-            assert isinstance(first, Ended)
+            assert isinstance(first, ConnectionEndedError)
             reason, detail = first.reason, str(first)
         finally:
             self.closed = True
@@ -135,18 +136,18 @@
                 continue
             words = line.split(b" ")
             if len(words) < 2 or words[1] not in protocol.WORDS:
-                raise Ended(EndReason.PROTOCOL_ERROR, f"not an answer: {line[:60]!r}")
+                raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, f"not an answer: {line[:60]!r}")
             length, fields = 0, b"-"
             if len(words) > 2:
                 fields = words[2]
                 if len(words) != 4 or not words[3].isdigit() or int(words[3]) > MOST_BODY:
-                    raise Ended(EndReason.PROTOCOL_ERROR, f"not an answer: {line[:60]!r}")
+                    raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, f"not an answer: {line[:60]!r}")
                 length = int(words[3])
             body = bytearray()
             if length:
                 body = await self.inbox.exactly(length, BROKEN_OFF)
                 if await self.inbox.exactly(2, BROKEN_OFF) != b"\r\n":
-                    raise Ended(EndReason.PROTOCOL_ERROR, "a body without its end")
+                    raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, "a body without its end")
             self.used_at = monotonic()
             waiting = self.open.get(words[0])
             if waiting is None or waiting.entry is None or not waiting.entry.begun:
@@ -177,13 +178,15 @@
             self.end()
 
     def _end(self, word: bytes, raw: bytes, body: bytearray, waiting: _Waiting) -> AttemptEnd:
-        """The answer, checked in full: Ended where a part of it cannot be what the member meant."""
+        """The answer, checked in full; an error where a part of it cannot be what the member meant."""
         fields: dict[str, str] = {}
         if raw != b"-":
             for pair in raw.decode("latin-1").split(","):
                 name, equals, value = pair.partition("=")
                 if not equals or not FIELD.fullmatch(name) or not value.isprintable():
-                    raise Ended(EndReason.PROTOCOL_ERROR, f"a field that is none: {pair[:40]!r}")
+                    raise ConnectionEndedError(
+                        EndReason.PROTOCOL_ERROR, f"a field that is none: {pair[:40]!r}"
+                    )
                 fields[name] = value
         reason = protocol.WORDS[word]
         # Guards the client's copy: it is the one only if the member named it, by the tag that it was sent.
@@ -192,14 +195,14 @@
         )
         fits = (word in (b"alive", b"dead")) == waiting.probe and named
         if not fits or (body and reason is not EndReason.SERVED):
-            raise Ended(
+            raise ConnectionEndedError(
                 EndReason.PROTOCOL_ERROR,
                 f"{word.decode()} with {len(body)} bytes is no answer to what was asked",
             )
         try:
             told = protocol.read_answer(fields)
         except ValueError as fault:
-            raise Ended(EndReason.PROTOCOL_ERROR, str(fault)) from None
+            raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, str(fault)) from None
         # A load report counts whole or not at all, in the order of the settings that are in force by now.
         report, names = told.pop("report", {}), self._names()
         figures = tuple(report[n] for n in names) if report.keys() >= set(names) else ()
--- a/zincladder/net/clients.py
+++ b/zincladder/net/clients.py
@@ -27,8 +27,8 @@
 from zincladder.net import protocol, thrift
 from zincladder.net.client_connection import ClientConnection, TakenRequest, UnreadAnswers
 from zincladder.net.client_listener import ClientListener
-from zincladder.net.protocol import BadFields
-from zincladder.net.stream import Ended, Inbox, Outbox, unread
+from zincladder.net.errors import ConnectionEndedError, InvalidFieldsError
+from zincladder.net.stream import Inbox, Outbox, unread
 from zincladder.routing import interface as api
 from zincladder.support.lingering_close import LINGER_SECONDS, NO_LINGER_SECONDS, lingering_close
 from zincladder.support.rate_limited_log import RateLimitedLog
@@ -251,7 +251,7 @@
                     tasks.start_soon(self._writer, client)
                     try:
                         await self._reader(client, tasks)
-                    except Ended as end:
+                    except ConnectionEndedError as end:
                         self._core.counts["client_ends", end.reason.value] += 1
                         if client.open and end.reason in (
                             EndReason.CLOSED_BY_PEER,
@@ -282,7 +282,7 @@
     async def _writer(self, client: ClientConnection) -> None:
         try:
             await client.outbox.run(STALL)
-        except Ended as end:
+        except ConnectionEndedError as end:
             self._core.counts["client_ends", end.reason.value] += 1
             if end.reason is EndReason.PEER_STALLED:
                 self._admission.did(client.seat, Act.STALLED, monotonic())
@@ -313,13 +313,13 @@
             client.frame_at = monotonic()
             await inbox.some(FRAME_HEAD)  # looks ahead of the reader begin at a whole head
             size = int.from_bytes(await inbox.exactly(FRAME_HEAD), "big")
-            if not 0 < size <= thrift.MOST_FRAME:
-                raise Ended(EndReason.PROTOCOL_ERROR, f"a frame of {size} bytes")
+            if not 0 < size <= thrift.MAX_FRAME_BYTES:
+                raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, f"a frame of {size} bytes")
             frame = await inbox.exactly(size)
             try:
                 call = thrift.read_call(frame)
             except thrift.Malformed as fault:
-                raise Ended(EndReason.PROTOCOL_ERROR, str(fault)) from None
+                raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, str(fault)) from None
             client.frame_at, client.spoke, client.used_at = 0.0, True, monotonic()
             if client.ended:
                 return  # it came after this side's end: it goes again on another connection
@@ -337,13 +337,19 @@
                         thrift.application_exception(call.verb, call.seq, thrift.UNKNOWN_METHOD, text)
                     )
             elif call.kind != thrift.CALL:
-                raise Ended(EndReason.PROTOCOL_ERROR, f"a 'handle' of message type {call.kind}")
+                raise ConnectionEndedError(
+                    EndReason.PROTOCOL_ERROR, f"a 'handle' of message type {call.kind}"
+                )
             elif call.seq <= last:
                 # Guards against two requests under one number: nobody could tell their answers apart.
-                raise Ended(EndReason.PROTOCOL_ERROR, f"sequence number {call.seq} after {last}")
+                raise ConnectionEndedError(
+                    EndReason.PROTOCOL_ERROR, f"sequence number {call.seq} after {last}"
+                )
             elif len(client.open) >= OPEN_AT_MOST:
                 # Guards the usual clients: what has not begun is never passed on, and the rest is given up.
-                raise Ended(EndReason.PROTOCOL_ERROR, f"more than {OPEN_AT_MOST} requests open")
+                raise ConnectionEndedError(
+                    EndReason.PROTOCOL_ERROR, f"more than {OPEN_AT_MOST} requests open"
+                )
             else:
                 last = call.seq
                 self._take(client, call, came - self._age(client, noticed), tasks)
@@ -369,14 +375,14 @@
         # Guards usual clients, who take back what has run out of time, however many they are.
         client.taken_back += not taken.begun
         if client.taken_back > TAKEN_BACK_MOST:
-            raise Ended(
+            raise ConnectionEndedError(
                 EndReason.PROTOCOL_ERROR, f"{client.taken_back} requests taken back before they began"
             )
 
     def _take(self, client: ClientConnection, call: thrift.Call, came: float, tasks: TaskGroup) -> None:
         try:
             ask = self._ask(call.fields, call.body, came)
-        except BadFields as fault:
+        except InvalidFieldsError as fault:
             self._warn.warning("request not understood", why=str(fault))
             self._core.counts["answers", "unusable"] += 1
             self._admission.told(client.seat, client.used_at)
@@ -411,18 +417,20 @@
         said = protocol.read_request(fields)
         request_class = self._core.classes.number_of(said["request_class"], arrived)
         if request_class is None:
-            raise BadFields(f"'route' names no class: {said['request_class'][:20]!r}")
+            raise InvalidFieldsError(f"'route' names no class: {said['request_class'][:20]!r}")
         rules, patience = self._core.settings.classes[request_class], said["deadline"] / 1000
         # Guards the time that a request may hold memory: nobody waits past the class's own deadline.
         if patience > 2 * rules.timeout:
-            raise BadFields(
+            raise InvalidFieldsError(
                 f"'patience' must be {2000 * rules.timeout:g} at most, not {fields['patience']!r}"
             )
         # Guards rule 2: without its key no repeat of a keyed request would be dropped.
         if rules.idempotency is api.Idempotency.WITH_KEY and "key" not in said:
-            raise BadFields("'nonce' is missing: a request of this class must have an idempotency key")
+            raise InvalidFieldsError(
+                "'nonce' is missing: a request of this class must have an idempotency key"
+            )
         if len(body) > MOST_WRITE:
-            raise BadFields(f"a body of {len(body)} bytes, {MOST_WRITE} at most")
+            raise InvalidFieldsError(f"a body of {len(body)} bytes, {MOST_WRITE} at most")
         deadline = arrived + max(0.001, patience - ANSWER_MARGIN_SECONDS)
         ask = ClientRequest(
             **said
@@ -430,7 +438,7 @@
         )
         if ask.trace in self._traces:
             # Guards every request against another's answer: an id names one request at the caches too.
-            raise BadFields(f"'trace' is the id of a request that is open: {ask.trace}")
+            raise InvalidFieldsError(f"'trace' is the id of a request that is open: {ask.trace}")
         return ask
 
     async def _request(
--- a/zincladder/net/protocol.py
+++ b/zincladder/net/protocol.py
@@ -15,6 +15,7 @@
 from zincladder.config import LOAD_REPORT_NAMES
 from zincladder.core.attempt import AttemptRequest
 from zincladder.core.attempt_end import EndReason
+from zincladder.net.errors import InvalidFieldsError
 from zincladder.routing import interface as api
 
 ID = re.compile(r"[0-9a-f]{16}", re.ASCII)
@@ -25,10 +26,6 @@
 MOST_KB = 1e7  # of a part, as clients state it: one without bound outweighs all sizes learned before
 
 
-class BadFields(Exception):
-    """A request whose fields cannot be used; the text names the field."""
-
-
 def _of(pattern: re.Pattern[str]) -> Callable[[str], str]:
     def read(text: str) -> str:
         if not pattern.fullmatch(text):
@@ -126,7 +123,7 @@
             try:
                 found[row.ask] = row.read(text)
             except ValueError:
-                raise BadFields(f"'{row.name}' must be {row.what}, not {text[:20]!r}") from None
+                raise InvalidFieldsError(f"'{row.name}' must be {row.what}, not {text[:20]!r}") from None
     return found
 
 
@@ -226,7 +223,7 @@
 
 # The coordinator -----------------------------------------------------------------------------------
 
-STATES = (
+ENDPOINT_STATES = (
     api.EndpointState.READY,
     api.EndpointState.DRAINING,
     api.EndpointState.GONE,
--- a/zincladder/net/stream.py
+++ b/zincladder/net/stream.py
@@ -18,6 +18,7 @@
 import anyio
 
 from zincladder.core.attempt_end import EndReason
+from zincladder.net.errors import ConnectionEndedError
 
 Part = bytes | bytearray | memoryview
 Looked = TypeVar("Looked")
@@ -31,14 +32,6 @@
 GONE = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EBADF, errno.ENOTCONN, errno.ECONNABORTED)
 
 
-class Ended(Exception):
-    """The connection has ended; `how` says in which way."""
-
-    def __init__(self, reason: EndReason, why: str = "") -> None:
-        super().__init__(why or reason.value)
-        self.reason = reason
-
-
 class Inbox:
     """What a peer sends. Heads stay in one buffer and are parsed there; bodies are received in place."""
 
@@ -63,10 +56,10 @@
                 self._drained = True
                 continue
             except OSError as fault:
-                raise Ended(EndReason.CONNECTION_LOST, str(fault)) from None
+                raise ConnectionEndedError(EndReason.CONNECTION_LOST, str(fault)) from None
             self._drained = got < len(into)
             if not got:
-                raise Ended(EndReason.CLOSED_BY_PEER)
+                raise ConnectionEndedError(EndReason.CLOSED_BY_PEER)
             self.received += got
             return got
 
@@ -81,9 +74,9 @@
             # Guards the peer against a halt of this process, whose timers go before what lies there unread.
             lies = unread(self._sock, 1)
             if not (lies.data or lies.ended):
-                raise Ended(EndReason.PROTOCOL_ERROR, "a message that broke off") from None
+                raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, "a message that broke off") from None
         except (OSError, ValueError, anyio.ClosedResourceError):
-            raise Ended(EndReason.CONNECTION_LOST) from None
+            raise ConnectionEndedError(EndReason.CONNECTION_LOST) from None
 
     async def _more(self, most: int, patience: float = math.inf) -> None:
         """Reads on, making room first: the unread part moves to the front or the buffer grows."""
@@ -95,7 +88,7 @@
                 self._buffer[: len(unread)] = unread
                 self._start, self._end = 0, len(unread)
             elif len(self._buffer) >= most:
-                raise Ended(EndReason.PROTOCOL_ERROR, f"a head of over {most} bytes")
+                raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, f"a head of over {most} bytes")
             else:
                 self._buffer.extend(bytes(len(self._buffer)))
         with memoryview(self._buffer) as view:
@@ -121,7 +114,7 @@
                 return found
             seen = max(0, self.buffered() - 1)
             if seen >= most:
-                raise Ended(EndReason.PROTOCOL_ERROR, f"a line of over {most} bytes")
+                raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, f"a line of over {most} bytes")
             await self._more(2 * most, patience)
 
     async def exactly(self, size: int, patience: float = math.inf) -> bytearray:
@@ -228,7 +221,7 @@
         self._counter: Counter = counter or Nobody()
         self._queue: deque[Entry] = deque()
         self._news = anyio.Event()
-        self.ended: Ended | None = None
+        self.ended: ConnectionEndedError | None = None
         self.size = self.written = 0  # bytes that wait here, and that went out of those
 
     def put(
@@ -262,7 +255,7 @@
         except (BlockingIOError, InterruptedError):
             return False
         except OSError as fault:
-            self.ended = Ended(EndReason.CONNECTION_LOST, str(fault))
+            self.ended = ConnectionEndedError(EndReason.CONNECTION_LOST, str(fault))
             return False
         entry.take(sent)
         if entry.parts:
@@ -300,7 +293,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as fault:
-                self.ended = Ended(EndReason.CONNECTION_LOST, str(fault))
+                self.ended = ConnectionEndedError(EndReason.CONNECTION_LOST, str(fault))
                 return
             self._sent(sent)
 
@@ -345,7 +338,7 @@
                 self._flush()
 
     async def run(self, patience: float) -> None:
-        """Writes what `put` could not; ends with Ended when the peer reads nothing for too long."""
+        """Writes what `put` could not; ends with an error when the peer reads nothing for too long."""
         while True:
             if self.ended:
                 raise self.ended
@@ -357,11 +350,11 @@
                 try:
                     await anyio.wait_writable(self._sock)
                 except (OSError, ValueError, anyio.ClosedResourceError):
-                    raise Ended(EndReason.CONNECTION_LOST) from None
+                    raise ConnectionEndedError(EndReason.CONNECTION_LOST) from None
             before = self.written
             self._flush()
             if waiting.cancelled_caught and self._queue and self.written == before:
-                raise Ended(EndReason.PEER_STALLED, "the peer does not read")
+                raise ConnectionEndedError(EndReason.PEER_STALLED, "the peer does not read")
 
 
 class Unread(NamedTuple):
--- a/zincladder/net/thrift.py
+++ b/zincladder/net/thrift.py
@@ -23,7 +23,7 @@
     15,
 )
 UNKNOWN_METHOD, INTERNAL_ERROR, PROTOCOL_ERROR = 1, 6, 7
-MOST_FRAME = 1 << 16  # a write brings 48,000 bytes at most
+MAX_FRAME_BYTES = 1 << 16  # a write brings 48,000 bytes at most
 MOST_NESTED = 16
 _FIXED = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
 _I32, _HEAD = struct.Struct(">i"), struct.Struct(">Ii")
@@ -136,7 +136,7 @@
     while len(unread) - at >= _I32.size:
         size = int(_I32.unpack_from(unread, at)[0])
         first, at = at + _I32.size, at + _I32.size + size
-        if not 0 < size <= MOST_FRAME or at > len(unread):
+        if not 0 < size <= MAX_FRAME_BYTES or at > len(unread):
             return
         if unread[first + _VERB_AT : first + _VERB_AT + len(WITHDRAW)] == WITHDRAW:
             try:
--- a/zincladder/wiring/coordinator.py
+++ b/zincladder/wiring/coordinator.py
@@ -6,8 +6,8 @@
 from zincladder.core.engine import Core
 from zincladder.discovery.freshness import Freshness
 from zincladder.net.caches import Caches
-from zincladder.net.events import Listed, News
-from zincladder.net.feed import Feed
+from zincladder.net.coordinator_watch import CoordinatorWatch
+from zincladder.net.events import EndpointUpdateReceived, WatchEvent
 from zincladder.routing import interface as api
 from zincladder.support.rate_limited_log import RateLimitedLog
 
@@ -15,23 +15,23 @@
 MAX_LOGGED_ENDPOINTS = 16  # of each state, in one line
 
 
-def apply_update(core: Core, caches: Caches, event: News) -> None:
+def apply_update(core: Core, caches: Caches, event: WatchEvent) -> None:
     """Give one event of the coordinator to the parts that it concerns."""
-    if not isinstance(event, Listed):
-        core.purge(event.object, event.group, event.made)
+    if not isinstance(event, EndpointUpdateReceived):
+        core.purge(event.object, event.group, event.purged_at)
         return
-    if event.whole:
+    if event.is_full:
         caches.keep_only({endpoint.id for endpoint, _ in event.endpoints})
     for endpoint, address in event.endpoints:
         if endpoint.state is api.EndpointState.GONE:
             caches.forget(endpoint.id)
         else:
             caches.know(endpoint.id, address)
-    kind = api.UpdateKind.FULL if event.whole else api.UpdateKind.DELTA
+    kind = api.UpdateKind.FULL if event.is_full else api.UpdateKind.DELTA
     core.update_endpoints(kind, event.version, tuple(endpoint for endpoint, _ in event.endpoints))
 
 
-def log_update(update: Listed, lines: RateLimitedLog) -> None:
+def log_update(update: EndpointUpdateReceived, lines: RateLimitedLog) -> None:
     """Log the endpoints that an update concerns, by their state and as far as one line names them."""
     names_by_state = {
         state.name.lower(): [
@@ -49,20 +49,22 @@
     return min(settings.drain_grace, settings.purge_grace)
 
 
-def build_watch(coordinator: Address, config: Config, last_event: int, core: Core, caches: Caches) -> Feed:
+def build_watch(
+    coordinator: Address, config: Config, last_event: int, core: Core, caches: Caches
+) -> CoordinatorWatch:
     """The watch, which follows the events after `last_event`.
 
     From now on the core decides no request before its list is current.
     """
     lines = RateLimitedLog(LOG_INTERVAL_SECONDS)
 
-    def on_event(event: News) -> None:
-        if isinstance(event, Listed):
+    def on_event(event: WatchEvent) -> None:
+        if isinstance(event, EndpointUpdateReceived):
             log_update(event, lines)
         apply_update(core, caches, event)
 
     core.endpoint_list.freshness = Freshness(min_grace_seconds(config.settings))
-    watch = Feed(
+    watch = CoordinatorWatch(
         coordinator,
         last_event,
         on_event,
@@ -70,7 +72,7 @@
         core.endpoint_list.freshness,
         core.endpoint_list.notify_changed,
     )
-    core.endpoint_list.poll_watch_events = watch.look
+    core.endpoint_list.poll_watch_events = watch.poll
     return watch
 
 
@@ -81,7 +83,7 @@
         core.endpoint_list.freshness.min_grace_seconds = min_grace_seconds(config.settings)
 
 
-def follow_coordinator(watch: Feed, config: Config) -> None:
+def follow_coordinator(watch: CoordinatorWatch, config: Config) -> None:
     """Follow the coordinator of a configuration that was reloaded; without one the old one is followed."""
     if config.coordinator:
         watch.follow(config.coordinator)
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -21,8 +21,8 @@
 from zincladder.handover.host import Handover
 from zincladder.net.caches import Caches
 from zincladder.net.clients import Clients
-from zincladder.net.events import known_news
-from zincladder.net.feed import Feed
+from zincladder.net.coordinator_watch import CoordinatorWatch
+from zincladder.net.known_events import read_known_events
 from zincladder.wiring.admission import apply_bounds, build_admission
 from zincladder.wiring.coordinator import apply_settings, apply_update, build_watch, follow_coordinator
 
@@ -74,7 +74,7 @@
             config, self.core, self.admission, self.inherited_listener, self._has_successor
         )
         self.listening = ListeningAddresses(self.clients.address)
-        self.watch: Feed | None = None
+        self.watch: CoordinatorWatch | None = None
         self.policy: FleetPolicy | None = None
         self.tasks: TaskRunner | None = None
         self.remote_writes: list[RemoteWrite] = []
@@ -89,7 +89,7 @@
 
     def _apply_known_events(self) -> int:
         """Apply the events that the configuration holds; the number of the last one."""
-        last_event, events = known_news(self.config)
+        last_event, events = read_known_events(self.config)
         for event in events:
             apply_update(self.core, self.caches, event)
         return last_event
--- a/zincladder/wiring/metrics.py
+++ b/zincladder/wiring/metrics.py
@@ -10,7 +10,7 @@
 from zincladder.config.reload import Reload
 from zincladder.core.engine import Core
 from zincladder.metrics.registry import Registry
-from zincladder.net.feed import Feed
+from zincladder.net.coordinator_watch import CoordinatorWatch
 
 if TYPE_CHECKING:
     from zincladder.export.sender import RemoteWrite
@@ -24,7 +24,7 @@
     core: Core,
     admission: Admission,
     reload: Reload,
-    watch: Feed | None,
+    watch: CoordinatorWatch | None,
     policy: FleetPolicy | None,
     tasks: TaskRunner | None,
 ) -> Registry:
