--- a/tests/core/test_late_attempts.py
+++ b/tests/core/test_late_attempts.py
@@ -35,11 +35,12 @@
 from zincladder.core.arrival import PROMPT_READ_SECONDS
 from zincladder.core.attempt_guard import MIN_ATTEMPT_SECONDS
 from zincladder.core.engine import Core
-from zincladder.net import caches as cache_side
-from zincladder.net import client_connection, clients, stream, thrift
+from zincladder.net import cache_exchange, client_connection, clients, thrift, write_queue
 from zincladder.net.client_listener import ClientListener
 from zincladder.net.clients import Clients
-from zincladder.net.stream import unsent
+from zincladder.net.read_buffer import ReadBuffer
+from zincladder.net.sockets import has_unsent_bytes, newest_byte_age_seconds
+from zincladder.net.write_queue import WriteQueue
 from zincladder.routing import interface as api
 from zincladder.routing.router import Router
 
@@ -168,14 +169,14 @@
 
 def test_a_process_that_stood_still_in_its_last_look_looks_again(monkeypatch: pytest.MonkeyPatch) -> None:
     now, halts, looks = [100.0], [0.5, 0.0], list[float]()
-    monkeypatch.setattr(stream, "monotonic", lambda: now[0])
+    monkeypatch.setattr(write_queue, "monotonic", lambda: now[0])
 
     def look() -> bool:
         looks.append(now[0])
         now[0] += halts.pop(0)
         return True
 
-    assert stream._promptly(look) and looks == [100.0, 100.5]
+    assert write_queue._check_promptly(look) and looks == [100.0, 100.5]
 
 
 async def test_a_member_is_told_what_is_left_when_the_first_byte_goes() -> None:
@@ -184,8 +185,8 @@
     async with wire(now=lambda: now[0]) as w:
         await w.send(b"x" * LARGE, order("a" * 16))
         until = order("b" * 16, deadline=now[0] + 2.0)
-        await w.attempt("b" * 16, lambda: w.caches._fetch(until), until)
-        w.link.outbox._flush()  # serialized, and not accepted by the system
+        await w.attempt("b" * 16, lambda: w.caches._serialize(until), until)
+        w.link.write_queue._flush()  # serialized, and not accepted by the system
         now[0] += 1.5
         found = await w.read(lambda found: found.endswith(b" 0\r\n\r\n"))
         assert b"limit=500" in found
@@ -195,14 +196,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # else this side's system sends it once the endpoint reads again, long after its client disconnected
-    monkeypatch.setattr(cache_side, "UNTAKEN_AFTER", 0.0)
+    monkeypatch.setattr(cache_exchange, "MIN_RETRANSMIT_SECONDS", 0.0)
     async with wire() as w:
         scopes = list[anyio.CancelScope]()
-        while not unsent(w.link.sock):
+        while not has_unsent_bytes(w.link.sock):
             scopes.append(await w.send(b"x" * 500 + b"\r\n", order(f"{len(scopes):016x}")))
         last = f"{len(scopes):016x}"
         scopes.append(await w.send(b"last\r\n", order(last)))
-        assert all(waiting.entry and not waiting.entry.parts for waiting in w.link.open.values())
+        assert all(exchange.write and not exchange.write.parts for exchange in w.link.open.values())
         for scope in scopes:
             scope.cancel()
         await anyio.wait_all_tasks_blocked()
@@ -225,7 +226,7 @@
 
     monkeypatch.setattr(Plain, "ready", full_for_a_while)
     if not reported:
-        monkeypatch.setattr(client_connection, "newest_byte_age", lambda _: None)
+        monkeypatch.setattr(client_connection, "newest_byte_age_seconds", lambda _: None)
     async with world(serve, settings=NO_PROBES) as w:
         with plain(w) as sock:
             sock.sendall(request(1, patience="2000"))
@@ -296,11 +297,11 @@
         ours, _ = listening.accept()
         with ours:
             await anyio.sleep(0.1)
-            age = stream.newest_byte_age(ours)
+            age = newest_byte_age_seconds(ours)
             assert age is not None and 0.08 <= age < 5.0
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        assert stream.newest_byte_age(ours) is None
+        assert newest_byte_age_seconds(ours) is None
 
 
 # Timers that fire before what arrived meanwhile is read ----------------------------------------------
@@ -384,10 +385,10 @@
     ours, theirs = socket.socketpair()
     with ours, theirs:
         ours.setblocking(False)
-        inbox, lines = stream.Inbox(ours), list[bytes]()
+        read_buffer, lines = ReadBuffer(ours), list[bytes]()
 
         async def read() -> None:
-            lines.append(await inbox.line(100, WAIT))
+            lines.append(await read_buffer.read_line(100, WAIT))
 
         async with anyio.create_task_group() as tasks:
             theirs.sendall(b"half")
@@ -409,14 +410,14 @@
     with ours, theirs:
         ours.setblocking(False)
         theirs.setblocking(False)
-        outbox = stream.Outbox(ours)
-        outbox.put([b"x" * LARGE])
+        queue = WriteQueue(ours)
+        queue.put([b"x" * LARGE])
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(outbox.run, WAIT)
+            tasks.start_soon(queue.run, WAIT)
             await anyio.wait_all_tasks_blocked()
             async with stalling(reads):
                 with anyio.fail_after(5):
-                    while not outbox.written:
+                    while not queue.written:
                         await anyio.sleep(0.001)
-            assert outbox.ended is None
+            assert queue.error is None
             tasks.cancel_scope.cancel()
--- a/tests/discovery/test_restart_view.py
+++ b/tests/discovery/test_restart_view.py
@@ -52,7 +52,7 @@
 )
 from zincladder.net import coordinator_watch as watching
 from zincladder.net.coordinator_watch import CoordinatorWatch
-from zincladder.net.stream import Entry, Outbox
+from zincladder.net.write_queue import QueuedWrite, WriteQueue
 
 pytestmark = pytest.mark.anyio
 DRAINING, GONE = 1, 2
@@ -198,16 +198,16 @@
     cores = cores_of(monkeypatch)
     async with world(serve) as w, client(w) as c:
         await followed(cores)
-        endpoint, real, stalls_left = w.caches[0], Outbox.put, [True]
+        endpoint, real, stalls_left = w.caches[0], WriteQueue.put, [True]
 
-        def stalls(self: Outbox, parts: Sequence[bytes], may_go: Any = None, *more: Any) -> Entry:
+        def stalls(self: WriteQueue, parts: Sequence[bytes], may_go: Any = None, *more: Any) -> QueuedWrite:
             while stalls_left and may_go is not None:  # of an attempt
                 stalls_left.pop()
                 push_now(w, endpoint.record(DRAINING))
                 monkeypatch.setattr(watching, "POLL_INTERVAL_SECONDS", 0.0)
             return real(self, parts, may_go, *more)
 
-        monkeypatch.setattr(Outbox, "put", stalls)
+        monkeypatch.setattr(WriteQueue, "put", stalls)
         await c.ask()
         assert (await c.reply()).kind == "served"
         assert not endpoint.fetches
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -309,7 +309,7 @@
     field: str, told: list[api.Event]
 ) -> None:
     # 'nonce' and 'size' fell through for as long as no site sent them, and nothing noticed
-    assert [row.name for row in protocol.REQUEST] == list(CLIENT_FIELDS)
+    assert [row.name for row in protocol.REQUEST_FIELDS] == list(CLIENT_FIELDS)
     base = {name: values[0] for name, values in CLIENT_FIELDS.items()}
     one, two = CLIENT_FIELDS[field]
     other = {k: v for k, v in (base | {field: two or ""}).items() if v}
@@ -336,7 +336,7 @@
 async def test_each_field_of_an_answer_reaches_the_module_or_says_why_not(
     field: str, told: list[api.Event]
 ) -> None:
-    rows = {row.name: row for row in protocol.ANSWER}
+    rows = {row.name: row for row in protocol.RESPONSE_FIELDS}
     assert rows.keys() == ANSWER_FIELDS.keys()
     base = {name: values[0] for name, values in ANSWER_FIELDS.items()}
     found = []
@@ -352,11 +352,11 @@
             assert (await c.reply()).kind == "served"
         (end,) = ends(told)
         found.append((end.outcome, end.fill_outcome, end.fill_wait, end.report))
-    assert (found[0] != found[1]) == (not rows[field].unused)
+    assert (found[0] != found[1]) == (not rows[field].reason_unused)
 
 
 def test_each_field_of_an_attempt_is_written_where_it_is_ordered() -> None:
-    assert protocol.FETCH.keys() == FETCH_FIELDS
+    assert protocol.ATTEMPT_FIELDS.keys() == FETCH_FIELDS
     ask = ClientRequest("a" * 16, 0, 7, None, 3, 1.0)
     bare = protocol.write_fetch(AttemptRequest(ask, b"s-1"), "video", 0.5)
     assert bare == f"cls=video,item={7:016x},limit=500"
@@ -438,10 +438,15 @@
 def test_what_the_network_code_leaves_out_is_named(dropped: str, monkeypatch: pytest.MonkeyPatch) -> None:
     # each on purpose once: the first two are what the second site lost most by
     if dropped in ("fill_wait", "fill_outcome"):
-        rows = tuple(dataclasses.replace(r, end="") if r.end == dropped else r for r in protocol.ANSWER)
-        monkeypatch.setattr(protocol, "ANSWER", rows)
+        rows = tuple(
+            dataclasses.replace(r, attribute="") if r.attribute == dropped else r
+            for r in protocol.RESPONSE_FIELDS
+        )
+        monkeypatch.setattr(protocol, "RESPONSE_FIELDS", rows)
     else:
-        monkeypatch.setattr(protocol, "REQUEST", tuple(r for r in protocol.REQUEST if r.ask != dropped))
+        monkeypatch.setattr(
+            protocol, "REQUEST_FIELDS", tuple(r for r in protocol.REQUEST_FIELDS if r.attribute != dropped)
+        )
     found = difference(second.settings, seed=1, steps=400)
     assert isinstance(found, str) and dropped in found
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -25,13 +25,12 @@
 from zincladder.config import parse_config
 from zincladder.core.clock import Clock
 from zincladder.core.engine import Core
-from zincladder.net import caches as cache_side
+from zincladder.net import cache_connection, cache_pool, thrift
 from zincladder.net import clients as client_side
-from zincladder.net import thrift
-from zincladder.net.caches import Caches
+from zincladder.net.cache_pool import CachePool
 from zincladder.net.client_connection import ClientConnection
 from zincladder.net.clients import Clients
-from zincladder.net.stream import connect
+from zincladder.net.sockets import connect
 
 pytestmark = pytest.mark.anyio
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close sends a reset
@@ -122,7 +121,7 @@
         act(made)
         return sock
 
-    monkeypatch.setattr(cache_side, "connect", connecting)
+    monkeypatch.setattr(cache_pool, "connect", connecting)
 
 
 # The front's own ends ------------------------------------------------------------------------------
@@ -574,7 +573,7 @@
 async def test_a_connection_in_the_middle_of_an_answer_that_was_given_up_is_not_used_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(cache_side, "BROKEN_OFF", 60.0)  # it goes on, byte by byte
+    monkeypatch.setattr(cache_connection, "ANSWER_STALL_SECONDS", 60.0)  # it goes on, byte by byte
     begun = anyio.Event()
 
     async def half(_: StubCache, fetch: Fetch) -> None:
@@ -598,15 +597,15 @@
 async def test_a_write_is_not_lost_on_a_connection_that_its_member_has_just_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    link = Caches._link
+    link = CachePool.acquire
     idle: list[Fetch] = []
 
-    async def crossing(self: Caches, *asked: Any) -> Any:
+    async def crossing(self: CachePool, *asked: Any) -> Any:
         while idle:
             shut(idle.pop())
         return await link(self, *asked)
 
-    monkeypatch.setattr(Caches, "_link", crossing)
+    monkeypatch.setattr(CachePool, "acquire", crossing)
     async with world(serve) as w, client(w) as c:
         for n in (1, 2):
             await c.ask(b"order", route="booking")
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -594,7 +594,7 @@
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)), anyio.fail_after(5):
                     await unlucky.stream.receive()
         with monkeypatch.context() as patch:
-            patch.setattr("zincladder.net.caches._Link._end", lambda *_: 1 // 0)
+            patch.setattr("zincladder.net.cache_connection.read_attempt_end", lambda *_: 1 // 0)
             await bystander.ask(patience="500")
             assert (await bystander.reply()).kind == "Throttled"
         await bystander.ask()
--- a/tests/test_member_links.py
+++ b/tests/test_member_links.py
@@ -22,9 +22,13 @@
 from zincladder.config import LOAD_REPORT_NAMES, Config, parse_config
 from zincladder.core.attempt import AbortReason, AttemptRequest, ClientRequest, NoAttemptGuard
 from zincladder.core.attempt_end import AttemptEnd, EndReason
-from zincladder.net import caches as cache_side
-from zincladder.net.caches import Caches, _Link
-from zincladder.net.stream import Outbox, connect
+from zincladder.net import cache_pool
+from zincladder.net.cache_connection import CacheConnection
+from zincladder.net.cache_exchange import run_exchange
+from zincladder.net.cache_pool import CachePool
+from zincladder.net.cache_transport import CacheTransport
+from zincladder.net.sockets import connect
+from zincladder.net.write_queue import WriteQueue
 from zincladder.routing import interface as api
 from zincladder.routing.retry import NEVER_RAN
 from zincladder.support.lingering_close import LINGER_SECONDS
@@ -49,9 +53,9 @@
             yield ours, theirs
 
 
-def held_by(caches: Caches) -> int:
+def held_by(caches: CacheTransport) -> int:
     """Descriptors of connections to members."""
-    return caches._ledger.accounts[Use.CACHES].used
+    return caches.pool._ledger.accounts[Use.CACHES].used
 
 
 def order(trace: str = "a" * 16, **more: Any) -> AttemptRequest:
@@ -69,8 +73,12 @@
         tasks: anyio.abc.TaskGroup,
         now: Callable[[], float],
     ) -> None:
-        self.caches = Caches(config, now, Ledger(100, SHARED), ["page"])
-        self.link, self.endpoint, self._tasks = _Link(ours, self.caches._report_names), endpoint, tasks
+        self.caches = CacheTransport(CachePool(config, Ledger(100, SHARED)), now, ["page"])
+        self.link, self.endpoint, self._tasks = (
+            CacheConnection(ours, self.caches.pool.report_names),
+            endpoint,
+            tasks,
+        )
         self.ends: list[AttemptEnd] = []
 
     async def send(self, message: bytes, asks: AttemptRequest) -> anyio.CancelScope:
@@ -85,7 +93,7 @@
 
         async def attempt() -> None:
             with scope:
-                self.ends.append(await self.caches._exchange(self.link, name.encode(), write, asks))
+                self.ends.append(await run_exchange(self.link, name.encode(), write, asks))
 
         self._tasks.start_soon(attempt)
         await anyio.wait_all_tasks_blocked()
@@ -93,10 +101,10 @@
 
     async def answer(self, data: bytes) -> None:
         """Sends this, and waits until the front has read it and done what follows from it."""
-        whole = self.link.inbox.received + len(data)
+        whole = self.link.read_buffer.received + len(data)
         self.endpoint.sendall(data)
         with anyio.fail_after(5):
-            while self.link.inbox.received < whole:
+            while self.link.read_buffer.received < whole:
                 await anyio.sleep(0.001)
         await anyio.wait_all_tasks_blocked()
 
@@ -188,14 +196,14 @@
 async def test_a_request_that_waits_to_be_written_takes_no_copy_from_before_a_purge_told_meanwhile(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    cores, put, purges = cores_of(monkeypatch), Outbox.put, [2.0]
+    cores, put, purges = cores_of(monkeypatch), WriteQueue.put, [2.0]
 
-    def crossing(self: Outbox, parts: Sequence[bytes], may_go: Any = None, *more: Any) -> Any:
+    def crossing(self: WriteQueue, parts: Sequence[bytes], may_go: Any = None, *more: Any) -> Any:
         while purges and may_go is not None:  # of an attempt of which no byte has gone out
             cores[0].purge(int(KEY, 16), 0, time.time() - purges.pop())
         return put(self, parts, may_go, *more)
 
-    monkeypatch.setattr(Outbox, "put", crossing)
+    monkeypatch.setattr(WriteQueue, "put", crossing)
     async with world(serve, serve) as w, client(w) as c:
         await c.ask()
         assert (await c.reply()).kind == "served"
@@ -211,22 +219,24 @@
     room: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with pair() as (ours, theirs):
-        caches = Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"])
+        caches = CacheTransport(
+            CachePool(parse_config(configuration([])), Ledger(100, SHARED)), time.time, ["page"]
+        )
         async with anyio.create_task_group() as tasks:
-            link = _Link(ours)
-            caches._links[b"s-00000001"] = [link]
-            caches._ledger.force(Use.CACHES)
-            tasks.start_soon(caches._keep, b"s-00000001", link)
+            link = CacheConnection(ours)
+            caches.pool._connections[b"s-00000001"] = [link]
+            caches.pool._ledger.force(Use.CACHES)
+            tasks.start_soon(caches.pool._run_connection, b"s-00000001", link)
             await anyio.wait_all_tasks_blocked()
             theirs.sendall(b"a" * 16 + b" 200 te")  # in the front's system, and not read yet
             if room:
-                assert caches._make_room()
+                assert caches.pool._free_descriptor()
             else:
-                caches.close_idle(b"s-00000001")
+                caches.pool.close_idle(b"s-00000001")
             await anyio.wait_all_tasks_blocked()
             if room:
                 with anyio.fail_after(LINGER_SECONDS / 2):  # the descriptor is free at once
-                    while caches._links:
+                    while caches.pool._connections:
                         await anyio.sleep(0.001)
             else:
                 theirs.sendall(b"ll=local 0\r\n")
@@ -234,24 +244,26 @@
             assert theirs.recv(100) == b""  # an end, and no ConnectionResetError
             theirs.close()
             with anyio.fail_after(5):
-                while caches._links:
+                while caches.pool._connections:
                     await anyio.sleep(0.001)
             assert held_by(caches) == 0
 
 
 async def test_a_connection_that_lingers_makes_room_for_one_that_is_needed() -> None:
     with pair() as (ours, theirs):
-        caches = Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"])
+        caches = CacheTransport(
+            CachePool(parse_config(configuration([])), Ledger(100, SHARED)), time.time, ["page"]
+        )
         async with anyio.create_task_group() as tasks:
-            link = _Link(ours)
-            caches._links[b"s-00000001"] = [link]
-            caches._ledger.force(Use.CACHES)
-            tasks.start_soon(caches._keep, b"s-00000001", link)
+            link = CacheConnection(ours)
+            caches.pool._connections[b"s-00000001"] = [link]
+            caches.pool._ledger.force(Use.CACHES)
+            tasks.start_soon(caches.pool._run_connection, b"s-00000001", link)
             await anyio.wait_all_tasks_blocked()
-            caches.close_idle(b"s-00000001")
+            caches.pool.close_idle(b"s-00000001")
             await anyio.wait_all_tasks_blocked()
             assert held_by(caches) == 1  # the member has not ended its side
-            assert caches._make_room() and not caches._make_room()
+            assert caches.pool._free_descriptor() and not caches.pool._free_descriptor()
             with anyio.fail_after(LINGER_SECONDS / 2):
                 while held_by(caches):
                     await anyio.sleep(0.001)
@@ -276,7 +288,9 @@
         def abort_reason(self, attempt: AttemptRequest) -> AbortReason | None:
             return abort
 
-    caches = Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"])
+    caches = CacheTransport(
+        CachePool(parse_config(configuration([])), Ledger(100, SHARED)), time.time, ["page"]
+    )
     end = await caches.send(order(guard=Held()))
     assert (end.reason, end.fill_outcome, end.detail) == (reason, fill_outcome, abort.description)
     assert end.outcome in (*NEVER_RAN, api.AttemptOutcome.CANCELLED)
@@ -295,20 +309,20 @@
             await (let.wait() if let else anyio.sleep_forever())
         return await connect(host, port)
 
-    monkeypatch.setattr(cache_side, "connect", connecting)
+    monkeypatch.setattr(cache_pool, "connect", connecting)
     return tried
 
 
-def caches_of(monkeypatch: pytest.MonkeyPatch) -> list[Caches]:
+def caches_of(monkeypatch: pytest.MonkeyPatch) -> list[CacheTransport]:
     """The carriers of the fronts that are started from now on."""
-    made: list[Caches] = []
-    init = Caches.__init__
+    made: list[CacheTransport] = []
+    init = CacheTransport.__init__
 
-    def keep(self: Caches, *reason: Any) -> None:
+    def keep(self: CacheTransport, *reason: Any) -> None:
         made.append(self)
         init(self, *reason)
 
-    monkeypatch.setattr(Caches, "__init__", keep)
+    monkeypatch.setattr(CacheTransport, "__init__", keep)
     return made
 
 
@@ -371,8 +385,8 @@
         await c.withdraw(first)
         while not w.caches[-1].aborts:
             await anyio.sleep(0.001)
-        (link,) = made[0]._links[w.caches[-1].name.encode()]
-        assert not (link.open or link.reserved) and made[0]._waiters
+        (link,) = made[0].pool._connections[w.caches[-1].name.encode()]
+        assert not (link.open or link.reserved) and made[0].pool._waiters
         assert [f.name for f in w.caches[-1].fetches] == ["a" * 16]
 
 
@@ -380,14 +394,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     tried, held = hang_after(monkeypatch, 1), Held()
-    hand_on = Caches._hand_on
+    offer_idle = CachePool._offer_idle
 
-    def crossing(self: Caches, endpoint: bytes, link: _Link) -> None:
-        hand_on(self, endpoint, link)
+    def crossing(self: CachePool, endpoint: bytes, link: CacheConnection) -> None:
+        offer_idle(self, endpoint, link)
         if link.reserved:
             self.close_idle(endpoint)  # its member is gone
 
-    monkeypatch.setattr(Caches, "_hand_on", crossing)
+    monkeypatch.setattr(CachePool, "_offer_idle", crossing)
     async with world(hold, origin=held) as w, client(w) as c:
         await c.ask(b"order", route="booking", trace="a" * 16)
         while not w.caches[-1].fetches:
@@ -412,7 +426,7 @@
         before = held_by(made[0])
         await c.withdraw(seq)
         with anyio.fail_after(SETTINGS["ceilings"]["connectTimeout"] / 2):
-            while made[0]._waiters:
+            while made[0].pool._waiters:
                 await anyio.sleep(0.001)
         assert held_by(made[0]) == before - 1
 
@@ -423,24 +437,28 @@
     hang_after(monkeypatch, 0)
     with pair() as (ours, _):
         caches, endpoint = (
-            Caches(parse_config(configuration([])), time.time, Ledger(100, SHARED), ["page"]),
+            CacheTransport(
+                CachePool(parse_config(configuration([])), Ledger(100, SHARED)), time.time, ["page"]
+            ),
             b"s-1",
         )
-        caches.know(endpoint, ("127.0.0.1", 1))
-        link, got = _Link(ours), list[tuple[bytes, _Link]]()
+        caches.pool.set_address(endpoint, ("127.0.0.1", 1))
+        link, got = CacheConnection(ours), list[tuple[bytes, CacheConnection]]()
         async with anyio.create_task_group() as tasks:
             scopes = [anyio.CancelScope(), anyio.CancelScope()]
 
             async def waits(name: bytes, scope: anyio.CancelScope) -> None:
                 with scope:
-                    got.append((name, await caches._link(endpoint, name)))
+                    got.append((name, await caches.pool.acquire(endpoint, name)))
 
             for name, scope in zip((b"a", b"b"), scopes, strict=True):
                 tasks.start_soon(waits, name, scope)
                 await anyio.wait_all_tasks_blocked()
-            caches._hand_on(endpoint, link)
+            caches.pool._offer_idle(endpoint, link)
             scopes[0].cancel()  # in the same turn of the loop
-        assert got == [(b"b", link)] and not link.reserved and not caches._waiters and held_by(caches) == 0
+        assert (
+            got == [(b"b", link)] and not link.reserved and not caches.pool._waiters and held_by(caches) == 0
+        )
 
 
 # Settings that change while a connection stands --------------------------------------------------------
@@ -456,11 +474,11 @@
     settings["report"]["names"] = names
     async with wire(before) as w:
         await w.send(b"stats p1\r\n", order("a" * 16))
-        w.caches.use(parse_config(configuration([], settings=settings)))
+        w.caches.pool.apply_config(parse_config(configuration([], settings=settings)))
         await w.answer(b"a" * 16 + b" 200 tell=local,meter=util:0.5;inflight:7 3\r\nown\r\n")
         figures = {"busy": 0.5, "held": 7.0}
-        assert w.caches._report_names() == tuple(LOAD_REPORT_NAMES.get(n, n) for n in names)
-        assert w.ends[0].report == tuple(figures[n] for n in w.caches._report_names())
+        assert w.caches.pool.report_names() == tuple(LOAD_REPORT_NAMES.get(n, n) for n in names)
+        assert w.ends[0].report == tuple(figures[n] for n in w.caches.pool.report_names())
 
 
 LEFT_OVER = [b"f" * 16 + b" 200 te", b"\xff" * 40, b"f" * 16 + b" 200 tell=local 6\r\nabc"]
@@ -484,14 +502,14 @@
     more: bytes, read: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # half an answer that is nobody's ends its connection soon: a write that goes out there may have run
-    waiting, link_for = list[Fetch](), Caches._link
+    waiting, link_for = list[Fetch](), CachePool.acquire
 
     async def answers(cache: StubCache, fetch: Fetch) -> None:
         await serve(cache, fetch)
         if len(cache.fetches) == 1:
             waiting.append(fetch)
 
-    def crossing(self: Caches, endpoint: bytes, name: bytes) -> Any:
+    def crossing(self: CachePool, endpoint: bytes, name: bytes) -> Any:
         while waiting and cores[0].open_requests:
             push(waiting.pop(), more)  # it comes just before the next request goes out
         return link_for(self, endpoint, name)
@@ -502,13 +520,13 @@
         await c.ask(b"order", route="booking")
         assert (await c.reply()).kind == "served"
         if read:
-            (link,) = made[0]._links[w.caches[-1].name.encode()]
-            received = link.inbox.received
+            (link,) = made[0].pool._connections[w.caches[-1].name.encode()]
+            received = link.read_buffer.received
             push(waiting.pop(), more)
-            while link.inbox.received == received:
+            while link.read_buffer.received == received:
                 await anyio.sleep(0.001)
         else:
-            monkeypatch.setattr(Caches, "_link", crossing)
+            monkeypatch.setattr(CachePool, "acquire", crossing)
         await c.ask(b"order", route="booking")
         assert (await c.reply()).kind == "served"
         assert len(w.caches[-1].fetches) == 2 and w.caches[-1].connections == 2
@@ -535,4 +553,4 @@
             await anyio.sleep(0.001)
         held.set()
         assert (await c.reply()).body == b"ok"
-        assert made[0]._waiters and len(w.caches[0].fetches) == 1
+        assert made[0].pool._waiters and len(w.caches[0].fetches) == 1
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -151,13 +151,13 @@
 
 def test_fields_of_a_caches_answer() -> None:
     answers: list[dict[str, str]] = [
-        {}, *({"tell": word} for word in (*sorted(protocol.NOTES), "unheard")),
+        {}, *({"tell": word} for word in (*sorted(protocol.FILL_OUTCOMES), "unheard")),
         {"fill": "125", "meter": "util:0.5;inflight:1;x1:0.25;q:3;x0:0.5;rif:2;queue:4;own:1", "since": "3",
          "rev": "aa", "unheard": "x"},
         {"meter": "util:nan"}, {"meter": "util"}, {"meter": "util:-1"}, {"fill": "x"}, {"since": "-1"},
     ]  # fmt: skip
     found = [[fields, outcome(partial(answer_values, fields), ValueError)] for fields in answers]
-    words = [[word.decode(), end.value] for word, end in protocol.WORDS.items()]
+    words = [[word.decode(), end.value] for word, end in protocol.END_REASONS.items()]
     assert_matches("wires/cache_answer.json", {"fields": found, "words": words})
 
 
--- a/tests/wiring/test_coordinator.py
+++ b/tests/wiring/test_coordinator.py
@@ -29,14 +29,14 @@
     def __init__(self) -> None:
         self.calls: list[tuple[Any, ...]] = []
 
-    def keep_only(self, endpoints: set[bytes]) -> None:
-        self.calls.append(("keep_only", endpoints))
+    def retain_only(self, endpoints: set[bytes]) -> None:
+        self.calls.append(("retain_only", endpoints))
 
     def forget(self, endpoint: bytes) -> None:
         self.calls.append(("forget", endpoint))
 
-    def know(self, endpoint: bytes, address: tuple[str, int]) -> None:
-        self.calls.append(("know", endpoint, address))
+    def set_address(self, endpoint: bytes, address: tuple[str, int]) -> None:
+        self.calls.append(("set_address", endpoint, address))
 
 
 def update(is_full: bool, version: int, **states: api.EndpointState) -> EndpointUpdateReceived:
@@ -47,14 +47,18 @@
 def test_full_and_delta_updates_reach_the_caches_and_the_core() -> None:
     core, caches = Core(settings(), 1, None), RecordingCaches()  # type: ignore[arg-type]
     apply_update(core, caches, update(True, 1, a=READY, b=DRAINING))  # type: ignore[arg-type]
-    assert caches.calls == [("keep_only", {b"a", b"b"}), ("know", b"a", ADDRESS), ("know", b"b", ADDRESS)]
+    assert caches.calls == [
+        ("retain_only", {b"a", b"b"}),
+        ("set_address", b"a", ADDRESS),
+        ("set_address", b"b", ADDRESS),
+    ]
     assert {name: e.state for name, e in core.endpoint_list.endpoints.items()} == {
         b"a": READY,
         b"b": DRAINING,
     }
     caches.calls.clear()
     apply_update(core, caches, update(False, 2, a=GONE, c=READY))  # type: ignore[arg-type]
-    assert caches.calls == [("forget", b"a"), ("know", b"c", ADDRESS)]
+    assert caches.calls == [("forget", b"a"), ("set_address", b"c", ADDRESS)]
     assert set(core.endpoint_list.endpoints) == {b"b", b"c"}
 
 
--- a/tests/wiring/test_front.py
+++ b/tests/wiring/test_front.py
@@ -74,7 +74,13 @@
         front._subscribe_to_reloads()
         tasks.cancel_scope.cancel()
     names = [getattr(s, "func", s).__qualname__ for s in reload.subscribers]
-    expected = ["apply_settings", "Clients.use", "Caches.use", "apply_bounds", "follow_coordinator"]
+    expected = [
+        "apply_settings",
+        "Clients.use",
+        "CachePool.apply_config",
+        "apply_bounds",
+        "follow_coordinator",
+    ]
     assert names == expected and reload.counts is front.core.counts and reload.limits is None
 
 
--- a/zincladder/dns/server.py
+++ b/zincladder/dns/server.py
@@ -19,7 +19,9 @@
 from zincladder.dns.answers import MOST_SIZE, Answers
 from zincladder.net.client_listener import turn_away
 from zincladder.net.errors import ConnectionEndedError
-from zincladder.net.stream import Inbox, Outbox, family
+from zincladder.net.read_buffer import ReadBuffer
+from zincladder.net.sockets import address_family
+from zincladder.net.write_queue import WriteQueue
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 IDLE = 5.0  # of a TCP connection between queries, and for the rest of one
@@ -45,8 +47,8 @@
     ) -> None:
         """Queries wait in the system's queue until `settled` returns: a name answered wrongly is kept."""
         self._answers, self._clock, self._admission, self._settled = answers, clock, admission, settled
-        self._udp = socket.socket(family(listen[0]), socket.SOCK_DGRAM)
-        self._tcp = socket.socket(family(listen[0]), socket.SOCK_STREAM)
+        self._udp = socket.socket(address_family(listen[0]), socket.SOCK_DGRAM)
+        self._tcp = socket.socket(address_family(listen[0]), socket.SOCK_STREAM)
         self._tcp.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         for sock in (self._udp, self._tcp):
             # At an upgrade both processes answer: each from its own decisions, on the same list.
@@ -122,20 +124,20 @@
     async def _connection(self, sock: socket.socket, host: str) -> None:
         try:
             sock.setblocking(False)
-            inbox, outbox = Inbox(sock), Outbox(sock)
+            read_buffer, write_queue = ReadBuffer(sock), WriteQueue(sock)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._write, outbox, tasks)
+                tasks.start_soon(self._write, write_queue, tasks)
                 try:
                     while True:
                         with anyio.fail_after(IDLE):
-                            size = int.from_bytes(await inbox.exactly(2), "big")
-                            data = bytes(await inbox.exactly(size))
+                            size = int.from_bytes(await read_buffer.read_exactly(2), "big")
+                            data = bytes(await read_buffer.read_exactly(size))
                         response = self._respond(data, None)
                         if response is None:
                             raise ConnectionEndedError(
                                 EndReason.PROTOCOL_ERROR, "a message that cannot be answered"
                             )
-                        outbox.put([len(response).to_bytes(2, "big"), response])
+                        write_queue.put([len(response).to_bytes(2, "big"), response])
                 except (ConnectionEndedError, TimeoutError) as end:
                     if isinstance(end, ConnectionEndedError) and end.reason is EndReason.PROTOCOL_ERROR:
                         log.info("dns connection ended", why=str(end))
@@ -144,8 +146,8 @@
             sock.close()
             self._admission.left(Use.DNS, host)
 
-    async def _write(self, outbox: Outbox, tasks: anyio.abc.TaskGroup) -> None:
+    async def _write(self, write_queue: WriteQueue, tasks: anyio.abc.TaskGroup) -> None:
         try:
-            await outbox.run(IDLE)
+            await write_queue.run(IDLE)
         except ConnectionEndedError:
             tasks.cancel_scope.cancel()
--- a/zincladder/net/client_connection.py
+++ b/zincladder/net/client_connection.py
@@ -13,7 +13,9 @@
 from zincladder.core.arrival import ArrivalBound
 from zincladder.core.attempt import ClientRequest
 from zincladder.net import thrift
-from zincladder.net.stream import Inbox, Outbox, newest_byte_age, unread
+from zincladder.net.read_buffer import ReadBuffer
+from zincladder.net.sockets import newest_byte_age_seconds, peek_unread
+from zincladder.net.write_queue import WriteQueue
 
 
 @dataclass(slots=True, eq=False)
@@ -33,8 +35,8 @@
 
     sock: socket.socket
     seat: Seat
-    inbox: Inbox
-    outbox: Outbox
+    read_buffer: ReadBuffer
+    write_queue: WriteQueue
     arrival: ArrivalBound
     since: float
     used_at: float
@@ -62,21 +64,21 @@
         """
         if self.ended or taken.back:
             return False
-        lies = unread(self.sock)
-        here = self.inbox.held()
-        if (lies.data or here) and taken.seq in thrift.withdrawn(here + lies.data, self.inbox.lacking):
+        lies = peek_unread(self.sock)
+        here = self.read_buffer.peek()
+        if (lies.data or here) and taken.seq in thrift.withdrawn(here + lies.data, self.read_buffer.missing):
             taken.back = True
             taken.scope.cancel()
-        if lies.ended:
+        if lies.closed_by_peer:
             self.end()
         return not (self.ended or taken.back)
 
     async def next_message(self) -> None:
         """Waits until the next message begins; what bounds its arrival is kept."""
-        if self.inbox.buffered():
+        if self.read_buffer.buffered():
             return  # it came with the one before
         self.arrival.reader_waits(monotonic())
-        await self.inbox.some()
+        await self.read_buffer.wait_for()
         now = monotonic()
         self.arrival.reader_woke(now)
         self.arrival.reader_drained(now)
@@ -85,9 +87,9 @@
         """For how many seconds the message that was just read had lain unread when it was noticed."""
 
         def newest() -> float | None:
-            if self.inbox.buffered() or unread(self.sock, 1).data:
+            if self.read_buffer.buffered() or peek_unread(self.sock, 1).data:
                 return None  # of a later message
-            age = newest_byte_age(self.sock)
+            age = newest_byte_age_seconds(self.sock)
             return None if age is None else age - (monotonic() - noticed)
 
         return self.arrival.unread_seconds(noticed, newest)
--- a/zincladder/net/client_listener.py
+++ b/zincladder/net/client_listener.py
@@ -22,7 +22,7 @@
 from zincladder.admission.model import Decision, Seat, Verdict, Why
 from zincladder.config import Address
 from zincladder.core.arrival import ArrivalBound, LoopTurns
-from zincladder.net.stream import family
+from zincladder.net.sockets import address_family
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 TURN = 64  # connections taken before the other tasks have their turn
@@ -37,7 +37,7 @@
 
 def listener(where: Address) -> socket.socket:
     """A listening socket over IPv4 or IPv6; '::' takes both."""
-    sock = socket.socket(family(where[0]), socket.SOCK_STREAM)
+    sock = socket.socket(address_family(where[0]), socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         # At an upgrade the next process listens here before this one ends.
--- a/zincladder/net/clients.py
+++ b/zincladder/net/clients.py
@@ -28,7 +28,9 @@
 from zincladder.net.client_connection import ClientConnection, TakenRequest, UnreadAnswers
 from zincladder.net.client_listener import ClientListener
 from zincladder.net.errors import ConnectionEndedError, InvalidFieldsError
-from zincladder.net.stream import Inbox, Outbox, unread
+from zincladder.net.read_buffer import ReadBuffer
+from zincladder.net.sockets import peek_unread
+from zincladder.net.write_queue import WriteQueue
 from zincladder.routing import interface as api
 from zincladder.support.lingering_close import LINGER_SECONDS, NO_LINGER_SECONDS, lingering_close
 from zincladder.support.rate_limited_log import RateLimitedLog
@@ -142,8 +144,8 @@
         Guards a request that is on its way: it is looked for at the last moment, and the end is told at once.
         What comes after that is never passed on.
         """
-        coming = client.frame_at or client.inbox.buffered()  # a part of a message is here
-        if client.open or client.outbox.size or coming or client.ended:
+        coming = client.frame_at or client.read_buffer.buffered()  # a part of a message is here
+        if client.open or client.write_queue.size or coming or client.ended:
             return False
         try:
             client.sock.recv(1, socket.MSG_PEEK)
@@ -167,9 +169,11 @@
     def _seat(self, sock: socket.socket, decision: Decision, came_after: float) -> None:
         now = monotonic()
         seat = self._admission.seat(decision, now)
-        outbox = Outbox(sock, UnreadAnswers(self._admission, seat))
+        write_queue = WriteQueue(sock, UnreadAnswers(self._admission, seat))
         arrival = ArrivalBound(self._core.loop_monitor.turns, came_after)
-        client = self._clients[seat] = ClientConnection(sock, seat, Inbox(sock), outbox, arrival, now, now)
+        client = self._clients[seat] = ClientConnection(
+            sock, seat, ReadBuffer(sock), write_queue, arrival, now, now
+        )
         assert self._tasks is not None
         self._tasks.start_soon(self._client, client)
 
@@ -198,7 +202,7 @@
             self._core.fail_open_requests([taken.ask for taken in open_now.values()])
         for seq, taken in open_now.items():
             self._core.record_answer(taken.ask.request_class, AnswerKind.FAILED)
-            client.outbox.put(_reply(seq, Answer(AnswerKind.FAILED)))
+            client.write_queue.put(_reply(seq, Answer(AnswerKind.FAILED)))
         client.end(linger)
 
     def _look(self) -> None:
@@ -239,7 +243,7 @@
         """
         stopped = client.frame_at > 0 and now - client.frame_at > STALL
         silent = not client.spoke and now - client.since > FIRST
-        return (stopped or silent) and not unread(client.sock, 1).data
+        return (stopped or silent) and not peek_unread(client.sock, 1).data
 
     async def _client(self, client: ClientConnection) -> None:
         sock = client.sock
@@ -269,19 +273,19 @@
             try:
                 if client.linger is not None:
                     with client.lingering:
-                        await client.outbox.finish(client.linger)
+                        await client.write_queue.drain(client.linger)
                         await lingering_close(sock, client.linger)
                     if client.lingering.cancelled_caught:
                         await lingering_close(sock, NO_LINGER_SECONDS)
             finally:
                 del self._clients[client.seat]
-                client.outbox.forget()
+                client.write_queue.clear()
                 sock.close()
                 self._admission.gone(client.seat, monotonic())
 
     async def _writer(self, client: ClientConnection) -> None:
         try:
-            await client.outbox.run(STALL)
+            await client.write_queue.run(STALL)
         except ConnectionEndedError as end:
             self._core.counts["client_ends", end.reason.value] += 1
             if end.reason is EndReason.PEER_STALLED:
@@ -290,9 +294,9 @@
             client.end()
 
     async def _reader(self, client: ClientConnection, tasks: TaskGroup) -> None:
-        inbox, last, turn = client.inbox, 0, 0
+        read_buffer, last, turn = client.read_buffer, 0, 0
         while True:
-            while client.outbox.size > UNREAD_AT_MOST:
+            while client.write_queue.size > UNREAD_AT_MOST:
                 client.room = anyio.Event()
                 with anyio.move_on_after(0.1):
                     await client.room.wait()
@@ -311,11 +315,11 @@
                 client.turn = anyio.Event()
                 await client.turn.wait()
             client.frame_at = monotonic()
-            await inbox.some(FRAME_HEAD)  # looks ahead of the reader begin at a whole head
-            size = int.from_bytes(await inbox.exactly(FRAME_HEAD), "big")
+            await read_buffer.wait_for(FRAME_HEAD)  # looks ahead of the reader begin at a whole head
+            size = int.from_bytes(await read_buffer.read_exactly(FRAME_HEAD), "big")
             if not 0 < size <= thrift.MAX_FRAME_BYTES:
                 raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, f"a frame of {size} bytes")
-            frame = await inbox.exactly(size)
+            frame = await read_buffer.read_exactly(size)
             try:
                 call = thrift.read_call(frame)
             except thrift.Malformed as fault:
@@ -329,11 +333,11 @@
                 self._withdraw(client, call.number)
             elif call.verb == "status":
                 good = not self.stopping and self._core.endpoint_list.has_synced()
-                client.outbox.put(thrift.answer("status", call.seq, b"", {}, good))
+                client.write_queue.put(thrift.answer("status", call.seq, b"", {}, good))
             elif call.verb != "handle":
                 if call.kind != thrift.ONEWAY:
                     text = f"no method {call.verb[:40]!r}"
-                    client.outbox.put(
+                    client.write_queue.put(
                         thrift.application_exception(call.verb, call.seq, thrift.UNKNOWN_METHOD, text)
                     )
             elif call.kind != thrift.CALL:
@@ -386,7 +390,7 @@
             self._warn.warning("request not understood", why=str(fault))
             self._core.counts["answers", "unusable"] += 1
             self._admission.told(client.seat, client.used_at)
-            client.outbox.put(
+            client.write_queue.put(
                 thrift.application_exception("handle", call.seq, thrift.PROTOCOL_ERROR, str(fault))
             )
             return
@@ -405,7 +409,7 @@
             self._warn.warning("too much to do", why=why.value, open=open_now, most=most, behind=behind)
             self._core.record_answer(ask.request_class, AnswerKind.REJECTED)
             pause = min(SOON, most_pause) if why is Why.ENDING else most_pause
-            client.outbox.put(_reply(call.seq, Answer(AnswerKind.REJECTED, retry_after=pause)))
+            client.write_queue.put(_reply(call.seq, Answer(AnswerKind.REJECTED, retry_after=pause)))
             return
         self._admission.opened(client.seat)
         taken = client.open[call.seq] = TakenRequest(call.seq, ask)
@@ -455,12 +459,12 @@
                     client.taken_back = 0
                     if answer.end is not None:
                         served, size = True, len(answer.end.body)
-                    client.outbox.put(_reply(seq, answer))
+                    client.write_queue.put(_reply(seq, answer))
         except Exception:
             log.exception("request failed", trace=ask.trace)  # the process and its other requests go on
             if client.open.get(seq) is taken:
                 self._core.record_answer(ask.request_class, AnswerKind.FAILED)
-                client.outbox.put(thrift.thrown("handle", seq, 2, {}))
+                client.write_queue.put(thrift.thrown("handle", seq, 2, {}))
         finally:
             if client.open.get(seq) is taken:
                 del client.open[seq]
--- a/zincladder/net/coordinator_watch.py
+++ b/zincladder/net/coordinator_watch.py
@@ -15,7 +15,8 @@
 from zincladder.discovery.freshness import Freshness
 from zincladder.net.errors import ConnectionEndedError
 from zincladder.net.events import Frame, FrameReader, WatchEvent, read_event
-from zincladder.net.stream import Outbox, connect
+from zincladder.net.sockets import connect
+from zincladder.net.write_queue import WriteQueue
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 READ_BYTES = 1 << 16  # of one read
@@ -103,7 +104,7 @@
         try:
             with anyio.fail_after(CONNECT_TIMEOUT_SECONDS):
                 sock = await connect(*self._coordinator)
-            Outbox(sock).put([self.last_event.to_bytes(8, "big")])
+            WriteQueue(sock).put([self.last_event.to_bytes(8, "big")])
             self._freshness.asked(monotonic())
             self._connection = _WatchConnection(sock, self._on_frame, self._on_frames_complete)
             await self._connection.run()
--- a/zincladder/net/protocol.py
+++ b/zincladder/net/protocol.py
@@ -1,7 +1,7 @@
 """The platform's protocol in one table: every field, what it has to be, and where it goes. No I/O.
 
-Reading, checking, passing on and telling the module follow from these rows, so a field is named once. One
-that nothing follows from says why. Texts come from peers: what cannot be read raises ValueError.
+Reading, checking and writing fields follow from these rows, so a field is named once. A field that nothing
+follows from states the reason. Texts come from peers: one that cannot be read raises ValueError.
 """
 
 from __future__ import annotations
@@ -21,12 +21,14 @@
 ID = re.compile(r"[0-9a-f]{16}", re.ASCII)
 TOKEN = re.compile(r"[0-9A-Za-z_-]{1,64}", re.ASCII)  # a copy's tag, an idempotency key: passed on unchanged
 DECIMAL = re.compile(r"[0-9]{1,15}(\.[0-9]{1,40})?", re.ASCII)
-MOST_PART = 1 << 20
-MOST_MS = 10**12
-MOST_KB = 1e7  # of a part, as clients state it: one without bound outweighs all sizes learned before
+MAX_INTEGER_DIGITS = 13
+MAX_PART = 1 << 20
+MAX_GROUP = 255
+MAX_MILLISECONDS = 10**12
+MAX_SIZE_KB = 1e7  # of a part, as clients state it: one without bound outweighs all sizes learned before
 
 
-def _of(pattern: re.Pattern[str]) -> Callable[[str], str]:
+def _matching(pattern: re.Pattern[str]) -> Callable[[str], str]:
     def read(text: str) -> str:
         if not pattern.fullmatch(text):
             raise ValueError
@@ -35,9 +37,11 @@
     return read
 
 
-def _whole(least: int, most: int) -> Callable[[str], int]:
+def _integer(minimum: int, maximum: int) -> Callable[[str], int]:
     def read(text: str) -> int:
-        if not (text.isascii() and text.isdigit()) or len(text) > 13 or not least <= int(text) <= most:
+        if not (text.isascii() and text.isdigit()) or len(text) > MAX_INTEGER_DIGITS:
+            raise ValueError
+        if not minimum <= int(text) <= maximum:
             raise ValueError
         return int(text)
 
@@ -45,44 +49,44 @@
 
 
 def _object(text: str) -> int:
-    return int(_of(ID)(text), 16)
+    return int(_matching(ID)(text), 16)
 
 
-def _marked(text: str) -> bool:
+def _flag(text: str) -> bool:
     if text != "1":
         raise ValueError
     return True
 
 
-def _decimal(least: float, most: float) -> Callable[[str], float]:
-    """Reads a number above `least` in plain digits: Python's own takes spaces, underscores and words too."""
+def _decimal(above: float, maximum: float) -> Callable[[str], float]:
+    """Reads a number in plain digits: Python's own reader takes spaces, underscores and words too."""
 
     def read(text: str) -> float:
-        if not DECIMAL.fullmatch(text) or not least < float(text) <= most:
+        if not DECIMAL.fullmatch(text) or not above < float(text) <= maximum:
             raise ValueError
         return float(text)
 
     return read
 
 
-def _wait(text: str) -> float:
-    return _decimal(-1.0, MOST_MS)(text) / 1000
+def _milliseconds(text: str) -> float:
+    return _decimal(-1.0, MAX_MILLISECONDS)(text) / 1000
 
 
-def _note(text: str) -> api.FillOutcome:
-    if text not in NOTES:
+def _fill_outcome(text: str) -> api.FillOutcome:
+    if text not in FILL_OUTCOMES:
         raise ValueError
-    return NOTES[text]
+    return FILL_OUTCOMES[text]
 
 
-def _meter(text: str) -> dict[str, float]:
-    """A load report by the module's names; one that is spoilt tells nothing, and the answer stands."""
+def _load_report(text: str) -> dict[str, float]:
+    """A load report by the router's names; one that cannot be read is empty, and the answer stands."""
     try:
         pairs = (pair.split(":") for pair in text.split(";") if text)
         report = {LOAD_REPORT_NAMES.get(name, name): float(value) for name, value in pairs}
     except ValueError:
         return {}
-    # float() takes 'nan' and 'inf' too: one of them in a mean spoils it for all the caches judged by it.
+    # float() takes 'nan' and 'inf' too: one in a mean makes the mean useless for all caches judged by it.
     return report if all(0.0 <= value < math.inf for value in report.values()) else {}
 
 
@@ -90,100 +94,119 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
-    """A field of a client's request, and the attribute of `Ask` that it becomes."""
+class RequestField:
+    """A field of a client's request, and the attribute of `ClientRequest` that it becomes."""
 
     name: str
-    ask: str
+    attribute: str
     read: Callable[[str], Any]
-    what: str
-    needed: bool = True
-
-
-REQUEST = (
-    Said("route", "request_class", str, "a class"),  # its number is the host's to look up
-    Said("trace", "trace", _of(ID), "16 hex digits"),
-    Said("patience", "deadline", _whole(1, MOST_MS), "milliseconds above 0"),
-    Said("redo", "repeat", _marked, "1 or absent", needed=False),
-    Said("nonce", "key", _of(TOKEN), "an idempotency key", needed=False),
-    Said("entity", "object", _object, "16 hex digits"),
-    Said("slice", "part", _whole(0, MOST_PART), f"a number from 0 to {MOST_PART}"),
-    Said("set", "group", _whole(0, 255), "a number from 0 to 255"),
-    Said("size", "size_kb", _decimal(0.0, MOST_KB), f"a number above 0, {MOST_KB:g} at most", needed=False),
-    Said("seen", "tag", _of(TOKEN), "a tag", needed=False),
+    expected: str  # what the field must be, for the error's text
+    required: bool = True
+
+
+REQUEST_FIELDS = (
+    RequestField("route", "request_class", str, "a class"),  # its number is the caller's to look up
+    RequestField("trace", "trace", _matching(ID), "16 hex digits"),
+    RequestField("patience", "deadline", _integer(1, MAX_MILLISECONDS), "milliseconds above 0"),
+    RequestField("redo", "repeat", _flag, "1 or absent", required=False),
+    RequestField("nonce", "key", _matching(TOKEN), "an idempotency key", required=False),
+    RequestField("entity", "object", _object, "16 hex digits"),
+    RequestField("slice", "part", _integer(0, MAX_PART), f"a number from 0 to {MAX_PART}"),
+    RequestField("set", "group", _integer(0, MAX_GROUP), f"a number from 0 to {MAX_GROUP}"),
+    RequestField(
+        "size",
+        "size_kb",
+        _decimal(0.0, MAX_SIZE_KB),
+        f"a number above 0, {MAX_SIZE_KB:g} at most",
+        required=False,
+    ),
+    RequestField("seen", "tag", _matching(TOKEN), "a tag", required=False),
 )
 
 
 def read_request(fields: Mapping[str, str]) -> dict[str, Any]:
-    """The attributes of an `Ask` that the fields state; BadFields names the first that cannot be used."""
-    found: dict[str, Any] = {}
-    for row in REQUEST:
-        text = fields.get(row.name, "" if row.needed else None)
+    """The attributes of a `ClientRequest` that the fields state.
+
+    Raises:
+        InvalidFieldsError: A field is missing or cannot be used; the text names the first one.
+    """
+    attributes: dict[str, Any] = {}
+    for row in REQUEST_FIELDS:
+        text = fields.get(row.name, "" if row.required else None)
         if text is not None:
             try:
-                found[row.ask] = row.read(text)
+                attributes[row.attribute] = row.read(text)
             except ValueError:
-                raise InvalidFieldsError(f"'{row.name}' must be {row.what}, not {text[:20]!r}") from None
-    return found
+                raise InvalidFieldsError(f"'{row.name}' must be {row.expected}, not {text[:20]!r}") from None
+    return attributes
 
 
 # Fronts to caches ----------------------------------------------------------------------------------
 
 
-def _how(order: AttemptRequest) -> str:
-    how = {
-        "join": order.coalesce,
-        "held": order.cached_only,
-        "nocopy": order.parent_proxies,
-        "renew": order.renew,
+def _flags(attempt: AttemptRequest) -> str:
+    flags = {
+        "join": attempt.coalesce,
+        "held": attempt.cached_only,
+        "nocopy": attempt.parent_proxies,
+        "renew": attempt.renew,
     }
-    return "+".join(word for word, on in how.items() if on)
+    return "+".join(word for word, is_set in flags.items() if is_set)
 
 
-def _cap(order: AttemptRequest) -> str:
-    age = order.max_age_now()
+def _max_age(attempt: AttemptRequest) -> str:
+    age = attempt.max_age_now()
     return f"{max(1, math.floor(age * 1000))}" if 0 < age < math.inf else ""
 
 
-# Each field of a `fetch`, from the order, the class's name and the seconds that are left; "" leaves it out.
-FETCH: dict[str, Callable[[AttemptRequest, str, float], str]] = {
-    "cls": lambda order, name, left: name,
-    "item": lambda order, name, left: f"{order.request.object:016x}",
-    "chunk": lambda order, name, left: "" if order.request.part is None else str(order.request.part),
-    "limit": lambda order, name, left: str(max(1, math.floor(left * 1000))),
-    "nonce": lambda order, name, left: order.request.key,
-    "up": lambda order, name, left: "" if order.source is None else order.source.decode(),
-    "store": lambda order, name, left: str(order.cache_rank) if order.cache_rank else "",
-    "cap": lambda order, name, left: _cap(order),
-    "do": lambda order, name, left: _how(order),
-    "inm": lambda order, name, left: order.request.tag,
+# Each field of a `fetch`, from the attempt, the class's name and the seconds left; "" leaves the field out.
+ATTEMPT_FIELDS: dict[str, Callable[[AttemptRequest, str, float], str]] = {
+    "cls": lambda attempt, class_name, seconds_left: class_name,
+    "item": lambda attempt, class_name, seconds_left: f"{attempt.request.object:016x}",
+    "chunk": lambda attempt, class_name, seconds_left: (
+        "" if attempt.request.part is None else str(attempt.request.part)
+    ),
+    "limit": lambda attempt, class_name, seconds_left: str(max(1, math.floor(seconds_left * 1000))),
+    "nonce": lambda attempt, class_name, seconds_left: attempt.request.key,
+    "up": lambda attempt, class_name, seconds_left: (
+        "" if attempt.source is None else attempt.source.decode()
+    ),
+    "store": lambda attempt, class_name, seconds_left: str(attempt.cache_rank) if attempt.cache_rank else "",
+    "cap": lambda attempt, class_name, seconds_left: _max_age(attempt),
+    "do": lambda attempt, class_name, seconds_left: _flags(attempt),
+    "inm": lambda attempt, class_name, seconds_left: attempt.request.tag,
 }
 
 
-def write_fetch(order: AttemptRequest, class_name: str, left: float) -> str:
+def write_fetch(attempt: AttemptRequest, class_name: str, seconds_left: float) -> str:
     """The fields of one attempt, as they go out."""
-    said = ((field, of(order, class_name, left)) for field, of in FETCH.items())
-    return ",".join(f"{field}={text}" for field, text in said if text)
+    texts = ((field, write(attempt, class_name, seconds_left)) for field, write in ATTEMPT_FIELDS.items())
+    return ",".join(f"{field}={text}" for field, text in texts if text)
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A field of an answer, and the attribute of `End` that it becomes; without one, why nothing follows."""
+class ResponseField:
+    """A field of an answer, and the attribute of `AttemptEnd` that it becomes, if any."""
 
     name: str
-    end: str
+    attribute: str
     read: Callable[[str], Any]
-    unused: str = ""
-
-
-ANSWER = (
-    Told("tell", "fill_outcome", _note),
-    Told("fill", "fill_wait", _wait),
-    Told("meter", "report", _meter),
-    Told("since", "", _whole(0, MOST_MS * 10), "the front keeps no copies of its own, so none has an age"),
-    Told("rev", "", str, "clients compare tags with what they hold; a cache answers 304 by itself"),
+    reason_unused: str = ""
+
+
+RESPONSE_FIELDS = (
+    ResponseField("tell", "fill_outcome", _fill_outcome),
+    ResponseField("fill", "fill_wait", _milliseconds),
+    ResponseField("meter", "report", _load_report),
+    ResponseField(
+        "since",
+        "",
+        _integer(0, MAX_MILLISECONDS * 10),
+        "the front keeps no copies of its own, so none has an age",
+    ),
+    ResponseField("rev", "", str, "clients compare tags with what they hold; a cache answers 304 by itself"),
 )
-NOTES = {
+FILL_OUTCOMES = {
     "local": api.FillOutcome.HIT,
     "pulled": api.FillOutcome.FILLED,
     "pulled_far": api.FillOutcome.FILLED_VIA_ORIGIN,
@@ -195,7 +218,7 @@
     "no_place": api.FillOutcome.NO_FILL_SLOT,
     "far_fault": api.FillOutcome.ORIGIN_FAILED,
 }
-WORDS = {
+END_REASONS = {
     b"200": EndReason.SERVED,
     b"304": EndReason.NOT_MODIFIED,
     b"404": EndReason.MISS,
@@ -208,17 +231,21 @@
 
 
 def read_answer(fields: Mapping[str, str]) -> dict[str, Any]:
-    """The attributes of an `End` that the fields state; ValueError names the first that cannot be read."""
-    found: dict[str, Any] = {}
-    for row in ANSWER:
+    """The attributes of an `AttemptEnd` that the fields state.
+
+    Raises:
+        ValueError: A field cannot be read; the text names the first one.
+    """
+    attributes: dict[str, Any] = {}
+    for row in RESPONSE_FIELDS:
         if row.name in fields:
             try:
                 value = row.read(fields[row.name])
             except ValueError:
                 raise ValueError(f"'{row.name}' cannot be read: {fields[row.name][:40]!r}") from None
-            if row.end:
-                found[row.end] = value
-    return found
+            if row.attribute:
+                attributes[row.attribute] = value
+    return attributes
 
 
 # The coordinator -----------------------------------------------------------------------------------
--- /dev/null
+++ b/zincladder/net/sockets.py
@@ -0,0 +1,100 @@
+"""What the system knows of a connection: unread and unsent bytes, the peer's close; and new connections."""
+
+from __future__ import annotations
+
+import fcntl
+import select
+import socket
+import struct
+import termios
+from array import array
+from typing import NamedTuple
+
+import anyio
+
+MAX_PEEK_BYTES = 1 << 16
+_PEEK_BUFFER = bytearray(MAX_PEEK_BYTES)
+TCP_INFO_BYTES, LAST_DATA_RECV_OFFSET, _LAST_DATA_RECV = 104, 52, struct.Struct("=I")
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: close sends a reset and drops what was not sent
+
+
+class UnreadInput(NamedTuple):
+    """What the system holds of a connection that was not read yet."""
+
+    data: bytes  # the first bytes of it
+    closed_by_peer: bool  # the peer has ended its side
+
+
+def peek_unread(sock: socket.socket, max_bytes: int = MAX_PEEK_BYTES) -> UnreadInput:
+    """What lies unread at the system. Nothing is taken from the socket.
+
+    With bytes unread before the peer's close only RDHUP tells of it.
+    """
+    try:
+        size = sock.recv_into(_PEEK_BUFFER, max_bytes, socket.MSG_PEEK)
+    except (BlockingIOError, InterruptedError):
+        return UnreadInput(b"", False)
+    except OSError:
+        return UnreadInput(b"", True)
+    if not size:
+        return UnreadInput(b"", True)
+    poll = select.poll()
+    poll.register(sock, select.POLLRDHUP)
+    return UnreadInput(bytes(memoryview(_PEEK_BUFFER)[:size]), bool(poll.poll(0)))
+
+
+def is_closed_by_peer(sock: socket.socket) -> bool:
+    """Whether the peer has ended its side of the connection, as the system knows it."""
+    return peek_unread(sock, 1).closed_by_peer
+
+
+def newest_byte_age_seconds(sock: socket.socket) -> float | None:
+    """Seconds since the newest byte of a connection came in, read or not; None where the system tells none.
+
+    From `tcpi_last_data_recv` of TCP_INFO (tcp(7), linux/tcp.h), which counts in milliseconds.
+    """
+    try:
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+    except OSError:
+        return None
+    if len(info) < TCP_INFO_BYTES or not info[0]:  # a state of 0 is none: whoever answers does not know
+        return None
+    return int(_LAST_DATA_RECV.unpack_from(info, LAST_DATA_RECV_OFFSET)[0]) / 1000
+
+
+def has_unsent_bytes(sock: socket.socket) -> bool:
+    """Whether the peer's system has not taken all that was written; False where this system tells none."""
+    unsent = array("i", [0])
+    try:
+        fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, unsent)  # SIOCOUTQ of tcp(7)
+    except OSError:
+        return False
+    return unsent[0] > 0
+
+
+def address_family(host: str) -> socket.AddressFamily:
+    """The family of an address in text."""
+    return socket.AF_INET6 if ":" in host else socket.AF_INET
+
+
+async def connect(host: str, port: int) -> socket.socket:
+    """A new connection; cancelling the call closes the socket.
+
+    Raises:
+        OSError: The connection was not established.
+    """
+    sock = socket.socket(address_family(host), socket.SOCK_STREAM)
+    try:
+        sock.setblocking(False)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        try:
+            sock.connect((host, port))
+        except BlockingIOError:
+            await anyio.wait_writable(sock)
+            fault = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            if fault:
+                raise OSError(fault, "connect") from None
+    except BaseException:
+        sock.close()
+        raise
+    return sock
--- /dev/null
+++ b/zincladder/net/write_queue.py
@@ -0,0 +1,254 @@
+"""Writing to a socket: messages in order, gathered, each asked again just before its first byte."""
+
+from __future__ import annotations
+
+import socket
+from collections import deque
+from collections.abc import Callable, Sequence
+from time import monotonic
+from typing import Protocol, TypeVar
+
+import anyio
+
+from zincladder.core.attempt_end import EndReason
+from zincladder.net.errors import ConnectionEndedError
+
+Part = bytes | bytearray | memoryview
+Result = TypeVar("Result")
+MAX_PARTS = 64  # of one gathered write; the system takes 1,024
+MAX_CHECK_SECONDS = 0.01  # for which a last check before a write is good
+MAX_CHECKS = 3  # in a row on a slow machine
+
+
+def _views(parts: Sequence[Part]) -> list[memoryview]:
+    return [memoryview(part) for part in parts if len(part)]
+
+
+def _check_promptly(check: Callable[[], Result]) -> Result:
+    """The result of a check just before a write; a process that stalled meanwhile checks again."""
+    for _ in range(MAX_CHECKS):
+        started_at = monotonic()
+        result = check()
+        if monotonic() - started_at < MAX_CHECK_SECONDS:
+            break
+    return result
+
+
+class QueuedWrite:
+    """One message on its way out: its parts, and what to ask when its first byte is about to go."""
+
+    __slots__ = ("may_start", "on_done", "parts", "serialize", "started")
+
+    def __init__(
+        self,
+        parts: Sequence[Part],
+        may_start: Callable[[], bool] | None,
+        serialize: Callable[[], Sequence[Part]] | None,
+    ) -> None:
+        self.may_start, self.serialize = may_start, serialize
+        self.started = False
+        self.on_done: Callable[[bool], None] | None = None  # takes whether it was written
+        self.parts = _views(parts)
+
+    def prepare(self) -> bool:
+        """Whether it may go; it is then serialized as of this moment, if it was given that way."""
+        if self.started:
+            return True
+        if self.may_start and not self.may_start():
+            return False
+        if self.serialize:
+            self.parts = _views(self.serialize())
+        return True
+
+    def size(self) -> int:
+        """Bytes that are not written yet."""
+        return sum(map(len, self.parts))
+
+    def consume(self, sent: int) -> int:
+        """Takes written bytes off; gives how many were not this message's."""
+        while self.parts and sent:
+            self.started = True
+            step = min(sent, len(self.parts[0]))
+            sent -= step
+            if step == len(self.parts[0]):
+                del self.parts[0]
+            else:
+                self.parts[0] = self.parts[0][step:]
+        return sent
+
+    def notify(self, written: bool) -> None:
+        """Notifies whoever waits for it, once.
+
+        Guards memory: who is notified refers to the message, and a circle of the two would keep an answer
+        until the next collection.
+        """
+        on_done, self.on_done = self.on_done, None
+        if on_done:
+            on_done(written)
+
+
+class ByteCounter(Protocol):
+    """Counts the bytes that wait in a write queue."""
+
+    def add(self, change: int) -> None:
+        """Adds a number of bytes, which may be negative."""
+
+
+class NullByteCounter:
+    """Counts nothing."""
+
+    def add(self, change: int) -> None:
+        """What waits here concerns no one else."""
+
+
+class WriteQueue:
+    """Messages to one peer, in order. One that has started is written completely or the connection ends."""
+
+    def __init__(self, sock: socket.socket, counter: ByteCounter | None = None) -> None:
+        self._sock = sock
+        self._counter: ByteCounter = counter or NullByteCounter()
+        self._queue: deque[QueuedWrite] = deque()
+        self._not_empty = anyio.Event()
+        self.error: ConnectionEndedError | None = None
+        self.size = self.written = 0  # bytes that wait here, and that went out of those
+
+    def put(
+        self,
+        parts: Sequence[Part],
+        may_start: Callable[[], bool] | None = None,
+        on_done: Callable[[bool], None] | None = None,
+        serialize: Callable[[], Sequence[Part]] | None = None,
+    ) -> QueuedWrite:
+        """Writes what the socket takes at once; `run` writes the rest.
+
+        Args:
+            parts: The message, unless `serialize` gives it.
+            may_start: Asked just before the first byte goes.
+            on_done: Takes True with the last byte, False where `may_start` said no.
+            serialize: Gives the parts as of the moment in which the first byte goes.
+        """
+        write = QueuedWrite(parts, may_start, serialize)
+        write.on_done = on_done
+        if not self._queue and self._write_at_once(write):
+            return write
+        self._queue.append(write)
+        self._change_size(write.size())
+        if len(self._queue) == 1:
+            self._flush()
+        if self._queue:
+            self._not_empty.set()
+        return write
+
+    def _write_at_once(self, write: QueuedWrite) -> bool:
+        """Writes a message that nothing is before; True if all of it went, as it nearly always does."""
+        if self.error or not _check_promptly(write.prepare) or not write.parts:
+            return False
+        try:
+            sent = self._sock.sendmsg(write.parts)
+        except (BlockingIOError, InterruptedError):
+            return False
+        except OSError as fault:
+            self.error = ConnectionEndedError(EndReason.CONNECTION_LOST, str(fault))
+            return False
+        write.consume(sent)
+        if write.parts:
+            return False
+        write.notify(True)
+        return True
+
+    def _change_size(self, change: int) -> None:
+        self.size += change
+        self._counter.add(change)
+
+    def clear(self) -> None:
+        """The connection has ended: what still waits will not be written."""
+        self._queue.clear()
+        if self.size:
+            self._change_size(-self.size)
+
+    def cancel(self, write: QueuedWrite) -> bool:
+        """Takes back a message of which no byte was written; False if one was."""
+        if write.started:
+            return False
+        write.on_done = None
+        if write in self._queue:
+            self._queue.remove(write)
+            self._change_size(-write.size())
+        return True
+
+    def _flush(self) -> None:
+        while self._queue and not self.error:
+            parts = _check_promptly(self._next_parts)
+            if not parts:
+                continue
+            try:
+                sent = self._sock.sendmsg(parts)
+            except (BlockingIOError, InterruptedError):
+                return
+            except OSError as fault:
+                self.error = ConnectionEndedError(EndReason.CONNECTION_LOST, str(fault))
+                return
+            self._consume(sent)
+
+    def _next_parts(self) -> list[memoryview]:
+        """What goes next, as of this moment; what may not go any more is taken out of the queue."""
+        parts: list[memoryview] = []
+        rejected: list[QueuedWrite] = []
+        for write in self._queue:
+            size_before = write.size()
+            if not write.prepare():
+                rejected.append(write)
+                continue
+            self._change_size(write.size() - size_before)
+            if parts and len(parts) + len(write.parts) > MAX_PARTS:
+                break
+            parts.extend(write.parts)
+        for write in rejected:
+            self._queue.remove(write)  # something changed since it was queued
+            self._change_size(-write.size())
+            write.notify(False)
+        return parts
+
+    def _consume(self, sent: int) -> None:
+        self.written += sent
+        self._change_size(-sent)
+        while self._queue:
+            write = self._queue[0]
+            sent = write.consume(sent)
+            if write.parts:
+                return
+            self._queue.popleft()
+            write.notify(True)
+
+    async def drain(self, timeout_seconds: float) -> None:
+        """Writes what still waits, for a bounded time; nothing is put any more."""
+        with anyio.move_on_after(timeout_seconds):
+            while self._queue and not self.error:
+                try:
+                    await anyio.wait_writable(self._sock)
+                except (OSError, ValueError, anyio.ClosedResourceError):
+                    return
+                self._flush()
+
+    async def run(self, stall_timeout_seconds: float) -> None:
+        """Writes what `put` could not, until cancelled.
+
+        Raises:
+            ConnectionEndedError: The connection has ended, or the peer read nothing for too long.
+        """
+        while True:
+            if self.error:
+                raise self.error
+            if not self._queue:
+                self._not_empty = anyio.Event()
+                await self._not_empty.wait()
+                continue
+            with anyio.move_on_after(stall_timeout_seconds) as waiting:
+                try:
+                    await anyio.wait_writable(self._sock)
+                except (OSError, ValueError, anyio.ClosedResourceError):
+                    raise ConnectionEndedError(EndReason.CONNECTION_LOST) from None
+            written_before = self.written
+            self._flush()
+            if waiting.cancelled_caught and self._queue and self.written == written_before:
+                raise ConnectionEndedError(EndReason.PEER_STALLED, "the peer does not read")
--- a/zincladder/wiring/coordinator.py
+++ b/zincladder/wiring/coordinator.py
@@ -5,7 +5,7 @@
 from zincladder.config import Address, Config
 from zincladder.core.engine import Core
 from zincladder.discovery.freshness import Freshness
-from zincladder.net.caches import Caches
+from zincladder.net.cache_pool import CachePool
 from zincladder.net.coordinator_watch import CoordinatorWatch
 from zincladder.net.events import EndpointUpdateReceived, WatchEvent
 from zincladder.routing import interface as api
@@ -15,18 +15,18 @@
 MAX_LOGGED_ENDPOINTS = 16  # of each state, in one line
 
 
-def apply_update(core: Core, caches: Caches, event: WatchEvent) -> None:
+def apply_update(core: Core, caches: CachePool, event: WatchEvent) -> None:
     """Give one event of the coordinator to the parts that it concerns."""
     if not isinstance(event, EndpointUpdateReceived):
         core.purge(event.object, event.group, event.purged_at)
         return
     if event.is_full:
-        caches.keep_only({endpoint.id for endpoint, _ in event.endpoints})
+        caches.retain_only({endpoint.id for endpoint, _ in event.endpoints})
     for endpoint, address in event.endpoints:
         if endpoint.state is api.EndpointState.GONE:
             caches.forget(endpoint.id)
         else:
-            caches.know(endpoint.id, address)
+            caches.set_address(endpoint.id, address)
     kind = api.UpdateKind.FULL if event.is_full else api.UpdateKind.DELTA
     core.update_endpoints(kind, event.version, tuple(endpoint for endpoint, _ in event.endpoints))
 
@@ -50,7 +50,7 @@
 
 
 def build_watch(
-    coordinator: Address, config: Config, last_event: int, core: Core, caches: Caches
+    coordinator: Address, config: Config, last_event: int, core: Core, caches: CachePool
 ) -> CoordinatorWatch:
     """The watch, which follows the events after `last_event`.
 
--- a/zincladder/wiring/dns.py
+++ b/zincladder/wiring/dns.py
@@ -7,10 +7,12 @@
 from zincladder.core.engine import Core
 from zincladder.dns.answers import Answers
 from zincladder.dns.server import DnsServer
-from zincladder.net.caches import Caches
+from zincladder.net.cache_transport import CacheTransport
 
 
-def build_dns_server(config: DnsConfig, core: Core, caches: Caches, admission: Admission) -> DnsServer:
+def build_dns_server(
+    config: DnsConfig, core: Core, caches: CacheTransport, admission: Admission
+) -> DnsServer:
     """A server that listens already; its `run` answers."""
-    answers = Answers(config, core, caches.where)
+    answers = Answers(config, core, caches.pool.address_of)
     return DnsServer(config.listen, answers, core.clock, admission, core.endpoint_list.wait_until_synced)
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -19,7 +19,8 @@
 from zincladder.core.engine import Core
 from zincladder.core.request_classes import RequestClasses
 from zincladder.handover.host import Handover
-from zincladder.net.caches import Caches
+from zincladder.net.cache_pool import CachePool
+from zincladder.net.cache_transport import CacheTransport
 from zincladder.net.clients import Clients
 from zincladder.net.coordinator_watch import CoordinatorWatch
 from zincladder.net.known_events import read_known_events
@@ -66,7 +67,7 @@
         self.inherited_listener = self.handover.take_over() if self.handover else None
         self.admission = build_admission(config, operator)
         classes = RequestClasses(config.names.classes, config.settings.classes)
-        self.caches = Caches(config, clock.now, self.admission.ledger, classes.names)
+        self.caches = CacheTransport(CachePool(config, self.admission.ledger), clock.now, classes.names)
         self.core = Core(config.settings, config.seed, self.caches, clock, classes)
         self.last_event = self._apply_known_events()
         # Listens only now: what clients send while the list is taken in would wait unread.
@@ -91,14 +92,14 @@
         """Apply the events that the configuration holds; the number of the last one."""
         last_event, events = read_known_events(self.config)
         for event in events:
-            apply_update(self.core, self.caches, event)
+            apply_update(self.core, self.caches.pool, event)
         return last_event
 
     async def run(self, stopping: anyio.Event, task_status: TaskStatus[ListeningAddresses]) -> None:
         """Run all parts until `stopping` is set and the last request is answered."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.clients.stop, stopping)
-            group.start_soon(self.caches.run)
+            group.start_soon(self.caches.pool.run)
             group.start_soon(self.core.run)
             self._start_watch(group)
             self._subscribe_to_reloads()
@@ -121,7 +122,7 @@
     def _start_watch(self, group: TaskGroup) -> None:
         if self.config.coordinator:
             self.watch = build_watch(
-                self.config.coordinator, self.config, self.last_event, self.core, self.caches
+                self.config.coordinator, self.config, self.last_event, self.core, self.caches.pool
             )
             group.start_soon(self.watch.run)
 
@@ -129,7 +130,7 @@
         subscribers: list[Callable[[Config], None]] = [
             partial(apply_settings, self.core),
             self.clients.use,
-            self.caches.use,
+            self.caches.pool.apply_config,
             partial(apply_bounds, self.admission),
         ]
         if self.watch:
