--- a/tests/core/test_late_attempts.py
+++ b/tests/core/test_late_attempts.py
@@ -35,9 +35,9 @@
 from zincladder.core.arrival import PROMPT_READ_SECONDS
 from zincladder.core.attempt_guard import MIN_ATTEMPT_SECONDS
 from zincladder.core.engine import Core
-from zincladder.net import cache_exchange, client_connection, clients, thrift, write_queue
+from zincladder.net import cache_exchange, client_connection, client_server, thrift, write_queue
 from zincladder.net.client_listener import ClientListener
-from zincladder.net.clients import Clients
+from zincladder.net.client_server import ClientServer
 from zincladder.net.read_buffer import ReadBuffer
 from zincladder.net.sockets import has_unsent_bytes, newest_byte_age_seconds
 from zincladder.net.write_queue import WriteQueue
@@ -161,7 +161,7 @@
     ],
 )
 def test_withdrawals_are_found_in_whole_messages_only(unread: bytes, start: int, found: list[int]) -> None:
-    assert list(thrift.withdrawn(unread, start)) == found
+    assert list(thrift.find_withdrawn(unread, start)) == found
 
 
 # The last check before the first byte -----------------------------------------------------
@@ -241,25 +241,25 @@
 def connected_after(monkeypatch: pytest.MonkeyPatch) -> list[float]:
     """For each connection that gets a slot, how long it may have waited at most."""
     found = list[float]()
-    seat = Clients._seat
+    seat = ClientServer._add
 
-    def seated(self: Clients, sock: socket.socket, decision: Decision, came_after: float) -> None:
+    def seated(self: ClientServer, sock: socket.socket, decision: Decision, came_after: float) -> None:
         found.append(monotonic() - came_after)
         seat(self, sock, decision, came_after)
 
-    monkeypatch.setattr(Clients, "_seat", seated)
+    monkeypatch.setattr(ClientServer, "_add", seated)
     return found
 
 
 async def test_a_connection_behind_others_that_are_turned_away_is_new(
     connected_after: list[float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    admit = ClientListener._admit
+    admit = ClientListener._accept_all
 
     async def turns_away(self: ClientListener) -> bool:
         return await admit(self) or True
 
-    monkeypatch.setattr(ClientListener, "_admit", turns_away)
+    monkeypatch.setattr(ClientListener, "_accept_all", turns_away)
     async with world(serve) as w:
         await anyio.sleep(0.3)
         with plain(w) as sock:
@@ -277,7 +277,7 @@
         await (anyio.sleep_forever() if sock.getsockopt(*LISTENS) else wait(sock))
 
     monkeypatch.setattr(anyio, "wait_readable", misses_connections)
-    monkeypatch.setattr(clients, "STAY", 0.0)
+    monkeypatch.setattr(client_server, "ACCEPT_AFTER_STOP_SECONDS", 0.0)
     async with world(serve) as w:
         await anyio.sleep(0.3)
         with plain(w):
--- a/tests/core/test_stalled_front.py
+++ b/tests/core/test_stalled_front.py
@@ -26,7 +26,7 @@
 from tests.stands import Client, Fetch, StubCache, configuration
 from tests.support.front_process import FrontProcess
 from tests.test_endings import request as call
-from zincladder.net.clients import FIRST, STALL
+from zincladder.net.client_server import FIRST_MESSAGE_TIMEOUT_SECONDS, STALL_TIMEOUT_SECONDS
 
 pytestmark = pytest.mark.anyio
 SEEDS = range(int(os.environ.get("STALL_FROM", "0")), int(os.environ.get("STALL_SEEDS", "3")))
@@ -286,7 +286,7 @@
                 await c.ask(trace="e" * 16)
                 await c.reply()  # so the first has been taken, and its part read
             front.process.send_signal(signal.SIGSTOP)
-            await anyio.sleep(max(FIRST, STALL) + 0.3)
+            await anyio.sleep(max(FIRST_MESSAGE_TIMEOUT_SECONDS, STALL_TIMEOUT_SECONDS) + 0.3)
             sock.sendall(message[part:])
             front.process.send_signal(signal.SIGCONT)
             assert len(await anyio.to_thread.run_sync(sock.recv, 100)) > 4
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -25,11 +25,11 @@
 from zincladder.config import parse_config
 from zincladder.core.clock import Clock
 from zincladder.core.engine import Core
-from zincladder.net import cache_connection, cache_pool, thrift
-from zincladder.net import clients as client_side
+from zincladder.net import cache_connection, cache_pool, client_closing, client_server, thrift
 from zincladder.net.cache_pool import CachePool
+from zincladder.net.client_closing import ClientCloser
 from zincladder.net.client_connection import ClientConnection
-from zincladder.net.clients import Clients
+from zincladder.net.client_server import ClientServer
 from zincladder.net.sockets import connect
 
 pytestmark = pytest.mark.anyio
@@ -148,10 +148,10 @@
     way: Callable[[World, socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # a close over unread bytes sends a reset: the part of the answer that has not been read is gone with it
-    monkeypatch.setattr("zincladder.net.clients.STAY", 0.01)
-    monkeypatch.setattr("zincladder.net.clients.STALL", 0.1)
-    monkeypatch.setattr("zincladder.net.clients.IDLE", 0.1 if way is _idle else 60.0)
-    end, body, crossing = ClientConnection.end, bytes(12_000), [request(2)]
+    monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
+    monkeypatch.setattr("zincladder.net.client_server.STALL_TIMEOUT_SECONDS", 0.1)
+    monkeypatch.setattr("zincladder.net.client_server.IDLE_TIMEOUT_SECONDS", 0.1 if way is _idle else 60.0)
+    end, body, crossing = ClientConnection.close, bytes(12_000), [request(2)]
 
     def ending(self: ClientConnection, *how: Any) -> None:
         while crossing:
@@ -161,7 +161,7 @@
     async def large(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(200, "tell=local,rev=aa,since=1", body)
 
-    monkeypatch.setattr(ClientConnection, "end", ending)
+    monkeypatch.setattr(ClientConnection, "close", ending)
     async with world(large) as w:
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)  # most of the answer stays on its way
@@ -184,9 +184,9 @@
 ) -> None:
     # SIGKILL comes soon after the longest deadline, counted as `counted` seconds where it is longer: what
     # would end later is answered before that
-    monkeypatch.setattr("zincladder.net.clients.STAY", 0.01)
-    monkeypatch.setattr("zincladder.net.clients.MOST_STAY", counted)
-    monkeypatch.setattr("zincladder.net.clients.LAST", 0.05)
+    monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
+    monkeypatch.setattr("zincladder.net.client_server.MAX_COUNTED_TIMEOUT_SECONDS", counted)
+    monkeypatch.setattr("zincladder.net.client_server.FAIL_OPEN_AFTER_SECONDS", 0.05)
     settings = copy.deepcopy(SETTINGS)
     for row in settings["categories"]:
         row["deadline"] = deadline
@@ -219,7 +219,7 @@
 async def test_what_is_open_on_a_connection_that_the_front_ends_gets_its_one_answer(
     bad: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("zincladder.net.clients.STALL", 0.1)
+    monkeypatch.setattr("zincladder.net.client_server.STALL_TIMEOUT_SECONDS", 0.1)
     cores = cores_of(monkeypatch)
     async with world(hold, origin=hold) as w:
         with plain(w) as sock:
@@ -228,7 +228,7 @@
                 await anyio.sleep(0.001)
             bad(sock)
             answers = await rest(sock)
-        failed = [thrift.thrown("handle", seq, 2, {}) for seq in (1, 2)]
+        failed = [thrift.declared_exception("handle", seq, 2, {}) for seq in (1, 2)]
         for one in failed:
             assert answers.count(b"".join(bytes(part) for part in one)) == 1
         kinds = {kind: n for (what, kind), n in cores[0].counts.items() if what == "answers"}
@@ -239,13 +239,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # half a frame keeps the connection from resting, so it is open until the very end
-    monkeypatch.setattr("zincladder.net.clients.STAY", 0.01)
-    monkeypatch.setattr("zincladder.net.clients.MOST_STAY", 0.0)
-    monkeypatch.setattr("zincladder.net.clients.LAST", 0.05)
-    monkeypatch.setattr("zincladder.net.clients.LEAVING", 0.05)
-    empty, turns, body = Clients._empty, [0], bytes(12_000)
+    monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
+    monkeypatch.setattr("zincladder.net.client_server.MAX_COUNTED_TIMEOUT_SECONDS", 0.0)
+    monkeypatch.setattr("zincladder.net.client_server.FAIL_OPEN_AFTER_SECONDS", 0.05)
+    monkeypatch.setattr("zincladder.net.client_server.SEND_ANSWERS_SECONDS", 0.05)
+    empty, turns, body = ClientServer._drain, [0], bytes(12_000)
 
-    async def crossing(self: Clients, until: float) -> None:
+    async def crossing(self: ClientServer, until: float) -> None:
         await empty(self, until)
         turns[0] += 1
         if turns[0] == 2:
@@ -254,7 +254,7 @@
     async def large(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(200, "tell=local,rev=aa,since=1", body)
 
-    monkeypatch.setattr(Clients, "_empty", crossing)
+    monkeypatch.setattr(ClientServer, "_drain", crossing)
     async with world(large) as w:
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)  # most of the answer stays on its way
@@ -274,16 +274,16 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Seen at an upgrade: a connection taken in the last moment was ended before its client had spoken.
-    monkeypatch.setattr(client_side, "STAY", 0.0)
-    monkeypatch.setattr(client_side, "SETTLED", 60.0)
+    monkeypatch.setattr(client_server, "ACCEPT_AFTER_STOP_SECONDS", 0.0)
+    monkeypatch.setattr(client_closing, "SETTLED", 60.0)
     looks = [0]
-    retire = Clients._retire_at_stop
+    close_idle = ClientCloser.close_idle_at_shutdown
 
-    def counted(self: Clients, client: ClientConnection) -> bool:
+    def counted(self: ClientCloser, client: ClientConnection) -> bool:
         looks[0] += 1
-        return retire(self, client)
+        return close_idle(self, client)
 
-    monkeypatch.setattr(Clients, "_retire_at_stop", counted)
+    monkeypatch.setattr(ClientCloser, "close_idle_at_shutdown", counted)
     async with world(serve) as w:
         with plain(w) as sock:
             w.stopping.set()
@@ -298,14 +298,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     idle: list[socket.socket] = []
-    evict = Clients._evict
+    evict = ClientServer._evict
 
-    def crossing(self: Clients, *chosen: Any) -> None:
+    def crossing(self: ClientServer, *chosen: Any) -> None:
         while idle:
             idle.pop().sendall(request(2, trace="e" * 16))
         evict(self, *chosen)
 
-    monkeypatch.setattr(Clients, "_evict", crossing)
+    monkeypatch.setattr(ClientServer, "_evict", crossing)
     # 22 of the 40 descriptors are the clients'
     async with world(serve, limits={"sockets": 40}) as w:
         with plain(w) as first, contextlib.ExitStack() as crowd:
@@ -328,13 +328,13 @@
     # Seen: a front with all descriptors in use answered nobody any more, without a line in its log. It stood
     # in a read of an idle connection that was to make room, and that its own task had not set up yet.
     blocking: list[bool] = []
-    seat = Clients._seat
+    seat = ClientServer._add
 
-    def seated(self: Clients, sock: socket.socket, *more: Any) -> None:
+    def seated(self: ClientServer, sock: socket.socket, *more: Any) -> None:
         blocking.append(os.get_blocking(sock.fileno()))
         seat(self, sock, *more)
 
-    monkeypatch.setattr(Clients, "_seat", seated)
+    monkeypatch.setattr(ClientServer, "_add", seated)
     async with world(serve) as w, client(w) as c:
         await c.ask()
         assert (await c.reply()).kind == "served" and blocking == [False]
@@ -343,7 +343,7 @@
 async def test_clients_that_do_not_end_their_side_give_their_descriptors_to_who_comes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("zincladder.net.clients.LINGER_SECONDS", 60.0)
+    monkeypatch.setattr("zincladder.net.client_server.LINGER_SECONDS", 60.0)
     monkeypatch.setattr("zincladder.admission.plain.SETTLED", 0.0)
     looks, ready = [0], Plain.ready
 
@@ -367,16 +367,16 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # the look from outside always comes too late: the next request is there already
-    monkeypatch.setattr("zincladder.net.clients.STAY", 0.01)
-    monkeypatch.setattr("zincladder.net.clients.RETIRING", 60.0)
-    empty, asked, cores = Clients._empty, [1], cores_of(monkeypatch)
+    monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
+    monkeypatch.setattr("zincladder.net.client_server.DRAIN_INTERVAL_SECONDS", 60.0)
+    empty, asked, cores = ClientServer._drain, [1], cores_of(monkeypatch)
 
-    async def crossing(self: Clients, until: float) -> None:
+    async def crossing(self: ClientServer, until: float) -> None:
         asked.append(2)
         sock.sendall(request(2))
         await empty(self, until)
 
-    monkeypatch.setattr(Clients, "_empty", crossing)
+    monkeypatch.setattr(ClientServer, "_drain", crossing)
     async with world(serve) as w:
         with plain(w) as sock:
             sock.sendall(request(1))
@@ -546,7 +546,7 @@
 
 
 async def test_what_is_queued_for_a_slow_reader_leaves_after_sigterm(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("zincladder.net.clients.STAY", 0.01)
+    monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
     body, cores = bytes(200_000), cores_of(monkeypatch)
 
     async def large(_: StubCache, fetch: Fetch) -> None:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -252,7 +252,7 @@
     data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # guards the descriptors and the parser against a client that begins a message and stops
-    monkeypatch.setattr("zincladder.net.clients.STALL", 0.05)
+    monkeypatch.setattr("zincladder.net.client_server.STALL_TIMEOUT_SECONDS", 0.05)
     async with world(serve) as w, client(w) as c:
         await c.stream.send(data)
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)), anyio.fail_after(5):
@@ -261,7 +261,7 @@
 
 async def test_an_idle_wait_that_ends_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     # guards a frame whose first bytes come as the wait for it is renewed
-    monkeypatch.setattr("zincladder.net.clients.IDLE", 0.01)
+    monkeypatch.setattr("zincladder.net.client_server.IDLE_TIMEOUT_SECONDS", 0.01)
     async with world(hold) as w, client(w) as c:
         await c.ask(patience="600")  # keeps the connection from being closed as idle
         frame = thrift._message(thrift.CALL, "status", 2) + b"\0"
@@ -535,7 +535,7 @@
 async def test_a_connection_that_says_no_whole_message_is_closed(
     data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("zincladder.net.clients.FIRST", 0.05)
+    monkeypatch.setattr("zincladder.net.client_server.FIRST_MESSAGE_TIMEOUT_SECONDS", 0.05)
     async with world(hold) as w, client(w) as usual, client(w) as silent:
         await usual.ask(patience="800")
         if data:
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -85,8 +85,10 @@
         message("handle", 1, 1, b"\x63\0\1"),
     ]
     framed = b"".join(struct.pack(">i", len(c)) + c for c in (calls[0], calls[2], calls[2], calls[3]))
-    found = [[call.hex(), outcome(partial(thrift.read_call, call), thrift.Malformed)] for call in calls]
-    found.append([framed.hex(), list(thrift.withdrawn(framed, 0))])
+    found = [
+        [call.hex(), outcome(partial(thrift.read_call, call), thrift.MalformedMessageError)] for call in calls
+    ]
+    found.append([framed.hex(), list(thrift.find_withdrawn(framed, 0))])
     assert_matches("wires/client_calls.json", found)
 
 
@@ -96,8 +98,8 @@
         "served": thrift.answer("handle", 7, b"the body", fields, True),
         "served, the client's copy": thrift.answer("handle", 7, bytearray(), {"current": "1"}, True),
         "not good": thrift.answer("status", 2147483647, b"", {}, False),
-        "throttled": thrift.thrown("handle", 8, 1, fields),
-        "broken": thrift.thrown("handle", 9, 2, {}),
+        "throttled": thrift.declared_exception("handle", 8, 1, fields),
+        "broken": thrift.declared_exception("handle", 9, 2, {}),
         "unknown method": thrift.application_exception("x", 1, thrift.UNKNOWN_METHOD, "no method 'x\u00e9'"),
         "internal error": thrift.application_exception("x", 1, thrift.INTERNAL_ERROR, "ended"),
         "protocol error": thrift.application_exception("x", 1, thrift.PROTOCOL_ERROR, "bad"),
--- a/tests/wiring/test_front.py
+++ b/tests/wiring/test_front.py
@@ -76,7 +76,7 @@
     names = [getattr(s, "func", s).__qualname__ for s in reload.subscribers]
     expected = [
         "apply_settings",
-        "Clients.use",
+        "ClientServer.apply_config",
         "CachePool.apply_config",
         "apply_bounds",
         "follow_coordinator",
--- a/zincladder/dns/server.py
+++ b/zincladder/dns/server.py
@@ -17,7 +17,7 @@
 from zincladder.core.attempt_end import EndReason
 from zincladder.core.clock import Clock
 from zincladder.dns.answers import MOST_SIZE, Answers
-from zincladder.net.client_listener import turn_away
+from zincladder.net.client_listener import reject_connection
 from zincladder.net.errors import ConnectionEndedError
 from zincladder.net.read_buffer import ReadBuffer
 from zincladder.net.sockets import address_family
@@ -88,7 +88,7 @@
                     if why is Why.NONE:
                         tasks.start_soon(self._connection, sock, peer[0])
                     else:
-                        turn_away(sock)  # UDP goes on
+                        reject_connection(sock)  # UDP goes on
                         self._warn.warning("dns connection turned away", why=why.value)
         finally:
             self.close()
--- a/zincladder/net/client_connection.py
+++ b/zincladder/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its state, the requests that are open on it, and what its socket tells."""
+"""One client's connection: its state, the requests that are open on it, and what its socket says of both."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 @dataclass(slots=True, eq=False)
-class TakenRequest:
-    """One request that was taken from a client."""
+class OpenRequest:
+    """One request that was read from a client and has no answer yet."""
 
     seq: int
-    ask: ClientRequest
+    request: ClientRequest
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
-    begun: bool = False
-    back: bool = False  # taken back
+    started: bool = False
+    withdrawn: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -38,43 +38,45 @@
     read_buffer: ReadBuffer
     write_queue: WriteQueue
     arrival: ArrivalBound
-    since: float
+    connected_at: float
     used_at: float
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
-    open: dict[int, TakenRequest] = field(default_factory=dict)
-    room: anyio.Event = field(default_factory=anyio.Event)
-    turn: anyio.Event = field(default_factory=anyio.Event)  # set when it may be read after a wait
-    ended: bool = False
-    spoke: bool = False  # a whole message has come
-    frame_at: float = 0.0  # when the message that is coming began
-    taken_back: int = 0
-    linger: float | None = None  # seconds for which its own end is waited for; None: it has come
-    lingering: anyio.CancelScope = field(default_factory=anyio.CancelScope)  # cancelled, it closes at once
-
-    def end(self, linger: float | None = None) -> None:
-        """Guards what is to come: nothing of this client is passed on from here."""
-        if not self.ended:
-            self.ended, self.linger = True, linger
+    open: dict[int, OpenRequest] = field(default_factory=dict)
+    request_ended: anyio.Event = field(default_factory=anyio.Event)
+    may_read: anyio.Event = field(default_factory=anyio.Event)  # set when it may be read after a wait
+    closed: bool = False
+    has_sent_message: bool = False  # a complete one
+    message_started_at: float = 0.0  # of the message that is coming; 0: none
+    withdrawn_before_start: int = 0  # requests, with no answer between them
+    linger_seconds: float | None = None  # for which its own close is waited for; None: it has come
+    linger_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)  # cancelled, it closes at once
+
+    def close(self, linger_seconds: float | None = None) -> None:
+        """Guards what is to come: nothing of this client is forwarded from here."""
+        if not self.closed:
+            self.closed, self.linger_seconds = True, linger_seconds
             self.scope.cancel()
 
-    def waits(self, taken: TakenRequest) -> bool:
-        """Whether the client still waits for this request, as its system and what was read say now.
+    def waits_for(self, opened: OpenRequest) -> bool:
+        """Whether the client still waits for this request, by what its system sent and what was read.
 
-        What it said last may lie unread: the reader's turn comes late where the event loop is late.
+        Its last message may lie unread: the reader's turn comes late where the event loop lags.
         """
-        if self.ended or taken.back:
+        if self.closed or opened.withdrawn:
             return False
-        lies = peek_unread(self.sock)
-        here = self.read_buffer.peek()
-        if (lies.data or here) and taken.seq in thrift.withdrawn(here + lies.data, self.read_buffer.missing):
-            taken.back = True
-            taken.scope.cancel()
-        if lies.closed_by_peer:
-            self.end()
-        return not (self.ended or taken.back)
-
-    async def next_message(self) -> None:
-        """Waits until the next message begins; what bounds its arrival is kept."""
+        unread = peek_unread(self.sock)
+        buffered = self.read_buffer.peek()
+        if unread.data or buffered:
+            withdrawn = thrift.find_withdrawn(buffered + unread.data, self.read_buffer.missing)
+            if opened.seq in withdrawn:
+                opened.withdrawn = True
+                opened.scope.cancel()
+        if unread.closed_by_peer:
+            self.close()
+        return not (self.closed or opened.withdrawn)
+
+    async def wait_for_message(self) -> None:
+        """Waits until the next message begins; what bounds its arrival is noted."""
         if self.read_buffer.buffered():
             return  # it came with the one before
         self.arrival.reader_waits(monotonic())
@@ -83,20 +85,20 @@
         self.arrival.reader_woke(now)
         self.arrival.reader_drained(now)
 
-    def age(self, noticed: float) -> float:
+    def unread_seconds(self, noticed_at: float) -> float:
         """For how many seconds the message that was just read had lain unread when it was noticed."""
 
-        def newest() -> float | None:
+        def newest_byte_age() -> float | None:
             if self.read_buffer.buffered() or peek_unread(self.sock, 1).data:
                 return None  # of a later message
             age = newest_byte_age_seconds(self.sock)
-            return None if age is None else age - (monotonic() - noticed)
+            return None if age is None else age - (monotonic() - noticed_at)
 
-        return self.arrival.unread_seconds(noticed, newest)
+        return self.arrival.unread_seconds(noticed_at, newest_byte_age)
 
 
-class UnreadAnswers:
-    """Tells admission of the bytes that one client leaves unread."""
+class UnreadAnswersCounter:
+    """Reports to admission the bytes that one client leaves unread."""
 
     __slots__ = ("_admission", "_seat", "_size")
 
@@ -105,6 +107,7 @@
         self._size = 0
 
     def add(self, change: int) -> None:
+        """Adds a number of bytes, which may be negative."""
         self._size += change
         self._admission.unread(self._seat, change)
         if self._size == 0:
--- a/zincladder/net/coordinator_watch.py
+++ b/zincladder/net/coordinator_watch.py
@@ -148,8 +148,9 @@
         on_frame: Callable[[Frame, float], None],
         on_complete: Callable[[], None],
     ) -> None:
-        """Args: `on_frame` takes each frame and the seconds since the start; `on_complete` runs when none is
-        incomplete after it.
+        """Args: `on_frame` takes each frame and the seconds since the start.
+
+        `on_complete` runs when no frame is incomplete after it.
         """
         self._sock, self._on_frame, self._on_complete = sock, on_frame, on_complete
         self._frames = FrameReader()
--- a/zincladder/net/thrift.py
+++ b/zincladder/net/thrift.py
@@ -24,14 +24,14 @@
 )
 UNKNOWN_METHOD, INTERNAL_ERROR, PROTOCOL_ERROR = 1, 6, 7
 MAX_FRAME_BYTES = 1 << 16  # a write brings 48,000 bytes at most
-MOST_NESTED = 16
+MAX_NESTING = 16
 _FIXED = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
 _I32, _HEAD = struct.Struct(">i"), struct.Struct(">Ii")
 _MAP = struct.Struct(">BBi")
 WITHDRAW, _VERB_AT = b"withdraw", 8  # the verb's text stands behind the version and its own length
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """The bytes are not the protocol's."""
 
 
@@ -49,13 +49,13 @@
 
 class _Reader:
     def __init__(self, data: bytes | bytearray | memoryview) -> None:
-        self.view, self.at = memoryview(data), 0
+        self.view, self.position = memoryview(data), 0
 
     def take(self, size: int) -> memoryview:
-        if size < 0 or self.at + size > len(self.view):
-            raise Malformed(f"a field of {size} bytes runs past its frame")
-        self.at += size
-        return self.view[self.at - size : self.at]
+        if size < 0 or self.position + size > len(self.view):
+            raise MalformedMessageError(f"a field of {size} bytes runs past its frame")
+        self.position += size
+        return self.view[self.position - size : self.position]
 
     def byte(self) -> int:
         return self.take(1)[0]
@@ -67,7 +67,7 @@
         try:
             return str(self.take(self.i32()), "utf-8")
         except UnicodeDecodeError:
-            raise Malformed("a text is not UTF-8") from None
+            raise MalformedMessageError("a text is not UTF-8") from None
 
     def field(self) -> tuple[int, int]:
         kind = self.byte()
@@ -76,15 +76,15 @@
     def texts(self) -> dict[str, str]:
         key, value, count = _MAP.unpack(self.take(6))
         if count and (key, value) != (STRING, STRING):
-            raise Malformed("a map that is not of texts")
+            raise MalformedMessageError("a map that is not of texts")
         if count < 0 or count * 8 > len(self.view):
-            raise Malformed(f"a map of {count} entries")
+            raise MalformedMessageError(f"a map of {count} entries")
         return {self.text(): self.text() for _ in range(count)}
 
     def skip(self, kind: int, depth: int = 0) -> None:
         """Passes over a field of a newer client."""
-        if depth > MOST_NESTED:
-            raise Malformed("fields nested too deep")
+        if depth > MAX_NESTING:
+            raise MalformedMessageError("fields nested too deep")
         if kind in _FIXED:
             self.take(_FIXED[kind])
         elif kind == STRING:
@@ -96,52 +96,52 @@
             kinds = [self.byte() for _ in range(2 if kind == MAP else 1)]
             count = self.i32()
             if count < 0 or count > len(self.view):
-                raise Malformed(f"a collection of {count} entries")
+                raise MalformedMessageError(f"a collection of {count} entries")
             for _ in range(count):
                 for inner in kinds:
                     self.skip(inner, depth + 1)
         else:
-            raise Malformed(f"a field of unknown type {kind}")
+            raise MalformedMessageError(f"a field of unknown type {kind}")
 
 
 def read_call(data: bytes | bytearray | memoryview) -> Call:
     """The message in a frame."""
-    r = _Reader(data)
-    version = r.i32() & 0xFFFFFFFF
+    reader = _Reader(data)
+    version = reader.i32() & 0xFFFFFFFF
     if version & VERSION_MASK != VERSION:
-        raise Malformed(f"not strict binary: {version:#010x}")
-    verb, seq = r.text(), r.i32()
+        raise MalformedMessageError(f"not strict binary: {version:#010x}")
+    verb, seq = reader.text(), reader.i32()
     fields: dict[str, str] = {}
     body, number = b"", 0
-    while (field := r.field())[0] != STOP:
+    while (field := reader.field())[0] != STOP:
         if verb == "handle" and field == (MAP, 1):
-            fields = r.texts()
+            fields = reader.texts()
         elif verb == "handle" and field == (STRING, 2):
-            body = bytes(r.take(r.i32()))
+            body = bytes(reader.take(reader.i32()))
         elif verb == "withdraw" and field == (I32, 1):
-            number = r.i32()
+            number = reader.i32()
         else:
-            r.skip(field[0])
-    if r.at != len(r.view):
-        raise Malformed(f"{len(r.view) - r.at} bytes after the message")
+            reader.skip(field[0])
+    if reader.position != len(reader.view):
+        raise MalformedMessageError(f"{len(reader.view) - reader.position} bytes after the message")
     return Call(verb, version & 0xFF, seq, fields, body, number)
 
 
-def withdrawn(unread: bytes | bytearray, start: int) -> Iterator[int]:
+def find_withdrawn(unread: bytes | bytearray, start: int) -> Iterator[int]:
     """The requests that whole `withdraw` messages in these bytes name; the first frame begins at `start`.
 
     Looks ahead of the reader, to whom all else is left, also what cannot be read.
     """
-    at = start
-    while len(unread) - at >= _I32.size:
-        size = int(_I32.unpack_from(unread, at)[0])
-        first, at = at + _I32.size, at + _I32.size + size
-        if not 0 < size <= MAX_FRAME_BYTES or at > len(unread):
+    position = start
+    while len(unread) - position >= _I32.size:
+        size = int(_I32.unpack_from(unread, position)[0])
+        start_of_message, position = position + _I32.size, position + _I32.size + size
+        if not 0 < size <= MAX_FRAME_BYTES or position > len(unread):
             return
-        if unread[first + _VERB_AT : first + _VERB_AT + len(WITHDRAW)] == WITHDRAW:
+        if unread[start_of_message + _VERB_AT : start_of_message + _VERB_AT + len(WITHDRAW)] == WITHDRAW:
             try:
-                yield read_call(unread[first:at]).number
-            except Malformed:
+                yield read_call(unread[start_of_message:position]).number
+            except MalformedMessageError:
                 return
 
 
@@ -151,7 +151,7 @@
 
 
 def _texts(fields: Mapping[str, str]) -> bytes:
-    entries = b"".join(_text(k) + _text(v) for k, v in fields.items())
+    entries = b"".join(_text(key) + _text(value) for key, value in fields.items())
     return _MAP.pack(STRING, STRING, len(fields)) + entries
 
 
@@ -172,7 +172,9 @@
     return _framed(head, body, tail)
 
 
-def thrown(verb: str, seq: int, number: int, fields: Mapping[str, str]) -> list[bytes | bytearray]:
+def declared_exception(
+    verb: str, seq: int, number: int, fields: Mapping[str, str]
+) -> list[bytes | bytearray]:
     """A reply that holds a declared exception: 1 for Throttled, 2 for Broken."""
     head = _message(REPLY, verb, seq) + b"\x0c" + number.to_bytes(2, "big")
     return _framed(head + b"\x0d\x00\x01" + _texts(fields) + b"\x00\x00")
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -21,7 +21,7 @@
 from zincladder.handover.host import Handover
 from zincladder.net.cache_pool import CachePool
 from zincladder.net.cache_transport import CacheTransport
-from zincladder.net.clients import Clients
+from zincladder.net.client_server import ClientServer
 from zincladder.net.coordinator_watch import CoordinatorWatch
 from zincladder.net.known_events import read_known_events
 from zincladder.wiring.admission import apply_bounds, build_admission
@@ -71,7 +71,7 @@
         self.core = Core(config.settings, config.seed, self.caches, clock, classes)
         self.last_event = self._apply_known_events()
         # Listens only now: what clients send while the list is taken in would wait unread.
-        self.clients = Clients(
+        self.clients = ClientServer(
             config, self.core, self.admission, self.inherited_listener, self._has_successor
         )
         self.listening = ListeningAddresses(self.clients.address)
@@ -129,7 +129,7 @@
     def _subscribe_to_reloads(self) -> None:
         subscribers: list[Callable[[Config], None]] = [
             partial(apply_settings, self.core),
-            self.clients.use,
+            self.clients.apply_config,
             self.caches.pool.apply_config,
             partial(apply_bounds, self.admission),
         ]
--- a/zincladder/wiring/status.py
+++ b/zincladder/wiring/status.py
@@ -11,8 +11,8 @@
 from zincladder.control.status_calls import StatusCalls
 from zincladder.control.status_server import StatusServer
 from zincladder.core.engine import Core
-from zincladder.net.client_listener import listener
-from zincladder.net.clients import Clients
+from zincladder.net.client_listener import open_listener
+from zincladder.net.client_server import ClientServer
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 def build_status_server(
     listen: Address,
     core: Core,
-    clients: Clients,
+    clients: ClientServer,
     admission: Admission,
     policy: FleetPolicy | None,
     tasks: TaskRunner | None,
@@ -44,4 +44,4 @@
     if tasks:
         sections[TASKS_SECTION] = tasks.figures
     calls = StatusCalls(readiness.missing, lambda: front_statistics(core, sections))
-    return StatusServer(listener(listen), calls, admission.ledger, RateLimitedLog().warning)
+    return StatusServer(open_listener(listen), calls, admission.ledger, RateLimitedLog().warning)
