--- a/tests/core/test_late_attempts.py
+++ b/tests/core/test_late_attempts.py
@@ -29,9 +29,9 @@
 from tests.stands import SETTINGS, Fetch, StubCache, client, serve, world
 from tests.test_endings import cores_of, frame, on_connect, plain, request, some
 from tests.test_front import cut
-from tests.test_member_links import LARGE, order, wire
-from zincladder.admission.model import Decision, Verdict, Why
-from zincladder.admission.plain import Plain
+from tests.test_member_links import LARGE, attempt_request, wire
+from zincladder.admission.connection_admission import ConnectionAdmission
+from zincladder.admission.model import Decision, RejectionReason, Verdict
 from zincladder.core.arrival import PROMPT_READ_SECONDS
 from zincladder.core.attempt_guard import MIN_ATTEMPT_SECONDS
 from zincladder.core.engine import Core
@@ -183,8 +183,8 @@
     # the second waits behind a first that the endpoint does not read yet
     now = [1000.0]
     async with wire(now=lambda: now[0]) as w:
-        await w.send(b"x" * LARGE, order("a" * 16))
-        until = order("b" * 16, deadline=now[0] + 2.0)
+        await w.send(b"x" * LARGE, attempt_request("a" * 16))
+        until = attempt_request("b" * 16, deadline=now[0] + 2.0)
         await w.attempt("b" * 16, lambda: w.caches._serialize(until), until)
         w.link.write_queue._flush()  # serialized, and not accepted by the system
         now[0] += 1.5
@@ -200,9 +200,9 @@
     async with wire() as w:
         scopes = list[anyio.CancelScope]()
         while not has_unsent_bytes(w.link.sock):
-            scopes.append(await w.send(b"x" * 500 + b"\r\n", order(f"{len(scopes):016x}")))
+            scopes.append(await w.send(b"x" * 500 + b"\r\n", attempt_request(f"{len(scopes):016x}")))
         last = f"{len(scopes):016x}"
-        scopes.append(await w.send(b"last\r\n", order(last)))
+        scopes.append(await w.send(b"last\r\n", attempt_request(last)))
         assert all(exchange.write and not exchange.write.parts for exchange in w.link.open.values())
         for scope in scopes:
             scope.cancel()
@@ -219,12 +219,12 @@
     reported: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     full, waited = [True], 0.4
-    ready = Plain.ready
+    ready = ConnectionAdmission.may_accept
 
-    def full_for_a_while(self: Plain, now: float) -> Decision:
-        return Decision(Verdict.WAIT, Why.FULL) if full else ready(self, now)
+    def full_for_a_while(self: ConnectionAdmission, now: float) -> Decision:
+        return Decision(Verdict.WAIT, RejectionReason.NO_CAPACITY) if full else ready(self, now)
 
-    monkeypatch.setattr(Plain, "ready", full_for_a_while)
+    monkeypatch.setattr(ConnectionAdmission, "may_accept", full_for_a_while)
     if not reported:
         monkeypatch.setattr(client_connection, "newest_byte_age_seconds", lambda _: None)
     async with world(serve, settings=NO_PROBES) as w:
@@ -241,11 +241,11 @@
 def connected_after(monkeypatch: pytest.MonkeyPatch) -> list[float]:
     """For each connection that gets a slot, how long it may have waited at most."""
     found = list[float]()
-    seat = ClientServer._add
+    add = ClientServer._add
 
     def seated(self: ClientServer, sock: socket.socket, decision: Decision, came_after: float) -> None:
         found.append(monotonic() - came_after)
-        seat(self, sock, decision, came_after)
+        add(self, sock, decision, came_after)
 
     monkeypatch.setattr(ClientServer, "_add", seated)
     return found
--- a/tests/policy/test_state_space.py
+++ b/tests/policy/test_state_space.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.support.policy_states import PolicyStateSpace, in_force
-from tests.support.raft_simulation import Broken
+from tests.support.raft_simulation import InvariantError
 from tests.support.state_space import Scope, search, walk
 from zincladder.policy.coordinator import ChangeCoordinator
 from zincladder.policy.model import PolicyLeaseGranted, RevokePolicyLease
@@ -70,16 +70,16 @@
 
 
 def grant_under_way_counts_after_release(patch: pytest.MonkeyPatch) -> None:
-    heard = ChangeParticipant.heard
+    message_received = ChangeParticipant.message_received
 
     def forgets(self: ChangeParticipant, message: Any, now: float) -> None:
         pending = dict(self.renewals.requested_at)
-        heard(self, message, now)
+        message_received(self, message, now)
         if isinstance(message, RevokePolicyLease):
             self._void_serial = 0
             self.renewals.requested_at = pending | self.renewals.requested_at
 
-    patch.setattr(ChangeParticipant, "heard", forgets)
+    patch.setattr(ChangeParticipant, "message_received", forgets)
 
 
 @pytest.mark.parametrize(
@@ -96,6 +96,6 @@
     mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutate(monkeypatch)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantError):
         for seed in range(3000):
             play(seed)
--- a/zincladder/consensus/server.py
+++ b/zincladder/consensus/server.py
@@ -260,23 +260,25 @@
             role=node.role.value,
             leader=node.leader,
             term=node.term,
-            commit=node.commit_index,
-            last=node.log.last_index,
-            base=node.log.snapshot_index,
+            commit_index=node.commit_index,
+            last_index=node.log.last_index,
+            snapshot_index=node.log.snapshot_index,
             voters=node.membership.voters,
             learners=node.membership.learners,
-            stored={name: peer.match_index for name, peer in peers},
-            silent=sorted(name for name, peer in peers if now - peer.heard_at > timeout_seconds),
-            older=node.stale_peers,
-            registers=len(self.state),
-            bytes_kept=self._store.size_bytes,
+            match_indexes={name: peer.match_index for name, peer in peers},
+            silent_peers=sorted(name for name, peer in peers if now - peer.heard_at > timeout_seconds),
+            stale_peers=node.stale_peers,
+            key_count=len(self.state),
+            journal_bytes=self._store.size_bytes,
         )
 
     @property
     def is_leader(self) -> bool:
+        """Whether this replica leads, as far as it knows."""
         return self.node.role is Role.LEADER
 
     def start_leadership_transfer(self) -> None:
+        """Lets another replica lead, and returns at once."""
         self.node.transfer_leadership()
         self._wake()
 
--- a/zincladder/metrics/replica.py
+++ b/zincladder/metrics/replica.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterator
 
-from zincladder.admission.ledger import Use
-from zincladder.admission.model import Why
+from zincladder.admission.descriptor_budget import DescriptorUse
+from zincladder.admission.model import RejectionReason
 from zincladder.consensus.server import ReplicaServer
 from zincladder.metrics.exposition import Sample, exposition
 from zincladder.policy.host import PolicyLeaderService
@@ -68,18 +68,18 @@
             "leads": status.role == "leader",
             "led": bool(status.leader),
             "term": status.term,
-            "commit": status.commit,
-            "unapplied": status.last - status.commit,
-            "bytes": status.bytes_kept,
-            "registers": status.registers,
+            "commit": status.commit_index,
+            "unapplied": status.last_index - status.commit_index,
+            "bytes": status.journal_bytes,
+            "registers": status.key_count,
         }
         for key, value in values.items():
             yield Sample(REPLICA_METRICS[key][0], labels, float(value))
         if status.role != "leader":
             return
         leader_values = {
-            "silent": len(status.silent),
-            "older": len(status.older),
+            "silent": len(status.silent_peers),
+            "older": len(status.stale_peers),
             "learners": len(status.learners),
             **self._policy_service.figures(),
             **self._task_service.figures(),
@@ -99,11 +99,11 @@
     def __init__(self, max_connections: int = MAX_CONNECTIONS) -> None:
         self._max_connections, self._open = max_connections, 0
 
-    def visit(self, use: Use, host: str, now: float) -> Why:
+    def open_connection(self, use: DescriptorUse, host: str, now: float) -> RejectionReason:
         if self._open >= self._max_connections:
-            return Why.FULL
+            return RejectionReason.NO_CAPACITY
         self._open += 1
-        return Why.NONE
+        return RejectionReason.NONE
 
-    def left(self, use: Use, host: str) -> None:
+    def close_connection(self, use: DescriptorUse, host: str) -> None:
         self._open -= 1
--- a/zincladder/net/cache_pool.py
+++ b/zincladder/net/cache_pool.py
@@ -13,7 +13,7 @@
 import structlog
 from anyio.abc import TaskGroup
 
-from zincladder.admission.ledger import Ledger, Use
+from zincladder.admission.descriptor_budget import DescriptorBudget, DescriptorUse
 from zincladder.config import Address, Config
 from zincladder.core.attempt_end import AttemptEnd, EndReason
 from zincladder.net.cache_connection import CacheConnection
@@ -41,8 +41,8 @@
 class CachePool:
     """Connections to all caches, by endpoint."""
 
-    def __init__(self, config: Config, ledger: Ledger) -> None:
-        self._config, self._ledger = config, ledger
+    def __init__(self, config: Config, descriptors: DescriptorBudget) -> None:
+        self._config, self._descriptors = config, descriptors
         self._addresses: dict[api.EndpointId, Address] = {}
         self._connections: dict[api.EndpointId, list[CacheConnection]] = {}
         self._waiters: dict[api.EndpointId, list[_Waiter]] = {}  # oldest first
@@ -111,10 +111,10 @@
         usable = self._find_usable(endpoint, exchange_id)
         if usable and not usable.open:
             return usable
-        if self._ledger.room(Use.CACHES) <= 0 and not self._free_descriptor():
+        if self._descriptors.room(DescriptorUse.CACHES) <= 0 and not self._free_descriptor():
             if usable:
                 return usable
-            self._lines.warning("no descriptor for a cache connection", used=self._ledger.used)
+            self._lines.warning("no descriptor for a cache connection", used=self._descriptors.used)
             raise OSError("no descriptor is left for one more connection")
         address = self._addresses.get(endpoint)
         if address is None:
@@ -136,7 +136,9 @@
         self, endpoint: api.EndpointId, address: Address, waiter: _Waiter
     ) -> socket.socket | None:
         """A new connection, unless one that fell idle comes first: it is the waiter's then."""
-        self._ledger.force(Use.CACHES)  # past its maximum by those that are making room, which close at once
+        self._descriptors.force(
+            DescriptorUse.CACHES
+        )  # past its maximum by those that are making room, which close at once
         sock: socket.socket | None = None
         self._waiters.setdefault(endpoint, []).append(waiter)
         connect_timeout = self._config.settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_SECONDS
@@ -155,7 +157,7 @@
             if not self._waiters[endpoint]:
                 del self._waiters[endpoint]
             if sock is None:
-                self._ledger.give(Use.CACHES)
+                self._descriptors.give(DescriptorUse.CACHES)
         return sock
 
     def _add(self, endpoint: api.EndpointId, sock: socket.socket) -> CacheConnection:
@@ -188,8 +190,8 @@
                 raise
         # The limit was lowered, or the system is short: idle clients are closed within a tick, and one of
         # their descriptors is for this connection.
-        self._lines.warning("no descriptor for a cache connection", used=self._ledger.used)
-        self._ledger.resize(min(self._ledger.total, self._ledger.used - FREED_DESCRIPTORS))
+        self._lines.warning("no descriptor for a cache connection", used=self._descriptors.used)
+        self._descriptors.resize(min(self._descriptors.total, self._descriptors.used - FREED_DESCRIPTORS))
         await anyio.sleep(DESCRIPTOR_WAIT_SECONDS)
         return await connect(*address)
 
@@ -251,7 +253,7 @@
         except Exception:  # guards all other connections: what goes wrong with one ends that one only
             log.exception("cache connection failed", endpoint=endpoint.decode("latin-1"))
             end = AttemptEnd(EndReason.CONNECTION_LOST)
-        self._ledger.give(Use.CACHES)
+        self._descriptors.give(DescriptorUse.CACHES)
         connections = self._connections[endpoint]
         connections.remove(connection)
         if not connections:
--- a/zincladder/net/client_calls.py
+++ b/zincladder/net/client_calls.py
@@ -11,7 +11,7 @@
 from anyio.abc import TaskGroup
 
 from zincladder.admission.interface import Admission
-from zincladder.admission.model import Why
+from zincladder.admission.model import RejectionReason
 from zincladder.config import Config
 from zincladder.core.answers import Answer, AnswerKind
 from zincladder.core.arrival import PROMPT_READ_SECONDS
@@ -69,7 +69,7 @@
                 return
             await client.wait_for_message()
             noticed, noticed_at = self._core.clock.now(), monotonic()  # a stall between them makes it older
-            if not self._admission.may_read(client.seat, noticed_at):
+            if not self._admission.may_read(client.slot, noticed_at):
                 # Guards the loop: what is over its source's share stays unread, at last in the client's
                 # system.
                 client.may_read = anyio.Event()
@@ -86,7 +86,7 @@
             if client.closed:
                 return  # it came after this side's close: it goes again on another connection
             if call.verb != "handle":
-                self._admission.told(client.seat, client.used_at)
+                self._admission.record_message(client.slot, client.used_at)
                 self._handle_other(client, call)
                 continue
             self._check_order(client, call, last_seq)
@@ -156,29 +156,31 @@
         except InvalidFieldsError as fault:
             self._lines.warning("request not understood", reason=str(fault))
             self._core.counts["answers", "unusable"] += 1
-            self._admission.told(client.seat, client.used_at)
+            self._admission.record_message(client.slot, client.used_at)
             client.write_queue.put(
                 thrift.application_exception("handle", call.seq, thrift.PROTOCOL_ERROR, str(fault))
             )
             return
         reason = self._rejection_reason(client)
-        if reason is not Why.NONE:
+        if reason is not RejectionReason.NONE:
             self._reject(client, call.seq, request, reason)
             return
-        self._admission.opened(client.seat)
+        self._admission.request_opened(client.slot)
         opened = client.open[call.seq] = OpenRequest(call.seq, request)
         request.client_is_waiting = partial(client.waits_for, opened)
         self.open_traces.add(request.trace)
         tasks.start_soon(self._serve, client, opened)
 
-    def _rejection_reason(self, client: ClientConnection) -> Why:
+    def _rejection_reason(self, client: ClientConnection) -> RejectionReason:
         if self.draining:
             # Guards what this client has open at a process that ends: a connection that is always busy could
             # only be cut. Rejected at once, it falls idle and is closed; the next goes to another process.
-            return Why.ENDING
-        return self._admission.may_open(client.seat, client.used_at)
+            return RejectionReason.SHUTTING_DOWN
+        return self._admission.may_open(client.slot, client.used_at)
 
-    def _reject(self, client: ClientConnection, seq: int, request: ClientRequest, reason: Why) -> None:
+    def _reject(
+        self, client: ClientConnection, seq: int, request: ClientRequest, reason: RejectionReason
+    ) -> None:
         # Guards the memory limit, which a request with its body counts against, and the loop. The settings'
         # own ceiling is observed here too: what is past it never reaches the router.
         self._lines.warning(
@@ -190,7 +192,7 @@
         )
         self._core.record_answer(request.request_class, AnswerKind.REJECTED)
         retry_after = self._core.settings.max_retry_after
-        if reason is Why.ENDING:
+        if reason is RejectionReason.SHUTTING_DOWN:
             retry_after = min(SUCCESSOR_RETRY_AFTER_SECONDS, retry_after)
         client.write_queue.put(write_reply(seq, Answer(AnswerKind.REJECTED, retry_after=retry_after)))
 
@@ -217,7 +219,7 @@
             if client.open.get(seq) is opened:
                 del client.open[seq]
             client.used_at = monotonic()
-            self._admission.closed(client.seat, client.used_at, served, size)
+            self._admission.request_closed(client.slot, client.used_at, served, size)
             self.open_traces.discard(request.trace)
             client.request_ended.set()
             if self.draining and not client.closed:
--- a/zincladder/net/client_closing.py
+++ b/zincladder/net/client_closing.py
@@ -6,7 +6,7 @@
 import socket
 from time import monotonic
 
-from zincladder.admission.seats import SETTLED
+from zincladder.admission.connection_slots import MIN_IDLE_SECONDS
 from zincladder.core.answers import Answer, AnswerKind
 from zincladder.core.attempt_end import EndReason
 from zincladder.core.engine import Core
@@ -50,7 +50,7 @@
 
     def close_idle_at_shutdown(self, client: ClientConnection) -> bool:
         """`close_idle`, but a client that has just connected gets the time to send its first request."""
-        if not client.has_sent_message and monotonic() - client.connected_at < SETTLED:
+        if not client.has_sent_message and monotonic() - client.connected_at < MIN_IDLE_SECONDS:
             return False
         return self.close_idle(client)
 
--- a/zincladder/net/client_listener.py
+++ b/zincladder/net/client_listener.py
@@ -16,9 +16,9 @@
 import anyio
 import anyio.lowlevel
 
-from zincladder.admission.gate import Gate
 from zincladder.admission.interface import Admission
-from zincladder.admission.model import Decision, Seat, Verdict, Why
+from zincladder.admission.model import ConnectionSlot, Decision, RejectionReason, Verdict
+from zincladder.admission.source_admission import SourceAdmission
 from zincladder.config import Address
 from zincladder.core.arrival import ArrivalBound, LoopTurns
 from zincladder.net.sockets import RESET_ON_CLOSE, address_family
@@ -31,7 +31,7 @@
 FREED_DESCRIPTORS = 4  # then, for caches and the coordinator's watch too
 WAIT_SECONDS = 0.005
 MAX_PENDING_SECONDS = 0.5  # for which a connection may wait for a slot
-TURN_AWAY = Verdict.TURN_AWAY
+REJECT = Verdict.REJECT
 
 
 def open_listener(address: Address) -> socket.socket:
@@ -84,7 +84,7 @@
         admission: Admission,
         max_descriptors: Callable[[], int],
         on_connection: Callable[[socket.socket, Decision, float], None],
-        evict: Callable[[Seat, Why], None],
+        evict: Callable[[ConnectionSlot, RejectionReason], None],
         turns: LoopTurns,
         listening: socket.socket | None = None,
     ) -> None:
@@ -139,11 +139,11 @@
         admission, rejected_any = self._admission, False
         for taken in itertools.count(1):
             now = monotonic()
-            readiness = admission.ready(now)
+            readiness = admission.may_accept(now)
             if readiness.verdict is not Verdict.ADMIT:
                 if readiness.evict is not None:
-                    self._evict(readiness.evict, Why.FULL)
-                if readiness.why is Why.NONE:  # a descriptor is about to be free
+                    self._evict(readiness.evict, RejectionReason.NO_CAPACITY)
+                if readiness.reason is RejectionReason.NONE:  # a descriptor is about to be free
                     await anyio.lowlevel.checkpoint()
                     continue
                 self._lines.warning("too many clients")
@@ -163,7 +163,7 @@
                 await anyio.lowlevel.checkpoint()
                 continue
             decision = admission.connect(peer[0], now)
-            if decision.verdict is TURN_AWAY:
+            if decision.verdict is REJECT:
                 rejected_any = True
                 reject_connection(sock)
                 self._rejected += 1
@@ -180,37 +180,39 @@
             # Before anybody else sees it: a read of an accepted socket that blocks stalls the whole process.
             sock.setblocking(False)
             self._on_connection(sock, decision, pending.connected_after)
-        elif decision.verdict is TURN_AWAY:
+        elif decision.verdict is REJECT:
             reject_connection(sock)
             self._rejected += 1
         else:
             if decision.evict is not None:
-                self._evict(decision.evict, decision.why)
-            assert isinstance(self._admission, Gate)
-            if len(self._pending) < self._admission.limits.lobby:
+                self._evict(decision.evict, decision.reason)
+            assert isinstance(self._admission, SourceAdmission)
+            if len(self._pending) < self._admission.limits.max_pending:
                 self._pending.append(pending)
             else:
-                self._admission.given_up(decision)
+                self._admission.record_expired(decision)
                 reject_connection(sock)
 
     def tick(self) -> None:
         """Tries pending connections again, oldest first, and ends who has waited for too long."""
         if self._rejected:
-            self._lines.warning("connections rejected", so_far=dict(self._admission.tallies.turned))
+            self._lines.warning(
+                "connections rejected", so_far=dict(self._admission.counters.rejected_connections)
+            )
             self._rejected = 0
         for _ in range(len(self._pending)):
             pending = self._pending.popleft()
             now = monotonic()
-            assert isinstance(self._admission, Gate)
-            decision = self._admission.again(pending.decision, now)
+            assert isinstance(self._admission, SourceAdmission)
+            decision = self._admission.reconsider(pending.decision, now)
             if decision.verdict is not Verdict.WAIT:
                 self._apply(replace(pending, decision=decision))
             elif now - pending.taken_at <= MAX_PENDING_SECONDS:
                 if decision.evict is not None:
-                    self._evict(decision.evict, decision.why)
+                    self._evict(decision.evict, decision.reason)
                 self._pending.append(pending)
             else:
-                self._admission.given_up(pending.decision)
+                self._admission.record_expired(pending.decision)
                 reject_connection(pending.sock)
 
     def measure(self) -> None:
@@ -219,18 +221,22 @@
         total = self._max_descriptors()
         if soft >= 0:
             total = min(total, soft)
-        if total != self._admission.ledger.total:
-            self._admission.ledger.resize(total)
+        if total != self._admission.descriptors.total:
+            self._admission.descriptors.resize(total)
 
     async def _handle_shortage(self, fault: OSError) -> None:
         """No descriptor is left: those that wait are ended by the spare, so that the queue doesn't stay full.
 
         Guards against going round for ever on a listener that stays readable: it pauses, longer each time.
         """
-        ledger, tallies = self._admission.ledger, self._admission.tallies
-        self._lines.warning("no descriptor left", reason=str(fault), used=ledger.used)
-        tallies.turned[Why.EXHAUSTED.value] = tallies.turned.get(Why.EXHAUSTED.value, 0) + 1
-        ledger.resize(min(ledger.total, ledger.used - FREED_DESCRIPTORS))  # evicts; `measure` restores it
+        descriptors, counters = self._admission.descriptors, self._admission.counters
+        self._lines.warning("no descriptor left", reason=str(fault), used=descriptors.used)
+        counters.rejected_connections[RejectionReason.NO_DESCRIPTOR.value] = (
+            counters.rejected_connections.get(RejectionReason.NO_DESCRIPTOR.value, 0) + 1
+        )
+        descriptors.resize(
+            min(descriptors.total, descriptors.used - FREED_DESCRIPTORS)
+        )  # evicts; `measure` restores it
         if self._spare_descriptor is not None:
             os.close(self._spare_descriptor)
             self._spare_descriptor = None
--- a/zincladder/net/client_server.py
+++ b/zincladder/net/client_server.py
@@ -13,7 +13,7 @@
 from anyio.abc import TaskGroup
 
 from zincladder.admission.interface import Admission
-from zincladder.admission.model import Act, Decision, Seat, Why
+from zincladder.admission.model import ConnectionSlot, Decision, Offense, RejectionReason
 from zincladder.config import Config
 from zincladder.core.arrival import ArrivalBound
 from zincladder.core.attempt_end import EndReason
@@ -59,7 +59,7 @@
     ) -> None:
         """Args: `has_successor` is whether another process takes new clients from the queue."""
         self._core, self._config, self._admission = core, config, admission
-        self._clients: dict[Seat, ClientConnection] = {}
+        self._clients: dict[ConnectionSlot, ClientConnection] = {}
         self._closer = ClientCloser(core)
         self._calls = ClientCalls(config, core, admission, self._closer)
         self._accepting = anyio.CancelScope()
@@ -138,27 +138,27 @@
 
     def _add(self, sock: socket.socket, decision: Decision, came_after: float) -> None:
         now = monotonic()
-        seat = self._admission.seat(decision, now)
-        write_queue = WriteQueue(sock, UnreadAnswersCounter(self._admission, seat))
+        slot = self._admission.open_slot(decision, now)
+        write_queue = WriteQueue(sock, UnreadAnswersCounter(self._admission, slot))
         arrival = ArrivalBound(self._core.loop_monitor.turns, came_after)
-        client = ClientConnection(sock, seat, ReadBuffer(sock), write_queue, arrival, now, now)
-        self._clients[seat] = client
+        client = ClientConnection(sock, slot, ReadBuffer(sock), write_queue, arrival, now, now)
+        self._clients[slot] = client
         assert self._tasks is not None
         self._tasks.start_soon(self._serve, client)
 
-    def _evict(self, seat: Seat, reason: Why) -> None:
+    def _evict(self, slot: ConnectionSlot, reason: RejectionReason) -> None:
         """Closes a connection that admission has chosen, unless it has something to say by now."""
-        client = self._clients.get(seat)
+        client = self._clients.get(slot)
         if client is None:
             return
         if client.closed:
             client.linger_scope.cancel()  # what is here already is read all the same
             return
-        label = "crowded" if reason is Why.FULL else reason.value
+        label = "crowded" if reason is RejectionReason.NO_CAPACITY else reason.value
         if self._closer.close_idle(client, label, NO_LINGER_SECONDS):
             return
-        if client.open or reason is Why.FULL:
-            self._admission.stays(seat, monotonic())
+        if client.open or reason is RejectionReason.NO_CAPACITY:
+            self._admission.cancel_eviction(slot, monotonic())
             return
         self._core.counts["client_ends", label] += 1
         self._closer.close(client, NO_LINGER_SECONDS)
@@ -186,18 +186,18 @@
                     if client.linger_scope.cancelled_caught:
                         await lingering_close(client.sock, NO_LINGER_SECONDS)
             finally:
-                del self._clients[client.seat]
+                del self._clients[client.slot]
                 client.write_queue.clear()
                 client.sock.close()
-                self._admission.gone(client.seat, monotonic())
+                self._admission.release_slot(client.slot, monotonic())
 
     def _note_end(self, client: ClientConnection, error: ConnectionEndedError) -> None:
         self._core.counts["client_ends", error.reason.value] += 1
         if client.open and error.reason in (EndReason.CLOSED_BY_PEER, EndReason.CONNECTION_LOST):
-            self._admission.did(client.seat, Act.ABANDONED, monotonic())
+            self._admission.record_offense(client.slot, Offense.ABANDONED, monotonic())
         if error.reason is EndReason.PROTOCOL_ERROR:
             self._closer.close(client, LINGER_SECONDS)
-            self._admission.did(client.seat, Act.GARBLED, monotonic())
+            self._admission.record_offense(client.slot, Offense.MALFORMED, monotonic())
             self._lines.warning("client connection ended", reason=str(error), open=len(client.open))
 
     async def _write(self, client: ClientConnection) -> None:
@@ -206,7 +206,7 @@
         except ConnectionEndedError as error:
             self._core.counts["client_ends", error.reason.value] += 1
             if error.reason is EndReason.PEER_STALLED:
-                self._admission.did(client.seat, Act.STALLED, monotonic())
+                self._admission.record_offense(client.slot, Offense.STALLED, monotonic())
                 self._lines.warning("client does not read", reason=str(error), open=len(client.open))
             client.close()
 
@@ -214,13 +214,13 @@
 
     def _tick(self) -> None:
         """At each tick of the core: who may be read again, and whose connection is closed."""
-        verdicts = self._admission.look(monotonic(), self._core.loop_monitor.lag_seconds)
-        for seat in verdicts.wake:
-            client = self._clients.get(seat)
+        verdicts = self._admission.tick(monotonic(), self._core.loop_monitor.lag_seconds)
+        for slot in verdicts.to_wake:
+            client = self._clients.get(slot)
             if client is not None:
                 client.may_read.set()
-        for seat, reason in verdicts.end:
-            self._evict(seat, reason)
+        for slot, reason in verdicts.to_evict:
+            self._evict(slot, reason)
         self._listener.tick()
 
     async def _sweep(self) -> None:
@@ -231,13 +231,13 @@
             now = monotonic()
             if now - measured_at >= LOAD_INTERVAL_SECONDS:
                 cpu_seconds_now = time.process_time()
-                self._admission.measured(cpu_seconds_now - cpu_seconds)
+                self._admission.record_cpu_seconds(cpu_seconds_now - cpu_seconds)
                 cpu_seconds, measured_at = cpu_seconds_now, now
                 self._listener.measure()
             for client in [client for client in self._clients.values() if not client.closed]:
                 if self._owes_message(client, now):
                     self._lines.warning("client sent no complete message", open=len(client.open))
-                    self._admission.did(client.seat, Act.STALLED, now)
+                    self._admission.record_offense(client.slot, Offense.STALLED, now)
                     self._core.counts["client_ends", EndReason.PEER_STALLED.value] += 1
                     self._closer.close(client, LINGER_SECONDS)
                 elif now - client.used_at > IDLE_TIMEOUT_SECONDS:
