--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -30,8 +30,8 @@
 from zincladder.export.spool import Spool
 from zincladder.metrics.exposition import Sample
 from zincladder.net import protocol, thrift
-from zincladder.net.events import FrameReader, read_frame
-from zincladder.net.stream import Ended
+from zincladder.net.errors import ConnectionEndedError, InvalidFieldsError
+from zincladder.net.events import FrameReader, read_event
 from zincladder.routing import interface as api
 from zincladder.simulator import wire
 
@@ -85,8 +85,10 @@
         message("handle", 1, 1, b"\x63\0\1"),
     ]
     framed = b"".join(struct.pack(">i", len(c)) + c for c in (calls[0], calls[2], calls[2], calls[3]))
-    found = [[call.hex(), outcome(partial(thrift.read_call, call), thrift.Malformed)] for call in calls]
-    found.append([framed.hex(), list(thrift.withdrawn(framed, 0))])
+    found = [
+        [call.hex(), outcome(partial(thrift.read_call, call), thrift.MalformedMessageError)] for call in calls
+    ]
+    found.append([framed.hex(), list(thrift.find_withdrawn(framed, 0))])
     assert_matches("wires/client_calls.json", found)
 
 
@@ -96,8 +98,8 @@
         "served": thrift.answer("handle", 7, b"the body", fields, True),
         "served, the client's copy": thrift.answer("handle", 7, bytearray(), {"current": "1"}, True),
         "not good": thrift.answer("status", 2147483647, b"", {}, False),
-        "throttled": thrift.thrown("handle", 8, 1, fields),
-        "broken": thrift.thrown("handle", 9, 2, {}),
+        "throttled": thrift.declared_exception("handle", 8, 1, fields),
+        "broken": thrift.declared_exception("handle", 9, 2, {}),
         "unknown method": thrift.application_exception("x", 1, thrift.UNKNOWN_METHOD, "no method 'x\u00e9'"),
         "internal error": thrift.application_exception("x", 1, thrift.INTERNAL_ERROR, "ended"),
         "protocol error": thrift.application_exception("x", 1, thrift.PROTOCOL_ERROR, "bad"),
@@ -120,7 +122,7 @@
     found = []
     for change in changes:
         fields = {key: value for key, value in (CALL_FIELDS | change).items() if value is not None}
-        found.append([change, outcome(partial(request_values, fields), protocol.BadFields, True)])
+        found.append([change, outcome(partial(request_values, fields), InvalidFieldsError, True)])
     assert_matches("wires/client_fields.json", found)
 
 
@@ -153,13 +155,13 @@
 
 def test_fields_of_a_caches_answer() -> None:
     answers: list[dict[str, str]] = [
-        {}, *({"tell": word} for word in (*sorted(protocol.NOTES), "unheard")),
+        {}, *({"tell": word} for word in (*sorted(protocol.FILL_OUTCOMES), "unheard")),
         {"fill": "125", "meter": "util:0.5;inflight:1;x1:0.25;q:3;x0:0.5;rif:2;queue:4;own:1", "since": "3",
          "rev": "aa", "unheard": "x"},
         {"meter": "util:nan"}, {"meter": "util"}, {"meter": "util:-1"}, {"fill": "x"}, {"since": "-1"},
     ]  # fmt: skip
     found = [[fields, outcome(partial(answer_values, fields), ValueError)] for fields in answers]
-    words = [[word.decode(), end.value] for word, end in protocol.WORDS.items()]
+    words = [[word.decode(), end.value] for word, end in protocol.END_REASONS.items()]
     assert_matches("wires/cache_answer.json", {"fields": found, "words": words})
 
 
@@ -190,10 +192,10 @@
     by_byte = [f for data in b"".join(frames) for f in reader.take(bytes([data]))]
     assert by_byte == read and not reader.partial
     found = [
-        [data.hex(), outcome(partial(read_frame, f.kind, f.number, f.payload), Ended)]
+        [data.hex(), outcome(partial(read_event, f), ConnectionEndedError)]
         for data, f in zip(frames, read, strict=True)
     ]
-    found.append(["bad length", outcome(lambda: list(FrameReader().take(bytes(13))), Ended)])
+    found.append(["bad length", outcome(lambda: list(FrameReader().take(bytes(13))), ConnectionEndedError)])
     assert_matches("wires/coordinator_frames.json", found)
 
 
