--- a/tests/test_dns.py
+++ b/tests/dns/test_dns.py
@@ -38,10 +38,10 @@
         (home,) = places(await r.query(PAPERS))
         (drained,) = [c for c in w.caches if c.port == home[1]]
         await w.coordinator.tell(2, drained.record(state))
-        told, named = time.monotonic(), Counter[str]()
-        while time.monotonic() < told + DEADLINE + 0.2:
+        drained_at, named = time.monotonic(), Counter[str]()
+        while time.monotonic() < drained_at + DEADLINE + 0.2:
             (place,) = places(await r.query(PAPERS))
-            named["late" if time.monotonic() > told + DEADLINE else "early", place == home] += 1  # type: ignore[index]
+            named["late" if time.monotonic() > drained_at + DEADLINE else "early", place == home] += 1  # type: ignore[index]
         assert named["late", True] == 0 < named["late", False]  # type: ignore[index]
 
 
--- a/zincladder/dns/__init__.py
+++ b/zincladder/dns/__init__.py
@@ -1,1 +1,1 @@
-"""The second front: DNS-based request routing on the same core."""
+"""The DNS front: DNS-based request routing on the same core, over UDP and TCP."""
--- a/zincladder/dns/answers.py
+++ b/zincladder/dns/answers.py
@@ -1,4 +1,4 @@
-"""What the DNS front answers: one message in, one message out. No sockets here."""
+"""Builds the responses of the DNS front: one message in, one message out. No I/O."""
 
 from __future__ import annotations
 
@@ -21,138 +21,192 @@
 from zincladder.core.engine import Core
 from zincladder.routing import interface as api
 
-TTL = 0  # guards a drain: a cached answer would go on naming a cache that has been told to drain
-PLAIN_SIZE, MOST_SIZE = 512, 1232  # bytes over UDP without EDNS0, and with it at most
+TTL_SECONDS = 0  # a resolver that cached an answer would go on naming an endpoint that drains
+UDP_BYTES_WITHOUT_EDNS = 512
+MAX_UDP_BYTES = 1232
+MAX_MESSAGE_BYTES = 65535
+HEADER_BYTES = 12
+# The flags in the third byte of a header (RFC 1035, 4.1.1).
+QR_FLAG, TC_FLAG = 0x80, 0x02
+COPIED_FLAGS = 0x79  # the opcode and RD, which a response copies from its query
+MAX_LOGGED_CHARACTERS = 120  # of a fault: its text may quote the query
 SERVICE = dns.name.from_text("_rpc._tcp", origin=None)
-HEADER = 12
 log = structlog.get_logger()
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """What a host name stands for."""
+    """The request that a host name stands for."""
 
     request_class: str
     object: int
     group: int
 
 
+def is_query(data: bytes) -> bool:
+    """Whether a message has a whole header and is no response.
+
+    Guards against two servers that answer each other's responses for ever.
+    """
+    return len(data) >= HEADER_BYTES and not data[2] & QR_FLAG
+
+
 class Answers:
-    """Answers queries from the core's decisions, for the operator's table of names."""
+    """Answers queries by the core's routing decisions, for the hosts of the operator's configuration."""
 
     def __init__(
-        self, config: DnsConfig, core: Core, where: Callable[[api.EndpointId], Address | None]
+        self, config: DnsConfig, core: Core, address_of: Callable[[api.EndpointId], Address | None]
     ) -> None:
-        self._core, self._where, self._deadline = core, where, config.timeout_seconds
+        self._core = core
+        self._address_of = address_of
+        self._timeout_seconds = config.timeout_seconds
         self._zone = dns.name.from_text(config.zone)
-        self._hosts = {
+        self._targets = {
             dns.name.from_text(host.name): Target(
                 core.classes.names[host.request_class], host.object, host.group
             )
             for host in config.hosts
         }
-        # Names that exist though nothing is stored at them: the zone's own and those above a host's service.
-        self._empty = {self._zone}
-        for host in self._hosts:
+        self._existing_names = self._names_in_zone()
+
+    def _names_in_zone(self) -> set[dns.name.Name]:
+        """The names that get NOERROR: the zone, and every host and its service with all names above them."""
+        names = {self._zone}
+        for host in self._targets:
             for name in (host, SERVICE.concatenate(host)):
                 while name != self._zone:
-                    self._empty.add(name)
+                    names.add(name)
                     name = name.parent()
+        return names
+
+    def respond(self, data: bytes, arrived_at: float, max_bytes: int | None = None) -> bytes | None:
+        """The response to one message.
 
-    def respond(self, data: bytes, arrived: float, most: int | None = None) -> bytes | None:
-        """The response to one message; None where none may be sent. `most` limits its size (UDP)."""
-        if len(data) < HEADER or data[2] & 0x80:
-            return None  # no id to answer to; or a response, and answering those could go on for ever
+        Args:
+            data: The message as it was received.
+            arrived_at: When it was received, by the core's clock.
+            max_bytes: Limit of the response's size over UDP; None over TCP.
+
+        Returns:
+            The response, or None where none may be sent.
+        """
+        if not is_query(data):
+            return None
         try:
             query = dns.message.from_wire(data)
         except dns.message.UnknownTSIGKey:
-            return self._bare(data, dns.rcode.NOTAUTH)
-        except (dns.exception.DNSException, ValueError, NotImplementedError) as fault:
-            log.info("dns query not understood", why=f"{type(fault).__name__}: {fault}"[:120])
-            return self._bare(data, dns.rcode.FORMERR)
+            return self._header_only(data, dns.rcode.NOTAUTH)
+        except (dns.exception.DNSException, ValueError, NotImplementedError) as error:
+            reason = f"{type(error).__name__}: {error}"[:MAX_LOGGED_CHARACTERS]
+            log.info("dns query malformed", reason=reason)
+            return self._header_only(data, dns.rcode.FORMERR)
         if query.opcode() != dns.opcode.QUERY:
-            return self._bare(data, dns.rcode.NOTIMP)
+            return self._header_only(data, dns.rcode.NOTIMP)
         if len(query.question) != 1:
-            return self._bare(data, dns.rcode.FORMERR)
-        response = dns.message.make_response(query, our_payload=MOST_SIZE)
+            return self._header_only(data, dns.rcode.FORMERR)
+        response = dns.message.make_response(query, our_payload=MAX_UDP_BYTES)
         if query.edns > 0:
             response.set_rcode(dns.rcode.BADVERS)
         else:
-            self._answer(query.question[0], response, arrived)
-        self._core.counts["dns", dns.rcode.to_text(response.rcode()).lower()] += 1
-        if most is not None:
-            most = PLAIN_SIZE if query.edns < 0 else max(PLAIN_SIZE, min(query.payload, most))
-        try:
-            return response.to_wire(max_size=most or 65535)
-        except dns.exception.TooBig:
-            short = dns.message.make_response(query, our_payload=MOST_SIZE)
-            short.set_rcode(response.rcode())
-            short.flags |= dns.flags.TC | dns.flags.AA  # the client asks again over TCP
-            return short.to_wire()
+            self._answer(query.question[0], response, arrived_at)
+        self._count(response.rcode())
+        return _to_wire(query, response, max_bytes)
 
     def truncated(self, data: bytes) -> bytes | None:
-        """A truncated answer without records, made without reading the question (RFC 1035, 4.1.1; RFC
-        2181, 9).
+        """A truncated response without records, so that the client asks again over TCP.
+
+        It is made without reading the question (RFC 1035, 4.1.1; RFC 2181, 9), and is None where no response
+        may be sent.
         """
-        if len(data) < HEADER or data[2] & 0x80:
+        if not is_query(data):
             return None
         self._core.counts["dns", "truncated"] += 1
-        return data[:2] + bytes([0x82 | data[2] & 0x79, 0]) + bytes(8)
+        return _header(data, QR_FLAG | TC_FLAG, 0)
 
-    def _bare(self, data: bytes, rcode: dns.rcode.Rcode) -> bytes:
-        """A header alone, for what cannot be read further."""
+    def _header_only(self, data: bytes, rcode: dns.rcode.Rcode) -> bytes:
+        """The response to a query that cannot be read past its header."""
+        self._count(rcode)
+        return _header(data, QR_FLAG, int(rcode))
+
+    def _count(self, rcode: dns.rcode.Rcode) -> None:
         self._core.counts["dns", dns.rcode.to_text(rcode).lower()] += 1
-        return data[:2] + bytes([0x80 | data[2] & 0x79, int(rcode)]) + bytes(8)
 
-    def _answer(self, question: dns.rrset.RRset, response: dns.message.Message, arrived: float) -> None:
+    def _answer(self, question: dns.rrset.RRset, response: dns.message.Message, arrived_at: float) -> None:
         name = question.name
         if question.rdclass != dns.rdataclass.IN or not name.is_subdomain(self._zone):
             response.set_rcode(dns.rcode.REFUSED)
             return
         response.flags |= dns.flags.AA
-        service = len(name) > len(SERVICE) and name.relativize(dns.name.Name(name[2:])) == SERVICE
-        host = dns.name.Name(name[2:]) if service else name
-        target = self._hosts.get(host)
-        wanted = dns.rdatatype.SRV if service else dns.rdatatype.A
-        if target and question.rdtype == wanted:
-            self._steer(name, host, target, response, arrived)
+        is_service = len(name) > len(SERVICE) and name.relativize(dns.name.Name(name[2:])) == SERVICE
+        host = dns.name.Name(name[2:]) if is_service else name
+        target = self._targets.get(host)
+        answered_type = dns.rdatatype.SRV if is_service else dns.rdatatype.A
+        if target and question.rdtype == answered_type:
+            self._answer_with_endpoint(name, host, target, response, arrived_at)
             return
-        if name not in self._empty:
+        if name not in self._existing_names:
             response.set_rcode(dns.rcode.NXDOMAIN)
         elif name == self._zone and question.rdtype == dns.rdatatype.SOA:
             response.answer.append(self._soa())
             return
-        response.authority.append(self._soa())  # with its least time 0, so that a 'no' is not kept either
+        response.authority.append(self._soa())  # its minimum of 0 keeps negative answers out of caches
 
-    def _steer(
+    def _answer_with_endpoint(
         self,
         name: dns.name.Name,
         host: dns.name.Name,
         target: Target,
         response: dns.message.Message,
-        arrived: float,
+        arrived_at: float,
     ) -> None:
-        """One member, one address: never a second name or address that a write could be tried at again."""
-        deadline = arrived + self._deadline
-        endpoint = None
-        now = self._core.clock.now()
-        request_class = self._core.classes.number_of(target.request_class, now)
-        if request_class is not None and now < deadline:
-            write = self._core.settings.classes[request_class].uncacheable
-            request = ClientRequest(
-                "", request_class, target.object, None, target.group, deadline, write=write
-            )
-            endpoint = self._core.route_only(request)
-        where = self._where(endpoint) if endpoint is not None else None
-        if where is None:
-            response.set_rcode(dns.rcode.SERVFAIL)  # at once: the module gave up, or the query came too late
+        """Answer with one address of one endpoint.
+
+        Guards writes, which may run only once: a client that got a second address would retry there.
+        """
+        endpoint = self._route(target, arrived_at + self._timeout_seconds)
+        address = self._address_of(endpoint) if endpoint is not None else None
+        if address is None:
+            response.set_rcode(dns.rcode.SERVFAIL)
             return
-        records = [dns.rrset.from_text(host, TTL, "IN", "A", where[0])]
+        records = [dns.rrset.from_text(host, TTL_SECONDS, "IN", "A", address[0])]
         if name != host:
-            records.insert(0, dns.rrset.from_text(name, TTL, "IN", "SRV", f"0 0 {where[1]} {host}"))
+            service = f"0 0 {address[1]} {host}"
+            records.insert(0, dns.rrset.from_text(name, TTL_SECONDS, "IN", "SRV", service))
         response.answer.append(records[0])
         response.additional.extend(records[1:])
 
+    def _route(self, target: Target, deadline: float) -> api.EndpointId | None:
+        """The endpoint for a request; None if the deadline has passed or the request is rejected."""
+        now = self._core.clock.now()
+        request_class = self._core.classes.number_of(target.request_class, now)
+        if request_class is None or now >= deadline:
+            return None
+        write = self._core.settings.classes[request_class].uncacheable
+        request = ClientRequest("", request_class, target.object, None, target.group, deadline, write=write)
+        return self._core.route_only(request)
+
     def _soa(self) -> dns.rrset.RRset:
         text = f"ns.{self._zone} hostmaster.{self._zone} 1 60 60 60 0"
-        return dns.rrset.from_text(self._zone, TTL, "IN", "SOA", text)
+        return dns.rrset.from_text(self._zone, TTL_SECONDS, "IN", "SOA", text)
+
+
+def _header(query: bytes, flags: int, rcode: int) -> bytes:
+    """A response that is a header alone, with the query's id, opcode and RD."""
+    return query[:2] + bytes([flags | query[2] & COPIED_FLAGS, rcode]) + bytes(8)
+
+
+def _to_wire(query: dns.message.Message, response: dns.message.Message, max_bytes: int | None) -> bytes:
+    """The bytes of a response; truncated where they exceed what the client and `max_bytes` allow."""
+    if max_bytes is None:
+        limit = MAX_MESSAGE_BYTES
+    elif query.edns < 0:
+        limit = UDP_BYTES_WITHOUT_EDNS
+    else:
+        limit = max(UDP_BYTES_WITHOUT_EDNS, min(query.payload, max_bytes))
+    try:
+        return response.to_wire(max_size=limit)
+    except dns.exception.TooBig:
+        truncated = dns.message.make_response(query, our_payload=MAX_UDP_BYTES)
+        truncated.set_rcode(response.rcode())
+        truncated.flags |= dns.flags.TC | dns.flags.AA
+        return truncated.to_wire()
--- a/zincladder/dns/server.py
+++ b/zincladder/dns/server.py
@@ -16,23 +16,26 @@
 from zincladder.config import Address
 from zincladder.core.attempt_end import EndReason
 from zincladder.core.clock import Clock
-from zincladder.dns.answers import MOST_SIZE, Answers
+from zincladder.dns.answers import MAX_UDP_BYTES, Answers
 from zincladder.net.client_listener import turn_away
 from zincladder.net.stream import Ended, Inbox, Outbox, family
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-IDLE = 5.0  # of a TCP connection between queries, and for the rest of one
-BACKLOG = 64
-BURST = 64  # datagrams taken in a row before the other tasks have their turn
+IDLE_TIMEOUT_SECONDS = 5.0  # of a TCP connection, for a whole query and for the writing of a response
+LENGTH_BYTES = 2  # before each message over TCP (RFC 1035, 4.2.2)
+MAX_QUERY_BYTES = 4096  # over UDP
+ACCEPT_RETRY_SECONDS = 0.01
+BACKLOG = 64  # connections that wait to be accepted
+MAX_DATAGRAMS_IN_A_ROW = 64  # then the other tasks run
 log = structlog.get_logger()
 
 
-async def at_once() -> None:
-    """Waits for nothing."""
+async def return_at_once() -> None:
+    """Wait for nothing."""
 
 
 class DnsServer:
-    """Serves queries until it is cancelled."""
+    """Listens from its making on, and serves queries until `run` is cancelled."""
 
     def __init__(
         self,
@@ -40,15 +43,28 @@
         answers: Answers,
         clock: Clock,
         admission: Admission,
-        settled: Callable[[], Awaitable[None]] = at_once,
+        wait_until_ready: Callable[[], Awaitable[None]] = return_at_once,
     ) -> None:
-        """Queries wait in the system's queue until `settled` returns: a name answered wrongly is kept."""
-        self._answers, self._clock, self._admission, self._settled = answers, clock, admission, settled
+        """Bind both sockets.
+
+        Args:
+            listen: Address of both; with port 0 the system chooses one.
+            answers: Builds the responses.
+            clock: The core's, which dates the arrival of queries.
+            admission: Judges datagrams and connections.
+            wait_until_ready: Queries stay in the system's queue until it returns. Guards resolvers, which
+                would cache an answer that was made without an endpoint list.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
+        self._answers, self._clock, self._admission = answers, clock, admission
+        self._wait_until_ready = wait_until_ready
         self._udp = socket.socket(family(listen[0]), socket.SOCK_DGRAM)
         self._tcp = socket.socket(family(listen[0]), socket.SOCK_STREAM)
         self._tcp.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         for sock in (self._udp, self._tcp):
-            # At an upgrade both processes answer: each from its own decisions, on the same list.
+            # During an upgrade both processes answer, each by its own decisions on the same endpoint list.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         try:
             self._tcp.bind(listen)
@@ -60,89 +76,105 @@
             raise
         for sock in (self._udp, self._tcp):
             sock.setblocking(False)
-        self._warn = RateLimitedLog()
+        self._rate_limited_log = RateLimitedLog()
 
     def close(self) -> None:
+        """Close both sockets."""
         self._udp.close()
         self._tcp.close()
 
     async def run(self) -> None:
+        """Serve queries until cancelled, then close the sockets."""
         try:
-            await self._settled()
+            await self._wait_until_ready()
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._datagrams)
-                while True:
-                    try:
-                        sock, peer = self._tcp.accept()
-                    except (BlockingIOError, InterruptedError):
-                        await anyio.wait_readable(self._tcp)
-                        continue
-                    except OSError as fault:
-                        self._warn.warning("dns accept failed", why=str(fault))
-                        await anyio.sleep(0.01)
-                        continue
-                    why = self._admission.open_connection(DescriptorUse.DNS, peer[0], monotonic())
-                    if why is RejectionReason.NONE:
-                        tasks.start_soon(self._connection, sock, peer[0])
-                    else:
-                        turn_away(sock)  # UDP goes on
-                        self._warn.warning("dns connection turned away", why=why.value)
+                tasks.start_soon(self._serve_datagrams)
+                await self._accept_connections(tasks)
         finally:
             self.close()
 
-    async def _datagrams(self) -> None:
+    async def _accept_connections(self, tasks: anyio.abc.TaskGroup) -> None:
+        while True:
+            try:
+                sock, peer = self._tcp.accept()
+            except (BlockingIOError, InterruptedError):
+                await anyio.wait_readable(self._tcp)
+                continue
+            except OSError as error:
+                self._rate_limited_log.warning("dns connection not accepted", reason=str(error))
+                await anyio.sleep(ACCEPT_RETRY_SECONDS)
+                continue
+            reason = self._admission.open_connection(DescriptorUse.DNS, peer[0], monotonic())
+            if reason is RejectionReason.NONE:
+                tasks.start_soon(self._serve_connection, sock, peer[0])
+            else:
+                turn_away(sock)
+                self._rate_limited_log.warning("dns connection rejected", reason=reason.value)
+
+    async def _serve_datagrams(self) -> None:
         while True:
             await anyio.wait_readable(self._udp)
-            for _ in range(BURST):
+            for _ in range(MAX_DATAGRAMS_IN_A_ROW):
                 try:
-                    data, peer = self._udp.recvfrom(4096)
+                    data, peer = self._udp.recvfrom(MAX_QUERY_BYTES)
                 except (BlockingIOError, InterruptedError):
                     break
-                except OSError:  # what an earlier answer met at a peer that is gone
+                except OSError:  # an earlier response did not reach its peer
                     continue
-                given = self._admission.judge_datagram(peer[0], monotonic())
-                if given is DatagramVerdict.ANSWER:
-                    response = self._respond(data, MOST_SIZE)
-                else:
-                    response = self._answers.truncated(data) if given is DatagramVerdict.TRUNCATED else None
+                response = self._respond_to_datagram(data, peer[0])
                 if response is not None:
-                    try:
-                        self._udp.sendto(response, peer)
-                    except OSError as fault:  # as good as lost on the way: the resolver asks again
-                        log.info("dns answer not sent", why=str(fault))
+                    self._send_datagram(response, peer)
+
+    def _respond_to_datagram(self, data: bytes, host: str) -> bytes | None:
+        verdict = self._admission.judge_datagram(host, monotonic())
+        if verdict is DatagramVerdict.ANSWER:
+            return self._respond(data, MAX_UDP_BYTES)
+        if verdict is DatagramVerdict.TRUNCATED:
+            return self._answers.truncated(data)
+        return None
+
+    def _send_datagram(self, response: bytes, peer: Address) -> None:
+        try:
+            self._udp.sendto(response, peer)
+        except OSError as error:  # as if lost by the network: the resolver asks again
+            log.info("dns response not sent", reason=str(error))
 
-    def _respond(self, data: bytes, most: int | None) -> bytes | None:
+    def _respond(self, data: bytes, max_bytes: int | None) -> bytes | None:
         try:
-            return self._answers.respond(data, self._clock.now(), most)
-        except Exception:
-            log.exception("dns query failed")  # one query must not end the front
+            return self._answers.respond(data, self._clock.now(), max_bytes)
+        except Exception:  # guards the front, which no single query may end
+            log.exception("dns query failed")
             return None
 
-    async def _connection(self, sock: socket.socket, host: str) -> None:
+    async def _serve_connection(self, sock: socket.socket, host: str) -> None:
         try:
             sock.setblocking(False)
             inbox, outbox = Inbox(sock), Outbox(sock)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._write, outbox, tasks)
+                tasks.start_soon(self._write_responses, outbox, tasks)
                 try:
                     while True:
-                        with anyio.fail_after(IDLE):
-                            size = int.from_bytes(await inbox.exactly(2), "big")
-                            data = bytes(await inbox.exactly(size))
-                        response = self._respond(data, None)
-                        if response is None:
-                            raise Ended(EndReason.PROTOCOL_ERROR, "a message that cannot be answered")
-                        outbox.put([len(response).to_bytes(2, "big"), response])
-                except (Ended, TimeoutError) as end:
-                    if isinstance(end, Ended) and end.reason is EndReason.PROTOCOL_ERROR:
-                        log.info("dns connection ended", why=str(end))
+                        await self._serve_query(inbox, outbox)
+                except (Ended, TimeoutError) as error:
+                    if isinstance(error, Ended) and error.reason is EndReason.PROTOCOL_ERROR:
+                        log.info("dns connection ended", reason=str(error))
                 tasks.cancel_scope.cancel()
         finally:
             sock.close()
             self._admission.close_connection(DescriptorUse.DNS, host)
 
-    async def _write(self, outbox: Outbox, tasks: anyio.abc.TaskGroup) -> None:
+    async def _serve_query(self, inbox: Inbox, outbox: Outbox) -> None:
+        """Read one query and queue its response. Raises Ended and TimeoutError."""
+        with anyio.fail_after(IDLE_TIMEOUT_SECONDS):
+            size = int.from_bytes(await inbox.exactly(LENGTH_BYTES), "big")
+            data = bytes(await inbox.exactly(size))
+        response = self._respond(data, None)
+        if response is None:
+            raise Ended(EndReason.PROTOCOL_ERROR, "a message that cannot be answered")
+        outbox.put([len(response).to_bytes(LENGTH_BYTES, "big"), response])
+
+    async def _write_responses(self, outbox: Outbox, tasks: anyio.abc.TaskGroup) -> None:
         try:
-            await outbox.run(IDLE)
+            await outbox.run(IDLE_TIMEOUT_SECONDS)
         except Ended:
             tasks.cancel_scope.cancel()
