--- a/tests/test_metrics.py
+++ b/tests/metrics/test_metrics.py
@@ -18,12 +18,13 @@
 from zincladder.config import ConfigError, Names
 from zincladder.config.operator import parse_operator
 from zincladder.core.engine import Core
-from zincladder.metrics.registry import NAMES, Registry
-from zincladder.metrics.replica import NAMES as KEEPER_NAMES
+from zincladder.metrics.front_metrics import NAMES
+from zincladder.metrics.registry import Registry
+from zincladder.metrics.replica import NAMES as REPLICA_NAMES
 from zincladder.routing.interface import Settings
 
 pytestmark = pytest.mark.anyio
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 def registry() -> Registry:
@@ -64,7 +65,7 @@
     groups = yaml.safe_load((ROOT / "deploy/alerts.yml").read_text())["groups"]
     rules = [rule for group in groups for rule in group["rules"]]
     named = [set(re.findall(r"zincladder_\w+", rule["expr"])) for rule in rules]
-    assert len(rules) >= 5 and all(named) and set().union(*named) <= NAMES | KEEPER_NAMES
+    assert len(rules) >= 5 and all(named) and set().union(*named) <= NAMES | REPLICA_NAMES
 
 
 @pytest.mark.parametrize(
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -41,7 +41,7 @@
 from zincladder.core.attempt_end import EndReason
 from zincladder.core.engine import Core
 from zincladder.core.request_classes import RequestClasses
-from zincladder.metrics import registry as front_metrics
+from zincladder.metrics import front_metrics
 from zincladder.metrics.exposition import Sample
 from zincladder.metrics.registry import Registry
 from zincladder.metrics.replica import NAMES as NAMES_OF_A_REPLICA
--- a/zincladder/metrics/__init__.py
+++ b/zincladder/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Counters of the daemon, served to Prometheus and pushed by remote write."""
+"""The metrics of fronts and replicas, served to Prometheus over HTTP."""
--- a/zincladder/metrics/exposition.py
+++ b/zincladder/metrics/exposition.py
@@ -1,11 +1,18 @@
-"""Samples of metrics, and the text format of Prometheus. No I/O."""
+"""Metrics, their samples, and the text format of Prometheus. No I/O."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable
 from dataclasses import dataclass
+from enum import StrEnum
 from operator import attrgetter
-from typing import NamedTuple
+
+
+class MetricType(StrEnum):
+    """The types of metrics, as Prometheus names them."""
+
+    COUNTER = "counter"
+    GAUGE = "gauge"
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,24 +24,47 @@
     value: float
 
 
-class MetricFamily(NamedTuple):
-    """What all samples of one name have in common: its type, as Prometheus calls it, and its help line."""
+@dataclass(frozen=True, slots=True)
+class Metric:
+    """A metric: its name, type and help line, and the label that tells its series apart, if it has one."""
 
-    type: str
+    name: str
+    type: MetricType
     help: str
+    label: str = ""
+
+    def sample(self, value: float, *labels: tuple[str, str]) -> Sample:
+        """A sample of the series with these labels."""
+        return Sample(self.name, labels, float(value))
+
+
+def counter(name: str, help_line: str, label: str = "") -> Metric:
+    """A metric that only rises."""
+    return Metric(name, MetricType.COUNTER, help_line, label)
+
+
+def gauge(name: str, help_line: str, label: str = "") -> Metric:
+    """A metric that rises and falls."""
+    return Metric(name, MetricType.GAUGE, help_line, label)
+
 
+def exposition(samples: Iterable[Sample], metrics: Iterable[Metric]) -> str:
+    """The text format of Prometheus.
 
-def exposition(samples: Iterable[Sample], families: Mapping[str, tuple[str, str]]) -> str:
-    """The text format of Prometheus. `families` gives each name's type and help line."""
+    Args:
+        samples: What is shown, in any order.
+        metrics: Every metric of which there may be a sample.
+    """
+    metrics_by_name = {metric.name: metric for metric in metrics}
     lines: list[str] = []
     described: set[str] = set()
     # The text format wants all lines of one name together.
     for sample in sorted(samples, key=attrgetter("name")):
         if sample.name not in described:
             described.add(sample.name)
-            family = MetricFamily(*families[sample.name])
-            lines.append(f"# HELP {sample.name} {family.help}")
-            lines.append(f"# TYPE {sample.name} {family.type}")
+            metric = metrics_by_name[sample.name]
+            lines.append(f"# HELP {metric.name} {metric.help}")
+            lines.append(f"# TYPE {metric.name} {metric.type}")
         labels = ",".join(f'{name}="{_escaped(value)}"' for name, value in sample.labels)
         lines.append(f"{sample.name}{{{labels}}} {sample.value:g}")
     return "\n".join(lines) + "\n"
--- a/zincladder/metrics/replica.py
+++ b/zincladder/metrics/replica.py
@@ -1,54 +1,46 @@
-"""A replica's metrics: the group as this member sees it, and the change of the policy that is open."""
+"""The metrics of a replica: its group as it sees it, and the open change of the fleet's policy."""
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Iterator, Mapping
+from typing import Final
 
 from zincladder.admission.descriptor_budget import DescriptorUse
 from zincladder.admission.model import RejectionReason
 from zincladder.consensus.server import ReplicaServer
-from zincladder.metrics.exposition import Sample, exposition
+from zincladder.metrics.exposition import Metric, Sample, counter, exposition, gauge
 from zincladder.policy.host import PolicyLeaderService
 from zincladder.tasks.host import TaskLeaderService
 
 MAX_CONNECTIONS = 16
-# Each metric's name, type and help line, by the key of its value.
-REPLICA_METRICS = {
-    "leads": ("zincladder_keeper_leads", "gauge", "1 while this keeper leads its group."),
-    "led": ("zincladder_keeper_led", "gauge", "1 while this keeper leads or knows who does."),
-    "term": ("zincladder_keeper_term", "counter", "Term of the group's log that this keeper knows."),
-    "commit": ("zincladder_keeper_entries", "counter", "Entries that this keeper knows to be decided."),
-    "unapplied": ("zincladder_keeper_entries_open", "gauge", "Entries here that are not decided yet."),
-    "bytes": ("zincladder_keeper_journal_bytes", "gauge", "Size of the journal's file."),
-    "registers": ("zincladder_keeper_registers", "gauge", "Registers held."),
+# Of every replica, by the key of the value.
+REPLICA_METRICS: Final[Mapping[str, Metric]] = {
+    "leads": gauge("zincladder_keeper_leads", "1 while this keeper leads its group."),
+    "led": gauge("zincladder_keeper_led", "1 while this keeper leads or knows who does."),
+    "term": counter("zincladder_keeper_term", "Term of the group's log that this keeper knows."),
+    "commit": counter("zincladder_keeper_entries", "Entries that this keeper knows to be decided."),
+    "unapplied": gauge("zincladder_keeper_entries_open", "Entries here that are not decided yet."),
+    "bytes": gauge("zincladder_keeper_journal_bytes", "Size of the journal's file."),
+    "registers": gauge("zincladder_keeper_registers", "Registers held."),
 }
 # Of the leader only.
-LEADER_METRICS = {
-    "silent": (
-        "zincladder_keeper_members_silent",
-        "gauge",
-        "Members that have not answered lately.",
+LEADER_METRICS: Final[Mapping[str, Metric]] = {
+    "silent": gauge("zincladder_keeper_members_silent", "Members that have not answered lately."),
+    "older": gauge("zincladder_keeper_members_older", "Members that came back with an older directory."),
+    "learners": gauge("zincladder_keeper_members_learning", "Members without a vote yet."),
+    "fronts": gauge("zincladder_keeper_fronts", "Fronts with a link to the leader."),
+    "absent": gauge("zincladder_keeper_fronts_absent", "Fronts that are expected and have no link."),
+    "version": gauge("zincladder_keeper_policy_version", "Version of the policy in force."),
+    "change": gauge("zincladder_keeper_change_seconds", "How long the open change stands in its phase."),
+    "workers": gauge("zincladder_keeper_workers", "Processes that would own duties."),
+    "duties": gauge("zincladder_keeper_duties_owned", "Duties that have an owner."),
+    "orphans": gauge(
+        "zincladder_keeper_duties_without_owner", "Duties that nobody owns, but for the paused."
     ),
-    "older": ("zincladder_keeper_members_older", "gauge", "Members that came back with an older directory."),
-    "learners": ("zincladder_keeper_members_learning", "gauge", "Members without a vote yet."),
-    "fronts": ("zincladder_keeper_fronts", "gauge", "Fronts with a link to the leader."),
-    "absent": ("zincladder_keeper_fronts_absent", "gauge", "Fronts that are expected and have no link."),
-    "version": ("zincladder_keeper_policy_version", "gauge", "Version of the policy in force."),
-    "change": (
-        "zincladder_keeper_change_seconds",
-        "gauge",
-        "How long the open change stands in its phase.",
-    ),
-    "workers": ("zincladder_keeper_workers", "gauge", "Processes that would own duties."),
-    "duties": ("zincladder_keeper_duties_owned", "gauge", "Duties that have an owner."),
-    "orphans": (
-        "zincladder_keeper_duties_without_owner",
-        "gauge",
-        "Duties that nobody owns, but for the paused.",
-    ),
-    "waits": ("zincladder_keeper_change_waits", "gauge", "Fronts that the open change waits for."),
+    "waits": gauge("zincladder_keeper_change_waits", "Fronts that the open change waits for."),
 }
-NAMES = frozenset(row[0] for table in (REPLICA_METRICS, LEADER_METRICS) for row in table.values())
+METRICS = (*REPLICA_METRICS.values(), *LEADER_METRICS.values())
+NAMES = frozenset(metric.name for metric in METRICS)
 
 
 class ReplicaRegistry:
@@ -74,7 +66,7 @@
             "registers": status.key_count,
         }
         for key, value in values.items():
-            yield Sample(REPLICA_METRICS[key][0], labels, float(value))
+            yield REPLICA_METRICS[key].sample(value, *labels)
         if status.role != "leader":
             return
         leader_values = {
@@ -85,12 +77,11 @@
             **self._task_service.figures(),
         }
         for key, leader_value in leader_values.items():
-            yield Sample(LEADER_METRICS[key][0], labels, float(leader_value))
+            yield LEADER_METRICS[key].sample(leader_value, *labels)
 
     def text(self) -> str:
-        """The text format of Prometheus."""
-        rows = (*REPLICA_METRICS.values(), *LEADER_METRICS.values())
-        return exposition(self.samples(), {name: (kind, help_line) for name, kind, help_line in rows})
+        """The samples of this moment in the text format of Prometheus."""
+        return exposition(self.samples(), METRICS)
 
 
 class ConnectionLimit:
@@ -100,10 +91,12 @@
         self._max_connections, self._open = max_connections, 0
 
     def open_connection(self, use: DescriptorUse, host: str, now: float) -> RejectionReason:
+        """Count a connection: NONE if it may stay, else the reason for which the caller closes it."""
         if self._open >= self._max_connections:
             return RejectionReason.NO_CAPACITY
         self._open += 1
         return RejectionReason.NONE
 
     def close_connection(self, use: DescriptorUse, host: str) -> None:
+        """Count the end of a connection that stayed."""
         self._open -= 1
