--- a/tests/test_plugin.py
+++ b/tests/plugin/test_transport.py
@@ -96,12 +96,12 @@
         first = call(protocol, 1)
         (drained,) = [m for m in endpoints if m.name == first]
         portal.call(w.coordinator.tell, 2, drained.record(1))
-        told, seq, late = time.monotonic(), 1, []
-        while time.monotonic() < told + 0.8:
+        drained_at, seq, late = time.monotonic(), 1, []
+        while time.monotonic() < drained_at + 0.8:
             seq += 1
             began = time.monotonic()
             answered = call(protocol, seq)
-            if began > told + 0.5:
+            if began > drained_at + 0.5:
                 late.append(answered)
         assert late and first not in late
 
--- a/zincladder/plugin/transport.py
+++ b/zincladder/plugin/transport.py
@@ -1,7 +1,7 @@
 """A transport for Apache Thrift's Python library that follows the front's routing.
 
-It asks the daemon's DNS front itself, past the resolvers of the machine: one that ignores TTL 0 would go on
-naming a cache that drains. It needs thrift and dnspython, and nothing of the daemon.
+It queries the DNS front itself, past the resolvers of the machine: one that ignores a TTL of 0 would go on
+naming an endpoint that drains. It needs thrift and dnspython, and nothing of the daemon.
 
     transport = TFramedTransport(SteeredTransport("papers.main.example.org", ("127.0.0.1", 5353)))
     client = Front.Client(TBinaryProtocol(transport, strictRead=True, strictWrite=True))
@@ -19,142 +19,170 @@
 import dns.rdatatype
 from thrift.transport.TTransport import TTransportBase, TTransportException
 
-ASK_AGAIN = 0.25  # seconds for which an answer is gone by: drains are to be kept within 500 ms
-ASK_LIMIT = 0.25  # for one query, before it is sent again
+MAX_ANSWER_AGE_SECONDS = 0.25  # clients must have left a draining endpoint within 500 ms
+QUERY_TIMEOUT_SECONDS = 0.25  # then the query is sent again
 Address = tuple[str, int]
 
 
 class SteeredTransport(TTransportBase):  # type: ignore[misc]
-    """A byte transport to the one member that the front names for a host.
+    """A byte transport to the one endpoint that the front names for a host.
 
-    `deadline` bounds each call, from its flush to the last byte of its reply. With `write`, a call that may
-    have run is never sent again, nor is another member tried; without it, a call whose connection ends before
-    any byte of the reply is sent once more, to the member that is named then.
+    A read whose connection ends before any byte of the reply is sent once more, to the endpoint that is named
+    then. A write that may have run is never sent again, nor is another endpoint tried.
+
+    Every method that talks to the front or an endpoint raises TTransportException: NOT_OPEN where there is no
+    connection, TIMED_OUT at the deadline, END_OF_FILE where a call may have run and has no reply.
     """
 
     def __init__(self, host: str, front: Address, deadline: float = 2.5, write: bool = False) -> None:
-        self._name, self._front, self._deadline, self._write = f"_rpc._tcp.{host}", front, deadline, write
-        self._sock: socket.socket | None = None
-        self._member: Address | None = None
-        self._asked_at = 0.0
-        self._due = 0.0
-        self._out, self._sent = bytearray(), b""
-        self._replied = False  # a byte of the reply to the call has come
-
-    # What Thrift calls ---------------------------------------------------------------------------
-
-    def isOpen(self) -> bool:
-        return self._sock is not None
+        """Make a transport that is not open yet.
+
+        Args:
+            host: A host of the front's DNS zone.
+            front: The address of the front's DNS.
+            deadline: Seconds for each call, from its flush to the last byte of its reply.
+            write: Whether calls have effects, and so may run only once.
+        """
+        self._service_name = f"_rpc._tcp.{host}"
+        self._front = front
+        self._timeout_seconds = deadline
+        self._is_write = write
+        self._socket: socket.socket | None = None
+        self._endpoint: Address | None = None
+        self._endpoint_named_at = 0.0
+        self._deadline = 0.0
+        self._write_buffer = bytearray()
+        self._retryable_call = b""  # the call that was sent last; empty once it has been retried
+        self._reply_started = False
+
+    # The methods that Thrift calls ---------------------------------------------------------------
+
+    def isOpen(self) -> bool:  # noqa: N802 - Thrift's name
+        """Whether there is a connection."""
+        return self._socket is not None
 
     def open(self) -> None:
-        self._due = time.monotonic() + self._deadline
-        self._connect(self._ask())
+        """Connect to the endpoint that the front names now."""
+        self._start_deadline()
+        self._connect(self._query_endpoint())
 
     def close(self) -> None:
-        if self._sock is not None:
-            self._sock.close()
-        self._sock = None
+        """Close the connection, if there is one."""
+        if self._socket is not None:
+            self._socket.close()
+        self._socket = None
 
     def write(self, buf: bytes) -> None:
-        self._out += buf
+        """Add bytes to the call that the next `flush` sends."""
+        self._write_buffer += buf
 
     def flush(self) -> None:
-        """Sends one call, to the member that the front names now."""
-        self._due = time.monotonic() + self._deadline
-        self._sent, self._out = bytes(self._out), bytearray()
-        if self._sock is None or time.monotonic() - self._asked_at > ASK_AGAIN:
-            named = self._ask()
-            if self._sock is None or named != self._member:  # drained, gone, or simply not the one any more
-                self._connect(named)
-        self._replied = False
+        """Send one call, to the endpoint that the front names now."""
+        self._start_deadline()
+        self._retryable_call, self._write_buffer = bytes(self._write_buffer), bytearray()
+        if self._socket is None or time.monotonic() - self._endpoint_named_at > MAX_ANSWER_AGE_SECONDS:
+            endpoint = self._query_endpoint()
+            if self._socket is None or endpoint != self._endpoint:
+                self._connect(endpoint)
+        self._reply_started = False
         try:
             self._send()
-        except OSError as fault:
-            self._again(fault)
+        except OSError as error:
+            self._retry(error)
 
     def read(self, sz: int) -> bytes:
+        """At least one and at most `sz` bytes of the reply."""
         while True:
             try:
                 data = self._receive(sz)
-            except OSError as fault:
-                self._again(fault)
+            except OSError as error:
+                self._retry(error)
                 continue
             if not data:
-                self._again(ConnectionResetError("the connection ended before the reply did"))
+                self._retry(ConnectionResetError("the connection ended before the reply did"))
                 continue
-            self._replied = True
+            self._reply_started = True
             return data
 
-    # Steering -------------------------------------------------------------------------------------
+    # Routing --------------------------------------------------------------------------------------
 
-    def _left(self) -> float:
-        left = self._due - time.monotonic()
-        if left <= 0:
+    def _start_deadline(self) -> None:
+        self._deadline = time.monotonic() + self._timeout_seconds
+
+    def _remaining_seconds(self) -> float:
+        remaining = self._deadline - time.monotonic()
+        if remaining <= 0:
             self.close()
             raise TTransportException(TTransportException.TIMED_OUT, "the call's deadline has passed")
-        return left
+        return remaining
+
+    def _query_endpoint(self) -> Address:
+        """The endpoint that the front names. A negative answer is final; only a lost one is queried again."""
+        answer = self._query_front()
+        hosts = [
+            data.address for rrset in answer.additional if rrset.rdtype == dns.rdatatype.A for data in rrset
+        ]
+        ports = [data.port for rrset in answer.answer if rrset.rdtype == dns.rdatatype.SRV for data in rrset]
+        if len(hosts) != 1 or len(ports) != 1:
+            code = dns.rcode.to_text(answer.rcode())
+            raise TTransportException(TTransportException.NOT_OPEN, f"the front names no member: {code}")
+        self._endpoint_named_at = time.monotonic()
+        return hosts[0], ports[0]
 
-    def _ask(self) -> Address:
-        """The member that the front names; its 'no' is final, only its silence is asked again."""
-        query = dns.message.make_query(self._name, "SRV")
+    def _query_front(self) -> dns.message.Message:
+        query = dns.message.make_query(self._service_name, "SRV")
+        host, port = self._front
         while True:
-            limit = min(ASK_LIMIT, self._left())
+            timeout = min(QUERY_TIMEOUT_SECONDS, self._remaining_seconds())
             try:
-                answer, _ = dns.query.udp_with_fallback(query, self._front[0], limit, self._front[1])
-                break
+                answer, _ = dns.query.udp_with_fallback(query, host, timeout, port)
             except dns.exception.Timeout:
                 continue
-            except (OSError, dns.exception.DNSException) as fault:
+            except (OSError, dns.exception.DNSException) as error:
                 raise TTransportException(
-                    TTransportException.NOT_OPEN, f"no answer of the front: {fault}"
-                ) from fault
-        hosts = [rd.address for rr in answer.additional if rr.rdtype == dns.rdatatype.A for rd in rr]
-        ports = [rd.port for rr in answer.answer if rr.rdtype == dns.rdatatype.SRV for rd in rr]
-        if len(hosts) != 1 or len(ports) != 1:
-            code = dns.rcode.to_text(answer.rcode())
-            raise TTransportException(TTransportException.NOT_OPEN, f"the front names no member: {code}")
-        self._asked_at = time.monotonic()
-        return hosts[0], ports[0]
+                    TTransportException.NOT_OPEN, f"no answer of the front: {error}"
+                ) from error
+            return answer
 
-    def _connect(self, member: Address) -> None:
+    def _connect(self, endpoint: Address) -> None:
         self.close()
         try:
-            self._sock = socket.create_connection(member, timeout=self._left())
-        except OSError as fault:
+            self._socket = socket.create_connection(endpoint, timeout=self._remaining_seconds())
+        except OSError as error:
             raise TTransportException(
-                TTransportException.NOT_OPEN, f"{member[0]}:{member[1]}: {fault}"
-            ) from fault
-        self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._member = member
+                TTransportException.NOT_OPEN, f"{endpoint[0]}:{endpoint[1]}: {error}"
+            ) from error
+        self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self._endpoint = endpoint
 
     def _send(self) -> None:
-        assert self._sock is not None
-        self._sock.settimeout(self._left())
-        self._sock.sendall(self._sent)
+        assert self._socket is not None
+        self._socket.settimeout(self._remaining_seconds())
+        self._socket.sendall(self._retryable_call)
 
-    def _receive(self, sz: int) -> bytes:
-        if self._sock is None:
+    def _receive(self, max_bytes: int) -> bytes:
+        if self._socket is None:
             raise TTransportException(TTransportException.NOT_OPEN, "not open")
-        self._sock.settimeout(self._left())
-        return self._sock.recv(sz)
+        self._socket.settimeout(self._remaining_seconds())
+        return self._socket.recv(max_bytes)
 
-    def _again(self, fault: OSError) -> None:
-        """Sends a read once more after its connection was lost; guards every write, which may have run."""
+    def _retry(self, cause: OSError) -> None:
+        """Send a read once more after its connection was lost. Guards every write, which may have run."""
         self.close()
-        if isinstance(fault, TimeoutError):
+        if isinstance(cause, TimeoutError):
             raise TTransportException(
                 TTransportException.TIMED_OUT, "the call's deadline has passed"
-            ) from fault
-        call, self._sent = self._sent, b""
-        if self._write or self._replied or not call:
+            ) from cause
+        call, self._retryable_call = self._retryable_call, b""
+        if self._is_write or self._reply_started or not call:
             raise TTransportException(
-                TTransportException.END_OF_FILE, f"the call may have run: {fault}"
-            ) from fault
-        self._connect(self._ask())
-        self._sent = call
+                TTransportException.END_OF_FILE, f"the call may have run: {cause}"
+            ) from cause
+        self._connect(self._query_endpoint())
+        self._retryable_call = call
         try:
             self._send()
-        except OSError as again:
+        except OSError as error:
             self.close()
-            raise TTransportException(TTransportException.END_OF_FILE, str(again)) from again
-        self._sent = b""  # once only
+            raise TTransportException(TTransportException.END_OF_FILE, str(error)) from error
+        self._retryable_call = b""
