--- a/benchmarks/export.py
+++ b/benchmarks/export.py
@@ -68,17 +68,17 @@
 
 
 def spool(batches: int) -> dict[str, float]:
-    payload, _ = messages.batch(series(400), 1, 1)
+    payload = messages.encode_batch(series(400), 1, 1).payload
     with tempfile.TemporaryDirectory() as folder:
         kept = Spool(Path(folder), 1 << 30)
         began = time.perf_counter()
         for i in range(batches):
-            kept.put(i, payload)
+            kept.append(i, payload)
         wrote, sent = time.perf_counter() - began, 0
         began = time.perf_counter()
-        while (first := kept.first()) is not None:
-            messages.on_the_wire(first.payload, 2)
-            kept.done(first)
+        while (first := kept.oldest()) is not None:
+            messages.push_body(first.payload, 2)
+            kept.acknowledge(first)
             sent += 1
         read = time.perf_counter() - began
         kept.close()
@@ -91,8 +91,8 @@
 def push_sizes() -> dict[str, dict[str, int]]:
     found = {}
     for count in (100, 2000):
-        payload, _ = messages.batch(series(count), 1_764_576_000_000, 1_764_570_000_000)
-        found[f"{count} series"] = {f"{v}.0": len(messages.on_the_wire(payload, v)[0]) for v in (1, 2)}
+        payload = messages.encode_batch(series(count), 1_764_576_000_000, 1_764_570_000_000).payload
+        found[f"{count} series"] = {f"{v}.0": len(messages.push_body(payload, v).body) for v in (1, 2)}
     return found
 
 
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -315,12 +315,13 @@
 
 
 def test_remote_write_messages() -> None:
-    batch, count = messages.batch(SAMPLES, 1_700_000_000_250, 1_600_000_000_000)
+    encoded = messages.encode_batch(SAMPLES, 1_700_000_000_250, 1_600_000_000_000)
+    batch, count = encoded.payload, encoded.sample_count
     found: dict[str, Any] = {"2.0": batch.hex(), "count": count, "1.0": messages.to_v1(batch).hex()}
     for version in (1, 2):
-        body, kind, header = messages.on_the_wire(batch, version)
-        found[f"headers of version {version}"] = [kind, header]
-        assert bytes(cramjam.snappy.decompress_raw(body)) == (
+        push = messages.push_body(batch, version)
+        found[f"headers of version {version}"] = [push.content_type, push.version_header]
+        assert bytes(cramjam.snappy.decompress_raw(push.body)) == (
             messages.to_v1(batch) if version == 1 else batch
         )
     assert_matches("wires/remote_write.json", found)
@@ -336,11 +337,11 @@
     """Five batches, of which the first two have been sent."""
     spool = Spool(folder, 1 << 20)
     for stamp, payload in BATCHES:
-        spool.put(stamp, payload)
+        spool.append(stamp, payload)
     for _ in range(2):
-        first = spool.first()
+        first = spool.oldest()
         assert first is not None
-        spool.done(first)
+        spool.acknowledge(first)
     spool.close()
 
 
@@ -354,13 +355,13 @@
     folder = tmp_path / "spool"
     shutil.copytree(SPOOL, folder)
     spool = Spool(folder, 1 << 20)
-    assert (len(spool), spool.lost, spool.foreign) == (3, 0, [])
-    spool.put(1_700_000_000_005, b"one more")
+    assert (len(spool), spool.lost_batches, spool.foreign_files) == (3, 0, [])
+    spool.append(1_700_000_000_005, b"one more")
     for number, (stamp, payload) in enumerate([*BATCHES[2:], (1_700_000_000_005, b"one more")], 3):
-        first = spool.first()
+        first = spool.oldest()
         assert first is not None and positional(first) == [number, stamp, payload.hex()]
-        spool.done(first)
-    assert spool.first() is None
+        spool.acknowledge(first)
+    assert spool.oldest() is None
     spool.close()
 
 
--- a/zincladder/export/__init__.py
+++ b/zincladder/export/__init__.py
@@ -1,1 +1,1 @@
-"""Samples on their way to receivers: messages, delivery, and what is kept through an outage."""
+"""The export of samples by Prometheus remote write: messages, delivery, and batches that wait in a spool."""
--- a/zincladder/export/fleet_metrics.py
+++ b/zincladder/export/fleet_metrics.py
@@ -2,8 +2,8 @@
 
 Each interval the sums are fetched, stored as the checkpoint under the lease holder's token, then pushed once.
 What was stored and not pushed when a lease holder failed is not sent again, so no sample is sent twice; the
-next push has all of it. A push that arrives late is still what was true at its time. A receiver that knows
-fences gets the token.
+next push has all of it. A push that arrives late still has the sums of its own time. A receiver that knows
+fencing tokens gets the lease holder's.
 """
 
 from __future__ import annotations
@@ -12,13 +12,12 @@
 from collections.abc import Callable
 
 import anyio
-import h11
 import structlog
 
 from zincladder.config import RemoteWriteConfig
 from zincladder.export import messages
-from zincladder.export.delivery import Outcome
-from zincladder.export.push import FAILED, post
+from zincladder.export.delivery import PushResponse
+from zincladder.export.push import PUSH_ERRORS, post
 from zincladder.metrics.exposition import Sample
 from zincladder.tasks.context import TaskContext
 from zincladder.tasks.counter_sums import FleetTotals, decode_totals, encode_totals, next_sample_at
@@ -38,52 +37,52 @@
 
 def samples(totals: dict[str, float]) -> list[Sample]:
     """The samples of a push; counters that are not known here are left out."""
-    known = []
+    known_samples = []
     for name, value in sorted(totals.items()):
         metric, *label_values = name.split("\0")
         labels = LABELS.get(metric, ())
         if labels and len(labels) == len(label_values):
-            known.append(Sample(metric, tuple(zip(labels, label_values, strict=True)), value))
-    return known
+            known_samples.append(Sample(metric, tuple(zip(labels, label_values, strict=True)), value))
+    return known_samples
 
 
 class FleetMetricsTask:
-    """What the lease holder of the task runs."""
+    """The function of the task, which the lease holder runs."""
 
     def __init__(self, config: RemoteWriteConfig, wall_clock: Callable[[], float] = time.time) -> None:
         self._config, self._wall_clock = config, wall_clock
         self.pushed = 0
 
     async def __call__(self, context: TaskContext) -> None:
-        """Runs until it is cancelled. Raises LeaseLostError."""
+        """Push each interval until cancelled. Raises LeaseLostError."""
         interval_ms = int(1000 * self._config.interval_seconds)
         version, data = await context.load_checkpoint()
         totals = decode_totals(data)
         while True:
-            at = next_sample_at(totals.at, int(1000 * self._wall_clock()), interval_ms)
-            wait = min(at / 1000 - self._wall_clock(), self._config.interval_seconds)
-            await anyio.sleep(max(0.0, wait))
+            sample_at_ms = next_sample_at(totals.at, int(1000 * self._wall_clock()), interval_ms)
+            wait_seconds = min(sample_at_ms / 1000 - self._wall_clock(), self._config.interval_seconds)
+            await anyio.sleep(max(0.0, wait_seconds))
             sums = await context.collect()
-            totals = totals.advanced(sums.epoch, sums.totals, at)
+            totals = totals.advanced(sums.epoch, sums.totals, sample_at_ms)
             version = await context.store_checkpoint(version, encode_totals(totals))
             await self._push(context, totals)
 
     async def _push(self, context: TaskContext, totals: FleetTotals) -> None:
-        sent = samples(totals.totals)
-        if not sent:
+        fleet_samples = samples(totals.totals)
+        if not fleet_samples:
             return
-        payload, _ = messages.batch(sent, totals.at, 0)
-        body, content_type, headers = messages.on_the_wire(payload, self._config.version)
+        batch = messages.encode_batch(fleet_samples, totals.at, 0)
+        push = messages.push_body(batch.payload, self._config.version)
 
-        def fence() -> list[tuple[str, str]]:
+        def fencing_header() -> list[tuple[str, str]]:
             return [(FENCE_HEADER, f"{context.task} {context.token()}")]  # read after the last await
 
-        outcome = Outcome(0)
+        response = PushResponse()
         try:
             with anyio.fail_after(PUSH_TIMEOUT_SECONDS):
-                outcome = await post(self._config, body, content_type, headers, fence)
-        except (*FAILED, h11.ProtocolError) as error:
+                response = await post(self._config, push, fencing_header)
+        except PUSH_ERRORS as error:
             log.info("fleet metrics not pushed", reason=str(error) or type(error).__name__)
-        if outcome.status == HTTP_FENCED:
+        if response.status == HTTP_FENCED:
             context.rejected_by_fence("receiver")
-        self.pushed += 200 <= outcome.status < 300
+        self.pushed += response.accepted
--- a/zincladder/export/messages.py
+++ b/zincladder/export/messages.py
@@ -1,12 +1,13 @@
 """Remote write messages, from the field numbers of the published specifications, built without a compiler.
 
-2.0 is `io.prometheus.write.v2.Request`, 1.0 is `prometheus.WriteRequest`. A batch is made and kept as 2.0;
-for a receiver that knows only 1.0 it is turned into that when it is sent.
+2.0 is `io.prometheus.write.v2.Request`, 1.0 is `prometheus.WriteRequest`. A batch is encoded and stored as
+2.0; for a receiver that knows only 1.0 it is converted when it is sent.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 from typing import Any
 
 import cramjam
@@ -15,124 +16,185 @@
 
 from zincladder.metrics.exposition import Sample
 
-_K = descriptor_pb2.FieldDescriptorProto
-_Field = tuple[
-    str, int, int, str
-]  # name, number, type, and what it repeats: a message's name, '[]' or nothing
+_Descriptor = descriptor_pb2.FieldDescriptorProto
+
+
+@dataclass(frozen=True, slots=True)
+class _Field:
+    """A field of a message, as the specification has it."""
+
+    name: str
+    number: int
+    type: int
+    repeated: bool = False
+    message: str = ""  # name of the field's message, for TYPE_MESSAGE
+
+
 _V1: dict[str, tuple[_Field, ...]] = {
-    "Label": (("name", 1, _K.TYPE_STRING, ""), ("value", 2, _K.TYPE_STRING, "")),
-    "Sample": (("value", 1, _K.TYPE_DOUBLE, ""), ("timestamp", 2, _K.TYPE_INT64, "")),
+    "Label": (
+        _Field("name", 1, _Descriptor.TYPE_STRING),
+        _Field("value", 2, _Descriptor.TYPE_STRING),
+    ),
+    "Sample": (
+        _Field("value", 1, _Descriptor.TYPE_DOUBLE),
+        _Field("timestamp", 2, _Descriptor.TYPE_INT64),
+    ),
     "TimeSeries": (
-        ("labels", 1, _K.TYPE_MESSAGE, "Label"),
-        ("samples", 2, _K.TYPE_MESSAGE, "Sample"),
+        _Field("labels", 1, _Descriptor.TYPE_MESSAGE, repeated=True, message="Label"),
+        _Field("samples", 2, _Descriptor.TYPE_MESSAGE, repeated=True, message="Sample"),
     ),
-    "WriteRequest": (("timeseries", 1, _K.TYPE_MESSAGE, "TimeSeries"),),
+    "WriteRequest": (_Field("timeseries", 1, _Descriptor.TYPE_MESSAGE, repeated=True, message="TimeSeries"),),
 }
 _V2: dict[str, tuple[_Field, ...]] = {
-    "Sample": (("value", 1, _K.TYPE_DOUBLE, ""), ("timestamp", 2, _K.TYPE_INT64, "")),
+    "Sample": (
+        _Field("value", 1, _Descriptor.TYPE_DOUBLE),
+        _Field("timestamp", 2, _Descriptor.TYPE_INT64),
+    ),
     "Metadata": (
-        ("type", 1, _K.TYPE_INT32, ""),  # an enum on the wire is a varint
-        ("help_ref", 3, _K.TYPE_UINT32, ""),
-        ("unit_ref", 4, _K.TYPE_UINT32, ""),
+        _Field("type", 1, _Descriptor.TYPE_INT32),  # an enum on the wire is a varint
+        _Field("help_ref", 3, _Descriptor.TYPE_UINT32),
+        _Field("unit_ref", 4, _Descriptor.TYPE_UINT32),
     ),
     "TimeSeries": (
-        ("labels_refs", 1, _K.TYPE_UINT32, "[]"),
-        ("samples", 2, _K.TYPE_MESSAGE, "Sample"),
-        ("metadata", 5, _K.TYPE_MESSAGE, ".Metadata"),
-        ("created_timestamp", 6, _K.TYPE_INT64, ""),
+        _Field("labels_refs", 1, _Descriptor.TYPE_UINT32, repeated=True),
+        _Field("samples", 2, _Descriptor.TYPE_MESSAGE, repeated=True, message="Sample"),
+        _Field("metadata", 5, _Descriptor.TYPE_MESSAGE, message="Metadata"),
+        _Field("created_timestamp", 6, _Descriptor.TYPE_INT64),
     ),
     "Request": (
-        ("symbols", 4, _K.TYPE_STRING, "[]"),
-        ("timeseries", 5, _K.TYPE_MESSAGE, "TimeSeries"),
+        _Field("symbols", 4, _Descriptor.TYPE_STRING, repeated=True),
+        _Field("timeseries", 5, _Descriptor.TYPE_MESSAGE, repeated=True, message="TimeSeries"),
     ),
 }
 COUNTER, GAUGE = 1, 2  # Metadata.MetricType
-V1_TYPE = "application/x-protobuf"
-V2_TYPE = "application/x-protobuf;proto=io.prometheus.write.v2.Request"
+V1_CONTENT_TYPE = "application/x-protobuf"
+V2_CONTENT_TYPE = "application/x-protobuf;proto=io.prometheus.write.v2.Request"
+V1_VERSION_HEADER, V2_VERSION_HEADER = "0.1.0", "2.0.0"
+
+
+class MalformedRequestError(ValueError):
+    """Bytes that are no 2.0 request."""
+
 
+@dataclass(frozen=True, slots=True)
+class EncodedBatch:
+    """A batch as a 2.0 request, not compressed."""
 
-def _classes(package: str, shapes: Mapping[str, tuple[_Field, ...]]) -> dict[str, Any]:
+    payload: bytes
+    sample_count: int
+
+
+@dataclass(frozen=True, slots=True)
+class PushBody:
+    """The body of a push, compressed, and the headers that name its protocol."""
+
+    body: bytes
+    content_type: str
+    version_header: str
+
+
+def _message_classes(package: str, messages: Mapping[str, tuple[_Field, ...]]) -> dict[str, Any]:
     file = descriptor_pb2.FileDescriptorProto(name=f"{package}.proto", package=package, syntax="proto3")
-    for name, fields in shapes.items():
+    for name, fields in messages.items():
         message = file.message_type.add(name=name)
-        for field, number, kind, of in fields:
-            many = bool(of) and not of.startswith(".")
-            label = _K.LABEL_REPEATED if many else _K.LABEL_OPTIONAL
-            added = message.field.add(name=field, number=number, type=kind, label=label)
-            if of not in ("", "[]"):
-                added.type_name = f".{package}.{of.lstrip('.')}"
+        for field in fields:
+            label = _Descriptor.LABEL_REPEATED if field.repeated else _Descriptor.LABEL_OPTIONAL
+            added = message.field.add(name=field.name, number=field.number, type=field.type, label=label)
+            if field.message:
+                added.type_name = f".{package}.{field.message}"
     pool = descriptor_pool.DescriptorPool()
     pool.Add(file)
-    return {n: message_factory.GetMessageClass(pool.FindMessageTypeByName(f"{package}.{n}")) for n in shapes}
+    return {
+        name: message_factory.GetMessageClass(pool.FindMessageTypeByName(f"{package}.{name}"))
+        for name in messages
+    }
 
 
-WriteRequest = _classes("prometheus", _V1)["WriteRequest"]
-Request = _classes("io.prometheus.write.v2", _V2)["Request"]
+WriteRequest = _message_classes("prometheus", _V1)["WriteRequest"]
+Request = _message_classes("io.prometheus.write.v2", _V2)["Request"]
 
 
-class Symbols:
-    """The table of texts of one request: each text once, the empty one first, as the specification has it."""
+class SymbolTable:
+    """The texts of one request: each once, the empty one first, as the specification has it."""
 
     def __init__(self) -> None:
         self.texts: dict[str, int] = {"": 0}
 
-    def ref(self, text: str) -> int:
+    def reference(self, text: str) -> int:
+        """The number of a text, which is added if it is new."""
         return self.texts.setdefault(text, len(self.texts))
 
 
-def batch(samples: Iterable[Sample], unix_ms: int, created_ms: int) -> tuple[bytes, int]:
-    """One batch as a 2.0 request, not compressed, and how many samples are in it.
+def encode_batch(samples: Iterable[Sample], unix_ms: int, created_ms: int) -> EncodedBatch:
+    """Encode one batch, with the labels in the order of their names.
 
-    Labels are in the order of their names. `created_ms` is when the counters began: the front's start.
+    Args:
+        samples: The samples of the batch.
+        unix_ms: Their time.
+        created_ms: When the counters began: the front's start.
     """
-    request, symbols, count = Request(), Symbols(), 0
+    request, symbols, sample_count = Request(), SymbolTable(), 0
     for sample in samples:
         series = request.timeseries.add()
         for name, value in sorted((("__name__", sample.name), *sample.labels)):
-            series.labels_refs.extend((symbols.ref(name), symbols.ref(value)))
+            series.labels_refs.extend((symbols.reference(name), symbols.reference(value)))
         series.samples.add(value=sample.value, timestamp=unix_ms)
-        counter = sample.name.endswith("_total")
-        series.metadata.type = COUNTER if counter else GAUGE
-        if counter:
+        is_counter = sample.name.endswith("_total")
+        series.metadata.type = COUNTER if is_counter else GAUGE
+        if is_counter:
             series.created_timestamp = created_ms
-        count += 1
+        sample_count += 1
     request.symbols.extend(symbols.texts)
-    return request.SerializeToString(), count
+    return EncodedBatch(request.SerializeToString(), sample_count)
+
 
+def to_v1(payload: bytes) -> bytes:
+    """A 2.0 request as one of 1.0, which knows neither types nor created times.
 
-def to_v1(data: bytes) -> bytes:
-    """A 2.0 request as one of 1.0, which knows neither kinds nor created times. ValueError if it is none."""
-    request, old = parse_v2(data), WriteRequest()
+    Raises:
+        MalformedRequestError: The payload is no 2.0 request.
+    """
+    request, write_request = parse_v2(payload), WriteRequest()
     symbols = list(request.symbols)
     for series in request.timeseries:
-        added = old.timeseries.add()
-        refs = series.labels_refs
-        for i in range(0, len(refs), 2):
-            added.labels.add(name=symbols[refs[i]], value=symbols[refs[i + 1]])
+        converted = write_request.timeseries.add()
+        references = series.labels_refs
+        for position in range(0, len(references), 2):
+            name, value = symbols[references[position]], symbols[references[position + 1]]
+            converted.labels.add(name=name, value=value)
         for sample in series.samples:
-            added.samples.add(value=sample.value, timestamp=sample.timestamp)
-    return bytes(old.SerializeToString())
+            converted.samples.add(value=sample.value, timestamp=sample.timestamp)
+    return bytes(write_request.SerializeToString())
+
 
+def parse_v2(payload: bytes) -> Any:
+    """A 2.0 request, as an instance of Request.
 
-def parse_v2(data: bytes) -> Any:
-    """A 2.0 request, checked: ValueError where it can't be read or refers to texts that are not there."""
+    Raises:
+        MalformedRequestError: It cannot be read, or refers to symbols that it does not have.
+    """
     request = Request()
     try:
-        request.ParseFromString(data)
-    except DecodeError as fault:
-        raise ValueError(f"not a 2.0 request: {fault}") from None
-    symbols = len(request.symbols)
-    if symbols and request.symbols[0] != "":
-        raise ValueError("the first symbol must be the empty text")
+        request.ParseFromString(payload)
+    except DecodeError as error:
+        raise MalformedRequestError(f"not a 2.0 request: {error}") from None
+    symbol_count = len(request.symbols)
+    if symbol_count and request.symbols[0] != "":
+        raise MalformedRequestError("the first symbol must be the empty text")
     for series in request.timeseries:
-        refs = series.labels_refs
-        if len(refs) % 2 or any(ref >= symbols for ref in refs):
-            raise ValueError("labels that refer to no symbol")
+        references = series.labels_refs
+        if len(references) % 2 or any(reference >= symbol_count for reference in references):
+            raise MalformedRequestError("labels that refer to no symbol")
     return request
 
 
-def on_the_wire(data: bytes, version: int) -> tuple[bytes, str, str]:
-    """A kept batch as a push: the compressed body, its content type and the version header's value."""
+def push_body(payload: bytes, version: int) -> PushBody:
+    """A batch as it is pushed in version 1 or 2 of the protocol.
+
+    Raises:
+        MalformedRequestError: Version 1 is asked for, and the payload is no 2.0 request.
+    """
     if version == 1:
-        return bytes(cramjam.snappy.compress_raw(to_v1(data))), V1_TYPE, "0.1.0"
-    return bytes(cramjam.snappy.compress_raw(data)), V2_TYPE, "2.0.0"
+        body = bytes(cramjam.snappy.compress_raw(to_v1(payload)))
+        return PushBody(body, V1_CONTENT_TYPE, V1_VERSION_HEADER)
+    return PushBody(bytes(cramjam.snappy.compress_raw(payload)), V2_CONTENT_TYPE, V2_VERSION_HEADER)
--- a/zincladder/export/push.py
+++ b/zincladder/export/push.py
@@ -1,4 +1,4 @@
-"""One push over HTTP/1.1, and how it ended."""
+"""One push over HTTP/1.1, and its response."""
 
 from __future__ import annotations
 
@@ -7,68 +7,96 @@
 from email.utils import parsedate_to_datetime
 
 import anyio
+import anyio.abc
 import h11
 
 from zincladder.config import RemoteWriteConfig
-from zincladder.export.delivery import Outcome, retry_after
+from zincladder.export.delivery import PushResponse, parse_retry_after
+from zincladder.export.messages import PushBody
 
-MOST_ANSWER = 1 << 16
-WRITTEN = b"x-prometheus-remote-write-samples-written"
-FAILED = (OSError, TimeoutError, anyio.BrokenResourceError, anyio.EndOfStream)
+MAX_RESPONSE_BYTES = 1 << 16
+MAX_WRITTEN_DIGITS = 9
+RETRY_AFTER_HEADER = b"retry-after"
+WRITTEN_HEADER = b"x-prometheus-remote-write-samples-written"
+# What `post` raises where no response comes.
+PUSH_ERRORS = (OSError, TimeoutError, anyio.BrokenResourceError, anyio.EndOfStream, h11.ProtocolError)
 Headers = Iterable[tuple[str, str]]
 
 
+def no_headers() -> Headers:
+    """No further headers."""
+    return ()
+
+
 async def post(
-    c: RemoteWriteConfig, body: bytes, kind: str, version: str, more: Callable[[], Headers] = lambda: ()
-) -> Outcome:
-    """Sends one body; `more` is asked for further headers when the connection is there, right before its
-    first byte, and may raise to send none. One of FAILED or h11.ProtocolError where no answer comes.
+    config: RemoteWriteConfig, push: PushBody, further_headers: Callable[[], Headers] = no_headers
+) -> PushResponse:
+    """Send one body.
+
+    Args:
+        config: The receiver.
+        push: The body and its headers.
+        further_headers: Called when the connection is there, right before the first byte of the request. It
+            may raise, and then nothing is sent.
+
+    Raises:
+        One of PUSH_ERRORS: No response came.
     """
-    host = f"[{c.host}]" if ":" in c.host else c.host
-    headers: Headers = [
-        ("Host", f"{host}:{c.port}"),
-        ("Content-Type", kind),
+    connection = h11.Connection(h11.CLIENT)
+    async with await anyio.connect_tcp(config.host, config.port) as stream:
+        headers = [*_headers(config, push), *further_headers()]
+        events = (
+            h11.Request(method="POST", target=config.path, headers=headers),
+            h11.Data(push.body),
+            h11.EndOfMessage(),
+        )
+        await stream.send(b"".join(connection.send(event) or b"" for event in events))
+        return _response_of(await _receive_response(connection, stream))
+
+
+def _headers(config: RemoteWriteConfig, push: PushBody) -> Headers:
+    host = f"[{config.host}]" if ":" in config.host else config.host
+    return [
+        ("Host", f"{host}:{config.port}"),
+        ("Content-Type", push.content_type),
         ("Content-Encoding", "snappy"),
-        ("X-Prometheus-Remote-Write-Version", version),
+        ("X-Prometheus-Remote-Write-Version", push.version_header),
         ("User-Agent", "zincladder"),
-        ("Content-Length", str(len(body))),
+        ("Content-Length", str(len(push.body))),
         ("Connection", "close"),
     ]
-    talk = h11.Connection(h11.CLIENT)
-    async with await anyio.connect_tcp(c.host, c.port) as stream:
-        parts = (
-            h11.Request(method="POST", target=c.path, headers=[*headers, *more()]),
-            h11.Data(body),
-            h11.EndOfMessage(),
-        )
-        await stream.send(b"".join(talk.send(part) or b"" for part in parts))
-        got = 0
-        while True:
-            event = talk.next_event()
-            if event is h11.NEED_DATA:
-                try:
-                    data = await stream.receive()
-                except anyio.EndOfStream:
-                    data = b""
-                got += len(data)
-                if got > MOST_ANSWER:
-                    raise h11.RemoteProtocolError("an answer without end")
-                talk.receive_data(data)
-            elif isinstance(event, h11.Response):
-                return _outcome(event)
-            elif isinstance(event, h11.ConnectionClosed):
-                raise anyio.EndOfStream
-
-
-def _outcome(response: h11.Response) -> Outcome:
-    found = Outcome(int(response.status_code))
+
+
+async def _receive_response(connection: h11.Connection, stream: anyio.abc.ByteStream) -> h11.Response:
+    received_bytes = 0
+    while True:
+        event = connection.next_event()
+        if event is h11.NEED_DATA:
+            try:
+                data = await stream.receive()
+            except anyio.EndOfStream:
+                data = b""
+            received_bytes += len(data)
+            if received_bytes > MAX_RESPONSE_BYTES:
+                raise h11.RemoteProtocolError("an answer without end")
+            connection.receive_data(data)
+        elif isinstance(event, h11.Response):
+            return event
+        elif isinstance(event, h11.ConnectionClosed):
+            raise anyio.EndOfStream
+
+
+def _response_of(response: h11.Response) -> PushResponse:
+    retry_after_seconds: float | None = None
+    written_samples: int | None = None
     for name, value in response.headers:
-        if name == b"retry-after":
-            found.retry_after = retry_after(value.decode("latin-1"), time.time(), _unix)
-        elif name == WRITTEN and value.isdigit() and len(value) < 10:
-            found.written = int(value)
-    return found
+        if name == RETRY_AFTER_HEADER:
+            retry_after_seconds = parse_retry_after(value.decode("latin-1"), time.time(), parse_http_date)
+        elif name == WRITTEN_HEADER and value.isdigit() and len(value) <= MAX_WRITTEN_DIGITS:
+            written_samples = int(value)
+    return PushResponse(int(response.status_code), retry_after_seconds, written_samples)
 
 
-def _unix(text: str) -> float:
+def parse_http_date(text: str) -> float:
+    """An HTTP date in Unix seconds. Raises ValueError or TypeError if it is none."""
     return parsedate_to_datetime(text).timestamp()
--- a/zincladder/export/sender.py
+++ b/zincladder/export/sender.py
@@ -1,4 +1,4 @@
-"""Pushes samples to one receiver: takes them at even times, keeps them, and sends them in order."""
+"""Pushes samples to one receiver: collects them at even times, stores them, and sends them in order."""
 
 from __future__ import annotations
 
@@ -6,178 +6,197 @@
 import time
 from collections.abc import Callable, Iterator
 from pathlib import Path
-from typing import Protocol, TypeVar
+from typing import TypeVar
 
 import anyio
 import anyio.lowlevel
 import anyio.to_thread
-import h11
 import structlog
 
 from zincladder.config import ConfigError, RemoteWriteConfig
 from zincladder.export import messages
-from zincladder.export.delivery import Delivery, Fate, Next, Outcome, Rules
-from zincladder.export.push import FAILED, post
-from zincladder.export.spool import Kept, MemoryStore, Spool, SpoolError
+from zincladder.export.batch_store import BatchStore, MemoryStore, SpooledBatch
+from zincladder.export.delivery import Delivery, DeliveryRules, PushOutcome, PushResponse
+from zincladder.export.push import PUSH_ERRORS, post
+from zincladder.export.spool import Spool, SpoolError
 from zincladder.metrics.exposition import Sample
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-LIMIT = 10.0  # seconds for one push
-SLICE = 200  # series read off before the other tasks have their turn
+PUSH_TIMEOUT_SECONDS = 10.0
+FINISH_POLL_SECONDS = 0.02
+SAMPLES_IN_A_ROW = 200  # then the other tasks run
+MAX_LOGGED_FILES = 10
+OVERFLOWED = "overflowed"  # label value of batches that were lost
+# After these a batch is not sent again.
+FINAL_OUTCOMES = (PushOutcome.SENT, PushOutcome.PARTIAL, PushOutcome.REJECTED)
 T = TypeVar("T")
 log = structlog.get_logger()
 
 
-class Store(Protocol):
-    """What keeps batches until they are sent."""
-
-    lost: int
-
-    def __len__(self) -> int: ...
-
-    def put(self, unix_ms: int, payload: bytes) -> None: ...
-
-    def first(self) -> Kept | None: ...
-
-    def done(self, kept: Kept) -> None: ...
-
-    def close(self) -> None: ...
-
-
 class RemoteWrite:
-    """One receiver. Nothing here is waited for by a request: encoding and files are a worker thread's."""
+    """The sender of one receiver. No request waits for it: a worker thread encodes and writes files."""
 
     def __init__(
         self,
         config: RemoteWriteConfig,
         samples: Callable[[], Iterator[Sample]],
         count: Callable[[str, int], None],
-        rules: Rules | None = None,
+        rules: DeliveryRules | None = None,
     ) -> None:
+        """Make a sender, and open its spool if it has one.
+
+        Args:
+            config: The receiver.
+            samples: Gives the samples of the moment.
+            count: Counts batches by an outcome.
+            rules: How batches are sent; by the configuration if it is None.
+
+        Raises:
+            ConfigError: The spool cannot be used.
+        """
         self._config, self._samples, self._count = config, samples, count
-        rules = rules or Rules(version=config.version, replay_bytes_per_s=config.replay_bytes_per_s)
+        rules = rules or DeliveryRules(version=config.version, replay_bytes_per_s=config.replay_bytes_per_s)
         self._delivery = Delivery(rules, random.Random())
         self._memory = MemoryStore(config.max_memory_bytes)
-        self._spool: Spool | None = None
-        self._created_ms = int(time.time() * 1000)
-        self._news = anyio.Event()
-        self._turn = anyio.Lock()  # of the stores: a worker thread has them one call at a time
-        self._warn = RateLimitedLog()
-        self._told_lost = 0
-        if config.spool_folder is not None:
-            try:
-                self._spool = Spool(Path(config.spool_folder), config.max_spool_bytes)
-            except SpoolError as fault:
-                raise ConfigError(f"'remote_write.spool' cannot be used: {fault}") from None
-            if self._spool.foreign:
-                log.warning("files in the spool that are none of its own", files=self._spool.foreign[:10])
-            if len(self._spool):
-                log.info("spool resumed", waiting=len(self._spool))
+        self._spool = _open_spool(config)
+        self._created_ms = _unix_ms()
+        self._batch_added = anyio.Event()
+        self._stores_lock = anyio.Lock()  # a worker thread uses the stores, for one call at a time
+        self._rate_limited_log = RateLimitedLog()
+        self._counted_lost_batches = 0
 
     @property
     def waiting(self) -> int:
-        """Batches that are kept."""
+        """The batches that are stored."""
         return len(self._memory) + (len(self._spool) if self._spool else 0)
 
     async def run(self) -> None:
+        """Collect and send until cancelled, then close the spool."""
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._push)
-                at = anyio.current_time()
+                tasks.start_soon(self._send_batches)
+                collect_at = anyio.current_time()
                 while True:
-                    await self.take()
-                    at = max(at + self._config.interval_seconds, anyio.current_time())
-                    await anyio.sleep_until(at)
+                    await self.collect()
+                    collect_at = max(collect_at + self._config.interval_seconds, anyio.current_time())
+                    await anyio.sleep_until(collect_at)
         finally:
             if self._spool is not None:
                 self._spool.close()
 
-    async def finish(self, seconds: float) -> None:
-        """The front's last samples, sent if the receiver takes them in time; a spool keeps them else."""
-        await self.take()
-        with anyio.move_on_after(seconds):
+    async def finish(self, timeout_seconds: float) -> None:
+        """Send the front's last samples, while `run` still goes on.
+
+        What the receiver does not accept in time is lost, unless there is a spool.
+        """
+        await self.collect()
+        with anyio.move_on_after(timeout_seconds):
             while self.waiting:
-                await anyio.sleep(0.02)
+                await anyio.sleep(FINISH_POLL_SECONDS)
 
-    async def take(self) -> None:
-        """Keeps the samples of this moment."""
-        unix_ms = int(time.time() * 1000)
-        taken: list[Sample] = []
+    async def collect(self) -> None:
+        """Store the samples of this moment as a batch."""
+        unix_ms = _unix_ms()
+        samples: list[Sample] = []
         for sample in self._samples():
-            taken.append(sample)
-            if len(taken) % SLICE == 0:
+            samples.append(sample)
+            if len(samples) % SAMPLES_IN_A_ROW == 0:
                 await anyio.lowlevel.checkpoint()
-        payload = await self._aside(lambda: messages.batch(taken, unix_ms, self._created_ms)[0])
-        async with self._turn:
-            await self._aside(lambda: self._keep(unix_ms, payload))
-        self._tell_lost()
-        self._news.set()
+        batch = await _in_worker_thread(lambda: messages.encode_batch(samples, unix_ms, self._created_ms))
+        async with self._stores_lock:
+            await _in_worker_thread(lambda: self._store(unix_ms, batch.payload))
+        self._count_lost_batches()
+        self._batch_added.set()
 
-    def _keep(self, unix_ms: int, payload: bytes) -> None:
-        """In the spool where there is one; in memory where there is none, or while the disk has no room.
+    def _store(self, unix_ms: int, payload: bytes) -> None:
+        """Store a batch in the spool; in memory where there is none, or while the disk does not take it.
 
-        What is in memory is newer than all that the spool holds then, and is sent after it. So that this
-        stays true, nothing more goes into the spool before memory is empty.
+        Guards the order: the batches in memory are newer than all in the spool, and are sent after them. So
+        none goes into the spool before memory is empty.
         """
         if self._spool is not None and not len(self._memory):
             try:
-                self._spool.put(unix_ms, payload)
+                self._spool.append(unix_ms, payload)
                 return
-            except OSError as fault:
-                self._warn.warning("spool not written, kept in memory", why=str(fault))
-        self._memory.put(unix_ms, payload)
-
-    @staticmethod
-    async def _aside(work: Callable[[], T]) -> T:
-        return await anyio.to_thread.run_sync(work)
-
-    def _tell_lost(self) -> None:
-        lost = self._memory.lost + (self._spool.lost if self._spool else 0)
-        if lost > self._told_lost:
-            self._count("overflowed", lost - self._told_lost)
-            self._told_lost = lost
-
-    def _store(self) -> Store:
-        """Where the oldest batch is."""
+            except OSError as error:
+                self._rate_limited_log.warning("spool not written, batch queued in memory", reason=str(error))
+        self._memory.append(unix_ms, payload)
+
+    def _count_lost_batches(self) -> None:
+        lost = self._memory.lost_batches + (self._spool.lost_batches if self._spool else 0)
+        if lost > self._counted_lost_batches:
+            self._count(OVERFLOWED, lost - self._counted_lost_batches)
+            self._counted_lost_batches = lost
+
+    def _store_of_oldest(self) -> BatchStore:
         return self._spool if self._spool is not None and len(self._spool) else self._memory
 
-    async def _push(self) -> None:
+    async def _send_batches(self) -> None:
         while True:
-            async with self._turn:
-                store = self._store()
-                kept = await self._aside(store.first)
-            if kept is None:
-                self._news = anyio.Event()
+            async with self._stores_lock:
+                store = self._store_of_oldest()
+                batch = await _in_worker_thread(store.oldest)
+            if batch is None:
+                self._batch_added = anyio.Event()
                 if not self.waiting:
-                    await self._news.wait()
+                    await self._batch_added.wait()
                 continue
-            what, pause = self._delivery.next(anyio.current_time(), self.waiting)
-            if what is Next.WAIT:
-                await anyio.sleep(pause)
+            wait_seconds = self._delivery.wait_seconds(anyio.current_time(), self.waiting)
+            if wait_seconds > 0:
+                await anyio.sleep(wait_seconds)
                 continue
-            await self._one(store, kept)
+            if await self._send(batch) in FINAL_OUTCOMES:
+                await self._acknowledge(store, batch)
 
-    async def _one(self, store: Store, kept: Kept) -> None:
-        version, payload = self._delivery.version, kept.payload
+    async def _send(self, batch: SpooledBatch) -> PushOutcome:
+        """Push a batch once, and count what became of it."""
+        version, payload = self._delivery.version, batch.payload
         try:
-            body, kind, said = await self._aside(lambda: messages.on_the_wire(payload, version))
-            count = len(messages.parse_v2(payload).timeseries) if version == 2 else 0
-        except ValueError as fault:  # kept whole, and still no message: another program's
-            log.warning("a kept batch cannot be read", why=str(fault))
-            self._count("refused", 1)
-            async with self._turn:
-                await self._aside(lambda: store.done(kept))
-            return
-        outcome = Outcome(0)
+            push = await _in_worker_thread(lambda: messages.push_body(payload, version))
+            sample_count = len(messages.parse_v2(payload).timeseries) if version == 2 else 0
+        except messages.MalformedRequestError as error:  # written by another program: the checksum is right
+            log.warning("spooled batch cannot be read", reason=str(error))
+            self._count(PushOutcome.REJECTED.value, 1)
+            return PushOutcome.REJECTED
+        response = await self._post(push)
+        now = anyio.current_time()
+        outcome = self._delivery.record_response(response, len(push.body), sample_count, now)
+        if outcome is PushOutcome.REJECTED:
+            self._rate_limited_log.warning("remote write rejected", status=response.status)
+        self._count(outcome.value, 1)
+        return outcome
+
+    async def _post(self, push: messages.PushBody) -> PushResponse:
         try:
-            with anyio.fail_after(LIMIT):
-                outcome = await post(self._config, body, kind, said)
-        except (*FAILED, h11.ProtocolError) as fault:
-            self._warn.warning("remote write failed", why=str(fault) or type(fault).__name__)
-        fate = self._delivery.ended(outcome, len(body), count, anyio.current_time())
-        if fate is Fate.REFUSED:
-            self._warn.warning("remote write refused", status=outcome.status)
-        self._count(fate.value, 1)
-        if fate in (Fate.SENT, Fate.PARTIAL, Fate.REFUSED):
-            async with self._turn:
-                await self._aside(lambda: store.done(kept))
+            with anyio.fail_after(PUSH_TIMEOUT_SECONDS):
+                return await post(self._config, push)
+        except PUSH_ERRORS as error:
+            self._rate_limited_log.warning("remote write failed", reason=str(error) or type(error).__name__)
+        return PushResponse()
+
+    async def _acknowledge(self, store: BatchStore, batch: SpooledBatch) -> None:
+        async with self._stores_lock:
+            await _in_worker_thread(lambda: store.acknowledge(batch))
+
+
+def _open_spool(config: RemoteWriteConfig) -> Spool | None:
+    """The spool of a receiver that has one. Raises ConfigError if it cannot be used."""
+    if config.spool_folder is None:
+        return None
+    try:
+        spool = Spool(Path(config.spool_folder), config.max_spool_bytes)
+    except SpoolError as error:
+        raise ConfigError(f"'remote_write.spool' cannot be used: {error}") from None
+    if spool.foreign_files:
+        log.warning("foreign files in the spool", files=spool.foreign_files[:MAX_LOGGED_FILES])
+    if len(spool):
+        log.info("spool resumed", waiting=len(spool))
+    return spool
+
+
+def _unix_ms() -> int:
+    return int(time.time() * 1000)
+
+
+async def _in_worker_thread(work: Callable[[], T]) -> T:
+    return await anyio.to_thread.run_sync(work)
--- a/zincladder/export/spool.py
+++ b/zincladder/export/spool.py
@@ -1,4 +1,4 @@
-"""What keeps batches until they are sent: in memory, or in segment files that a crash leaves whole.
+"""Batches that wait to be sent, in segment files that a crash leaves readable.
 
 All methods block; the sender calls those that touch files in a worker thread, one at a time.
 """
@@ -6,257 +6,264 @@
 from __future__ import annotations
 
 import contextlib
+import errno
 import os
 import re
 from collections import deque
-from dataclasses import dataclass
 from pathlib import Path
 
 from zincladder.durable import records
+from zincladder.export.batch_store import SpooledBatch
 
-SEGMENT = re.compile(r"(\d{20})\.seg")
-SEGMENTS = 8  # of a full spool: what is dropped at its bound is one of them
-LEAST_SEGMENT = 64 << 10
-
-
-@dataclass(frozen=True, slots=True)
-class Kept:
-    """A batch that waits: its number rises by one from batch to batch."""
-
-    number: int
-    unix_ms: int
-    payload: bytes
-
-
-class MemoryStore:
-    """Batches in memory, bounded in bytes; the oldest goes when there are too many."""
-
-    def __init__(self, most: int) -> None:
-        self.most, self.size, self.lost = most, 0, 0
-        self._kept: deque[Kept] = deque()
-        self._number = 0
-
-    def __len__(self) -> int:
-        return len(self._kept)
-
-    def put(self, unix_ms: int, payload: bytes) -> None:
-        self._number += 1
-        self._kept.append(Kept(self._number, unix_ms, payload))
-        self.size += len(payload)
-        while self.size > self.most and self._kept:
-            self._drop()
-            self.lost += 1
-
-    def _drop(self) -> None:
-        self.size -= len(self._kept.popleft().payload)
-
-    def first(self) -> Kept | None:
-        return self._kept[0] if self._kept else None
-
-    def done(self, kept: Kept) -> None:
-        """The batch has been sent, or will never be. It may have been dropped meanwhile."""
-        if self._kept and self._kept[0].number == kept.number:
-            self._drop()
-
-    def close(self) -> None:
-        """Nothing is left behind."""
+SEGMENT_NAME = re.compile(r"(\d{20})\.seg")
+CURSOR_NAME = "cursor"
+CURSOR_SLOTS = 2
+SEGMENTS_OF_A_FULL_SPOOL = 8  # one of them is dropped at the bound
+MIN_SEGMENT_BYTES = 64 << 10
+FOLDER_MODE, FILE_MODE = 0o700, 0o600
 
 
 class SpoolError(Exception):
-    """The directory cannot be used; the text says why."""
+    """The folder cannot be used; the text says why."""
 
 
 class Spool:
-    """Batches in segment files. What was acknowledged is marked before the next batch goes out.
+    """A BatchStore in segment files, with a cursor file for what was acknowledged.
 
-    So a process that is killed at any byte loses at most the batch that it was writing, and sends at most the
-    batch that was out once more; never one before it. `lost` counts batches that were dropped unsent.
+    The cursor is written before the next batch goes out. So a process that is killed at any byte loses at
+    most the batch that it was writing, and sends at most the batch that was in flight once more; never one
+    before it.
     """
 
-    def __init__(self, folder: Path, most: int) -> None:
-        self._folder, self.most, self.lost = folder, most, 0
-        self.foreign: list[str] = []  # files that are none of a spool's, left alone
-        self._segment_size = max(LEAST_SEGMENT, most // SEGMENTS)
-        self._sizes: dict[int, int] = {}  # segments by their first number, in order
-        self._next = 1
-        self._done = self._generation = 0
-        self._file: int | None = None
-        self._cursor: int | None = None
-        self._ahead: deque[Kept] = deque()  # read from the first segment, not sent yet
-        self._read_to = 0
+    def __init__(self, folder: Path, max_bytes: int) -> None:
+        """Open a spool, or create it.
+
+        Args:
+            folder: Where the files are; made if it does not exist.
+            max_bytes: Bound of all segments together; the one that is written to is never dropped.
+
+        Raises:
+            SpoolError: The folder cannot be used.
+        """
+        self.lost_batches = 0
+        self.foreign_files: list[str] = []  # not of this spool, and left alone
+        self._folder = folder
+        self._max_bytes = max_bytes
+        self._max_segment_bytes = max(MIN_SEGMENT_BYTES, max_bytes // SEGMENTS_OF_A_FULL_SPOOL)
+        self._segment_bytes: dict[int, int] = {}  # sizes by the number of the first batch, in order
+        self._next_number = 1
+        self._acknowledged = 0  # number of the last batch that need not be sent
+        self._cursor_generation = 0
+        self._segment_file: int | None = None  # descriptors
+        self._cursor_file: int | None = None
+        self._read_ahead: deque[SpooledBatch] = deque()  # of the oldest segment
         try:
             self._open()
-        except OSError as fault:
+        except OSError as error:
             self.close()
-            raise SpoolError(f"{folder}: {fault.strerror or fault}") from None
+            raise SpoolError(f"{folder}: {error.strerror or error}") from None
 
     def __len__(self) -> int:
-        return self._next - 1 - self._done
+        return self._next_number - 1 - self._acknowledged
 
     @property
-    def size(self) -> int:
-        return sum(self._sizes.values())
+    def size_bytes(self) -> int:
+        """The size of all segments."""
+        return sum(self._segment_bytes.values())
 
     # Opening --------------------------------------------------------------------------------------
 
     def _open(self) -> None:
-        self._folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        self._cursor = os.open(self._folder / "cursor", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        found = records.read_cursor(os.pread(self._cursor, 2 * records.SLOT.size, 0))
-        last, begun = 0, 0
+        self._folder.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
+        flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
+        self._cursor_file = os.open(self._folder / CURSOR_NAME, flags, FILE_MODE)
+        cursor = records.read_cursor(os.pread(self._cursor_file, CURSOR_SLOTS * records.SLOT.size, 0))
+        last = self._recover_segments()
+        first = next(iter(self._segment_bytes), None)
+        if cursor is not None:
+            self._cursor_generation, self._acknowledged = cursor
+        else:
+            # Guards the order: nobody knows what the receiver has, and it must get no old sample after a new.
+            self._acknowledged = last
+            self.lost_batches = 0 if first is None else last - first + 1
+        if first is not None:
+            self._acknowledged = max(self._acknowledged, first - 1)
+        self._next_number = max(last, self._acknowledged) + 1
+        for _ in range(CURSOR_SLOTS):  # so that both are valid, and one stays so if the other is torn
+            self._write_cursor(self._acknowledged)
+        self._remove_acknowledged_segments()
+
+    def _recover_segments(self) -> int:
+        """Find the segments of the folder; the number of the last batch in them, 0 if there is none."""
+        last = 0
         for path in sorted(self._folder.iterdir()):
-            name = SEGMENT.fullmatch(path.name)
-            if name is None:
-                if path.name != "cursor":
-                    self.foreign.append(path.name)
-                continue
-            data = path.read_bytes()
-            first = records.first_of(data, records.SPOOL)
-            if first != int(name[1]) or first <= last:
-                # A front that was killed before the header was whole leaves this; else it's no segment of
-                # ours.
-                if len(data) < records.HEADER.size:
-                    path.unlink()
-                else:
-                    self.foreign.append(path.name)
+            if path.name == CURSOR_NAME:
                 continue
-            whole, count = records.HEADER.size, 0
-            for record in records.scan(data, records.SPOOL):
-                whole, count, last = record.offset + record.size, count + 1, record.number
-            if whole < len(data):
-                os.truncate(path, whole)  # what was being written when the process was killed
-            if count == 0:
+            name = SEGMENT_NAME.fullmatch(path.name)
+            if name is None:
+                self.foreign_files.append(path.name)
+            else:
+                last = self._recover_segment(path, int(name[1]), last)
+        return last
+
+    def _recover_segment(self, path: Path, first: int, last: int) -> int:
+        """Cut off what a crash left incomplete in a segment.
+
+        Args:
+            path: The segment's file.
+            first: The number of its first batch, by its name.
+            last: The number of the last batch in the segments before it.
+
+        Returns:
+            The number of the last batch up to the end of this segment.
+        """
+        data = path.read_bytes()
+        if records.first_of(data, records.SPOOL) != first or first <= last:
+            if len(data) < records.HEADER.size:  # the process was killed while it wrote the header
                 path.unlink()
-                continue
-            begun = begun or first
-            self._sizes[first] = whole
-        if found is not None:
-            self._generation, self._done = found
+            else:
+                self.foreign_files.append(path.name)
+            return last
+        complete_bytes = records.HEADER.size
+        for record in records.scan(data, records.SPOOL):
+            complete_bytes = record.offset + record.size
+            last = record.number
+        if complete_bytes < len(data):
+            os.truncate(path, complete_bytes)
+        if complete_bytes == records.HEADER.size:
+            path.unlink()
         else:
-            # Guards the order: without a cursor nobody knows what the receiver has, and an old sample after a
-            # newer one is worse than none.
-            self.lost, self._done = max(0, last - begun + 1) if begun else 0, last
-        if begun and self._done < begun - 1:
-            self._done = begun - 1
-        self._next = max(last, self._done) + 1
-        self._done = min(self._done, self._next - 1)
-        for _ in range(2):  # both slots are whole from here on, whatever is torn later
-            self._mark(self._done)
-        self._clear()
+            self._segment_bytes[first] = complete_bytes
+        return last
 
     # Writing --------------------------------------------------------------------------------------
 
-    def put(self, unix_ms: int, payload: bytes) -> None:
-        """Appends a batch. OSError if the disk will not have it: the spool is as before then."""
-        data = records.pack(self._next, unix_ms, payload)
-        current = next(reversed(self._sizes), None)
-        if self._file is None or current is None or self._sizes[current] + len(data) > self._segment_size:
-            self._roll()
-            current = self._next
-        assert self._file is not None
-        at = self._sizes[current]
+    def append(self, unix_ms: int, payload: bytes) -> None:
+        """Add a batch, and drop the oldest segments while the bound is exceeded.
+
+        Raises:
+            OSError: The disk does not take it; the spool is as before then.
+        """
+        data = records.pack(self._next_number, unix_ms, payload)
+        segment = next(reversed(self._segment_bytes), None)
+        if (
+            self._segment_file is None
+            or segment is None
+            or self._segment_bytes[segment] + len(data) > self._max_segment_bytes
+        ):
+            self._start_segment()
+            segment = self._next_number
+        assert self._segment_file is not None
+        offset = self._segment_bytes[segment]
         try:
-            written = os.pwrite(self._file, data, at)
-            if written < len(data):
-                raise OSError(28, "no space left on device")
+            _write_all(self._segment_file, data, offset)
         except OSError:
             with contextlib.suppress(OSError):
-                os.ftruncate(self._file, at)
+                os.ftruncate(self._segment_file, offset)
             raise
-        self._sizes[current] = at + len(data)
-        self._next += 1
-        while self.size > self.most and len(self._sizes) > 1:
-            self._drop_oldest()
-
-    def _roll(self) -> None:
-        """Begins a segment. The one before is put on the disk itself, for what outlives a power cut."""
-        if self._file is not None:
-            os.fdatasync(self._file)
-            os.close(self._file)
-            self._file = None
-        path = self._path(self._next)
-        file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+        self._segment_bytes[segment] = offset + len(data)
+        self._next_number += 1
+        while self.size_bytes > self._max_bytes and len(self._segment_bytes) > 1:
+            self._drop_oldest_segment()
+
+    def _start_segment(self) -> None:
+        """Begin a segment. Syncs the one before, which then outlives a power failure."""
+        if self._segment_file is not None:
+            os.fdatasync(self._segment_file)
+            os.close(self._segment_file)
+            self._segment_file = None
+        path = self._segment_path(self._next_number)
+        file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, FILE_MODE)
         try:
-            header = records.segment_header(records.SPOOL, self._next)
-            if os.pwrite(file, header, 0) < len(header):
-                raise OSError(28, "no space left on device")
+            _write_all(file, records.segment_header(records.SPOOL, self._next_number), 0)
         except OSError:
             os.close(file)
             with contextlib.suppress(OSError):
                 path.unlink()
             raise
-        self._file = file
-        self._sizes[self._next] = records.HEADER.size
+        self._segment_file = file
+        self._segment_bytes[self._next_number] = records.HEADER.size
 
-    def _path(self, first: int) -> Path:
+    def _segment_path(self, first: int) -> Path:
         return self._folder / f"{first:020d}.seg"
 
-    def _drop_oldest(self) -> None:
-        first, second = list(self._sizes)[:2]
-        lost = max(0, second - 1 - max(self._done, first - 1))
-        self.lost += lost
+    def _drop_oldest_segment(self) -> None:
+        first, second = list(self._segment_bytes)[:2]
+        lost = max(0, second - 1 - max(self._acknowledged, first - 1))
+        self.lost_batches += lost
         if lost:
-            self._ahead.clear()
-            self._done = second - 1
-            self._mark(self._done)
-        self._clear()
-
-    def _clear(self) -> None:
-        """Removes the segments of which all has been sent, but for the one that is written to."""
-        firsts = list(self._sizes)
-        for first, following in zip(firsts, [*firsts[1:], self._next], strict=False):
-            if following - 1 > self._done or (first == firsts[-1] and self._file is not None):
+            self._skip_to(second)
+        self._remove_acknowledged_segments()
+
+    def _skip_to(self, number: int) -> None:
+        """Go on with batch `number`: those before it are lost."""
+        self._read_ahead.clear()
+        self._acknowledged = number - 1
+        self._write_cursor(self._acknowledged)
+
+    def _remove_acknowledged_segments(self) -> None:
+        """Remove the segments that need not be sent, but for the one that is written to."""
+        firsts = list(self._segment_bytes)
+        for first, following in zip(firsts, [*firsts[1:], self._next_number], strict=False):
+            is_written_to = first == firsts[-1] and self._segment_file is not None
+            if following - 1 > self._acknowledged or is_written_to:
                 break
             with contextlib.suppress(FileNotFoundError):
-                self._path(first).unlink()
-            del self._sizes[first]
+                self._segment_path(first).unlink()
+            del self._segment_bytes[first]
 
     # Sending --------------------------------------------------------------------------------------
 
-    def first(self) -> Kept | None:
-        """The oldest batch that has not been sent."""
-        while self._ahead and self._ahead[0].number <= self._done:
-            self._ahead.popleft()
-        while not self._ahead and len(self):
-            self._read()
-        return self._ahead[0] if self._ahead else None
-
-    def _read(self) -> None:
-        """Reads the segment that holds the next batch; at most a segment is in memory."""
-        wanted = self._done + 1
-        first = max((f for f in self._sizes if f <= wanted), default=None)
-        data = b"" if first is None else self._path(first).read_bytes()
+    def oldest(self) -> SpooledBatch | None:
+        """The batch to send next; None if there is none."""
+        while self._read_ahead and self._read_ahead[0].number <= self._acknowledged:
+            self._read_ahead.popleft()
+        while not self._read_ahead and len(self):
+            self._read_segment()
+        return self._read_ahead[0] if self._read_ahead else None
+
+    def _read_segment(self) -> None:
+        """Read the segment that has the next batch, and so at most one segment into memory."""
+        next_to_send = self._acknowledged + 1
+        first = max((first for first in self._segment_bytes if first <= next_to_send), default=None)
+        data = b"" if first is None else self._segment_path(first).read_bytes()
         for record in records.scan(data, records.SPOOL):
-            if record.number >= wanted:
-                self._ahead.append(Kept(record.number, record.stamp, record.payload))
-        if not self._ahead or self._ahead[0].number != wanted:
-            # Spoilt under us: what cannot be read is lost, and what follows goes on.
-            following = min((f for f in self._sizes if f > wanted), default=self._next)
-            self.lost += following - wanted
-            self._ahead.clear()
-            self._done = following - 1
-            self._mark(self._done)
-
-    def done(self, kept: Kept) -> None:
-        """The batch has been sent, or will never be: marked before another one goes out."""
-        if kept.number != self._done + 1:
-            return  # dropped meanwhile
-        self._mark(kept.number)
-        self._done = kept.number
-        if self._ahead and self._ahead[0].number == kept.number:
-            self._ahead.popleft()
-        self._clear()
-
-    def _mark(self, done: int) -> None:
-        assert self._cursor is not None
-        self._generation += 1
-        slot = self._generation % 2 * records.SLOT.size
-        os.pwrite(self._cursor, records.pack_cursor(self._generation, done), slot)
+            if record.number >= next_to_send:
+                self._read_ahead.append(SpooledBatch(record.number, record.stamp, record.payload))
+        if not self._read_ahead or self._read_ahead[0].number != next_to_send:
+            # Corrupted since it was written: the rest of this segment is lost, and the next one is sent.
+            later_firsts = (first for first in self._segment_bytes if first > next_to_send)
+            following = min(later_firsts, default=self._next_number)
+            self.lost_batches += following - next_to_send
+            self._skip_to(following)
+
+    def acknowledge(self, batch: SpooledBatch) -> None:
+        """Remove a batch that was sent or will never be. It may have been dropped meanwhile."""
+        if batch.number != self._acknowledged + 1:
+            return
+        self._write_cursor(batch.number)
+        self._acknowledged = batch.number
+        if self._read_ahead and self._read_ahead[0].number == batch.number:
+            self._read_ahead.popleft()
+        self._remove_acknowledged_segments()
+
+    def _write_cursor(self, acknowledged: int) -> None:
+        assert self._cursor_file is not None
+        self._cursor_generation += 1
+        offset = self._cursor_generation % CURSOR_SLOTS * records.SLOT.size
+        os.pwrite(self._cursor_file, records.pack_cursor(self._cursor_generation, acknowledged), offset)
 
     def close(self) -> None:
-        for file in (self._file, self._cursor):
+        """Sync and close the files."""
+        for file in (self._segment_file, self._cursor_file):
             if file is not None:
                 with contextlib.suppress(OSError):
                     os.fdatasync(file)
                 os.close(file)
-        self._file = self._cursor = None
+        self._segment_file = self._cursor_file = None
+
+
+def _write_all(file: int, data: bytes, offset: int) -> None:
+    """Write all of `data`, or raise OSError. A short write means that the disk is full."""
+    if os.pwrite(file, data, offset) < len(data):
+        raise OSError(errno.ENOSPC, "no space left on device")
