--- a/benchmarks/difference.py
+++ b/benchmarks/difference.py
@@ -24,7 +24,10 @@
 
 import anyio
 
-from tests.stands import SETTINGS, Client, Fetch, StubCache, World, client, world
+from tests.support.front_configuration import SETTINGS
+from tests.support.front_world import World, world
+from tests.support.service_client import Client, client
+from tests.support.stub_cache import Fetch, StubCache
 from zincladder.config import parse_config
 from zincladder.core import engine
 from zincladder.core.answers import ANSWER_MARGIN_SECONDS
--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -8,7 +8,7 @@
 
 from click.testing import CliRunner
 
-from tests.stands import configuration
+from tests.support.front_configuration import configuration
 from zincladder.cli import main
 
 ROOT = Path(__file__).resolve().parents[2]
--- a/tests/config/test_reload.py
+++ b/tests/config/test_reload.py
@@ -8,9 +8,7 @@
 
 import pytest
 
-from tests.stands import (
-    configuration,
-)
+from tests.support.front_configuration import configuration
 from zincladder.config import ConfigError, divide_limits, merge_reloaded, parse_config
 
 
--- a/tests/config/test_reload_process.py
+++ b/tests/config/test_reload_process.py
@@ -14,16 +14,11 @@
 import pytest
 
 from tests.processes import free_port
-from tests.stands import (
-    SETTINGS,
-    Client,
-    Coordinator,
-    Fetch,
-    StubCache,
-    configuration,
-    serve,
-)
+from tests.support.front_configuration import SETTINGS, configuration
 from tests.support.front_process import FrontProcess
+from tests.support.service_client import Client
+from tests.support.stub_cache import Fetch, StubCache, serve
+from tests.support.stub_coordinator import Coordinator
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/control/test_commands.py
+++ b/tests/control/test_commands.py
@@ -11,7 +11,9 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from tests.stands import client, serve, world
+from tests.support.front_world import world
+from tests.support.service_client import client
+from tests.support.stub_cache import serve
 from zincladder.cli import main
 from zincladder.config import ConfigError
 from zincladder.control.command_server import bind
--- a/tests/core/test_late_attempts.py
+++ b/tests/core/test_late_attempts.py
@@ -26,7 +26,10 @@
 import pytest
 from anyio.abc import SocketAttribute
 
-from tests.stands import SETTINGS, Fetch, StubCache, client, serve, world
+from tests.support.front_configuration import SETTINGS
+from tests.support.front_world import world
+from tests.support.service_client import client
+from tests.support.stub_cache import Fetch, StubCache, serve
 from tests.test_endings import cores_of, frame, on_connect, plain, request, some
 from tests.test_front import cut
 from tests.test_member_links import LARGE, attempt_request, wire
--- a/tests/core/test_stalled_front.py
+++ b/tests/core/test_stalled_front.py
@@ -23,8 +23,10 @@
 import pytest
 
 from tests.processes import free_port
-from tests.stands import Client, Fetch, StubCache, configuration
+from tests.support.front_configuration import configuration
 from tests.support.front_process import FrontProcess
+from tests.support.service_client import Client
+from tests.support.stub_cache import Fetch, StubCache
 from tests.test_endings import request as call
 from zincladder.net.client_server import FIRST_MESSAGE_TIMEOUT_SECONDS, STALL_TIMEOUT_SECONDS
 
--- a/tests/discovery/test_restart_view.py
+++ b/tests/discovery/test_restart_view.py
@@ -31,20 +31,13 @@
 
 from tests.net.test_watch import frame, until
 from tests.processes import free_port
-from tests.stands import (
-    Client,
-    Coordinator,
-    Fetch,
-    Reply,
-    Resolver,
-    StubCache,
-    World,
-    client,
-    configuration,
-    serve,
-    world,
-)
+from tests.support.front_configuration import configuration
 from tests.support.front_process import FrontProcess
+from tests.support.front_world import World, world
+from tests.support.resolver import Resolver
+from tests.support.service_client import Client, Reply, client
+from tests.support.stub_cache import Fetch, StubCache, serve
+from tests.support.stub_coordinator import Coordinator
 from tests.test_endings import cores_of
 from zincladder.core.engine import Core
 from zincladder.discovery.freshness import (
--- a/tests/dns/test_admission.py
+++ b/tests/dns/test_admission.py
@@ -9,7 +9,9 @@
 import dns.message
 import pytest
 
-from tests.stands import Resolver, serve, world
+from tests.support.front_world import world
+from tests.support.resolver import Resolver
+from tests.support.stub_cache import serve
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -16,12 +16,10 @@
 import pytest
 
 from tests.processes import free_port
-from tests.stands import (
-    Client,
-    StubCache,
-    configuration,
-)
+from tests.support.front_configuration import configuration
 from tests.support.front_process import FrontProcess
+from tests.support.service_client import Client
+from tests.support.stub_cache import StubCache
 from zincladder.admission.connection_slots import MIN_IDLE_SECONDS
 
 pytestmark = pytest.mark.anyio
--- a/tests/installed.py
+++ b/tests/installed.py
@@ -9,7 +9,7 @@
 import sys
 from pathlib import Path
 
-from tests.stands import configuration
+from tests.support.front_configuration import configuration
 
 LIMIT = 20.0  # seconds for each
 
--- a/tests/net/test_live_bytes.py
+++ b/tests/net/test_live_bytes.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.stands import configuration
+from tests.support.front_configuration import configuration
 from tests.support.golden import assert_matches
 
 ROOT = Path(__file__).resolve().parents[2]
--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -14,7 +14,9 @@
 import pytest
 from structlog.testing import capture_logs
 
-from tests.stands import client, serve, world
+from tests.support.front_world import world
+from tests.support.service_client import client
+from tests.support.stub_cache import serve
 from tests.test_endings import cores_of
 from zincladder.discovery.freshness import WatchPhase
 from zincladder.net import coordinator_watch as watching
--- a/tests/policy/test_document.py
+++ b/tests/policy/test_document.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.stands import SETTINGS, configuration
+from tests.support.front_configuration import SETTINGS, configuration
 from zincladder.config import ConfigError, parse_config
 from zincladder.policy.document import (
     FrontFiles,
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -24,8 +24,9 @@
 import anyio
 import anyio.abc
 
-from tests import stands
-from tests.stands import KEY, SETTINGS, Fetch, StubCache, configuration
+from tests.support.front_configuration import KEY, SETTINGS, configuration
+from tests.support.service_client import Client as ServiceClient
+from tests.support.stub_cache import Fetch, StubCache
 from zincladder.consensus import rpc
 from zincladder.consensus.client import Client
 from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
@@ -536,7 +537,7 @@
             began = anyio.current_time()
             try:
                 async with await anyio.connect_tcp("127.0.0.1", self._rig.ports[name]) as stream:
-                    speaker = stands.Client(stream)
+                    speaker = ServiceClient(stream)
                     while self.going:
                         began, number = anyio.current_time(), number or next(self.TRACES)
                         booking = number % self.BOOKING == 0
--- a/tests/support/policy_fleet.py
+++ b/tests/support/policy_fleet.py
@@ -11,7 +11,7 @@
 import anyio
 
 from tests.processes import Rig, Traffic, marking, rig
-from tests.stands import StubCache
+from tests.support.stub_cache import StubCache
 from zincladder.policy.model import ChangeOutcome
 
 
--- a/tests/support/task_fleet.py
+++ b/tests/support/task_fleet.py
@@ -14,7 +14,7 @@
 import h11
 
 from tests.processes import Process, Rig, Traffic, marking, rig
-from tests.stands import StubCache
+from tests.support.stub_cache import StubCache
 from zincladder.export import messages
 from zincladder.export.fleet_metrics import HTTP_FENCED
 from zincladder.tasks.fence import Fence
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -16,7 +16,10 @@
 import pytest
 
 from benchmarks.difference import difference
-from tests.stands import SETTINGS, ZONES, Client, Fetch, StubCache, client, configuration, serve, world
+from tests.support.front_configuration import SETTINGS, configuration
+from tests.support.front_world import world
+from tests.support.service_client import Client, client
+from tests.support.stub_cache import ZONES, Fetch, StubCache, serve
 from zincladder.config import Config, Operator, parse_config
 from zincladder.core.attempt import AttemptRequest, ClientRequest
 from zincladder.net import protocol
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -12,9 +12,11 @@
 import dns.rcode
 import pytest
 
-from tests.stands import Fetch, Resolver, StubCache, World, places, serve, world
+from tests.support.front_world import World, world
+from tests.support.resolver import Resolver, places
 from tests.support.routing import FLEET, settings
 from tests.support.scripted_transport import ScriptedTransport
+from tests.support.stub_cache import Fetch, StubCache, serve
 from zincladder.config import DnsConfig, DnsHost
 from zincladder.core.engine import Core
 from zincladder.dns.answers import Answers
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,7 +16,10 @@
 import pytest
 from anyio.abc import SocketAttribute
 
-from tests.stands import KEY, SETTINGS, Fetch, Script, StubCache, World, client, configuration, serve, world
+from tests.support.front_configuration import KEY, SETTINGS, configuration
+from tests.support.front_world import World, world
+from tests.support.service_client import client
+from tests.support.stub_cache import Fetch, Script, StubCache, serve
 from tests.test_front import cut, hold
 from zincladder.admission.connection_admission import ConnectionAdmission
 from zincladder.admission.descriptor_budget import FIXED_POOLS, DescriptorBudget
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -17,18 +17,10 @@
 import anyio.abc
 import pytest
 
-from tests.stands import (
-    KEY,
-    Client,
-    Fetch,
-    Reply,
-    Script,
-    StubCache,
-    client,
-    configuration,
-    serve,
-    world,
-)
+from tests.support.front_configuration import KEY, configuration
+from tests.support.front_world import world
+from tests.support.service_client import Client, Reply, client
+from tests.support.stub_cache import Fetch, Script, StubCache, serve
 from zincladder.net import thrift
 
 pytestmark = pytest.mark.anyio
--- a/tests/test_member_links.py
+++ b/tests/test_member_links.py
@@ -15,7 +15,10 @@
 import pytest
 from anyio.abc import SocketAttribute
 
-from tests.stands import KEY, SETTINGS, Fetch, StubCache, client, configuration, serve, world
+from tests.support.front_configuration import KEY, SETTINGS, configuration
+from tests.support.front_world import world
+from tests.support.service_client import client
+from tests.support.stub_cache import Fetch, StubCache, serve
 from tests.test_endings import cores_of
 from tests.test_front import hold
 from zincladder.admission.descriptor_budget import ELASTIC_POOLS, DescriptorBudget, DescriptorUse
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -11,7 +11,9 @@
 import pytest
 import yaml
 
-from tests.stands import Fetch, StubCache, client, serve, world
+from tests.support.front_world import world
+from tests.support.service_client import client
+from tests.support.stub_cache import Fetch, StubCache, serve
 from zincladder.admission.connection_admission import ConnectionAdmission
 from zincladder.admission.descriptor_budget import FIXED_POOLS, DescriptorBudget
 from zincladder.admission.interface import RequestBounds
--- a/tests/test_plugin.py
+++ b/tests/test_plugin.py
@@ -17,7 +17,8 @@
 from thrift.Thrift import TMessageType, TType
 from thrift.transport.TTransport import TFramedTransport, TTransportException
 
-from tests.stands import StubCache, World, world
+from tests.support.front_world import World, world
+from tests.support.stub_cache import StubCache
 from zincladder.net import thrift
 from zincladder.plugin.transport import SteeredTransport
 
--- a/tests/test_restart_soak.py
+++ b/tests/test_restart_soak.py
@@ -23,8 +23,11 @@
 
 from tests.net.test_watch import frame, until
 from tests.processes import free_port
-from tests.stands import Client, Coordinator, Fetch, StubCache, configuration, serve
+from tests.support.front_configuration import configuration
 from tests.support.front_process import FrontProcess
+from tests.support.service_client import Client
+from tests.support.stub_cache import Fetch, StubCache, serve
+from tests.support.stub_coordinator import Coordinator
 
 pytestmark = pytest.mark.anyio
 SEEDS = range(int(os.environ.get("SOAK_FROM", "0")), int(os.environ.get("SOAK_SEEDS", "4")))
--- a/tests/wiring/test_front.py
+++ b/tests/wiring/test_front.py
@@ -11,7 +11,10 @@
 import anyio
 import pytest
 
-from tests.stands import client, configuration, serve, world
+from tests.support.front_configuration import configuration
+from tests.support.front_world import world
+from tests.support.service_client import client
+from tests.support.stub_cache import serve
 from zincladder.config import parse_config
 from zincladder.config.operator import parse_operator
 from zincladder.config.reload import Reload
--- a/tests/wiring/test_process.py
+++ b/tests/wiring/test_process.py
@@ -13,11 +13,9 @@
 import pytest
 
 from tests.processes import free_port
-from tests.stands import (
-    StubCache,
-    configuration,
-)
+from tests.support.front_configuration import configuration
 from tests.support.front_process import FrontProcess
+from tests.support.stub_cache import StubCache
 
 pytestmark = pytest.mark.anyio
 
