--- a/zincladder/net/protocol.py
+++ b/zincladder/net/protocol.py
@@ -59,7 +59,7 @@
 
 
 def _decimal(above: float, maximum: float) -> Callable[[str], float]:
-    """Reads a number in plain digits: Python's own reader takes spaces, underscores and words too."""
+    """Reads a number in decimal digits alone: Python's own reader takes spaces, underscores and words too."""
 
     def read(text: str) -> float:
         if not DECIMAL.fullmatch(text) or not above < float(text) <= maximum:
--- a/zincladder/tasks/runner.py
+++ b/zincladder/tasks/runner.py
@@ -90,7 +90,7 @@
     async def _report_counters(self) -> None:
         while True:
             if self.participant.linked:
-                self.leader.outbox.put(ReportCounters(self._counters()))
+                self.leader.send_queue.put(ReportCounters(self._counters()))
             # Jitter, so that the reports of a fleet are spread.
             await anyio.sleep(REPORT_INTERVAL_SECONDS * (0.9 + 0.2 * self.random.random()))
 
@@ -101,7 +101,7 @@
             if scope := self._scopes.pop(task, None):
                 scope.cancel()
         for message in actions.messages:
-            self.leader.outbox.put(message)
+            self.leader.send_queue.put(message)
         for task in actions.begin:
             assert self._tasks is not None
             scope = self._scopes[task] = anyio.CancelScope()
