--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -11,9 +11,9 @@
 import pytest
 
 from tests.support.front_world import World, world
+from tests.support.raw_client import rest
 from tests.support.service_client import client
 from tests.support.stub_cache import Fetch, StubCache, serve
-from tests.test_endings import rest
 from zincladder.control.readiness import Readiness
 from zincladder.control.status_calls import MAX_LINE_BYTES, LineReader, StatusCalls
 from zincladder.discovery.freshness import INITIAL_SYNC_SECONDS, Freshness
--- a/tests/core/test_late_attempts.py
+++ b/tests/core/test_late_attempts.py
@@ -26,13 +26,14 @@
 import pytest
 from anyio.abc import SocketAttribute
 
+from tests.support.cache_scripts import cut
+from tests.support.cache_wire import LARGE, attempt_request, wire
 from tests.support.front_configuration import SETTINGS
+from tests.support.front_hooks import cores_of, on_connect
 from tests.support.front_world import world
+from tests.support.raw_client import frame, plain, request, some
 from tests.support.service_client import client
 from tests.support.stub_cache import Fetch, StubCache, serve
-from tests.test_endings import cores_of, frame, on_connect, plain, request, some
-from tests.test_front import cut
-from tests.test_member_links import LARGE, attempt_request, wire
 from zincladder.admission.connection_admission import ConnectionAdmission
 from zincladder.admission.model import Decision, RejectionReason, Verdict
 from zincladder.core.arrival import PROMPT_READ_SECONDS
--- a/tests/core/test_stalled_front.py
+++ b/tests/core/test_stalled_front.py
@@ -25,9 +25,9 @@
 from tests.processes import free_port
 from tests.support.front_configuration import configuration
 from tests.support.front_process import FrontProcess
+from tests.support.raw_client import request as call
 from tests.support.service_client import Client
 from tests.support.stub_cache import Fetch, StubCache
-from tests.test_endings import request as call
 from zincladder.net.client_server import FIRST_MESSAGE_TIMEOUT_SECONDS, STALL_TIMEOUT_SECONDS
 
 pytestmark = pytest.mark.anyio
--- a/tests/discovery/test_restart_view.py
+++ b/tests/discovery/test_restart_view.py
@@ -29,16 +29,16 @@
 import dns.rcode
 import pytest
 
-from tests.net.test_watch import frame, until
 from tests.processes import free_port
+from tests.support.coordinator_frames import frame, until
 from tests.support.front_configuration import configuration
+from tests.support.front_hooks import cores_of
 from tests.support.front_process import FrontProcess
 from tests.support.front_world import World, world
 from tests.support.resolver import Resolver
 from tests.support.service_client import Client, Reply, client
 from tests.support.stub_cache import Fetch, StubCache, serve
 from tests.support.stub_coordinator import Coordinator
-from tests.test_endings import cores_of
 from zincladder.core.engine import Core
 from zincladder.discovery.freshness import (
     WatchPhase,
--- a/tests/test_front.py
+++ b/tests/net/test_clients.py
@@ -17,6 +17,7 @@
 import anyio.abc
 import pytest
 
+from tests.support.cache_scripts import cut, garble, hold, in_pieces, says, too_long
 from tests.support.front_configuration import KEY, configuration
 from tests.support.front_world import world
 from tests.support.service_client import Client, Reply, client
@@ -27,35 +28,6 @@
 ITEM = KEY.encode()
 
 
-async def hold(_: StubCache, fetch: Fetch) -> None:
-    """A cache that takes requests and answers none."""
-
-
-async def cut(_: StubCache, fetch: Fetch) -> None:
-    await fetch.stream.aclose()
-
-
-async def in_pieces(_: StubCache, fetch: Fetch) -> None:
-    data = f"{fetch.name} 200 tell=local 6\r\nabcdef\r\n".encode()
-    for i in range(len(data)):
-        await fetch.stream.send(data[i : i + 1])
-
-
-def says(word: int, fields: str = "-", body: bytes = b"") -> Script:
-    async def script(_: StubCache, fetch: Fetch) -> None:
-        await fetch.answer(word, fields, body)
-
-    return script
-
-
-async def garble(_: StubCache, fetch: Fetch) -> None:
-    await fetch.stream.send(b"HTTP/1.1 200 OK\r\n\r\n")
-
-
-async def too_long(_: StubCache, fetch: Fetch) -> None:
-    await fetch.stream.send(f"{fetch.name} 200 - 99999999999\r\n".encode())
-
-
 @pytest.mark.parametrize(
     ("script", "route", "kind", "runs"),
     [
--- a/tests/test_endings.py
+++ b/tests/net/test_connection_ends.py
@@ -9,45 +9,37 @@
 import socket
 import struct
 from collections import Counter
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from typing import Any
 
 import anyio
 import pytest
 from anyio.abc import SocketAttribute
 
+from tests.support.cache_scripts import cut, hold
 from tests.support.front_configuration import KEY, SETTINGS, configuration
+from tests.support.front_hooks import cores_of, on_connect
 from tests.support.front_world import World, world
+from tests.support.raw_client import frame, plain, request, rest, some
 from tests.support.service_client import client
 from tests.support.stub_cache import Fetch, Script, StubCache, serve
-from tests.test_front import cut, hold
 from zincladder.admission.connection_admission import ConnectionAdmission
 from zincladder.admission.descriptor_budget import FIXED_POOLS, DescriptorBudget
 from zincladder.admission.interface import RequestBounds
 from zincladder.admission.model import Verdict
 from zincladder.config import parse_config
 from zincladder.core.clock import Clock
-from zincladder.core.engine import Core
-from zincladder.net import cache_connection, cache_pool, client_closing, client_server, thrift
+from zincladder.net import cache_connection, client_closing, client_server, thrift
 from zincladder.net.cache_pool import CachePool
 from zincladder.net.client_closing import ClientCloser
 from zincladder.net.client_connection import ClientConnection
 from zincladder.net.client_server import ClientServer
-from zincladder.net.sockets import connect
 
 pytestmark = pytest.mark.anyio
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close sends a reset
 KEY_32 = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
-@contextlib.contextmanager
-def plain(w: World) -> Iterator[socket.socket]:
-    """A client's socket itself: what is done with it is done before the front runs again."""
-    with socket.create_connection(w.listening.clients) as sock:
-        sock.setblocking(False)
-        yield sock
-
-
 def shut(fetch: Fetch) -> None:
     """Ends a member's side of a connection at once."""
     number = fetch.stream.extra(SocketAttribute.raw_socket).fileno()
@@ -55,78 +47,12 @@
         sock.shutdown(socket.SHUT_RDWR)
 
 
-def frame(verb: str, seq: int, args: bytes = b"") -> bytes:
-    message = thrift._message(thrift.CALL, verb, seq) + args + b"\0"
-    return struct.pack(">i", len(message)) + message
-
-
-def request(seq: int, **fields: str) -> bytes:
-    said = {
-        "route": "page",
-        "trace": f"{seq:016x}",
-        "patience": "2000",
-        "entity": KEY,
-        "slice": "0",
-        "set": "1",
-    }
-    return frame("handle", seq, b"\x0d\0\1" + thrift._texts(said | fields) + b"\x0b\0\2\0\0\0\0")
-
-
-async def some(sock: socket.socket) -> bytes:
-    """What comes next."""
-    with anyio.fail_after(5):
-        await anyio.wait_readable(sock)
-    return sock.recv(1 << 16)
-
-
-async def rest(sock: socket.socket) -> bytes:
-    """All that still comes until the peer's end; ConnectionResetError where it was reset."""
-    found = b""
-    with anyio.fail_after(5):
-        while True:
-            try:
-                got = sock.recv(1 << 16)
-            except BlockingIOError:
-                await anyio.wait_readable(sock)
-                continue
-            if not got:
-                return found
-            found += got
-
-
-def cores_of(monkeypatch: pytest.MonkeyPatch) -> list[Core]:
-    """The cores of the fronts that are started from now on."""
-    made: list[Core] = []
-    init = Core.__init__
-
-    def keep(self: Core, *how: Any, **more: Any) -> None:
-        made.append(self)
-        init(self, *how, **more)
-
-    monkeypatch.setattr(Core, "__init__", keep)
-    return made
-
-
 def refuses(w: World) -> bool:
     """Whether the front takes no new connection any more."""
     with socket.socket() as sock:
         return sock.connect_ex(w.listening.clients) == errno.ECONNREFUSED
 
 
-def on_connect(monkeypatch: pytest.MonkeyPatch, act: Callable[[int], None]) -> None:
-    """Calls `act` with the connection's number when one to a member has come up, before anything is sent."""
-    made = 0
-
-    async def connecting(host: str, port: int) -> socket.socket:
-        nonlocal made
-        sock = await connect(host, port)
-        made += 1
-        act(made)
-        return sock
-
-    monkeypatch.setattr(cache_pool, "connect", connecting)
-
-
 # The front's own ends ------------------------------------------------------------------------------
 
 
--- a/tests/net/test_events.py
+++ b/tests/net/test_events.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.net.test_watch import frame
+from tests.support.coordinator_frames import frame
 from zincladder.net.errors import ConnectionEndedError
 from zincladder.net.events import FrameReader
 
--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch_connections.py
@@ -14,10 +14,11 @@
 import pytest
 from structlog.testing import capture_logs
 
+from tests.support.coordinator_frames import frame, purge, until
+from tests.support.front_hooks import cores_of
 from tests.support.front_world import world
 from tests.support.service_client import client
 from tests.support.stub_cache import serve
-from tests.test_endings import cores_of
 from zincladder.discovery.freshness import WatchPhase
 from zincladder.net import coordinator_watch as watching
 from zincladder.net.coordinator_watch import CoordinatorWatch
@@ -30,15 +31,6 @@
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close sends a reset
 
 
-def frame(number: int, kind: int = 0, payload: bytes = b"") -> bytes:
-    return struct.pack(">IQB", 9 + len(payload), number, kind) + payload
-
-
-def purge(number: int) -> bytes:
-    """Event `number`, a purge of the group of that number."""
-    return frame(number, 4, struct.pack(">HQ", number, 1000))
-
-
 @dataclass
 class Scripted:
     """A coordinator that plays another act on each connection; the last one stays."""
@@ -144,12 +136,6 @@
         tasks.cancel_scope.cancel()
 
 
-async def until(holds: Callable[[], bool]) -> None:
-    with anyio.fail_after(5):
-        while not holds():
-            await anyio.sleep(0.001)
-
-
 FAULTS = [
     silent,
     half_a_head,
--- /dev/null
+++ b/tests/support/cache_scripts.py
@@ -0,0 +1,34 @@
+"""Scripts of caches that answer late, wrongly or not at all."""
+
+from __future__ import annotations
+
+from tests.support.stub_cache import Fetch, Script, StubCache
+
+
+async def hold(_: StubCache, fetch: Fetch) -> None:
+    """A cache that takes requests and answers none."""
+
+
+async def cut(_: StubCache, fetch: Fetch) -> None:
+    await fetch.stream.aclose()
+
+
+async def in_pieces(_: StubCache, fetch: Fetch) -> None:
+    data = f"{fetch.name} 200 tell=local 6\r\nabcdef\r\n".encode()
+    for i in range(len(data)):
+        await fetch.stream.send(data[i : i + 1])
+
+
+def says(word: int, fields: str = "-", body: bytes = b"") -> Script:
+    async def script(_: StubCache, fetch: Fetch) -> None:
+        await fetch.answer(word, fields, body)
+
+    return script
+
+
+async def garble(_: StubCache, fetch: Fetch) -> None:
+    await fetch.stream.send(b"HTTP/1.1 200 OK\r\n\r\n")
+
+
+async def too_long(_: StubCache, fetch: Fetch) -> None:
+    await fetch.stream.send(f"{fetch.name} 200 - 99999999999\r\n".encode())
--- /dev/null
+++ b/tests/support/cache_wire.py
@@ -0,0 +1,118 @@
+"""A connection to a cache whose side a test plays."""
+
+from __future__ import annotations
+
+import contextlib
+import math
+import socket
+import time
+from collections.abc import AsyncIterator, Callable, Sequence
+from typing import Any
+
+import anyio
+
+from tests.support.front_configuration import configuration
+from zincladder.admission.descriptor_budget import ELASTIC_POOLS, DescriptorBudget
+from zincladder.config import Config, parse_config
+from zincladder.core.attempt import AttemptRequest, ClientRequest
+from zincladder.core.attempt_end import AttemptEnd
+from zincladder.net.cache_connection import CacheConnection
+from zincladder.net.cache_exchange import run_exchange
+from zincladder.net.cache_pool import CachePool
+from zincladder.net.cache_transport import CacheTransport
+
+LARGE = 1 << 20  # bytes: more than the systems of both sides hold between them
+
+
+@contextlib.contextmanager
+def pair() -> Any:
+    """Both ends of a TCP connection whose systems hold little: the front's, the member's."""
+    with socket.socket() as listener, socket.socket() as ours:
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        ours.connect(listener.getsockname())
+        ours.setblocking(False)
+        theirs, _ = listener.accept()
+        with theirs:
+            theirs.setblocking(False)
+            yield ours, theirs
+
+
+def attempt_request(trace: str = "a" * 16, **more: Any) -> AttemptRequest:
+    return AttemptRequest(ClientRequest(trace, 0, 1, 0, 0, math.inf), b"s-00000001", **more)
+
+
+class Wire:
+    """A connection to a member, whose side is played by hand."""
+
+    def __init__(
+        self,
+        config: Config,
+        ours: socket.socket,
+        endpoint: socket.socket,
+        tasks: anyio.abc.TaskGroup,
+        now: Callable[[], float],
+    ) -> None:
+        self.caches = CacheTransport(CachePool(config, DescriptorBudget(100, ELASTIC_POOLS)), now, ["page"])
+        self.link, self.endpoint, self._tasks = (
+            CacheConnection(ours, self.caches.pool.report_names),
+            endpoint,
+            tasks,
+        )
+        self.ends: list[AttemptEnd] = []
+
+    async def send(self, message: bytes, outgoing: AttemptRequest) -> anyio.CancelScope:
+        """Begins an attempt; its end is added to `ends`, and cancelling what is given back gives it up."""
+        return await self.attempt(outgoing.request.trace, lambda: [message], outgoing)
+
+    async def attempt(
+        self, name: str, write: Callable[[], Sequence[bytes]], outgoing: AttemptRequest
+    ) -> anyio.CancelScope:
+        """The same with a message that is written down as it goes."""
+        scope = anyio.CancelScope()
+
+        async def attempt() -> None:
+            with scope:
+                self.ends.append(await run_exchange(self.link, name.encode(), write, outgoing))
+
+        self._tasks.start_soon(attempt)
+        await anyio.wait_all_tasks_blocked()
+        return scope
+
+    async def answer(self, data: bytes) -> None:
+        """Sends this, and waits until the front has read it and done what follows from it."""
+        whole = self.link.read_buffer.received + len(data)
+        self.endpoint.sendall(data)
+        with anyio.fail_after(5):
+            while self.link.read_buffer.received < whole:
+                await anyio.sleep(0.001)
+        await anyio.wait_all_tasks_blocked()
+
+    async def read(self, until: Callable[[bytes], bool]) -> bytes:
+        """What the member reads until this holds, or until the front's end: b'' is its last word."""
+        found = b""
+        with anyio.fail_after(5):
+            while not until(found):
+                try:
+                    got = self.endpoint.recv(1 << 16)
+                except BlockingIOError:
+                    await anyio.wait_readable(self.endpoint)
+                    continue
+                except ConnectionResetError:
+                    break  # the front's end too: what its system had not sent is dropped
+                if not got:
+                    break
+                found += got
+        return found
+
+
+@contextlib.asynccontextmanager
+async def wire(config: Config | None = None, now: Callable[[], float] = time.time) -> AsyncIterator[Wire]:
+    with pair() as (ours, theirs):
+        async with anyio.create_task_group() as tasks:
+            found = Wire(config or parse_config(configuration([])), ours, theirs, tasks, now)
+            tasks.start_soon(found.link.run)
+            yield found
+            tasks.cancel_scope.cancel()
--- /dev/null
+++ b/tests/support/raw_client.py
@@ -0,0 +1,61 @@
+"""A client of the front's service whose bytes are written and read one by one."""
+
+from __future__ import annotations
+
+import contextlib
+import socket
+import struct
+from collections.abc import Iterator
+
+import anyio
+
+from tests.support.front_configuration import KEY
+from tests.support.front_world import World
+from zincladder.net import thrift
+
+
+@contextlib.contextmanager
+def plain(w: World) -> Iterator[socket.socket]:
+    """A client's socket itself: what is done with it is done before the front runs again."""
+    with socket.create_connection(w.listening.clients) as sock:
+        sock.setblocking(False)
+        yield sock
+
+
+def frame(verb: str, seq: int, args: bytes = b"") -> bytes:
+    message = thrift._message(thrift.CALL, verb, seq) + args + b"\0"
+    return struct.pack(">i", len(message)) + message
+
+
+def request(seq: int, **fields: str) -> bytes:
+    said = {
+        "route": "page",
+        "trace": f"{seq:016x}",
+        "patience": "2000",
+        "entity": KEY,
+        "slice": "0",
+        "set": "1",
+    }
+    return frame("handle", seq, b"\x0d\0\1" + thrift._texts(said | fields) + b"\x0b\0\2\0\0\0\0")
+
+
+async def some(sock: socket.socket) -> bytes:
+    """What comes next."""
+    with anyio.fail_after(5):
+        await anyio.wait_readable(sock)
+    return sock.recv(1 << 16)
+
+
+async def rest(sock: socket.socket) -> bytes:
+    """All that still comes until the peer's end; ConnectionResetError where it was reset."""
+    found = b""
+    with anyio.fail_after(5):
+        while True:
+            try:
+                got = sock.recv(1 << 16)
+            except BlockingIOError:
+                await anyio.wait_readable(sock)
+                continue
+            if not got:
+                return found
+            found += got
--- a/tests/test_restart_soak.py
+++ b/tests/test_restart_soak.py
@@ -21,8 +21,8 @@
 import anyio.abc
 import pytest
 
-from tests.net.test_watch import frame, until
 from tests.processes import free_port
+from tests.support.coordinator_frames import frame, until
 from tests.support.front_configuration import configuration
 from tests.support.front_process import FrontProcess
 from tests.support.service_client import Client
