--- a/benchmarks/tasks.py
+++ b/benchmarks/tasks.py
@@ -90,10 +90,10 @@
 
 def messages(runners: int, seconds: int) -> dict[str, Any]:
     """Messages a second that a leader receives and sends, idle and just after all runners connected."""
-    terms = LeaseTiming()
+    lease_timing = LeaseTiming()
     now, index = 0.0, 1
     registers: dict[str, tuple[TaskAssignment, int]] = {}
-    manager = LeaseManager(terms, -100.0)
+    manager = LeaseManager(lease_timing, -100.0)
     manager.assignments_read(registers, now)
     holders = {n: LeaseHolder(["figures", "purges", "drains"], now) for n in range(1, runners + 1)}
     counted: Counter[int] = Counter()
--- a/tests/policy/test_fleet_simulation.py
+++ b/tests/policy/test_fleet_simulation.py
@@ -54,7 +54,7 @@
 
 
 def grants_while_revoking(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ChangeCoordinator, "_granting_suspended", lambda self: not self.known)
+    monkeypatch.setattr(ChangeCoordinator, "_granting_suspended", lambda self: not self.has_read_state)
 
 
 def decides_without_asking(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -67,15 +67,17 @@
 class FleetWorld(SimulatedGroup):
     """A group of replicas with fronts; the judge looks after every event."""
 
-    def __init__(self, seed: int, voters: int = 3, fronts: int = 4, terms: LeaseTiming = TERMS) -> None:
-        self.terms = terms
+    def __init__(
+        self, seed: int, voters: int = 3, fronts: int = 4, lease_timing: LeaseTiming = TERMS
+    ) -> None:
+        self.lease_timing = lease_timing
         self.registers: dict[str, KeyValueState] = {}
         self.coordinators: dict[str, ChangeCoordinator] = {}
         self.unconfirmed: dict[str, deque[tuple[int, FrontLink, FromParticipant | None]]] = {}
         self.read_at: dict[str, int] = {}
         self.fronts: dict[str, SimulatedFront] = {}
         self.link_numbers = itertools.count(1)
-        self.rules = FleetJudge(terms.min_agreeing_share)
+        self.rules = FleetJudge(lease_timing.min_agreeing_share)
         self.proposals = itertools.count()
         self.isolated: dict[str, set[str]] = {}  # directions that are cut, by front
         super().__init__(seed, voters)
@@ -88,7 +90,7 @@
             "retreats": 0,
         }
         for n in range(fronts):
-            drift = terms.clock_drift
+            drift = lease_timing.clock_drift
             clock_rate = self.random.choice((1 - drift, 1.0, 1 + drift))
             front = self.fronts[f"f{n}"] = SimulatedFront(f"f{n}", clock_rate, self.random.uniform(0, 100))
             self.start_front(front)
@@ -305,7 +307,7 @@
             return
         if coordinator is None or coordinator.term != member.term:
             coordinator = self.coordinators[process.name] = ChangeCoordinator(
-                self.terms, self.clock(process), member.term
+                self.lease_timing, self.clock(process), member.term
             )
             self.read_at.pop(process.name, None)
             self.unconfirmed[process.name] = deque()
@@ -314,7 +316,7 @@
             self.unconfirmed[process.name].append((ticket, FrontLink(0, "", process.name, 0), None))
             self.settle(process)
             return
-        if coordinator.known:
+        if coordinator.has_read_state:
             self.read_registers(process, coordinator)
         coordinator.tick(self.clock(process))
         actions = coordinator.take_actions()
--- a/tests/support/policy_states.py
+++ b/tests/support/policy_states.py
@@ -86,7 +86,7 @@
         leader, leases = self.leader, self.leader.leases
         return (leader.record, sorted(leases.by_process.items()), sorted(leases.fenced_off),
                 leases.former_leases_expire_at, leader.phase_entered_at, leader._write_pending,
-                leader._objections, sorted(leader.fronts.items()), leader.known)  # fmt: skip
+                leader._objections, sorted(leader.fronts.items()), leader.has_read_state)  # fmt: skip
 
     @staticmethod
     def _front_key(process: ProcessState) -> Any:
--- a/tests/support/task_states.py
+++ b/tests/support/task_states.py
@@ -109,7 +109,8 @@
     def _manager_key(self) -> Any:
         leader = self.leader
         return (leader.assignments, leader.leases, leader._former_leases_expire_at, leader._announced,
-                sorted(leader._pending_writes), leader.known, sorted(leader.runners.items()))  # fmt: skip
+                sorted(leader._pending_writes), leader.has_read_state,
+                sorted(leader.runners.items()))  # fmt: skip
 
     @staticmethod
     def _holder_key(process: ProcessState) -> Any:
--- a/tests/tasks/test_lease_holder.py
+++ b/tests/tasks/test_lease_holder.py
@@ -91,12 +91,14 @@
 def test_a_lease_leaves_time_to_act() -> None:
     # Requested, relied on and acted under at the latest, by a slow clock; received and waited out by a fast
     # one.
-    for terms in (
+    for lease_timing in (
         TERMS,
         msgspec.structs.replace(TERMS, lease_seconds=5.0, clock_drift=0.01, max_action_seconds=0.2),
     ):
-        slowest = terms.holder_seconds / (1 - terms.clock_drift) + terms.max_action_seconds
-        assert slowest <= terms.expiry_seconds / (1 + terms.clock_drift) + 1e-9
+        slowest = (
+            lease_timing.holder_seconds / (1 - lease_timing.clock_drift) + lease_timing.max_action_seconds
+        )
+        assert slowest <= lease_timing.expiry_seconds / (1 + lease_timing.clock_drift) + 1e-9
 
 
 def test_an_outdated_assignment_changes_nothing() -> None:
--- a/zincladder/consensus/leader_services.py
+++ b/zincladder/consensus/leader_services.py
@@ -75,10 +75,10 @@
     messages: Any  # the type of their messages
 
     def __init__(
-        self, replica: ReplicaServer, terms: LeaseTiming, clock: Callable[[], float] = boottime
+        self, replica: ReplicaServer, lease_timing: LeaseTiming, clock: Callable[[], float] = boottime
     ) -> None:
-        self.replica, self.terms, self.clock = replica, terms, clock
-        self._configured_terms = terms
+        self.replica, self.lease_timing, self.clock = replica, lease_timing, clock
+        self._configured_timing = lease_timing
         self.term_state: P | None = None
         self.links: dict[int, LinkedProcess] = {}
         self._last_number = 0
@@ -95,7 +95,7 @@
 
     @abstractmethod
     def begin_term(self, since: float, term: int) -> P:
-        """The state of this term, under `self.terms`. A predecessor granted its leases before `since`."""
+        """The state of this term under `self.lease_timing`. A predecessor granted leases before `since`."""
 
     @abstractmethod
     def state_changed(self, term_state: P) -> None:
@@ -157,7 +157,7 @@
         since, term = self.clock(), node.term
         await self.replica.confirm_leadership()
         # A predecessor may have granted leases until it was replaced; that was before `since`.
-        self.terms = await self._agreed()
+        self.lease_timing = await self._agreed()
         term_state = self.begin_term(since, term)
         if self.replica.node.term != term:
             raise NotLeaderError
@@ -167,14 +167,16 @@
         """The group's lease timing: that of its first leader, whatever this replica's file says."""
         if self.replica.state.get(LEASE_TIMING_KEY) is None:
             await self.replica.compare_and_swap(
-                CompareAndSwap(LEASE_TIMING_KEY, 0, msgspec.msgpack.encode(self._configured_terms))
+                CompareAndSwap(LEASE_TIMING_KEY, 0, msgspec.msgpack.encode(self._configured_timing))
             )
         stored = self.replica.state.get(LEASE_TIMING_KEY)
         assert stored is not None
-        terms: LeaseTiming = msgspec.msgpack.decode(stored.data, type=LeaseTiming)
-        if terms != self._configured_terms:
-            log.warning("lease timing of the group overrides this replica's file", lease_timing=str(terms))
-        return terms
+        lease_timing: LeaseTiming = msgspec.msgpack.decode(stored.data, type=LeaseTiming)
+        if lease_timing != self._configured_timing:
+            log.warning(
+                "lease timing of the group overrides this replica's file", lease_timing=str(lease_timing)
+            )
+        return lease_timing
 
     def _drop(self) -> None:
         if self.term_state is not None:
--- a/zincladder/policy/coordinator.py
+++ b/zincladder/policy/coordinator.py
@@ -59,13 +59,13 @@
 class ChangeCoordinator:
     """Decides for one leader in one term."""
 
-    def __init__(self, terms: LeaseTiming, now: float, term: int = 0) -> None:
-        self.terms, self.term = terms, term
+    def __init__(self, lease_timing: LeaseTiming, now: float, term: int = 0) -> None:
+        self.lease_timing, self.term = lease_timing, term
         self.record, self._record_version = PolicyRecord(), 0
-        self.known = False  # whether the record has been read in this term
+        self.has_read_state = False  # whether the record has been read in this term
         self.expected_fronts: frozenset[str] = frozenset()
         self.fronts: dict[int, LinkedFront] = {}  # by the number of the link
-        self.leases = GrantedLeases(now + terms.expiry_seconds)
+        self.leases = GrantedLeases(now + lease_timing.expiry_seconds)
         self._documents: dict[str, bytes] = {}
         self._objections: list[tuple[int, str]] = []  # versions, and why a front can't serve under them
         self._decided_version, self._decided_at = 0, now  # as far as this leader knows
@@ -95,7 +95,7 @@
 
     def is_silent(self, front: LinkedFront, now: float) -> bool:
         """Whether a front has missed its renewals, so that it may not hear either."""
-        return front.is_silent(now, self.terms.renew_seconds)
+        return front.is_silent(now, self.lease_timing.renew_seconds)
 
     @property
     def next_at(self) -> float:
@@ -104,21 +104,24 @@
         if change is None or self._write_pending:
             return math.inf
         if change.phase is ChangePhase.CHECKING:
-            return self.phase_entered_at + self.terms.check_timeout_seconds
-        release_due_at = self.phase_entered_at + self.terms.release_timeout_seconds
-        if change.phase is ChangePhase.REVOKING and not self._patience_is_over(release_due_at):
+            return self.phase_entered_at + self.lease_timing.check_timeout_seconds
+        release_due_at = self.phase_entered_at + self.lease_timing.release_timeout_seconds
+        if change.phase is ChangePhase.REVOKING and not self._deferral_is_over(release_due_at):
             return release_due_at
         moments = [lease.expires_at for lease in self.leases.by_process.values()]
-        moments += [self.leases.former_leases_expire_at, self._decided_at + self.terms.max_deferral_seconds]
+        moments += [
+            self.leases.former_leases_expire_at,
+            self._decided_at + self.lease_timing.max_deferral_seconds,
+        ]
         return min((moment for moment in moments if moment > self.phase_entered_at), default=math.inf)
 
-    def _patience_is_over(self, now: float) -> bool:
+    def _deferral_is_over(self, now: float) -> bool:
         """Whether a decided change has waited long enough for a moment in which no front is silent.
 
         Guards a change in a fleet of which some front is always gone: that moment may never come. All fronts
         then wait at once for whoever is gone: for one lease at most, once.
         """
-        return now >= self._decided_at + self.terms.max_deferral_seconds
+        return now >= self._decided_at + self.lease_timing.max_deferral_seconds
 
     # The record -----------------------------------------------------------------------------------
 
@@ -132,7 +135,7 @@
     ) -> None:
         """Takes over what the registers hold; a write of this leader has succeeded or failed by then."""
         previous, self.record = self.record, record
-        self._record_version, self.known, self._write_pending = record_version, True, False
+        self._record_version, self.has_read_state, self._write_pending = record_version, True, False
         self.expected_fronts, self._documents = frozenset(expected_fronts), documents
         if _state(previous) != _state(record):
             self.phase_entered_at = now
@@ -212,7 +215,7 @@
         change = self.record.open_change
         # While the record is being written, it may be REVOKING already, for all that is known here.
         revoking = change is not None and change.phase is ChangePhase.REVOKING
-        return not self.known or self._write_pending or revoking
+        return not self.has_read_state or self._write_pending or revoking
 
     def _grant(self, number: int, front: LinkedFront, now: float) -> None:
         """Answers a front's latest request, unless it has to be deferred."""
@@ -221,10 +224,10 @@
         if front.identity in self.leases.fenced_off:
             return
         serial, front.deferred_renewal = front.deferred_renewal.serial, None
-        self.leases.grant(front.identity, serial, now + self.terms.expiry_seconds)
-        record, terms = self.record, self.terms
+        self.leases.grant(front.identity, serial, now + self.lease_timing.expiry_seconds)
+        record, lease_timing = self.record, self.lease_timing
         granted = PolicyLeaseGranted(
-            serial, record.version, record.document, terms.trusted_seconds, terms.renew_seconds
+            serial, record.version, record.document, lease_timing.trusted_seconds, lease_timing.renew_seconds
         )
         self._send(number, granted)
 
@@ -238,13 +241,13 @@
         """Takes the next step of the open change, if its condition is met."""
         self.leases.drop_expired(now)
         change = self.record.open_change
-        if not self.known or change is None or self._write_pending:
+        if not self.has_read_state or change is None or self._write_pending:
             return
         match change.phase:
             case ChangePhase.CHECKING:
                 self._validate(change, now)
             case ChangePhase.DECIDED:
-                if not self.blocked_by(now) or self._patience_is_over(now):
+                if not self.blocked_by(now) or self._deferral_is_over(now):
                     self._write(change_states.begin_revoking(self.record, change))
             case ChangePhase.REVOKING:
                 self._revoke(change, now)
@@ -264,8 +267,8 @@
             self._withdraw(change, sorted(reason for _, reason in self._objections))
             return
         answers = agreement(self.fronts.values(), self.expected_fronts)
-        enough = answers.suffices(self.terms.min_agreeing_share)
-        timed_out = now >= self.phase_entered_at + self.terms.check_timeout_seconds
+        enough = answers.suffices(self.lease_timing.min_agreeing_share)
+        timed_out = now >= self.phase_entered_at + self.lease_timing.check_timeout_seconds
         if not (answers.all_answered and enough) and not timed_out:
             return
         if enough:
@@ -292,8 +295,8 @@
         if self.leases.none_left(now):
             self._write(change_states.activate(self.record, change))
             return
-        timed_out = now >= self.phase_entered_at + self.terms.release_timeout_seconds
-        if timed_out and not self._patience_is_over(now):
+        timed_out = now >= self.phase_entered_at + self.lease_timing.release_timeout_seconds
+        if timed_out and not self._deferral_is_over(now):
             # All others go on as before until the lease of whoever has not released it has expired.
             self.leases.fence_off_remaining()
             self._write(change_states.retreat(self.record, change))
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -29,15 +29,15 @@
     messages = FromParticipant
 
     def __init__(
-        self, replica: ReplicaServer, terms: LeaseTiming, clock: Callable[[], float] = boottime
+        self, replica: ReplicaServer, lease_timing: LeaseTiming, clock: Callable[[], float] = boottime
     ) -> None:
-        super().__init__(replica, terms, clock)
+        super().__init__(replica, lease_timing, clock)
         self._logged_state: tuple[int, str] = (-1, "")
         replica.swap_validators.append(change_log.rejection_reason)
 
     def begin_term(self, since: float, term: int) -> ChangeCoordinator:
         """The coordinator of a new term."""
-        return ChangeCoordinator(self.terms, since, term)
+        return ChangeCoordinator(self.lease_timing, since, term)
 
     def state_changed(self, term_state: ChangeCoordinator) -> None:
         """Tells the coordinator what the registers hold."""
--- a/zincladder/tasks/host.py
+++ b/zincladder/tasks/host.py
@@ -71,9 +71,9 @@
     messages = FromRunner
 
     def __init__(
-        self, replica: ReplicaServer, terms: LeaseTiming, clock: Callable[[], float] = boottime
+        self, replica: ReplicaServer, lease_timing: LeaseTiming, clock: Callable[[], float] = boottime
     ) -> None:
-        super().__init__(replica, terms, clock)
+        super().__init__(replica, lease_timing, clock)
         self.sums = CounterSums()
         self._reporters: dict[int, tuple[str, str]] = {}  # names and processes, by the number of the link
         replica.swap_validators.append(rejection_reason)
@@ -82,7 +82,7 @@
     def begin_term(self, since: float, term: int) -> LeaseManager:
         """The lease manager of a new term."""
         self.sums = CounterSums()
-        return LeaseManager(self.terms, since, term)
+        return LeaseManager(self.lease_timing, since, term)
 
     def state_changed(self, term_state: LeaseManager) -> None:
         """Tells the lease manager what the registers hold."""
--- a/zincladder/tasks/lease_manager.py
+++ b/zincladder/tasks/lease_manager.py
@@ -71,13 +71,15 @@
 class LeaseManager:
     """Decides for one leader in one term."""
 
-    def __init__(self, terms: LeaseTiming, now: float, term: int = 0) -> None:
-        self.terms, self.term = terms, term
+    def __init__(self, lease_timing: LeaseTiming, now: float, term: int = 0) -> None:
+        self.lease_timing, self.term = lease_timing, term
         self.runners: dict[int, LinkedRunner] = {}  # by the number of the link
         self.assignments: dict[str, tuple[TaskAssignment, int]] = {}  # by task, with the token
-        self.known = False  # whether the registers have been read in this term
+        self.has_read_state = False  # whether the registers have been read in this term
         self.leases: dict[str, TaskLease] = {}  # of the present or the last lease holder, by task
-        self._former_leases_expire_at = now + terms.expiry_seconds  # what a predecessor may have granted
+        self._former_leases_expire_at = (
+            now + lease_timing.expiry_seconds
+        )  # what a predecessor may have granted
         self._announced: dict[str, Announcement] = {}  # by task
         self._pending_writes: set[str] = set()  # tasks
         self._last_advanced_at = now
@@ -102,7 +104,9 @@
     def next_at(self) -> float:
         """When `tick` is due."""
         moments = [self.free_at(task) for task in self._tasks() if task not in self._pending_writes]
-        moments += [announced.sent_at + self.terms.renew_seconds for announced in self._announced.values()]
+        moments += [
+            announced.sent_at + self.lease_timing.renew_seconds for announced in self._announced.values()
+        ]
         return min((moment for moment in moments if moment > self._last_advanced_at), default=math.inf)
 
     def holder_link(self, task: str) -> int:
@@ -117,14 +121,14 @@
         """Takes over what the registers hold, with their versions."""
         for task, (assignment, token) in assignments.items():
             before, token_before = self.assignment(task)
-            if not self.known or token_before == token:
+            if not self.has_read_state or token_before == token:
                 continue
             for number, runner in self.runners.items():
                 if runner.holds(before):  # moved or paused by a command, or its lease has expired
                     self._send(number, Revoke(task, token_before))
             if assignment.lease_holder:
-                self.leases[task] = TaskLease(token, now + self.terms.expiry_seconds)
-        self.assignments, self.known = dict(assignments), True
+                self.leases[task] = TaskLease(token, now + self.lease_timing.expiry_seconds)
+        self.assignments, self.has_read_state = dict(assignments), True
         self._advance(now)
 
     def write_ended(self, task: str, now: float) -> None:
@@ -182,11 +186,11 @@
             assignment, current_token = self.assignment(task)
             valid = runner.holds(assignment) and token == current_token
             if valid and task not in self._pending_writes:
-                expires_at = max(self.free_at(task), now + self.terms.expiry_seconds)
+                expires_at = max(self.free_at(task), now + self.lease_timing.expiry_seconds)
                 self.leases[task] = TaskLease(token, expires_at)
                 granted.append((task, token))
         lease = LeaseGranted(
-            request.serial, tuple(granted), self.terms.holder_seconds, self.terms.renew_seconds
+            request.serial, tuple(granted), self.lease_timing.holder_seconds, self.lease_timing.renew_seconds
         )
         self._send(number, lease)
 
@@ -211,7 +215,7 @@
     def _advance(self, now: float) -> None:
         """Announces assignments to their holders, and assigns what nobody can act on any more."""
         self._last_advanced_at = now
-        if not self.known:
+        if not self.has_read_state:
             return
         self._announced = {
             task: announced for task, announced in self._announced.items() if task in self.assignments
@@ -233,7 +237,7 @@
             return
         announced = self._announced.get(task, Announcement(0, 0, 0.0))
         is_new = (announced.token, announced.link) != (token, number)
-        is_due = announced.sent_at + self.terms.renew_seconds <= now
+        is_due = announced.sent_at + self.lease_timing.renew_seconds <= now
         if is_new or (is_due and now >= self.free_at(task)):
             self._send(number, Assigned(task, token))
         if is_new or is_due:
