--- a/example/receiver.py
+++ b/example/receiver.py
@@ -14,6 +14,7 @@
     fields = dict(line.split(": ", 1) for line in head.split("\r\n")[1:] if line)
     size = len(await reader.readexactly(int(fields["content-length"])))
     task, _, token = fields["x-zincladder-fence"].partition(" ")
+    # Only in memory here: a real receiver stores the highest token before it answers.
     rejection = FENCE.admit(task, int(token))
     print(rejection or f"{task}, token {token}: {size} bytes", flush=True)
     writer.write(f"HTTP/1.1 {409 if rejection else 204} -\r\nContent-Length: 0\r\n\r\n".encode())
--- a/zincladder/cli/replica.py
+++ b/zincladder/cli/replica.py
@@ -1,4 +1,7 @@
-"""`zincladder replica`: one of the processes that replicate a fleet's state."""
+"""`zincladder replica`: one of the processes that replicate a fleet's state.
+
+SIGHUP is not handled and ends the process; restart a replica to change its file.
+"""
 
 from __future__ import annotations
 
--- a/zincladder/consensus/key_value_state.py
+++ b/zincladder/consensus/key_value_state.py
@@ -50,7 +50,7 @@
 
 
 class CapacityExceeded(msgspec.Struct, frozen=True, array_like=True, tag="full"):
-    """Nothing was done: a bound would be exceeded."""
+    """Nothing was done: a bound would be exceeded, or the entry cannot be read; the text says which."""
 
     reason: str
 
--- a/zincladder/consensus/lease_timing.py
+++ b/zincladder/consensus/lease_timing.py
@@ -10,22 +10,22 @@
 class LeaseTiming(msgspec.Struct, frozen=True, array_like=True):
     """The timing that all replicas of a group share, so that a lease means one thing. The state holds it.
 
-    `clock_drift` bounds by how much a clock errs in a second. A front counts its lease from its request, by
-    its own clock; a replica from the grant, by its own: 1 - drift of the lease there, 1 + drift of it here.
+    `clock_drift` bounds by how much a clock errs in a second. A holder trusts `lease * (1 - drift)`, from its
+    request and by its own clock; a replica waits `lease * (1 + drift)`, from the grant and by its own clock.
     """
 
     lease_seconds: float = 5.0
-    renew_seconds: float = 1.0  # between two renewals
+    renew_seconds: float = 1.0  # time between two renewals
     clock_drift: float = 0.01
-    # In which a front says whether it can apply a policy.
+    # Time that fronts have to validate a policy.
     check_timeout_seconds: float = 3.0
-    # In which the fronts release their leases, before all go on under the old version for now.
+    # Time that fronts have to release their leases; after it all go on under the old version for now.
     release_timeout_seconds: float = 0.3
-    # Of the known fronts: more than this share has to agree.
+    # Share of the known fronts; more than this share has to agree.
     min_agreeing_share: float = 0.5
-    # For which a decided change waits for a moment in which no front is missing.
+    # Time that a decided change waits for a moment in which no front is missing.
     max_deferral_seconds: float = 15.0
-    # For which a lease holder may be paused between its look at the clock and its effect.
+    # Time that a lease holder may be paused between its look at the clock and its effect.
     max_action_seconds: float = 0.2
 
     @property
--- a/zincladder/wiring/process.py
+++ b/zincladder/wiring/process.py
@@ -14,7 +14,7 @@
 
 def run_process(config: Config, operator: Operator) -> None:
     """Run a front until SIGTERM or SIGINT has ended it in order. Raises ConfigError in a group."""
-    # uvloop: the wide day asks for up to 950 requests a second of part of a core.
+    # uvloop: a front has to serve 950 requests a second on part of a core.
     anyio.run(_run, config, operator, backend_options={"use_uvloop": True})
 
 
