--- a/zincladder/core/attempt_end.py
+++ b/zincladder/core/attempt_end.py
@@ -23,7 +23,7 @@
     DEADLINE_EXCEEDED = "too_late"  # too late to run: the deadline, or the deduplication window, is over
     TIMED_OUT = "silent"  # no answer within the attempt's time
     CONNECT_FAILED = "no_connection"  # refused, or not established in time
-    NOT_SENT = "not_written"  # the connection was lost or found congested before a byte was written
+    LOST_BEFORE_SEND = "not_written"  # the connection was lost or found congested before a byte was written
     DRAINING = "turned"  # endpoint or source stopped being ready between the decision and the send
     CONNECTION_LOST = "cut"  # the connection was lost after bytes of the request were written
     PROTOCOL_ERROR = "garbled"  # the peer violated its protocol; whether the request ran is unknown
@@ -44,7 +44,7 @@
     EndReason.DEADLINE_EXCEEDED: api.AttemptOutcome.NOT_SENT,
     EndReason.TIMED_OUT: api.AttemptOutcome.TIMED_OUT,
     EndReason.CONNECT_FAILED: api.AttemptOutcome.UNREACHABLE,
-    EndReason.NOT_SENT: api.AttemptOutcome.UNREACHABLE,
+    EndReason.LOST_BEFORE_SEND: api.AttemptOutcome.UNREACHABLE,
     EndReason.DRAINING: api.AttemptOutcome.REJECTED,
     EndReason.CONNECTION_LOST: api.AttemptOutcome.RESET,
     EndReason.PROTOCOL_ERROR: api.AttemptOutcome.RESET,
--- a/zincladder/core/statistics.py
+++ b/zincladder/core/statistics.py
@@ -20,7 +20,7 @@
         EndReason.DEADLINE_EXCEEDED,
     )
 )
-NEVER_ASKED_ENDS = frozenset((EndReason.NOT_SENT, EndReason.DRAINING))
+NEVER_ASKED_ENDS = frozenset((EndReason.LOST_BEFORE_SEND, EndReason.DRAINING))
 MAX_CLASSES = 64  # that are counted, with removed ones
 SILENCE_MEMORY_SECONDS = 30.0  # after the last message, for which an endpoint's silence is remembered
 
--- a/zincladder/net/cache_connection.py
+++ b/zincladder/net/cache_connection.py
@@ -106,7 +106,7 @@
         for exchange in list(self.open.values()):
             # Only an exchange of which no byte was written is proved never to have run.
             unwritten = exchange.write is not None and not exchange.write.started
-            exchange.finish(AttemptEnd(EndReason.NOT_SENT if unwritten else lost, detail=detail))
+            exchange.finish(AttemptEnd(EndReason.LOST_BEFORE_SEND if unwritten else lost, detail=detail))
 
     async def _read_answers(self) -> None:
         while True:
