--- a/tests/routing/test_imports.py
+++ b/tests/routing/test_imports.py
@@ -20,7 +20,7 @@
     "load_shedding": "requests",
     "retry": "interface requests",
     "state": "budgets capacity endpoints fill_throttle interface purges",
-    "freshness": "requests state",
+    "copy_age": "requests state",
     "health_checks": "interface state",
     "outlier_ejection": "endpoints interface requests retry state",
     "utilization": "endpoints state",
@@ -30,7 +30,7 @@
         "endpoints interface load_shedding outlier_ejection requests ring slow_start state utilization"
     ),
     "router": (
-        "endpoints freshness health_checks interface load_shedding outcomes outlier_ejection requests retry"
+        "copy_age endpoints health_checks interface load_shedding outcomes outlier_ejection requests retry"
         " ring selection slow_start state"
     ),
 }
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -107,7 +107,7 @@
     driver = Driver((cache(0), cache(9, started_at=100.0), parent(0)))
     for n in range(1, 300):
         assert len(attempts_in(driver.request(n, key=n))) == 1
-        driver.end_attempt(n, 0, driver.router.attempts[n, 0].cache, Outcome.OK, True, fill_outcome=Fill.HIT)
+        driver.end_attempt(n, 0, driver.router.attempts[n, 0].target, Outcome.OK, True, fill_outcome=Fill.HIT)
     driver = Driver((*FLEET, cache(9, started_at=90.0)))
     assert transfer_seconds_sent(driver, b"cache9") > 4
 
--- a/zincladder/routing/__init__.py
+++ b/zincladder/routing/__init__.py
@@ -4,7 +4,7 @@
 `interface` has the types of events and actions. Where to look when a running router surprises:
 
 - A request was rejected with Retry-After: `Router._plan_attempt` lists the reasons in their order, and
-  `Router._on_request` has one more, `load_shedding.is_hopeless`. `retry.is_harmless_to_repeat` says which
+  `Router._on_request` has one more, `load_shedding.is_hopeless`. `retry.client_may_retry` says which
   requests fail instead.
 - An endpoint gets no requests: `selection.select_endpoint` lists what is passed by. `outlier_ejection` says
   what ejects an endpoint and what brings it back, `slow_start` what one that has just started is given.
@@ -13,5 +13,5 @@
   `budgets.ORIGIN_FILLS_PER_REQUEST`.
 - Too much is rejected under load: raise `load_shedding.MAX_OBJECTIVE_OVERRUN`, then
   `fill_throttle.TOLERATED_OVERLOADED_SHARE`.
-- A copy from before a purge was served: `freshness`.
+- A copy from before a purge was served: `copy_age`.
 """
--- a/zincladder/routing/outcomes.py
+++ b/zincladder/routing/outcomes.py
@@ -40,22 +40,22 @@
     `blamed` are the endpoints at fault if it failed.
     """
     stats = state.endpoints.stats
-    cache, source = stats.get(attempt.cache), stats.get(attempt.source)
-    record_load_report(state, attempt.cache, event.report)
+    target, source = stats.get(attempt.target), stats.get(attempt.source)
+    record_load_report(state, attempt.target, event.report)
     state.retry_budget.record_outcome(event.outcome)
     _learn_of_fill(state, event, attempt, blamed, now)
-    if cache and cache.in_flight:  # an endpoint that was off the list for a while starts from none
-        state.endpoints.track_in_flight(cache, -1)
+    if target and target.in_flight:  # an endpoint that was off the list for a while starts from none
+        state.endpoints.track_in_flight(target, -1)
     if event.outcome in NO_EVIDENCE:
         return
-    if cache and event.outcome in ANSWERS:
-        cache.last_answer_at = now
+    if target and event.outcome in ANSWERS:
+        target.last_answer_at = now
     if event.fill_outcome in BLAMES_SOURCE:
-        _learn_of_source_fault(state, event, attempt, cache, source, now)
+        _learn_of_source_fault(state, event, attempt, target, source, now)
         return
     if event.outcome is api.AttemptOutcome.OK:
-        _learn_of_pace(state, event, attempt, cache, source, now)
-    _learn_of_endpoints(state, event, attempt, cache, blamed, now)
+        _learn_of_pace(state, event, attempt, target, source, now)
+    _learn_of_endpoints(state, event, attempt, target, blamed, now)
 
 
 def record_fill(state: RouterState, attempt: Attempt, overloaded: bool, now: float) -> None:
@@ -63,8 +63,8 @@
 
     An overloaded fill counts once, a good one only if it was not throttled itself.
     """
-    at_origin = attempt.cache == state.endpoints.origin_id
-    from_source = attempt.source != attempt.cache and attempt.source not in state.endpoints.caches.ids
+    at_origin = attempt.target == state.endpoints.origin_id
+    from_source = attempt.source != attempt.target and attempt.source not in state.endpoints.caches.ids
     already_counted = attempt.counted_as_overloaded if overloaded else attempt.pending.cached_only
     if (at_origin or from_source) and not already_counted:
         attempt.counted_as_overloaded = overloaded
@@ -85,7 +85,7 @@
     if overloaded is not None:
         record_fill(state, attempt, overloaded, now)
     # No other outcome shows whether a sibling has copies.
-    if event.outcome in SUCCESSES and state.endpoints.is_sibling_fill(attempt.cache, attempt.source):
+    if event.outcome in SUCCESSES and state.endpoints.is_sibling_fill(attempt.target, attempt.source):
         hit = max(MIN_SIBLING_HIT, event.outcome is api.AttemptOutcome.OK)
         state.sibling_hit_share += SIBLING_HIT_EWMA_WEIGHT * (hit - state.sibling_hit_share)
 
@@ -94,12 +94,12 @@
     state: RouterState,
     event: api.AttemptEnded,
     attempt: Attempt,
-    cache: EndpointStats | None,
+    target: EndpointStats | None,
     source: EndpointStats | None,
     now: float,
 ) -> None:
     """The cache did its part; a source that rejected or failed is counted, one that missed is not."""
-    record_outcome(state, cache, False, now)
+    record_outcome(state, target, False, now)
     if event.fill_outcome in SOURCE_FAULTS:
         at_once = MAX_FAST_FAILURE_OBJECTIVES * attempt.pending.request_class.latency_objective
         fails_fast = event.fill_outcome is api.FillOutcome.SOURCE_FAILED and event.fill_wait < at_once
@@ -110,7 +110,7 @@
     state: RouterState,
     event: api.AttemptEnded,
     attempt: Attempt,
-    cache: EndpointStats | None,
+    target: EndpointStats | None,
     source: EndpointStats | None,
     now: float,
 ) -> None:
@@ -120,14 +120,14 @@
     hit = event.fill_outcome is api.FillOutcome.HIT
     if hit and not sized:
         state.transfer_times[pending.request.request_class].record_hit(event.latency)
-    sent_by_cache = hit or attempt.cache in endpoints.parents.ids
-    sender = cache if sent_by_cache else source
+    sent_by_cache = hit or attempt.target in endpoints.parents.ids
+    sender = target if sent_by_cache else source
     if sender is None or not (sent_by_cache or event.fill_outcome in FILLS):
         return
     transfer_times = (event.latency - event.fill_wait) / max(pending.transfer_seconds, MIN_TRANSFER_SECONDS)
-    record_slowdown(state, sender, None if sent_by_cache else cache, transfer_times, sized)
+    record_slowdown(state, sender, None if sent_by_cache else target, transfer_times, sized)
     if not (
-        sent_by_cache and attempt.cache in endpoints.caches.ids
+        sent_by_cache and attempt.target in endpoints.caches.ids
     ):  # a cache's own success is counted below
         record_outcome(state, sender, False, now)
 
@@ -136,15 +136,15 @@
     state: RouterState,
     event: api.AttemptEnded,
     attempt: Attempt,
-    cache: EndpointStats | None,
+    target: EndpointStats | None,
     blamed: api.EndpointIds,
     now: float,
 ) -> None:
     """Counts the success of the cache (a miss is one), or the failure of who is to blame."""
     if event.outcome in SUCCESSES:
-        record_outcome(state, cache, False, now)
+        record_outcome(state, target, False, now)
         return
-    answered_meanwhile = cache is not None and cache.last_answer_at > attempt.sent_at
+    answered_meanwhile = target is not None and target.last_answer_at > attempt.sent_at
     slow_not_silent = event.outcome is api.AttemptOutcome.TIMED_OUT and answered_meanwhile
     if event.outcome in NOT_COUNTED or slow_not_silent:
         return
--- a/zincladder/routing/outlier_ejection.py
+++ b/zincladder/routing/outlier_ejection.py
@@ -43,21 +43,21 @@
     Guards against a source that rejects without a note: all its caches would be asked in vain, and ejected.
     """
     missed_at_sibling = event.outcome is api.AttemptOutcome.MISS and state.endpoints.is_sibling_fill(
-        attempt.cache, attempt.source
+        attempt.target, attempt.source
     )
     if event.fill_outcome in BLAMES_SOURCE or missed_at_sibling:
         return {attempt.source}
     if state.settings.fill_faults_reported or event.outcome not in AMBIGUOUS_OUTCOMES:
-        return {attempt.cache}
-    cache = state.endpoints.stats.get(attempt.cache)
+        return {attempt.target}
+    cache = state.endpoints.stats.get(attempt.target)
     source = state.endpoints.stats.get(attempt.source)
     if cache is None or source is None:
-        return {attempt.cache}
+        return {attempt.target}
     if cache.failure_rate > source.failure_rate + MIN_FAILURE_RATE_DIFFERENCE:
-        return {attempt.cache}
+        return {attempt.target}
     if source.failure_rate > cache.failure_rate + MIN_FAILURE_RATE_DIFFERENCE:
         return {attempt.source}
-    return {attempt.cache, attempt.source}
+    return {attempt.target, attempt.source}
 
 
 def record_outcome(
--- a/zincladder/routing/requests.py
+++ b/zincladder/routing/requests.py
@@ -36,7 +36,7 @@
     """One attempt in flight."""
 
     pending: PendingRequest
-    cache: api.EndpointId
+    target: api.EndpointId
     source: api.EndpointId
     sent_at: float
     checked_at: float  # when its silence timer was last set
--- a/zincladder/routing/retry.py
+++ b/zincladder/routing/retry.py
@@ -1,6 +1,7 @@
 """Whether a request may be sent again, and whether its client may. No I/O.
 
-A retry that load may have caused also needs a token of the retry budget (`budgets.RetryBudget`).
+A retry that load may have caused needs a token of the retry budget (`budgets.RetryBudget`), unless it needs
+no fill, or the origin budget pays for it (`selection.has_other_limit`).
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
     return pending.attempts_sent < limit and now < pending.request.deadline
 
 
-def may_run_again(pending: PendingRequest, now: float) -> bool:
+def router_may_retry(pending: PendingRequest, now: float) -> bool:
     """Whether another attempt cannot make the request take effect twice.
 
     Guards requests that are not idempotent: they are sent again only while none may have run, or while the
@@ -43,7 +44,7 @@
     return _drops_duplicates(request_class) and now < window_ends_at
 
 
-def is_harmless_to_repeat(pending: PendingRequest) -> bool:
+def client_may_retry(pending: PendingRequest) -> bool:
     """Whether a client may send the request again: then it is rejected, else it fails."""
     request_class = pending.request_class
     if request_class.idempotency is api.Idempotency.IDEMPOTENT or _drops_duplicates(request_class):
@@ -68,7 +69,7 @@
     truncated = event.outcome is api.AttemptOutcome.RESET and not blamed <= pending.truncated_by
     if truncated:
         pending.truncated_by |= blamed
-    lookup_missed = missed and attempt.source == attempt.cache
+    lookup_missed = missed and attempt.source == attempt.target
     if not lookup_missed and not truncated and not pending.request_class.uncacheable:
         pending.failed_endpoints |= blamed
     if event.outcome is api.AttemptOutcome.ERROR and event.fill_outcome not in BLAMES_SOURCE:
@@ -101,4 +102,4 @@
     if event.fill_outcome is api.FillOutcome.ORIGIN_FAILED:
         return True
     refused = event.fill_outcome in SOURCE_FAULTS or event.outcome is api.AttemptOutcome.REJECTED
-    return refused and blamed == {origin_id} and attempt.cache != origin_id
+    return refused and blamed == {origin_id} and attempt.target != origin_id
--- a/zincladder/routing/router.py
+++ b/zincladder/routing/router.py
@@ -8,8 +8,8 @@
 from __future__ import annotations
 
 from zincladder.routing import interface as api
+from zincladder.routing.copy_age import max_copy_age
 from zincladder.routing.endpoints import EndpointStats, Role
-from zincladder.routing.freshness import max_copy_age
 from zincladder.routing.health_checks import (
     PROBE_INTERVAL_SECONDS,
     are_probes_wanted,
@@ -26,11 +26,11 @@
 )
 from zincladder.routing.requests import Attempt, PendingRequest
 from zincladder.routing.retry import (
+    client_may_retry,
     has_attempts_left,
-    is_harmless_to_repeat,
-    may_run_again,
     plan_retry,
     record_end,
+    router_may_retry,
 )
 from zincladder.routing.ring import ring_position
 from zincladder.routing.selection import Route, has_other_limit, select_route
@@ -142,7 +142,7 @@
         if not has_attempts_left(pending, now):
             return None
         route = select_route(state, pending, now)
-        if route is None or not may_run_again(pending, now):
+        if route is None or not router_may_retry(pending, now):
             return None
         pending.cached_only = False
         if has_other_limit(state, route):
@@ -201,7 +201,7 @@
 
     def _give_up(self, pending: PendingRequest) -> None:
         """The final answer, at once: a rejection where a repeat is harmless, else a failure."""
-        if is_harmless_to_repeat(pending):
+        if client_may_retry(pending):
             objective = pending.request_class.latency_objective  # an overload is over by then
             retry_after = min(self.state.settings.max_retry_after, objective)
             self._actions.append(api.Reject(pending.request.id, retry_after))
@@ -259,7 +259,7 @@
         """
         state = self.state
         pending, attempt = self.pending[key[0]], self.attempts[key]
-        cache = state.endpoints.stats.get(attempt.cache)
+        cache = state.endpoints.stats.get(attempt.target)
         if cache and cache.last_answer_at > attempt.checked_at:
             record_fill(state, attempt, True, now)  # the cache is well: it waits for its source
         if cache and state.settings.may_cancel and is_silent(state, cache, attempt, now):
