--- a/tests/policy/test_fronts.py
+++ b/tests/policy/test_linked_fronts.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from zincladder.policy.fronts import LinkedFront, agreement
 from zincladder.policy.granted_leases import FrontProcess, GrantedLeases
+from zincladder.policy.linked_fronts import LinkedFront, agreement
 from zincladder.policy.model import DocumentValidated
 
 
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -46,8 +46,8 @@
 from zincladder.metrics.registry import Registry
 from zincladder.metrics.replica import NAMES as NAMES_OF_A_REPLICA
 from zincladder.metrics.replica import ReplicaRegistry
-from zincladder.policy.front import FleetPolicy, PolicyHooks
 from zincladder.policy.host import PolicyLeaderService
+from zincladder.policy.lease_client import FleetPolicy, PolicyHooks
 from zincladder.routing import interface as api
 from zincladder.tasks.host import TaskLeaderService
 from zincladder.tasks.runner import TaskRunner
--- a/zincladder/policy/change_log.py
+++ b/zincladder/policy/change_log.py
@@ -1,4 +1,4 @@
-"""The policy as a group's registers hold it: reading them, and the writes that change them. No I/O."""
+"""The policy as a group's key-value state holds it: reading them, and the writes that change them. No I/O."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeLog:
-    """All registers of the policy, as of one moment."""
+    """All values of the policy, as of one moment."""
 
     record: PolicyRecord
-    record_version: int  # of the record's register
+    record_version: int  # of the record's value
     expected_fronts: frozenset[str]
     documents: dict[str, VersionedValue]
 
@@ -37,16 +37,16 @@
         return {name: value.data for name, value in self.documents.items()}
 
 
-def read(registers: Mapping[str, VersionedValue]) -> ChangeLog:
-    """The policy's part of all registers."""
-    stored = registers.get(POLICY_KEY)
+def read(values: Mapping[str, VersionedValue]) -> ChangeLog:
+    """The policy's part of all values."""
+    stored = values.get(POLICY_KEY)
     record = msgspec.msgpack.decode(stored.data, type=PolicyRecord) if stored else PolicyRecord()
     expected = frozenset(
-        key.removeprefix(EXPECTED_FRONT_PREFIX) for key in registers if key.startswith(EXPECTED_FRONT_PREFIX)
+        key.removeprefix(EXPECTED_FRONT_PREFIX) for key in values if key.startswith(EXPECTED_FRONT_PREFIX)
     )
     documents = {
         key.removeprefix(DOCUMENT_PREFIX): value
-        for key, value in registers.items()
+        for key, value in values.items()
         if key.startswith(DOCUMENT_PREFIX)
     }
     return ChangeLog(record, stored.version if stored else 0, expected, documents)
@@ -71,14 +71,14 @@
 
 
 def write_record(expected_version: int, record: PolicyRecord) -> CompareAndSwap:
-    """Replaces the record, if its register still has the expected version."""
+    """Replaces the record, if its key still has the expected version."""
     return CompareAndSwap(POLICY_KEY, expected_version, encode(record))
 
 
 def write_document(content: bytes) -> CompareAndSwap:
-    """Stores a document. A version mismatch is as good as success: the register then has the same content.
+    """Stores a document. A version mismatch is as good as success: the key then has the same content.
 
-    Raises InvalidPolicyError for one that is too large for a register.
+    Raises InvalidPolicyError for one that is too large for a value.
     """
     if len(content) > MAX_VALUE_BYTES:
         raise InvalidPolicyError(f"a policy of {len(content)} bytes, {MAX_VALUE_BYTES} at most")
--- a/zincladder/policy/change_states.py
+++ b/zincladder/policy/change_states.py
@@ -100,7 +100,7 @@
     )
     log = (*record.log, entry)[-MAX_LOG_ENTRIES:]
     closed = msgspec.structs.replace(record, open_change=None, absent=(), log=log)
-    # Guards the end of the change: a record that no register takes would leave it open for ever.
+    # Guards the end of the change: a record that is too large to be stored would leave it open for ever.
     while len(msgspec.msgpack.encode(closed)) > MAX_RECORD_BYTES and len(closed.log) > 1:
         closed = msgspec.structs.replace(closed, log=closed.log[1:])
     return closed
--- a/zincladder/policy/coordinator.py
+++ b/zincladder/policy/coordinator.py
@@ -17,8 +17,8 @@
 
 from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.policy import change_states
-from zincladder.policy.fronts import LinkedFront, agreement
 from zincladder.policy.granted_leases import GrantedLeases
+from zincladder.policy.linked_fronts import LinkedFront, agreement
 from zincladder.policy.model import (
     ChangePhase,
     DocumentContent,
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordWrite:
-    """The record is to be replaced, if its register still has the expected version."""
+    """The record is to be replaced, if its key still has the expected version."""
 
     expected_version: int
     record: PolicyRecord
@@ -133,7 +133,7 @@
         documents: dict[str, bytes],
         now: float,
     ) -> None:
-        """Takes over what the registers hold; a write of this leader has succeeded or failed by then."""
+        """Takes over what the state holds; a write of this leader has succeeded or failed by then."""
         previous, self.record = self.record, record
         self._record_version, self.has_read_state, self._write_pending = record_version, True, False
         self.expected_fronts, self._documents = frozenset(expected_fronts), documents
@@ -164,7 +164,7 @@
         if len(self.fronts) >= MAX_FRONTS:
             return f"{MAX_FRONTS} fronts at most"
         self.fronts[number] = LinkedFront(name, process, now)
-        # Guards the registers: a front's name is its own claim.
+        # Guards the key-value state: a front's name is its own claim.
         if name not in self.expected_fronts and len(self.expected_fronts) < MAX_FRONTS:
             self._actions.expect_fronts.append(name)
         self._advance(now)
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -15,7 +15,7 @@
 from zincladder.links.clocks import boottime
 from zincladder.policy import change_log
 from zincladder.policy.coordinator import ChangeCoordinator, CoordinatorActions, RecordWrite
-from zincladder.policy.fronts import LinkedFront
+from zincladder.policy.linked_fronts import LinkedFront
 from zincladder.policy.model import ChangePhase, FromParticipant
 
 REREAD = -1  # as the place in the log that was read: the coordinator reads all that is committed again
@@ -40,7 +40,7 @@
         return ChangeCoordinator(self.lease_timing, since, term)
 
     def state_changed(self, term_state: ChangeCoordinator) -> None:
-        """Tells the coordinator what the registers hold."""
+        """Tells the coordinator what the state holds."""
         stored = change_log.read(self.replica.state.with_prefix(""))
         term_state.record_read(
             stored.record, stored.record_version, stored.expected_fronts, stored.contents, self.clock()
--- a/zincladder/policy/model.py
+++ b/zincladder/policy/model.py
@@ -1,8 +1,8 @@
 """Types of a policy, of its changes, and of the messages between fronts and the change coordinator.
 
 A policy is one document, identified by its content. Versions count the policies of a group from 1; 0 means
-none. The structs are arrays on the wire and in the registers: the order of their fields, their tags and the
-values of the enums are stored and exchanged with other versions, so they stay as they are. Spans in seconds.
+none. The structs are arrays on the wire and in the stored values: the order of their fields, their tags and
+the values of the enums are exchanged with other versions, so they stay as they are. Spans in seconds.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 from zincladder.leases.model import NotLeaderReply
 
-POLICY_KEY = "policy"  # the register with the PolicyRecord
-DOCUMENT_PREFIX = "document/"  # registers of the proposed documents, by document id
-EXPECTED_FRONT_PREFIX = "front/"  # registers of the fronts that are expected to take part, by name
+POLICY_KEY = "policy"  # the key of the PolicyRecord
+DOCUMENT_PREFIX = "document/"  # keys of the proposed documents, by document id
+EXPECTED_FRONT_PREFIX = "front/"  # keys of the fronts that are expected to take part, by name
 MAX_LOG_ENTRIES = 100
 MAX_REASONS = 20
 MAX_ABSENT_NAMES = 100
@@ -75,7 +75,7 @@
 
 
 class PolicyRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The value of the policy register: the policy in force, the open change, and the change log."""
+    """The value of the policy's key: the policy in force, the open change, and the change log."""
 
     version: int = 0
     document: str = ""
--- a/zincladder/tasks/host.py
+++ b/zincladder/tasks/host.py
@@ -35,14 +35,14 @@
 log = structlog.get_logger()
 
 
-def read_assignments(registers: KeyValueState) -> dict[str, tuple[TaskAssignment, int]]:
-    """Each task's assignment with the version of its register, which is the lease holder's token."""
+def read_assignments(state: KeyValueState) -> dict[str, tuple[TaskAssignment, int]]:
+    """Each task's assignment with the version of its value, which is the lease holder's token."""
     return {
         key.removeprefix(TASK_PREFIX): (
             msgspec.msgpack.decode(value.data, type=TaskAssignment),
             value.version,
         )
-        for key, value in registers.with_prefix(TASK_PREFIX).items()
+        for key, value in state.with_prefix(TASK_PREFIX).items()
     }
 
 
@@ -85,7 +85,7 @@
         return LeaseManager(self.lease_timing, since, term)
 
     def state_changed(self, term_state: LeaseManager) -> None:
-        """Tells the lease manager what the registers hold."""
+        """Tells the lease manager what the state holds."""
         term_state.assignments_read(read_assignments(self.replica.state), self.clock())
 
     def begin_writes(
--- a/zincladder/tasks/lease_manager.py
+++ b/zincladder/tasks/lease_manager.py
@@ -1,9 +1,9 @@
 """The leader's part: assigns singleton tasks to runners, and grants leases on them. No I/O.
 
-Assignments are in the group's registers, which change by compare and swap. Leases are in this replica's
-memory: a new leader waits until all that its predecessor may have granted have expired before it assigns a
-task to anybody else. The lease holder itself goes on meanwhile. Every message handed in was followed by a
-confirmation that this replica leads.
+Assignments are in the group's key-value state, which changes by compare and swap. Leases are in this
+replica's memory: a new leader waits until all that its predecessor may have granted have expired before it
+assigns a task to anybody else. The lease holder itself goes on meanwhile. Every message handed in was
+followed by a confirmation that this replica leads.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AssignmentWrite:
-    """A task's register is to be replaced, if it still has the expected version."""
+    """The value of a task's key is to be replaced, if it still has the expected version."""
 
     task: str
     expected_version: int
@@ -65,7 +65,7 @@
     writes: list[AssignmentWrite] = field(default_factory=list)
 
 
-NEVER_ASSIGNED = (TaskAssignment(), 0)  # an assignment and the version of its register, which is the token
+NEVER_ASSIGNED = (TaskAssignment(), 0)  # an assignment and the version of its value, which is the token
 
 
 class LeaseManager:
@@ -75,7 +75,7 @@
         self.lease_timing, self.term = lease_timing, term
         self.runners: dict[int, LinkedRunner] = {}  # by the number of the link
         self.assignments: dict[str, tuple[TaskAssignment, int]] = {}  # by task, with the token
-        self.has_read_state = False  # whether the registers have been read in this term
+        self.has_read_state = False  # whether the state has been read in this term
         self.leases: dict[str, TaskLease] = {}  # of the present or the last lease holder, by task
         self._former_leases_expire_at = (
             now + lease_timing.expiry_seconds
@@ -115,10 +115,10 @@
         links = (number for number, runner in self.runners.items() if runner.holds(assignment))
         return max(links, default=0)
 
-    # Registers ------------------------------------------------------------------------------------
+    # Key-value state ------------------------------------------------------------------------------
 
     def assignments_read(self, assignments: Mapping[str, tuple[TaskAssignment, int]], now: float) -> None:
-        """Takes over what the registers hold, with their versions."""
+        """Takes over what the state holds, with the versions of its values."""
         for task, (assignment, token) in assignments.items():
             before, token_before = self.assignment(task)
             if not self.has_read_state or token_before == token:
--- a/zincladder/tasks/model.py
+++ b/zincladder/tasks/model.py
@@ -1,10 +1,10 @@
 """Types of a singleton task, and of the messages between task runners and the lease manager.
 
-A singleton task is run by at most one process of the fleet. The register `duty/NAME` names its lease
-holder. The version of that register is the holder's fencing token: the index of the log entry that assigned
-the task, so it only rises and is never given twice, whatever becomes of a replica. The structs are arrays
-on the wire and in the registers: the order of their fields and their tags stay as they are. Spans in
-seconds.
+A singleton task is run by at most one process of the fleet. The value of the key `duty/NAME` names its
+lease holder. The version of that value is the holder's fencing token: the index of the log entry that
+assigned the task, so it only rises and is never given twice, whatever becomes of a replica. The structs are
+arrays on the wire and in the stored values: the order of their fields and their tags stay as they are. Spans
+in seconds.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from zincladder.consensus.key_value_state import CompareAndSwap, VersionGuard
 from zincladder.leases.model import NotLeaderReply
 
-TASK_PREFIX = "duty/"  # registers of the assignments, by task
-CHECKPOINT_PREFIX = "progress/"  # registers of what a lease holder stores for its successors, by task
+TASK_PREFIX = "duty/"  # keys of the assignments, by task
+CHECKPOINT_PREFIX = "progress/"  # keys of what a lease holder stores for its successors, by task
 MAX_TASKS = 64
 MAX_RUNNERS = 2048
 MAX_NAME_LENGTH = 40  # characters of a task's name
 
 
 class TaskAssignment(msgspec.Struct, frozen=True, array_like=True):
-    """The value of a task's register.
+    """The value of a task's key.
 
     Without a lease holder the task was released, moved, or never assigned.
     """
@@ -36,12 +36,12 @@
 
 
 def task_key(task: str) -> str:
-    """The register of a task's assignment."""
+    """The key of a task's assignment."""
     return TASK_PREFIX + task
 
 
 def checkpoint_key(task: str) -> str:
-    """The register of a task's checkpoint."""
+    """The key of a task's checkpoint."""
     return CHECKPOINT_PREFIX + task
 
 
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -29,7 +29,7 @@
 
 if TYPE_CHECKING:
     from zincladder.export.sender import RemoteWrite
-    from zincladder.policy.front import FleetPolicy
+    from zincladder.policy.lease_client import FleetPolicy
     from zincladder.tasks.runner import TaskRunner
 
 STARTED_AT = time.monotonic()  # before the event loop runs; only the interpreter and the imports come earlier
--- a/zincladder/wiring/metrics.py
+++ b/zincladder/wiring/metrics.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from zincladder.export.sender import RemoteWrite
     from zincladder.metrics.exporter import MetricsExporter
-    from zincladder.policy.front import FleetPolicy
+    from zincladder.policy.lease_client import FleetPolicy
     from zincladder.tasks.runner import TaskRunner
 
 
--- a/zincladder/wiring/policy.py
+++ b/zincladder/wiring/policy.py
@@ -11,7 +11,7 @@
 from zincladder.config.reload import Reload
 from zincladder.core.engine import Core
 from zincladder.policy import document
-from zincladder.policy.front import FleetPolicy, PolicyHooks
+from zincladder.policy.lease_client import FleetPolicy, PolicyHooks
 
 
 def _read_operator_file() -> dict[str, Any]:
--- a/zincladder/wiring/status.py
+++ b/zincladder/wiring/status.py
@@ -16,7 +16,7 @@
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 if TYPE_CHECKING:
-    from zincladder.policy.front import FleetPolicy
+    from zincladder.policy.lease_client import FleetPolicy
     from zincladder.tasks.runner import TaskRunner
 
 # Sections of STATS; each goes before the names of its values.
