--- a/zincladder/export/batch_store.py
+++ b/zincladder/export/batch_store.py
@@ -21,7 +21,8 @@
 
     lost_batches: int  # dropped or unreadable, and never sent
 
-    def __len__(self) -> int: ...
+    def __len__(self) -> int:
+        """How many batches wait."""
 
     def append(self, unix_ms: int, payload: bytes) -> None:
         """Add a batch. Raises OSError if it cannot be stored; the store is as before then."""
@@ -37,6 +38,7 @@
     """Batches in memory, which a crash loses."""
 
     def __init__(self, max_bytes: int) -> None:
+        """Create an empty store. `max_bytes` bounds the payloads of all batches together."""
         self.size_bytes = 0
         self.lost_batches = 0
         self._max_bytes = max_bytes
@@ -44,6 +46,7 @@
         self._last_number = 0
 
     def __len__(self) -> int:
+        """How many batches wait."""
         return len(self._batches)
 
     def append(self, unix_ms: int, payload: bytes) -> None:
--- a/zincladder/export/spool.py
+++ b/zincladder/export/spool.py
@@ -64,6 +64,7 @@
             raise SpoolError(f"{folder}: {error.strerror or error}") from None
 
     def __len__(self) -> int:
+        """How many batches wait."""
         return self._next_number - 1 - self._acknowledged
 
     @property
@@ -74,6 +75,7 @@
     # Opening --------------------------------------------------------------------------------------
 
     def _open(self) -> None:
+        """Read the cursor and the segments, and repair both after a crash."""
         self._folder.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
         self._cursor_file = os.open(self._folder / CURSOR_NAME, flags, FILE_MODE)
@@ -188,10 +190,11 @@
         return self._folder / f"{first:020d}.seg"
 
     def _drop_oldest_segment(self) -> None:
+        """Remove the oldest segment, and count its batches that were never sent as lost."""
         first, second = list(self._segment_bytes)[:2]
-        lost = max(0, second - 1 - max(self._acknowledged, first - 1))
-        self.lost_batches += lost
-        if lost:
+        unsent_batches = max(0, second - 1 - max(self._acknowledged, first - 1))
+        self.lost_batches += unsent_batches
+        if unsent_batches:
             self._skip_to(second)
         self._remove_acknowledged_segments()
 
@@ -248,6 +251,7 @@
         self._remove_acknowledged_segments()
 
     def _write_cursor(self, acknowledged: int) -> None:
+        """Write the older of the two slots, so that a torn write leaves the other one valid."""
         assert self._cursor_file is not None
         self._cursor_generation += 1
         offset = self._cursor_generation % CURSOR_SLOTS * records.SLOT.size
