--- a/zincladder/config/reload.py
+++ b/zincladder/config/reload.py
@@ -15,6 +15,10 @@
 from zincladder.config.limits import divide_limits
 from zincladder.config.model import Config, Operator
 
+# Counts by group and label, as the metrics and STATS publish them.
+RELOADS_APPLIED = ("reloads", "applied")
+RELOADS_REJECTED = ("reloads", "rejected")  # the configuration before stays in force
+
 log = structlog.get_logger()
 
 
@@ -69,12 +73,12 @@
         try:
             config, pending = self._read_files()
         except ConfigError as error:
-            self.counts["reloads", "rejected"] += 1
+            self.counts[RELOADS_REJECTED] += 1
             log.error("configuration rejected, the old one is kept", reason=str(error))
             return
         if pending:
             log.warning("keys that take effect at the next start only", keys=pending)
-        self.counts["reloads", "applied"] += 1
+        self.counts[RELOADS_APPLIED] += 1
         log.info("configuration reloaded", coordinator=config.coordinator, classes=config.names.classes)
 
     def _read_files(self) -> tuple[Config, list[str]]:
--- a/zincladder/control/statistics.py
+++ b/zincladder/control/statistics.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable, Iterator, Mapping
 
+from zincladder.config.reload import RELOADS_APPLIED, RELOADS_REJECTED
 from zincladder.core.answers import AnswerKind
 from zincladder.core.engine import Core
 
@@ -28,8 +29,8 @@
     yield "outstanding", len(core.open_requests)
     yield "discovered", _cache_count(core)
     yield "ejected", core.ejected_count()
-    yield "sighup_applied", core.counts["reloads", "applied"]
-    yield "sighup_rejected", core.counts["reloads", "rejected"]
+    yield "sighup_applied", core.counts[RELOADS_APPLIED]
+    yield "sighup_rejected", core.counts[RELOADS_REJECTED]
     for section, values in sections.items():
         for name, value in values().items():
             yield f"{section}_{name}", int(value)
--- a/zincladder/core/attempt_guard.py
+++ b/zincladder/core/attempt_guard.py
@@ -65,7 +65,10 @@
         )
 
     def max_copy_age(self, attempt: AttemptRequest) -> float:
-        """Guards rule 5 against a purge that arrived between the decision and the send."""
+        """The age of the oldest acceptable copy, in seconds.
+
+        Guards "no answer from a copy older than a purge": one may arrive between the decision and the send.
+        """
         request = attempt.request
         age = self._purges.age(request.object, request.group, self._clock.now())
         if age > self.settings.purge_done:
--- a/zincladder/core/counts.py
+++ b/zincladder/core/counts.py
@@ -17,3 +17,5 @@
 REJECTED_WITHOUT_LIST = ("out_of_date", "refused")
 DIRECTLY_ROUTED = ("steered", "named")
 DIRECT_ROUTING_REJECTED = ("steered", "refused")
+UNUSABLE_REQUESTS = (ANSWERS, "unusable")  # a front could not read the request's fields
+UNREAD_REQUESTS = ("requests", "lay_unread")  # read late, after they had arrived
--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -180,7 +180,8 @@
     async def _wait_for_change(self, context: RequestContext) -> bool:
         """Waits for the end of an attempt or for an answer; False when there is none to wait for."""
         context.changed = anyio.Event()
-        # Guards rule 1: an attempt ends by its own deadline, but a request without one in flight has none.
+        # Guards one final answer to each request: an attempt ends by its own deadline, but a request without
+        # one in flight has none.
         with anyio.CancelScope() as waiting:
             if not context.in_flight:
                 left = context.request.deadline - self.clock.now()
@@ -204,7 +205,9 @@
             self.counts[WITHDRAWN_REQUESTS] += 1
             self._notify_router(api.ClientDisconnected(number))
         for in_flight in context.in_flight.values():
-            in_flight.cancel()  # hedged requests that are outstanding, or all where the client disconnected
+            # Open here only where the client disconnected: the Router makes one attempt at a time; more are
+            # handled all the same.
+            in_flight.cancel()
             end = AttemptEnd(EndReason.CANCELLED)
             self._notify_router(self._attempt_ended(number, in_flight, end, answered=True))
 
@@ -247,7 +250,8 @@
         in_flight.end = end
         context.ended.append(in_flight)
         running = context.running_attempt
-        if running is not None and running is not in_flight:  # a hedged request ended first
+        # The Router makes one attempt at a time; more are handled all the same.
+        if running is not None and running is not in_flight:
             self._take_ends(request_number, context)
             if context.answer is not None:
                 running.cancel()
--- a/zincladder/core/request_classes.py
+++ b/zincladder/core/request_classes.py
@@ -10,8 +10,8 @@
 
 from zincladder.routing import interface as api
 
-# For which a removed class is still accepted, and its number not reused: clients learn of new settings 1.2 s
-# after the front.
+# A removed class is still accepted for so long, and its number not reused: clients learn of new settings
+# 1.2 s after the front.
 REMOVED_CLASS_SECONDS = 2.0
 NEW_CLASS = -1  # in place of the number whose learned statistics a class goes on with
 
--- a/zincladder/net/client_calls.py
+++ b/zincladder/net/client_calls.py
@@ -17,6 +17,7 @@
 from zincladder.core.arrival import PROMPT_READ_SECONDS
 from zincladder.core.attempt import ClientRequest
 from zincladder.core.attempt_end import EndReason
+from zincladder.core.counts import UNREAD_REQUESTS, UNUSABLE_REQUESTS
 from zincladder.core.engine import Core
 from zincladder.net import thrift
 from zincladder.net.client_closing import ClientCloser
@@ -130,7 +131,7 @@
         """
         unread_seconds = client.unread_seconds(noticed_at)
         if unread_seconds > PROMPT_READ_SECONDS:
-            self._core.counts["requests", "lay_unread"] += 1
+            self._core.counts[UNREAD_REQUESTS] += 1
             self._lines.warning(
                 "request lay unread", age_s=round(unread_seconds, 3), open=len(self.open_traces)
             )
@@ -155,7 +156,7 @@
             request = read_client_request(self._core, self.open_traces, call.fields, call.body, arrived_at)
         except InvalidFieldsError as fault:
             self._lines.warning("request not understood", reason=str(fault))
-            self._core.counts["answers", "unusable"] += 1
+            self._core.counts[UNUSABLE_REQUESTS] += 1
             self._admission.record_message(client.slot, client.used_at)
             client.write_queue.put(
                 thrift.application_exception("handle", call.seq, thrift.PROTOCOL_ERROR, str(fault))
--- a/zincladder/routing/budgets.py
+++ b/zincladder/routing/budgets.py
@@ -17,8 +17,8 @@
 MAX_SAVED_RETRIES = 10.0  # enough to work round a sudden failure at once
 ORIGIN_FILLS_PER_REQUEST = 0.1  # while parents are listed and none is fit
 MAX_SAVED_ORIGIN_FILLS = 3.0
-# Of the load that overloads an endpoint during its slow start. The rest is left to routers that hear of its
-# start later.
+# An endpoint in slow start is sent this share of the load that overloads it. The rest is left to routers
+# that hear of its start later.
 SLOW_START_SHARE = 0.5
 # Outcomes that load may have caused. A miss, a lost connection or an error says nothing about load.
 CHARGED_OUTCOMES = (api.AttemptOutcome.REJECTED, api.AttemptOutcome.TIMED_OUT, api.AttemptOutcome.CANCELLED)
--- a/zincladder/routing/fill_throttle.py
+++ b/zincladder/routing/fill_throttle.py
@@ -13,8 +13,8 @@
 
 from zincladder.routing import interface as api
 
-# Of the admitted share, taken off by each overloaded fill: multiplicative decrease, as in AIMD. In a large
-# fleet a router sees about one fill a second and has to react within one or two of them.
+# Each overloaded fill takes this share off the admitted share: multiplicative decrease, as in AIMD. In a
+# large fleet a router sees about one fill a second and has to react within one or two of them.
 OVERLOAD_DECREASE = 0.75
 MANY_FILLS = 20.0  # in a recovery time: from here on each counts for less, as the share is known to a tenth
 # Share of overloaded fills that changes nothing: some are slow on any day, and where sizes are not announced
@@ -23,9 +23,11 @@
 # What a good fill multiplies the admitted share by: decreases and increases cancel out at the tolerated
 # share.
 GOOD_FILL_FACTOR = (1 - OVERLOAD_DECREASE) ** (-TOLERATED_OVERLOADED_SHARE / (1 - TOLERATED_OVERLOADED_SHARE))
-UNCONFIRMED_WEIGHT = 0.5  # of an overloaded fill that no other source confirms: common or not, at even odds
-# Share of its slack (what the latency objective leaves beside the transfer) above which a fill is overloaded.
-# A fill shows a queue as it was when the fill began; where fills are few, the next one comes a second later.
+# An overloaded fill that no other source confirms counts by half weight: it may be the source's own fault.
+UNCONFIRMED_WEIGHT = 0.5
+# A fill is overloaded when it waits for more than this share of its slack (what the latency objective leaves
+# beside the transfer). The share is lower where fills are few: the next one, which would show a longer queue,
+# comes a second later.
 SLACK_SHARE_FEW_FILLS, SLACK_SHARE_MANY_FILLS = 0.5, 0.75
 MIN_ADMITTED_SHARE = 0.05  # under the worst overload: these fills show that it is over
 OVERLOADED_BELOW = 0.5  # admitted share below which fills are slow for sure
--- a/zincladder/routing/load_shedding.py
+++ b/zincladder/routing/load_shedding.py
@@ -8,12 +8,12 @@
 
 from zincladder.routing.requests import PendingRequest
 
-# Of a class's latency objective, by which a transfer may be prolonged by an overload.
+# An overload may prolong a transfer by this share of its class's latency objective.
 MAX_OBJECTIVE_OVERRUN = 1.0
 # Load of the location's link, in transfers over those at full pace, from which fills are slower than the
 # load.
 SATURATED_LINK_LOAD = 2.5
-# Of a class's timeout: with more than this left, a request is never hopeless.
+# A request with more than this share of its class's timeout left is never hopeless.
 SURE_TIMEOUT_SHARE = 0.5
 
 
--- a/zincladder/routing/outlier_ejection.py
+++ b/zincladder/routing/outlier_ejection.py
@@ -17,10 +17,11 @@
 from zincladder.routing.state import RouterState
 
 FAILURE_EWMA_WEIGHT = 0.3  # of the newest outcome
-# By which the failure rate of one endpoint must exceed that of another for only the first to be blamed.
+# One of two endpoints is blamed alone only where its failure rate exceeds the other's by this much.
 MIN_FAILURE_RATE_DIFFERENCE = 0.1
 EJECTION_FAILURE_RATE = 0.6  # three failures in a row, or most of many
-MAX_EJECTED_SHARE = 0.5  # of a ring: a fault of the whole location must not empty it
+# Ejection stops once this share of the ring is ejected; a ring of one may be emptied.
+MAX_EJECTED_SHARE = 0.5
 TRIAL_INTERVAL_SECONDS = 2.0  # each trial may cost one request a silence timeout
 # An attempt at a cache that says nothing at all for longer than this many latency objectives of its class
 # plus transfer times of its own is silent; answers share links, and fills come before them.
@@ -84,6 +85,7 @@
 
 def _may_eject_one_more(state: RouterState, endpoint_id: api.EndpointId) -> bool:
     endpoints = state.endpoints
+    # An endpoint on neither ring (the origin, a cache of another location) counts by the ring of parents.
     ring = endpoints.caches if endpoint_id in endpoints.caches.ids else endpoints.parents
     ejected = sum(endpoints.stats[i].is_ejected for i in ring.ids)
     return ejected < MAX_EJECTED_SHARE * len(ring.ids)
--- a/zincladder/routing/selection.py
+++ b/zincladder/routing/selection.py
@@ -56,9 +56,13 @@
 
     Passed by are, in this order, endpoints that are not ready, that would answer too late, that slow start
     does not admit, and that are ejected or failed this request; an ejected one is asked once its trial is
-    due. Of those above the spillover utilization, or with an overloaded throttle, the least utilized is asked
-    if there is no other, and then one that fails at once. `transfer_seconds` is the work that slow start
-    counts.
+    due. Asked is, in this order:
+
+    1. the first below the spillover utilization whose throttle does not turn the request away;
+    2. the least utilized of those that are above it, or whose throttle is overloaded;
+    3. the first that was ejected or failed this request, if it fails at once and the origin may not be asked.
+
+    `transfer_seconds` is the work that slow start counts.
     """
     of_caches = ring is state.endpoints.caches
     mean = mean_utilization(state) if of_caches else 0.0
@@ -82,7 +86,8 @@
         elif utilization < spillover_at and state.fill_throttles.stays_at(
             endpoint_id, now, state.random.random
         ):
-            stats.next_trial_at = now + TRIAL_INTERVAL_SECONDS  # a single request is the trial
+            # If it is ejected, this request is its trial; no other for a while.
+            stats.next_trial_at = now + TRIAL_INTERVAL_SECONDS
             return stats
         elif least_utilized is None or utilization < least:
             least_utilized, least = stats, utilization
