--- a/zincladder/net/client_calls.py
+++ b/zincladder/net/client_calls.py
@@ -75,9 +75,8 @@
                 client.may_read = anyio.Event()
                 await client.may_read.wait()
             client.message_started_at = monotonic()
-            await read_buffer.wait_for(
-                FRAME_HEAD_BYTES
-            )  # a look ahead of the reader begins at a complete head
+            # `ClientConnection.waits_for` reads ahead of this task, from a complete head on.
+            await read_buffer.wait_for(FRAME_HEAD_BYTES)
             size = int.from_bytes(await read_buffer.read_exactly(FRAME_HEAD_BYTES), "big")
             if not 0 < size <= thrift.MAX_FRAME_BYTES:
                 raise _protocol_error(f"a frame of {size} bytes")
