--- a/tests/admission/test_fair_queue.py
+++ b/tests/admission/test_fair_queue.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tests.support.admission import FLOOD_HOST
-from zincladder.admission.fair_queue import MAX_LOOP_LAG_SECONDS, WeightedFairQueue
+from zincladder.admission.fair_queue import RATE_CUT_LAG_SECONDS, WeightedFairQueue
 from zincladder.admission.loop_costs import REQUEST_SECONDS
 from zincladder.admission.model import ConnectionSlot, PriorityLane, Source
 from zincladder.admission.source_key import key_of
@@ -67,7 +67,7 @@
     read_queue, now = WeightedFairQueue(0.6, 0.35), 0.0
     for _ in range(50):
         now += 0.01
-        read_queue.dispatch(now, 2 * MAX_LOOP_LAG_SECONDS)
+        read_queue.dispatch(now, 2 * RATE_CUT_LAG_SECONDS)
     low = read_queue.rate
     for _ in range(100):
         now += 0.01
--- a/zincladder/admission/connection_control.py
+++ b/zincladder/admission/connection_control.py
@@ -133,7 +133,7 @@
         return Decision(REJECT, reason, key, lane)
 
     def record_expired(self, decision: Decision) -> None:
-        """Count a connection that was pending in vain, or that the system had no descriptor for."""
+        """Count a connection that found no place among the pending, or waited too long there."""
         rejected = self._state.counters.rejected_connections
         rejected[decision.reason.value] = rejected.get(decision.reason.value, 0) + 1
 
--- a/zincladder/admission/descriptor_budget.py
+++ b/zincladder/admission/descriptor_budget.py
@@ -102,7 +102,7 @@
 
     @property
     def used(self) -> int:
-        """All descriptors in use, the process's own included."""
+        """All descriptors in use, with the process's own where the budget counts them."""
         return self._own + sum(pool.used for pool in self.pools.values())
 
     @property
@@ -111,7 +111,7 @@
         return max(0, self.used - self.total)
 
 
-# Without admission by source: fixed shares, as the platform's clients use a third at most.
+# Without admission by source: fixed shares.
 FIXED_POOLS = {
     DescriptorUse.CLIENTS: PoolShare(0.55, 0.55),
     DescriptorUse.CACHES: PoolShare(0.33, 0.33),
--- a/zincladder/admission/fair_queue.py
+++ b/zincladder/admission/fair_queue.py
@@ -17,7 +17,7 @@
 MAX_CREDIT_SECONDS = 0.03  # of loop time, times a lane's share
 SPARE_GRANT_SECONDS = 0.006  # of spare credit to a lane with a queue, at each dispatch
 QUANTUM_SECONDS = REQUEST_SECONDS  # that a flow may use in one turn
-MAX_LOOP_LAG_SECONDS = 0.025  # past which less is let in
+RATE_CUT_LAG_SECONDS = 0.025  # past which less is let in
 MIN_RATE, MAX_RATE = 0.08, 0.9  # seconds of loop time a second
 RATE_CUT = 0.96  # factor, at each dispatch while the loop lags
 RATE_REGAIN = 0.004  # at each dispatch else; three times that while nothing is queued
@@ -183,7 +183,7 @@
         How much of a core this process gets is not known; that the loop lags is seen.
         """
         waiting = any(queue.waiting for queue in self._queues)
-        if loop_lag > MAX_LOOP_LAG_SECONDS:
+        if loop_lag > RATE_CUT_LAG_SECONDS:
             self.rate = max(MIN_RATE, self.rate * RATE_CUT)
         elif self.rate < MAX_RATE:
             self.rate = min(MAX_RATE, self.rate + (RATE_REGAIN if waiting else 3 * RATE_REGAIN))
--- a/zincladder/consensus/log_replication.py
+++ b/zincladder/consensus/log_replication.py
@@ -150,6 +150,11 @@
         return stored[(len(stored) - 1) // 2] if stored else 0
 
     def _stored_index(self, name: str) -> int:
+        """The last index that a voter stores.
+
+        The leader's own entries count before they are on disk: the host writes them before it sends or
+        applies anything.
+        """
         if name == self._state.name:
             return self._state.log.last_index
         peer = self._state.peers.get(name)
--- a/zincladder/core/loop_monitor.py
+++ b/zincladder/core/loop_monitor.py
@@ -10,7 +10,7 @@
 from zincladder.core.arrival import LoopTurns
 
 TICK_SECONDS = 0.01  # between two ticks, at which timers fire
-STALL_SECONDS = 0.1  # lateness from which the process counts as stalled, and timers as evidence of nothing
+STALL_SECONDS = 0.1  # lateness from which the process counts as stalled: time-outs then prove nothing
 CATCH_UP_TURNS = 4  # of the loop: poll, read, hear of the attempt's end, notify the router
 
 
--- a/zincladder/net/cache_connection.py
+++ b/zincladder/net/cache_connection.py
@@ -126,7 +126,7 @@
             self.used_at = monotonic()
             exchange = self.open.get(head.exchange_id)
             if exchange is None or exchange.write is None or not exchange.write.started:
-                continue  # late, a second copy, or an answer ahead: no exchange's, nor taken for another's
+                continue  # no exchange waits for it: late, a duplicate, or before its request was sent
             # One that cannot be read ends as all others here.
             end = read_attempt_end(
                 head, body, exchange.is_health_check, exchange.copy_tag, self._report_names()
@@ -152,7 +152,7 @@
 
     def close(self) -> None:
         """Nothing new goes out here from now on, and what is open ends with it."""
-        self.closing = True  # asking the scope costs a look at the clock, for each connection and request
+        self.closing = True  # a flag of its own: CancelScope.cancel_called reads the clock
         self._scope.cancel()
 
     def close_if_retired(self) -> None:
--- a/zincladder/net/cache_pool.py
+++ b/zincladder/net/cache_pool.py
@@ -138,7 +138,7 @@
         """A new connection, unless one that fell idle comes first: it is the waiter's then."""
         self._descriptors.force_acquire(
             DescriptorUse.CACHES
-        )  # past its maximum by those that are making room, which close at once
+        )  # may pass the maximum for a moment: a connection that was closed to make room still counts
         sock: socket.socket | None = None
         self._waiters.setdefault(endpoint, []).append(waiter)
         connect_timeout = self._config.settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_SECONDS
@@ -188,8 +188,8 @@
         except OSError as fault:
             if fault.errno not in (errno.EMFILE, errno.ENFILE):
                 raise
-        # The limit was lowered, or the system is short: idle clients are closed within a tick, and one of
-        # their descriptors is for this connection.
+        # The limit was lowered, or the system is short. The smaller budget makes admission close idle
+        # clients: by source at the next tick, by connection when the next client comes.
         self._lines.warning("no descriptor for a cache connection", used=self._descriptors.used)
         self._descriptors.resize(min(self._descriptors.total, self._descriptors.used - FREED_DESCRIPTORS))
         await anyio.sleep(DESCRIPTOR_WAIT_SECONDS)
--- a/zincladder/net/client_calls.py
+++ b/zincladder/net/client_calls.py
@@ -120,7 +120,8 @@
             # Guards against two requests under one number: nobody could tell their answers apart.
             raise _protocol_error(f"sequence number {call.seq} after {last_seq}")
         if len(client.open) >= MAX_OPEN_REQUESTS:
-            # Guards the usual clients: what has not begun is never forwarded, and the rest is abandoned.
+            # Guards the other clients: this connection ends. Its open requests are answered as failed and
+            # their attempts cancelled.
             raise _protocol_error(f"more than {MAX_OPEN_REQUESTS} requests open")
 
     def _measure_unread(self, client: ClientConnection, noticed_at: float) -> float:
@@ -143,7 +144,7 @@
         opened.withdrawn = True
         if opened.started:
             opened.scope.cancel()
-        # Guards usual clients, who withdraw what has run out of time, however many requests those are.
+        # Counts only requests withdrawn before they began: clients may withdraw any number of started ones.
         client.withdrawn_before_start += not opened.started
         if client.withdrawn_before_start > MAX_WITHDRAWN_BEFORE_START:
             raise _protocol_error(f"{client.withdrawn_before_start} requests taken back before they began")
@@ -181,8 +182,8 @@
     def _reject(
         self, client: ClientConnection, seq: int, request: ClientRequest, reason: RejectionReason
     ) -> None:
-        # Guards the memory limit, which a request with its body counts against, and the loop. The settings'
-        # own ceiling is observed here too: what is past it never reaches the router.
+        # Guards the memory limit, against which a request with its body counts, and the loop. The settings'
+        # ceiling of open requests is part of this check: the Router has none.
         self._lines.warning(
             "request shed",
             reason=reason.value,
--- a/zincladder/net/client_connection.py
+++ b/zincladder/net/client_connection.py
@@ -48,11 +48,11 @@
     has_sent_message: bool = False  # a complete one
     message_started_at: float = 0.0  # of the message that is coming; 0: none
     withdrawn_before_start: int = 0  # requests, with no answer between them
-    linger_seconds: float | None = None  # for which its own close is waited for; None: it has come
+    linger_seconds: float | None = None  # to send and to wait for the client's close; None: close at once
     linger_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)  # cancelled, it closes at once
 
     def close(self, linger_seconds: float | None = None) -> None:
-        """Guards what is to come: nothing of this client is forwarded from here."""
+        """Closes it and cancels its tasks: none of its requests is forwarded from here on."""
         if not self.closed:
             self.closed, self.linger_seconds = True, linger_seconds
             self.scope.cancel()
--- a/zincladder/net/client_listener.py
+++ b/zincladder/net/client_listener.py
@@ -28,7 +28,7 @@
 CONNECTIONS_PER_TURN = 64  # taken before the other tasks have their turn
 SHORTAGE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # accept(2): nothing is left
 MIN_PAUSE_SECONDS, MAX_PAUSE_SECONDS = 0.01, 0.2  # of the listener then, doubled from the first to the second
-FREED_DESCRIPTORS = 4  # then, for caches and the coordinator's watch too
+FREED_DESCRIPTORS = 4  # by a shortage, for caches and the coordinator's watch
 WAIT_SECONDS = 0.005
 MAX_PENDING_SECONDS = 0.5  # for which a connection may wait for a slot
 REJECT = Verdict.REJECT
@@ -225,7 +225,7 @@
             self._admission.descriptors.resize(total)
 
     async def _handle_shortage(self, fault: OSError) -> None:
-        """No descriptor is left: those that wait are ended by the spare, so that the queue doesn't stay full.
+        """No descriptor is left: shrinks the budget, resets waiting connections with the spare, and pauses.
 
         Guards against going round for ever on a listener that stays readable: it pauses, longer each time.
         """
--- a/zincladder/net/client_server.py
+++ b/zincladder/net/client_server.py
@@ -34,7 +34,7 @@
 IDLE_TIMEOUT_SECONDS = 5.0  # without a request; clients close after 4 s, others are closed here
 SWEEP_INTERVAL_SECONDS = 0.2  # between two checks of these
 LOAD_INTERVAL_SECONDS = 1.0  # between two measurements of the process's load
-# After SIGTERM clients go on coming for 0.6 s; what comes 0.7 s after it may not stay unanswered.
+# The platform's rules: clients connect until 0.6 s after SIGTERM, and what comes until 0.7 s is answered.
 ACCEPT_AFTER_STOP_SECONDS = 0.65
 # SIGKILL comes 0.7 s after the longest timeout, counted as 3 s where it is longer. What is open a little
 # before that is answered as failed, and the answers then have a moment to leave.
@@ -147,7 +147,10 @@
         self._tasks.start_soon(self._serve, client)
 
     def _evict(self, slot: ConnectionSlot, reason: RejectionReason) -> None:
-        """Closes a connection that admission has chosen, unless it has something to say by now."""
+        """Closes a connection that admission chose.
+
+        It stays if it has a request open or, where it was to make room, is not idle any more.
+        """
         client = self._clients.get(slot)
         if client is None:
             return
--- a/zincladder/policy/coordinator.py
+++ b/zincladder/policy/coordinator.py
@@ -1,6 +1,6 @@
-"""The leader's part in a policy change: grants leases on the version in force, and takes a change on. No I/O.
+"""The leader's part in a policy change: leases on the version in force, and the phases of a change. No I/O.
 
-What has to outlive any leader is in the group's record, which changes by compare and swap. Leases are not in
+What a new leader needs is in the group's record, which changes by compare and swap. Leases are not in
 it: a new leader waits until all that its predecessor may have granted have expired. Every message handed in
 was followed by a confirmation that this replica leads, so no lease began after a successor's election.
 
--- a/zincladder/routing/interface.py
+++ b/zincladder/routing/interface.py
@@ -147,7 +147,7 @@
     may_cancel: bool = False
     hedged_requests: bool = False
     probes: bool = False
-    retry_after: bool = False  # clients heed it
+    retry_after: bool = False  # clients heed it; not used: a wait is named where max_retry_after is above 0
     max_retry_after: float = 0.0  # seconds
     may_bypass_caches: bool = False
     coalesces_fills: bool = False
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -201,7 +201,10 @@
     # Ending ---------------------------------------------------------------------------------------
 
     async def _flush(self) -> None:
-        """Send the last samples and give leases back, each within FLUSH_TIMEOUT_SECONDS."""
+        """Send the last samples and release leases, each within FLUSH_TIMEOUT_SECONDS.
+
+        It may end after SIGKILL is due; all requests are answered by then.
+        """
         async with anyio.create_task_group() as group:
             for remote_write in self.remote_writes:
                 group.start_soon(remote_write.finish, FLUSH_TIMEOUT_SECONDS)
