--- a/tests/routing/test_health_checks.py
+++ b/tests/routing/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Load reports and the probes that ask for them."""
+"""Load reports and the probes that request them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 Outcome = api.AttemptOutcome
 
 
-def test_load_reports_of_parents_or_of_odd_length_are_ignored() -> None:
+def test_load_reports_of_parents_or_of_unexpected_length_are_ignored() -> None:
     driver = Driver(report_names=("link",))
     sent = only_fetch(driver.request(1))
     driver.end_attempt(1, 0, sent.endpoint, Outcome.OK, True, report=(9.0, 9.0))
@@ -23,7 +23,7 @@
     assert driver.state.location_link_load == 9.0
 
 
-def test_load_reported_to_probes_only_is_probed_for_and_otherwise_never() -> None:
+def test_probes_are_sent_only_if_permitted_and_load_is_reported_to_probes_only() -> None:
     driver = Driver(report_names=("link",), load_by_health_check=True, probes=True)
     tokens = list(driver.router.timers)
     assert len(tokens) == 1
@@ -35,19 +35,18 @@
 
 
 @pytest.mark.parametrize("off", [{"probes": False}, {"load_by_health_check": False}])
-def test_new_settings_begin_and_end_the_probes(off: dict[str, Any]) -> None:
+def test_new_settings_start_and_stop_the_probes(off: dict[str, Any]) -> None:
     driver = Driver(report_names=("link",), load_by_health_check=True, probes=True)
     probed = driver.state.settings
     same = tuple(range(len(probed.classes)))
     driver.handle(api.SettingsChanged(replace(probed, **off), same))
     (token,) = driver.router.timers
     driver.now += 0.5
-    assert (
-        driver.handle(api.TimerFired(token)) == [] and not driver.router.timers
-    )  # they are not permitted any more
+    # The new settings do not ask for probes.
+    assert driver.handle(api.TimerFired(token)) == [] and not driver.router.timers
     assert [type(a) for a in driver.handle(api.SettingsChanged(probed, same))] == []
     driver.update_endpoints(cache(1))
-    (token,) = driver.router.timers  # one round, by the first event under such settings
+    (token,) = driver.router.timers  # the first event after the change starts the probes, once
     driver.now += 0.5
     assert [type(a) for a in driver.handle(api.TimerFired(token))] == [api.Probe, api.SetTimer]
     driver.update_endpoints(cache(1))
--- a/tests/routing/test_imports.py
+++ b/tests/routing/test_imports.py
@@ -1,4 +1,4 @@
-"""What the modules of the decisions may import, and where decisions may stand."""
+"""The imports that the routing modules and the simulator adapter may have."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from tests.support.imports import PACKAGE, imported
 
-# The modules of the decisions, each with those of the package that it imports, from the bottom up.
-DECISIONS = {
+# The modules of `routing`, each with the modules of `routing` that it imports, in order of dependency.
+ALLOWED_IMPORTS = {
     "budgets": "interface",
     "capacity": "",
     "fill_throttle": "interface",
@@ -36,18 +36,29 @@
 }
 
 
-def test_each_module_of_the_decisions_imports_the_standard_library_and_its_rules_only() -> None:
-    inputs = {"time", "os", "io", "socket", "sys", "datetime", "threading", "asyncio", "pathlib", "random"}
+def test_each_routing_module_imports_only_the_listed_modules_and_the_standard_library() -> None:
+    io_modules = {
+        "time",
+        "os",
+        "io",
+        "socket",
+        "sys",
+        "datetime",
+        "threading",
+        "asyncio",
+        "pathlib",
+        "random",
+    }
     present = {path.stem for path in (PACKAGE / "routing").glob("*.py")}
-    assert present == {*DECISIONS, "__init__", "interface"}
+    assert present == {*ALLOWED_IMPORTS, "__init__", "interface"}
     below = {"interface"}
-    for name, allowed in DECISIONS.items():
+    for name, allowed in ALLOWED_IMPORTS.items():
         modules = imported(f"routing/{name}.py")
-        ours = {module for module in modules if module.split(".")[0] not in sys.stdlib_module_names}
-        assert ours == {f"zincladder.routing.{module}" for module in allowed.split()}
-        assert set(allowed.split()) <= below  # imports run downwards
+        own = {module for module in modules if module.split(".")[0] not in sys.stdlib_module_names}
+        assert own == {f"zincladder.routing.{module}" for module in allowed.split()}
+        assert set(allowed.split()) <= below  # no module imports a later one
         below.add(name)
-        assert not (inputs - ({"random"} if name == "state" else set())) & modules
+        assert not (io_modules - ({"random"} if name == "state" else set())) & modules
 
 
 def test_the_interface_holds_no_logic() -> None:
@@ -56,11 +67,11 @@
     assert not [n for n in ast.walk(tree) if isinstance(n, logic)]
 
 
-def test_the_adapter_does_not_reach_into_a_router() -> None:
+def test_the_adapter_does_not_access_the_state_of_a_router() -> None:
     for name in ("simulator/adapter.py", "simulator/wire.py"):
         tree = ast.parse((PACKAGE / name).read_text())
-        calls = {n.attr for n in ast.walk(tree) if isinstance(n, ast.Attribute)}
-        assert not calls & {
+        attributes = {n.attr for n in ast.walk(tree) if isinstance(n, ast.Attribute)}
+        assert not attributes & {
             "state",
             "endpoints",
             "pending",
@@ -72,9 +83,9 @@
         }
 
 
-def test_the_decisions_and_the_adapter_need_the_standard_library_only() -> None:
+def test_routing_and_the_adapter_import_only_the_standard_library_and_this_package() -> None:
     for name in (
-        *(f"routing/{module}.py" for module in (*DECISIONS, "interface")),
+        *(f"routing/{module}.py" for module in (*ALLOWED_IMPORTS, "interface")),
         "simulator/wire.py",
         "simulator/adapter.py",
         "config/__init__.py",
@@ -83,8 +94,8 @@
         assert roots <= set(sys.stdlib_module_names) | {"zincladder"}
 
 
-def test_all_that_the_adapter_loads_is_of_the_standard_library_or_of_this_package() -> None:
-    # Without site packages, so that an import of anything else fails.
+def test_the_adapter_loads_only_the_standard_library_and_this_package() -> None:
+    # -S disables site packages, so that an import of anything else fails.
     script = "import sys, zincladder.simulator.adapter; print(*sys.modules)"
     loaded = subprocess.run(
         [sys.executable, "-S", "-c", script], cwd=PACKAGE.parent, capture_output=True, check=True, text=True
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outliers: what ejects an endpoint, what does not, and what brings it back."""
+"""Outlier ejection: what ejects an endpoint, what does not, and what reinstates it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def fail_until_ejected(driver: Driver, endpoint: bytes, result: Outcome = Outcome.UNREACHABLE) -> int:
-    """Fails every attempt at an endpoint until it is ejected; gives the number of failures."""
+    """Fails every attempt at an endpoint until it is ejected; returns the number of failures."""
     failures = 0
     for n in range(1, 2000):
         sent = only_fetch(driver.request(n, key=n, kb=10.0))
@@ -35,50 +35,59 @@
         driver.end_attempt(n, attempt, sent.endpoint, Outcome.OK, True, fill_outcome=Fill.HIT)
         if driver.endpoints.stats[endpoint].is_ejected:
             return failures
-    raise AssertionError("never ejected")
+    raise AssertionError("the endpoint was never ejected")
 
 
 def after_silence_timeout(
-    report: tuple[float, ...], heard: str
+    report: tuple[float, ...], answering: str
 ) -> tuple[Driver, api.Fetch, list[api.Action]]:
-    """Lets a silence timeout run out; meanwhile the cache, and maybe the source, answers another."""
+    """Lets the silence timeout of an attempt expire; returns the driver, the attempt and the actions.
+
+    `answering` names what answers another attempt meanwhile: nothing (""), the "cache", or "both" the cache
+    and the source.
+    """
     driver = Driver(report_names=("link",))
     actions = driver.request(1)
     sent = only_fetch(actions)
     (timer,) = [a for a in actions if isinstance(a, api.SetTimer)]
     driver.now += timer.delay / 2
-    if heard:
+    if answering:
         driver.request(2)
-        note = Fill.FILLED if heard == "both" else Fill.HIT
-        driver.end_attempt(2, 0, sent.endpoint, Outcome.OK, True, fill_outcome=note, report=report)
+        fill_outcome = Fill.FILLED if answering == "both" else Fill.HIT
+        driver.end_attempt(2, 0, sent.endpoint, Outcome.OK, True, fill_outcome=fill_outcome, report=report)
     driver.now += timer.delay / 2
     return driver, sent, driver.handle(api.TimerFired(timer.token))
 
 
 def reject_fills_from(source: bytes, driver: Driver, requests: range) -> list[int]:
-    """Requests in turn; every fill from `source` is rejected without a note. Gives the attempts of each."""
-    tries = []
+    """Serves requests in turn; returns the number of attempts of each.
+
+    Every fill from `source` is rejected, without a fill outcome that reports the source.
+    """
+    attempt_counts = []
     for n in requests:
         actions, attempt = driver.request(n, key=n, kb=0.0), 0
         while attempts_in(actions):
             sent = only_fetch(actions)
             rejected = sent.source == source
             result = Outcome.REJECTED if rejected else Outcome.OK
-            note = Fill.NONE if rejected else Fill.FILLED
-            actions = driver.end_attempt(n, attempt, sent.endpoint, result, not rejected, fill_outcome=note)
+            fill_outcome = Fill.NONE if rejected else Fill.FILLED
+            actions = driver.end_attempt(
+                n, attempt, sent.endpoint, result, not rejected, fill_outcome=fill_outcome
+            )
             attempt += 1
-        tries.append(attempt)
+        attempt_counts.append(attempt)
         driver.now += 0.05
-    return tries
+    return attempt_counts
 
 
 @pytest.mark.parametrize("result", [Outcome.ERROR, Outcome.RESET])
-def test_an_error_or_a_reset_is_not_counted_against_the_cache(
+def test_an_error_or_a_reset_does_not_count_against_the_cache(
     result: Outcome,
 ) -> None:
-    # Guards the caches against bad clients, whose requests all end with errors, and truncated answers.
+    # Otherwise faulty clients, whose requests all end with errors, or truncated answers get caches ejected.
     driver = Driver()
-    homes = caches_asked(driver)
+    initial_caches = caches_asked(driver)
     for n in range(1, 60):
         sent, attempt = only_fetch(driver.request(n, key=n)), 0
         while not final_answers(actions := driver.end_attempt(n, attempt, sent.endpoint, result)):
@@ -86,93 +95,95 @@
         assert attempt + 1 == (2 if result is Outcome.ERROR else 4)
     assert (
         not any(stats.is_ejected for stats in driver.endpoints.stats.values())
-        and caches_asked(driver) == homes
+        and caches_asked(driver) == initial_caches
     )
 
 
-def test_a_request_whose_answer_was_truncated_goes_to_its_cache_once_more() -> None:
+def test_after_a_truncated_answer_the_same_cache_is_asked_once_more() -> None:
     driver = Driver()
-    own = only_fetch(driver.request(1, key=1)).endpoint
-    assert only_fetch(driver.end_attempt(1, 0, own, Outcome.RESET)).endpoint == own
-    assert only_fetch(driver.end_attempt(1, 1, own, Outcome.RESET)).endpoint != own
+    first = only_fetch(driver.request(1, key=1)).endpoint
+    assert only_fetch(driver.end_attempt(1, 0, first, Outcome.RESET)).endpoint == first
+    assert only_fetch(driver.end_attempt(1, 1, first, Outcome.RESET)).endpoint != first
 
 
-def test_an_endpoint_is_ejected_after_a_few_failures_whatever_their_kind() -> None:
+def test_an_endpoint_is_ejected_after_a_few_failures_of_any_kind() -> None:
     for result in (Outcome.UNREACHABLE, Outcome.TIMED_OUT, Outcome.REJECTED):
         driver = Driver()
         assert fail_until_ejected(driver, b"cache1", result) <= 4
         assert b"cache1" not in caches_asked(driver)
 
 
-def test_one_trial_brings_an_endpoint_back_and_a_failed_one_waits_again() -> None:
+def test_an_ejected_endpoint_gets_one_trial_at_a_time_and_waits_after_a_failed_one() -> None:
     driver = Driver()
     fail_until_ejected(driver, b"cache1")
     driver.now += 2.01
-    asked = []
+    trials = []
     for n in range(5000, 5300):
         sent = only_fetch(driver.request(n, key=n))
         if sent.endpoint == b"cache1":
-            asked.append(n)
+            trials.append(n)
         else:
             driver.end_attempt(n, 0, sent.endpoint, Outcome.OK, True, fill_outcome=Fill.HIT)
-    assert len(asked) == 1  # a single request tries it
-    driver.end_attempt(asked[0], 0, b"cache1", Outcome.UNREACHABLE)
+    assert len(trials) == 1
+    driver.end_attempt(trials[0], 0, b"cache1", Outcome.UNREACHABLE)
     driver.now += 1.9
     assert b"cache1" not in caches_asked(driver, 6000)
     driver.now += 0.2
     assert b"cache1" in caches_asked(driver, 7000)
 
 
-def test_a_new_start_time_brings_an_endpoint_back() -> None:
+def test_a_new_start_time_reinstates_an_endpoint() -> None:
     driver = Driver()
     fail_until_ejected(driver, b"cache1")
     driver.update_endpoints(cache(1, started_at=50.0))
     assert b"cache1" in caches_asked(driver)
 
 
-def test_a_fault_of_the_whole_location_does_not_empty_the_ring() -> None:
+def test_a_failure_of_the_whole_location_ejects_at_most_half_of_its_caches() -> None:
     driver = Driver()
     for n in range(1, 200):
         actions, attempt = driver.request(n, key=n), 0
         while attempts_in(actions):
             actions = driver.end_attempt(n, attempt, attempts_in(actions)[0].endpoint, Outcome.UNREACHABLE)
             attempt += 1
-    assert sum(driver.endpoints.stats[i].is_ejected for i in driver.endpoints.caches.ids) == 2  # half of four
+    assert (
+        sum(driver.endpoints.stats[i].is_ejected for i in driver.endpoints.caches.ids) == 2
+    )  # half of the four caches
     assert len(caches_asked(driver)) >= 2
 
 
-def test_a_failed_source_is_blamed_and_the_cache_is_not() -> None:
+def test_a_failed_source_is_ejected_and_the_cache_is_not() -> None:
     driver = Driver()
     first = only_fetch(driver.request(1))
     again = only_fetch(
         driver.end_attempt(1, 0, first.endpoint, Outcome.REJECTED, fill_outcome=Fill.SOURCE_FAILED)
     )
     assert again.endpoint == first.endpoint and again.source != first.source
-    asked = 1
-    for n in range(2, 100):  # the next source is asked more and more before it is ejected
-        if only_fetch(driver.request(n)).source == first.source and asked < 3:
+    failures = 1
+    for n in range(2, 100):  # an increasing share of requests uses the next source until this one is ejected
+        if only_fetch(driver.request(n)).source == first.source and failures < 3:
             driver.end_attempt(n, 0, first.endpoint, Outcome.REJECTED, fill_outcome=Fill.SOURCE_FAILED)
-            asked += 1
-    assert asked == 3
+            failures += 1
+    assert failures == 3
     assert (
         driver.endpoints.stats[first.source].is_ejected
         and not driver.endpoints.stats[first.endpoint].is_ejected
     )
 
 
-def test_silence_and_a_slow_answer_are_told_apart_by_other_answers() -> None:
+def test_a_cache_that_answers_other_attempts_is_not_silent() -> None:
     assert after_silence_timeout((0.0,), "")[2] == [api.Cancel(1, 0)]
     assert [type(a) for a in after_silence_timeout((0.0,), "both")[2]] == [api.SetTimer]
 
 
-def test_an_attempt_with_a_quiet_source_runs_on_and_the_source_is_not_blamed() -> None:
-    # Where each router has few fills healthy parents look silent; ejecting them would overload the origin.
+def test_an_attempt_with_a_silent_source_continues_and_the_source_is_not_blamed() -> None:
+    # A router with few fills hears little from healthy parents; ejecting them would overload the origin.
     driver, sent, actions = after_silence_timeout((0.0,), "cache")
     assert [type(a) for a in actions] == [api.SetTimer]
     assert driver.endpoints.stats[sent.source].failure_rate == 0.0
 
 
-def test_slow_fills_are_not_taken_for_silent_caches() -> None:
+def test_a_cache_that_waits_for_slow_fills_is_not_silent() -> None:
     driver = Driver()
     sent = only_fetch(driver.request(1))
     for _ in range(3):
@@ -184,7 +195,7 @@
     assert not driver.endpoints.stats[sent.endpoint].failure_rate
 
 
-def test_with_one_parent_ejected_the_other_is_the_source_until_a_trial_brings_it_back() -> None:
+def test_an_ejected_parent_is_replaced_by_the_other_until_a_trial_reinstates_it() -> None:
     driver = Driver((cache(0), parent(0), parent(1), FLEET[-1]))
     for n in range(1, 40):
         sent, attempt = only_fetch(driver.request(n, key=n)), 0
@@ -216,24 +227,26 @@
     assert sum(two.endpoints.stats[b"paren%d" % n].is_ejected for n in range(2)) == 1
 
 
-def test_a_source_that_rejects_without_a_note_costs_one_attempt_and_ejects_no_cache() -> None:
+def test_unreported_rejections_by_a_source_cost_one_attempt_each_and_eject_no_cache() -> None:
     driver = Driver(fill_faults_reported=False)
-    tries = reject_fills_from(b"paren1", driver, range(1, 31))
-    assert max(tries) == 2
-    assert tries.count(2) <= 4  # then the source is known
+    attempt_counts = reject_fills_from(b"paren1", driver, range(1, 31))
+    assert max(attempt_counts) == 2
+    assert attempt_counts.count(2) <= 4  # then the source is ejected
     assert not any(driver.endpoints.stats[b"cache%d" % n].is_ejected for n in range(4))
     assert driver.endpoints.stats[b"paren1"].is_ejected
 
 
-def test_a_cache_that_rejects_without_a_note_is_ejected_and_no_source_is() -> None:
+def test_a_cache_that_rejects_is_ejected_and_no_source_is_if_faults_are_unreported() -> None:
     driver = Driver(fill_faults_reported=False)
     for n in range(1, 60):
         actions, attempt = driver.request(n, key=n, kb=0.0), 0
         while attempts_in(actions):
             sent = only_fetch(actions)
-            ill = sent.endpoint == b"cache1"
-            result, note = (Outcome.REJECTED, Fill.NONE) if ill else (Outcome.OK, Fill.FILLED)
-            actions = driver.end_attempt(n, attempt, sent.endpoint, result, not ill, fill_outcome=note)
+            rejected = sent.endpoint == b"cache1"
+            result, fill_outcome = (Outcome.REJECTED, Fill.NONE) if rejected else (Outcome.OK, Fill.FILLED)
+            actions = driver.end_attempt(
+                n, attempt, sent.endpoint, result, not rejected, fill_outcome=fill_outcome
+            )
             attempt += 1
             assert attempt <= 3
         driver.now += 0.05
@@ -241,7 +254,7 @@
     assert not any(driver.endpoints.stats[b"paren%d" % n].is_ejected for n in range(3))
 
 
-def test_where_faults_are_reported_a_rejection_without_a_note_is_the_caches_own() -> None:
+def test_if_fill_faults_are_reported_an_unexplained_rejection_is_the_caches_fault() -> None:
     driver = Driver()
     first = only_fetch(driver.request(1))
     again = only_fetch(driver.end_attempt(1, 0, first.endpoint, Outcome.REJECTED))
@@ -249,18 +262,18 @@
 
 
 def test_a_slow_outlier_does_not_make_its_sources_look_slow() -> None:
-    # Else one slow cache makes the parents look slow, and everything is rejected.
+    # Otherwise one slow cache makes all parents look slow, and every request is rejected.
     driver = Driver((cache(0), cache(1), cache(2), parent(0), FLEET[-1]))
 
     def end(n: int, sent: api.Fetch, fill_outcome: Fill) -> None:
-        took = 0.1 * (20.0 if sent.endpoint == b"cache0" else 1.0)  # 100 KB at 1,000 KB a second
+        took = 0.1 * (20.0 if sent.endpoint == b"cache0" else 1.0)  # 0.1 s for 100 KB at 1,000 KB/s
         driver.handle(api.AttemptEnded(n, 0, sent.endpoint, Outcome.OK, took, True, fill_outcome, 0.0))
 
-    for n in range(1, 60):  # hits at all caches, then fills
+    for n in range(1, 60):  # hits first, then fills
         end(n, only_fetch(driver.request(n, key=n, kb=100.0)), Fill.HIT if n < 30 else Fill.FILLED)
     assert driver.endpoints.stats[b"cache0"].slowdown > 5
     assert driver.endpoints.stats[b"paren0"].slowdown < 1.5
-    for n in range(60, 90):  # where all caches are slow alike the fills of the parent are
+    for n in range(60, 90):  # if all caches are equally slow, the parent counts as slow
         sent = only_fetch(driver.request(n, key=n, kb=100.0))
         driver.handle(
             api.AttemptEnded(
@@ -270,25 +283,26 @@
     assert driver.endpoints.stats[b"paren0"].slowdown > 5
 
 
-def test_what_a_slow_outlier_would_make_late_goes_on_until_it_is_quick_again() -> None:
-    # Else it keeps its share of the objects, and they come late.
+def test_requests_that_a_slow_outlier_would_answer_late_go_to_other_caches() -> None:
+    # Otherwise it keeps its share of the objects, and their answers are late.
     driver = Driver((cache(0), cache(1), cache(2), parent(0), FLEET[-1]))
-    number = itertools.count(1)
+    request_ids = itertools.count(1)
 
-    def places(kb: float, slowdown: float) -> dict[int, bytes]:
-        """Where each of 60 objects is asked for; `cache0` takes `slowdown` times the transfer time."""
-        found = {}
+    def cache_by_object(kb: float, slowdown: float) -> dict[int, bytes]:
+        """The cache asked for each of 60 objects; `cache0` takes `slowdown` times the transfer time."""
+        caches = {}
         for key in range(60):
-            n = next(number)
-            found[key] = only_fetch(driver.request(n, key=key, kb=kb)).endpoint
-            took = kb / 1000 * (slowdown if found[key] == b"cache0" else 1.0)
-            driver.handle(api.AttemptEnded(n, 0, found[key], Outcome.OK, took, True, Fill.HIT, 0.0))
-        return found
-
-    homes = places(5.0, 1.0)
-    places(5.0, 20.0)
-    moved = places(400.0, 20.0)
-    assert b"cache0" in homes.values() and b"cache0" not in moved.values()
-    assert all(moved[key] == home for key, home in homes.items() if home != b"cache0")
-    assert places(5.0, 1.0) == homes  # what is in time there stays, and tells how it fares
-    assert places(400.0, 1.0) == homes
+            n = next(request_ids)
+            caches[key] = only_fetch(driver.request(n, key=key, kb=kb)).endpoint
+            took = kb / 1000 * (slowdown if caches[key] == b"cache0" else 1.0)
+            driver.handle(api.AttemptEnded(n, 0, caches[key], Outcome.OK, took, True, Fill.HIT, 0.0))
+        return caches
+
+    initial = cache_by_object(5.0, 1.0)
+    cache_by_object(5.0, 20.0)
+    moved = cache_by_object(400.0, 20.0)
+    assert b"cache0" in initial.values() and b"cache0" not in moved.values()
+    assert all(moved[key] == cache_id for key, cache_id in initial.items() if cache_id != b"cache0")
+    # Small answers are on time even there, so their requests stay at the slow cache and show its recovery.
+    assert cache_by_object(5.0, 1.0) == initial
+    assert cache_by_object(400.0, 1.0) == initial
--- a/tests/routing/test_retry.py
+++ b/tests/routing/test_retry.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent again, by what may have run and by what failed."""
+"""Whether a request may be sent again, depending on what may have been executed and what failed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 Fill = api.FillOutcome
 
 
-def test_a_request_that_is_not_idempotent_is_retried_only_if_it_never_ran() -> None:
+def test_a_request_that_is_not_idempotent_is_retried_only_if_it_was_not_executed() -> None:
     for result in (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.MISS):
         driver = Driver()
         driver.request(1, request_class=3)
@@ -22,7 +22,7 @@
         assert driver.end_attempt(1, 0, b"origin", result) == [api.Fail(1)]
 
 
-def test_a_request_with_an_idempotency_key_is_retried_within_its_window_only() -> None:
+def test_a_request_with_an_idempotency_key_is_retried_only_within_the_deduplication_window() -> None:
     for wait, again in ((1.9, True), (2.0, False)):
         driver = Driver()
         driver.request(1, request_class=2)
@@ -32,7 +32,7 @@
         assert again or final_answers(actions) == [api.Reject(1, 0.5)]
 
 
-def test_a_request_with_a_key_of_a_zone_is_not_rejected_once_it_may_have_run() -> None:
+def test_a_request_with_a_zone_scoped_key_fails_once_it_may_have_been_executed() -> None:
     request_class = api.RequestClass(
         0.8, 3.0, api.Idempotency.WITH_KEY, scope=api.Scope.ZONE, deduplication_window=0.1, uncacheable=True
     )
@@ -50,7 +50,7 @@
     ]
 
 
-def test_with_the_origin_failed_a_stale_copy_is_tried_once_where_the_class_allows_it() -> None:
+def test_after_an_origin_failure_a_stale_copy_is_tried_once_if_the_class_allows_it() -> None:
     driver = Driver(classes=(api.RequestClass(0.25, 3.0, fresh_seconds=8.0, stale_if_error_seconds=20.0),))
     sent = only_fetch(driver.request(1))
     stale = only_fetch(
@@ -58,7 +58,7 @@
     )
     assert stale.endpoint == stale.source == sent.endpoint and stale.max_age == 28.0
     assert final_answers(driver.end_attempt(1, 1, stale.endpoint, Outcome.MISS)) == [api.Reject(1, 0.25)]
-    driver.handle(api.Purged(7, 3, 1.0))  # a purge still bounds the age
+    driver.handle(api.Purged(7, 3, 1.0))  # a purge still limits the age
     sent = only_fetch(driver.request(2))
     assert (
         only_fetch(
@@ -69,24 +69,26 @@
 
 
 @pytest.mark.parametrize(("wait", "rejected"), [(0.02, False), (1.5, True)])
-def test_the_last_parent_is_asked_again_where_it_fails_at_once(wait: float, rejected: bool) -> None:
-    # Else nothing is filled where the only parent left breaks off half of its fills.
+def test_the_only_parent_is_asked_again_if_it_fails_fast(wait: float, rejected: bool) -> None:
+    # Otherwise nothing is filled if the only remaining parent breaks off half of its fills.
     driver = Driver((cache(0), parent(0), FLEET[-1]))
-    given_up = 0
+    unserved = 0
     for n in range(1, 200):
-        acts, attempt, failed = driver.request(n, key=n), 0, False
-        while sent := attempts_in(acts):
+        actions, attempt, failed = driver.request(n, key=n), 0, False
+        while sent := attempts_in(actions):
             source = sent[0].source if isinstance(sent[0], api.Fetch) else b""
             end = (Outcome.OK, Fill.FILLED, 0.02)
             if source == sent[0].endpoint:
                 end = (Outcome.MISS, Fill.NONE, 0.0)
-            elif source == b"paren0" and not failed:  # every first fill of a request
+            elif source == b"paren0" and not failed:  # the first fill of every request fails
                 end, failed = (Outcome.ERROR, Fill.SOURCE_FAILED, wait), True
-            result, note, waited = end
-            over = result is Outcome.OK
-            acts = driver.handle(
-                api.AttemptEnded(n, attempt, sent[0].endpoint, result, 0.1 + waited, over, note, waited)
+            result, fill_outcome, waited = end
+            closed = result is Outcome.OK
+            actions = driver.handle(
+                api.AttemptEnded(
+                    n, attempt, sent[0].endpoint, result, 0.1 + waited, closed, fill_outcome, waited
+                )
             )
             attempt += 1
-        given_up += bool(final_answers(acts))
-    assert given_up > 100 if rejected else given_up == 0
+        unserved += bool(final_answers(actions))
+    assert unserved > 100 if rejected else unserved == 0
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""Final answers, determinism and size."""
+"""The router: final answers, determinism, and a large fleet."""
 
 from __future__ import annotations
 
@@ -35,20 +35,20 @@
         )
 
 
-def test_a_timeout_at_the_deadline_is_answered_at_once() -> None:
+def test_a_timeout_at_the_deadline_gets_a_final_answer_at_once() -> None:
     driver = Driver()
     first = only_fetch(driver.request(1))
     driver.now += 3.0
     assert len(final_answers(driver.end_attempt(1, 0, first.endpoint, Outcome.TIMED_OUT))) == 1
 
 
-def test_an_outcome_that_closes_the_request_needs_no_answer() -> None:
+def test_an_outcome_that_closes_the_request_needs_no_final_answer() -> None:
     driver = Driver()
     assert driver.end_attempt(1, 0, only_fetch(driver.request(1)).endpoint, Outcome.OK, closed=True) == []
     assert driver.router.pending == {} and driver.router.attempts == {}
 
 
-def test_a_disconnected_client_gets_nothing_and_its_attempt_is_cancelled() -> None:
+def test_a_disconnected_client_gets_no_answer_and_its_attempt_is_cancelled() -> None:
     driver = Driver()
     driver.request(1)
     assert driver.handle(api.ClientDisconnected(1)) == [api.Cancel(1, 0)]
@@ -63,7 +63,7 @@
     )
 
 
-def test_with_an_empty_list_a_request_is_rejected_at_once_with_retry_after() -> None:
+def test_with_an_empty_endpoint_list_a_request_is_rejected_with_retry_after() -> None:
     driver = Driver(())
     assert driver.request(1) == [api.Reject(1, 0.5)]
 
@@ -74,11 +74,11 @@
     (timer,) = [a for a in actions if isinstance(a, api.SetTimer)]
     driver.now += timer.delay
     actions = driver.handle(api.TimerFired(timer.token))
-    assert actions == [api.Cancel(1, 0)]  # the next attempt waits for the outcome of this one
+    assert actions == [api.Cancel(1, 0)]  # the next attempt is sent only after this one has ended
     assert len(attempts_in(driver.end_attempt(1, 0, b"cache0", Outcome.CANCELLED))) == 1
 
 
-def test_a_stale_or_unknown_timer_changes_nothing() -> None:
+def test_a_timer_of_a_finished_attempt_or_an_unknown_token_has_no_effect() -> None:
     driver = Driver()
     actions = driver.request(1)
     driver.end_attempt(1, 0, only_fetch(actions).endpoint, Outcome.OK, True)
@@ -110,7 +110,7 @@
     assert len(outputs) == 1 and len(outputs.pop()) > 1000
 
 
-def test_a_router_knows_600_endpoints_of_230_routers() -> None:
+def test_a_router_of_230_handles_600_endpoints() -> None:
     caches = [cache(n, zone=n % 32, id=b"cache%03d" % n) for n in range(560)]
     driver = Driver([*caches, *(parent(n, id=b"paren%02d" % n) for n in range(40))], routers=230)
     assert len(driver.endpoints.stats) == 600 and len(driver.endpoints.parents.ids) == 40
--- a/tests/routing/test_settings_change.py
+++ b/tests/routing/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Other settings while requests are open, and while a front has more processes."""
+"""Settings that change while requests are pending, or because a front has more processes."""
 
 from __future__ import annotations
 
@@ -21,24 +21,23 @@
 )
 
 
-def test_the_router_keeps_attempts_and_effect_of_what_is_open_and_what_it_has_learned() -> None:
+def test_pending_requests_keep_their_limit_and_classes_their_estimates() -> None:
     driver = Driver(max_attempts=4)
     for n in range(1, 20):
         driver.serve(n, key=n, request_class=1, kb=50.0)
-    learned = driver.state.transfer_times[1].mean_seconds
+    estimate = driver.state.transfer_times[1].mean_seconds
     sent = only_fetch(driver.request(100, request_class=0))
     fewer = settings(max_attempts=1, classes=(*driver.state.settings.classes[:3], READ, WRITE))
     driver.handle(api.SettingsChanged(fewer, (0, 1, 2, -1, -1)))
     assert (
-        driver.state.transfer_times[1].mean_seconds == learned > 0
+        driver.state.transfer_times[1].mean_seconds == estimate > 0
         and driver.state.transfer_times[3].mean_seconds == 0
     )
     again = attempts_in(driver.end_attempt(100, 0, sent.endpoint, api.AttemptOutcome.UNREACHABLE))
-    assert len(again) == 1  # it was taken when four were allowed
+    assert len(again) == 1  # it arrived when four attempts were allowed
     first = only_fetch(driver.request(101, request_class=0))
-    assert final_answers(
-        driver.end_attempt(101, 0, first.endpoint, api.AttemptOutcome.UNREACHABLE)
-    )  # one now
+    # Only one attempt is allowed now.
+    assert final_answers(driver.end_attempt(101, 0, first.endpoint, api.AttemptOutcome.UNREACHABLE))
     write = attempts_in(driver.request(102, request_class=4))
     assert [a.endpoint for a in write] == [ORIGIN_ENDPOINT.id]
     assert isinstance(
@@ -46,13 +45,13 @@
     )
 
 
-def test_a_process_more_at_this_front_halves_what_a_cold_cache_is_sent() -> None:
-    def sent(processes: int) -> int:
+def test_a_second_process_of_a_front_halves_the_requests_to_a_cold_cache() -> None:
+    def requests_sent(processes: int) -> int:
         driver = Driver([cache(0, started_at=99.0), ORIGIN_ENDPOINT], may_bypass_caches=False)
-        s = driver.state.settings
-        seats = (0, s.routers_by_zone[1] + 2 * (processes - 1), 2)
+        old = driver.state.settings
+        routers = (0, old.routers_by_zone[1] + 2 * (processes - 1), 2)
         driver.handle(
-            api.SettingsChanged(settings(may_bypass_caches=False, routers_by_zone=seats), tuple(range(4)))
+            api.SettingsChanged(settings(may_bypass_caches=False, routers_by_zone=routers), tuple(range(4)))
         )
         count = 0
         for n in range(400):
@@ -60,4 +59,4 @@
             count += bool(attempts_in(driver.request(n, key=n, kb=30.0)))
         return count
 
-    assert sent(1) > 0 and sent(2) == pytest.approx(sent(1) / 2, rel=0.2)
+    assert requests_sent(1) > 0 and requests_sent(2) == pytest.approx(requests_sent(1) / 2, rel=0.2)
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: no endpoint is overloaded by all routers together, and it is used."""
+"""Slow start: all routers together neither overload a starting endpoint nor leave it unused."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def transfer_seconds_sent(driver: Driver, endpoint: bytes, kb: float = 100.0) -> float:
-    """Transfer seconds that reach an endpoint when far too much is asked within one instant."""
+    """Transfer seconds sent to an endpoint if far too many requests arrive at the same time."""
     work = 0.0
     for n in range(1, 800):
         (sent,) = attempts_in(driver.request(n, key=n, kb=kb)) or (api.Lookup(0, b""),)
@@ -40,7 +40,7 @@
 def requests_during_slow_start(
     routers: int, endpoint: bytes, fleet: tuple[api.Endpoint, ...], kb: float
 ) -> list[float]:
-    """When requests in steps of 0.1 s reach a starting endpoint from many overloaded routers."""
+    """Times, in steps of 0.1 s, of the requests that many busy routers send to a starting endpoint."""
     drivers = [Driver(fleet, seed=n, routers=routers, routers_by_zone=(0, routers)) for n in range(routers)]
     for driver in drivers:
         for n in range(20):
@@ -55,8 +55,8 @@
     return times
 
 
-def test_all_routers_together_keep_slow_start_under_its_limit_and_use_it() -> None:
-    # With many routers the even share is below one request; it has to be used all the same.
+def test_all_routers_together_stay_below_the_slow_start_limit_and_use_the_endpoint() -> None:
+    # With many routers the equal share of each is less than one request, and must still be used.
     for endpoint, fleet, routers, kb in (
         (b"cache9", (*FLEET, cache(9, started_at=100.0)), 5, 100.0),
         (b"paren9", (*FLEET, parent(9, started_at=100.0)), 40, 400.0),
@@ -70,40 +70,40 @@
 
 
 @pytest.mark.parametrize("routers", [1, 3, 30, 230])
-def test_slow_start_bears_the_sum_of_routers_of_uneven_traffic_that_come_and_go(routers: int) -> None:
-    # asked for three times what it bears, half of it by a tenth of the routers; each starts anew every 4 s
+def test_routers_with_uneven_traffic_that_restart_stay_below_the_limit_together(routers: int) -> None:
+    # The demand is three times the limit, half of it from a tenth of the routers; each restarts every 4 s.
     kb, starting = 400.0, parent(9, started_at=100.0)
     changes: dict[str, Any] = {"routers": routers, "routers_by_zone": (0, routers)}
     drivers = [Driver((*FLEET, starting), seed=n, **changes) for n in range(routers)]
     parents = drivers[0].router.state.endpoints.parents
     keys = [k for k in range(2000) if next(parents.walk(ring_position(k.to_bytes(8, "big")))) == starting.id]
-    random, times, starts, now = Random(routers), list[float](), routers, 100.0
+    random, times, next_seed, now = Random(routers), list[float](), routers, 100.0
     for request in itertools.count(1):
         now += random.expovariate(3 * 2 * starting.weight / (kb / 1000))
         if now > 106.0:
             break
         if random.random() < routers / (4.0 * 3 * 2 * starting.weight / (kb / 1000)):
-            drivers[random.randrange(routers)] = Driver((*FLEET, starting), seed=starts, **changes)
-            starts += 1
-        few = random.random() < 0.5
-        driver = drivers[random.randrange(max(1, routers // 10) if few else routers)]
+            drivers[random.randrange(routers)] = Driver((*FLEET, starting), seed=next_seed, **changes)
+            next_seed += 1
+        from_busy_tenth = random.random() < 0.5
+        driver = drivers[random.randrange(max(1, routers // 10) if from_busy_tenth else routers)]
         driver.now = now
         if driver.serve(request, key=random.choice(keys), kb=kb).source == starting.id:
             times.append(now)
     for begin in times:
-        part = 0.25 + 0.75 * (begin - 100.0) / 10
-        calls = 2 * part * starting.weight / (kb / 1000)
-        assert sum(begin <= t < begin + 1 for t in times) <= calls + 2 * math.sqrt(calls) + 2
-    assert len(times) > 0.1 * 6 * 2 * starting.weight / (kb / 1000) * 0.25  # and it is used
+        capacity_share = 0.25 + 0.75 * (begin - 100.0) / 10
+        limit = 2 * capacity_share * starting.weight / (kb / 1000)
+        assert sum(begin <= t < begin + 1 for t in times) <= limit + 2 * math.sqrt(limit) + 2
+    assert len(times) > 0.1 * 6 * 2 * starting.weight / (kb / 1000) * 0.25
 
 
-def test_a_request_larger_than_half_of_a_slow_start_budget_goes_on() -> None:
+def test_a_request_that_would_overload_a_starting_parent_goes_to_another_one() -> None:
     driver = Driver((*FLEET, parent(9, weight=4.0, started_at=100.0)))
     driver.now += 3.0
     assert all(driver.serve(n, key=n, kb=1500.0).source != b"paren9" for n in range(1, 200))
 
 
-def test_what_does_not_fit_goes_to_the_next_point_and_after_slow_start_there_is_no_limit() -> None:
+def test_requests_over_the_limit_go_to_another_cache_and_slow_start_ends() -> None:
     driver = Driver((cache(0), cache(9, started_at=100.0), parent(0)))
     for n in range(1, 300):
         assert len(attempts_in(driver.request(n, key=n))) == 1
@@ -112,15 +112,15 @@
     assert transfer_seconds_sent(driver, b"cache9") > 4
 
 
-def test_slow_start_holds_where_sizes_and_weights_are_not_announced() -> None:
-    # With transfer times of 0 a starting cache would be sent whatever comes.
+def test_slow_start_limits_requests_if_sizes_and_weights_are_not_announced() -> None:
+    # With transfer times of 0 a starting cache would get every request.
     driver = driver_without_sizes_and_weights()
     walk = walk_of(driver, 7)
     driver.update_endpoints(cache(int(walk[0][-1:]), started_at=driver.now))
-    pushed = 0
+    requests_sent = 0
     for n in range(1, 200):
         driver.now += 0.005
         sent = only_fetch(driver.request(n, key=n, kb=0.0)).endpoint
-        pushed += sent == walk[0]
+        requests_sent += sent == walk[0]
         driver.end_attempt(n, 0, sent, Outcome.OK, True, fill_outcome=Fill.HIT)
-    assert 0 < pushed * 0.1 <= 2.0 * 0.25 * 4  # overload factor x initial share x cores
+    assert 0 < requests_sent * 0.1 <= 2.0 * 0.25 * 4  # overload factor x initial share x cores
--- a/zincladder/routing/__init__.py
+++ b/zincladder/routing/__init__.py
@@ -1,20 +1,22 @@
-"""The decisions of one router, without I/O: events and a time in, actions out.
+"""The decisions of one router, without I/O: each call takes an event and the time and returns actions.
 
-`router.Router` takes each event to the rules, a module for each; `state.RouterState` is what they share, and
-`interface` has the types of events and actions. Where to look when a running router surprises:
+`router.Router` passes each event to the modules that it concerns; `state.RouterState` is the state that they
+share, and `interface` defines the events and actions. Where to look when a router behaves unexpectedly:
 
-- A request was rejected with Retry-After: `Router._plan_attempt` lists the reasons in their order;
-  `Router._on_request` has one more, `load_shedding.is_hopeless`, and `Router._on_attempt_ended` two: another
-  attempt has no point (`retry.plan_retry`), or the last one was not sent. `retry.client_may_retry` says which
-  requests fail instead. Before the Router: `Core.paused_seconds` (policy's lease), `Core.serve` (endpoint
-  list), and admission (`net/client_calls.py`, log line `request shed`).
-- An endpoint gets no requests: `selection.select_endpoint` lists what is passed by. `outlier_ejection` says
-  what ejects an endpoint and what brings it back, `slow_start` what one that has just started is given.
+- A request was rejected with Retry-After: `Router._plan_attempt` lists the reasons in the order in which they
+  are checked. `Router._on_request` rejects requests that `load_shedding.would_miss_deadline`.
+  `Router._on_attempt_ended` rejects a request if another attempt is pointless (`retry.plan_retry`) or if its
+  last attempt was not sent. `retry.client_may_retry` decides which requests fail instead. Requests can also
+  be rejected before they reach the Router: without a policy lease (`Core.paused_seconds`), without a current
+  endpoint list (`Core.serve`), and by admission (`net/client_calls.py`, log event `request shed`).
+- An endpoint gets no requests: `selection.select_endpoint` lists the reasons for skipping an endpoint.
+  `outlier_ejection` decides when an endpoint is ejected and reinstated; `slow_start` limits the requests to
+  an endpoint that has just started.
 - Retries feed an overload: lower `budgets.RETRIES_PER_SUCCESS`, then `retry.MAX_ATTEMPTS`.
-- Fills feed an overload of the origin: `fill_throttle`; while parents fail, lower
+- Fills feed an overload of the origin: see `fill_throttle`; if it happens while parents fail, lower
   `budgets.ORIGIN_FILLS_PER_REQUEST`.
-- Too much is rejected under load: raise `load_shedding.MAX_OBJECTIVE_OVERRUN`, then
-  `fill_throttle.TOLERATED_OVERLOADED_SHARE`. A log line `request shed` means admission instead:
-  `MAX_LOOP_LAG_SECONDS` in `admission/`, and `config/limits.py`.
-- A copy from before a purge was served: `copy_age`.
+- Too many requests are rejected under load: raise `load_shedding.MAX_OBJECTIVE_OVERRUN`, then
+  `fill_throttle.TOLERATED_OVERLOADED_SHARE`. The log event `request shed` means that admission rejected the
+  request: see `MAX_LOOP_LAG_SECONDS` in `admission/`, and `config/limits.py`.
+- A copy from before a purge was served: see `copy_age`.
 """
--- a/zincladder/routing/copy_age.py
+++ b/zincladder/routing/copy_age.py
@@ -1,17 +1,17 @@
-"""The maximum age of copies. No I/O."""
+"""The maximum age of the copies that may answer a request. No I/O."""
 
 from __future__ import annotations
 
 from zincladder.routing.requests import PendingRequest
 from zincladder.routing.state import RouterState
 
-MIN_AGE_SECONDS = 1e-3  # the wire reads an age of 0 as the class's own
+MIN_AGE_SECONDS = 1e-3  # above 0, because 0 stands for the fresh time of the class
 
 
 def max_copy_age(state: RouterState, pending: PendingRequest, now: float) -> float:
-    """The oldest copy that will do, in seconds; 0 for the fresh time of the class.
+    """Returns the maximum age of an acceptable copy in seconds; 0 stands for the fresh time of the class.
 
-    Guards against copies from before a purge, until all endpoints have dropped them.
+    After a purge the age is limited to the time since then, until all endpoints have dropped older copies.
     """
     request, request_class = pending.request, pending.request_class
     limit = request_class.fresh_seconds
--- a/zincladder/routing/endpoints.py
+++ b/zincladder/routing/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list, and what this router has seen of each endpoint. No I/O."""
+"""The endpoint list and the statistics of each endpoint. No I/O."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 
 class Role(Enum):
-    """What an endpoint does, by the kind that the list gives it."""
+    """What an endpoint does, derived from its kind in the list."""
 
-    CACHE = "cache"  # of this location or of another
+    CACHE = "cache"  # of any location
     PARENT = "parent"
     ORIGIN = "origin"
 
 
 @dataclass(slots=True)
 class EndpointStats:
-    """An endpoint on the list, and what this router has seen of it since its start."""
+    """An endpoint on the list, and what this router has observed of it since the endpoint started."""
 
     endpoint: api.Endpoint
     role: Role
     last_answer_at: float
     failure_rate: float = 0.0  # moving average of its outcomes, from 0 to 1
     in_flight: int = 0  # attempts of this router
-    slowdown: float = 0.0  # moving average: how many transfer times its answers, or fills from it, take
+    slowdown: float = 0.0  # moving average: duration of its answers, or of fills from it, in transfer times
     is_ejected: bool = False
-    fails_fast: bool = False  # its last failure came at once: some of its fills may succeed
-    next_trial_at: float = 0.0  # while it is ejected
+    fails_fast: bool = False  # its last failure was immediate, so some of its fills may still succeed
+    next_trial_at: float = 0.0  # earliest time of the next trial request while it is ejected
     slow_start_budget: SlowStartBudget | None = None
 
 
 class EndpointTable:
-    """The endpoints on the list, the rings over them, and what is in flight at this location's caches."""
+    """The listed endpoints, the rings over them, and the attempts in flight at this location's caches."""
 
     def __init__(self) -> None:
         self.stats: dict[api.EndpointId, EndpointStats] = {}
@@ -46,25 +46,25 @@
         self.total_cache_weight = 1.0
 
     def origin(self) -> EndpointStats | None:
-        """The origin, if one is ready."""
+        """Returns the origin, or `None` if none is ready."""
         return self.stats.get(self.origin_id) if self.origin_id else None
 
     def is_sibling_fill(self, cache: api.EndpointId, source: api.EndpointId) -> bool:
-        """Whether a cache was to fill from another cache of the location."""
+        """Whether `source` is another cache of the location than `cache`."""
         return source in self.caches.ids and source != cache
 
     def track_in_flight(self, stats: EndpointStats, change: int) -> None:
-        """Counts an attempt that was sent (1) or has ended (-1)."""
+        """Counts an attempt at an endpoint; `change` is 1 when it is sent and -1 when it has ended."""
         stats.in_flight += change
         self.in_flight_at_caches += change * (stats.endpoint.id in self.caches.ids)
 
     def assign_roles(self, settings: api.Settings) -> None:
-        """Takes roles from settings that have changed; the rings follow with the next update of the list."""
+        """Assigns roles by changed settings; the rings change only with the next update of the list."""
         for stats in self.stats.values():
             stats.role = _role(stats.endpoint, settings)
 
     def apply_update(self, update: api.EndpointUpdate, settings: api.Settings, now: float) -> None:
-        """The whole list, or changes to it."""
+        """Applies a full list, or changes to the list."""
         if update.kind is not api.UpdateKind.DELTA:
             listed = {endpoint.id for endpoint in update.endpoints}
             self.stats = {i: stats for i, stats in self.stats.items() if i in listed}
@@ -77,7 +77,7 @@
         role = _role(endpoint, settings)
         if endpoint.state is api.EndpointState.GONE:
             self.stats.pop(endpoint.id, None)
-        elif old and _goes_on(old.endpoint, endpoint):
+        elif old and _keeps_stats(old.endpoint, endpoint):
             old.endpoint = endpoint
             old.role = role
         else:
@@ -85,7 +85,7 @@
             self.stats[endpoint.id] = EndpointStats(endpoint, role, now, in_flight=in_flight)
 
     def _rebuild_rings(self, settings: api.Settings) -> None:
-        """Makes a ring anew only where its endpoints have changed."""
+        """Updates the origin and the count in flight; a ring is rebuilt only if its endpoints changed."""
         by_role: dict[Role, list[api.Endpoint]] = {role: [] for role in Role}
         for stats in self.stats.values():
             by_role[stats.role].append(stats.endpoint)
@@ -103,7 +103,10 @@
             self.parents = self._ring(parents, settings)
 
     def _ring(self, ids: api.EndpointIds, settings: api.Settings) -> Ring:
-        """Points follow an endpoint's own weight and nothing else, so that the shares of others stay put."""
+        """Builds a ring; an endpoint's number of virtual nodes depends on nothing but its own weight.
+
+        A change of one weight therefore moves no objects between other endpoints.
+        """
         if not settings.weights_known:
             return Ring(dict.fromkeys(sorted(ids), VIRTUAL_NODES_UNWEIGHTED))
         weights = {i: self.stats[i].endpoint.weight for i in sorted(ids)}
@@ -116,6 +119,6 @@
     return Role.ORIGIN if endpoint.kind == settings.origin_kind else Role.CACHE
 
 
-def _goes_on(old: api.Endpoint, new: api.Endpoint) -> bool:
-    """Whether what was seen of an endpoint stands: it has neither restarted nor returned after draining."""
+def _keeps_stats(old: api.Endpoint, new: api.Endpoint) -> bool:
+    """Whether the statistics stay valid: the endpoint has neither restarted nor returned after draining."""
     return old.started_at == new.started_at and old.state <= new.state
--- a/zincladder/routing/health_checks.py
+++ b/zincladder/routing/health_checks.py
@@ -1,4 +1,4 @@
-"""Load reports, and the probes that ask for them where answers carry none. No I/O."""
+"""Load reports, and the probes that request them if answers carry none. No I/O."""
 
 from __future__ import annotations
 
@@ -9,19 +9,22 @@
 
 
 def are_probes_wanted(settings: api.Settings) -> bool:
-    """Whether load is reported to probes only."""
+    """Whether probes are permitted and are the only source of load reports."""
     return settings.probes and settings.load_by_health_check
 
 
 def next_probed_cache(state: RouterState, turn: int) -> api.EndpointId | None:
-    """The cache that is probed on this turn, if any is ready."""
+    """Returns the cache to probe next, round-robin by `turn`, or `None` if no cache is ready."""
     endpoints = state.endpoints
     ready = [i for i in endpoints.caches.ids if endpoints.stats[i].endpoint.state is api.EndpointState.READY]
     return ready[turn % len(ready)] if ready else None
 
 
 def record_load_report(state: RouterState, endpoint_id: api.EndpointId, report: tuple[float, ...]) -> None:
-    """Takes a load report of a cache of the location; others, and those of odd length, are ignored."""
+    """Records a load report of a cache of the location.
+
+    Reports of other endpoints, and reports with an unexpected number of values, are ignored.
+    """
     names = state.settings.report_names
     if len(report) != len(names) or endpoint_id not in state.endpoints.caches.ids:
         return
--- a/zincladder/routing/interface.py
+++ b/zincladder/routing/interface.py
@@ -1,9 +1,10 @@
-"""What goes into a Router and what comes out: types only, no logic.
+"""The events that a Router takes and the actions that it returns: types only, no logic.
 
-Moments and spans are in seconds on the caller's clock, sizes in KB. An endpoint's id is opaque: bytes that
-the caller gives and gets back unchanged; nothing may be read out of it.
+Times and durations are in seconds on the caller's clock, sizes in KB. An endpoint's id is opaque: the router
+returns the caller's bytes unchanged and must not interpret them.
 
-A transfer is one answer on its way to a client at full pace; the capacity of a link is counted in transfers.
+A transfer is one answer being sent to a client at the client's full rate (`Settings.client_kb_per_s`). The
+capacity of a link is the number of transfers that it carries at the same time.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 
 
 class Idempotency(Enum):
-    """What happens if a request of a class takes effect twice."""
+    """Whether a request of a class may be executed twice."""
 
-    IDEMPOTENT = "safe"  # no harm
-    WITH_KEY = "keyed"  # duplicates of its idempotency key are dropped for a while
-    NONE = "unsafe"  # it must not happen
+    IDEMPOTENT = "safe"  # executing it twice does no harm
+    WITH_KEY = "keyed"  # endpoints drop duplicates of its idempotency key for `deduplication_window` seconds
+    NONE = "unsafe"  # it must not be executed twice
 
 
 class Scope(Enum):
-    """Which endpoints drop the duplicates of an idempotency key."""
+    """The endpoints that share the record of idempotency keys, and so drop duplicates."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,7 +33,7 @@
 
 
 class PeerFill(Enum):
-    """Which other caches may be named as the source of a fill."""
+    """Which other caches may be the source of a fill."""
 
     OFF = "off"
     LOCATION = "location"
@@ -40,7 +41,7 @@
 
 
 class EndpointState(IntEnum):
-    """What the list says of an endpoint."""
+    """The state of an endpoint in the endpoint list."""
 
     GONE = 0
     READY = 1
@@ -48,124 +49,125 @@
 
 
 class UpdateKind(IntEnum):
-    """The relation of an update to the list before it."""
+    """How an update relates to the previous endpoint list."""
 
-    DELTA = 0  # the entries that changed
+    DELTA = 0  # only the entries that changed
     FULL = 1
-    FAILED = 3  # no entries: a subscription failed, and the list before stands
-    CACHED = 4  # the whole list, possibly stale
+    FAILED = 3  # a subscription failed: there are no entries, and the previous list stays in effect
+    CACHED = 4  # the full list, possibly out of date
 
 
 class AttemptOutcome(IntEnum):
-    """The end of an attempt."""
+    """How an attempt ended."""
 
     ERROR = 0
     OK = 1
-    REJECTED = 2  # the endpoint was full; nothing ran
+    REJECTED = 2  # the endpoint was at capacity and did not execute the request
     TIMED_OUT = 3
-    UNREACHABLE = 4  # no connection was made
-    RESET = 5  # the connection broke off; the request may have run
+    UNREACHABLE = 4  # no connection could be established
+    RESET = 5  # the connection was lost; the request may have been executed
     CANCELLED = 6
-    NOT_SENT = 7  # the request was over, or had no attempts or time left
-    MISS = 8  # no fresh copy, and none was filled
+    NOT_SENT = 7  # the request was already finished, or had no attempts or time left
+    MISS = 8  # the endpoint had no fresh copy and did not fill one
 
 
 class FillOutcome(IntEnum):
-    """What an answer says about the copy or the fill, where it says anything."""
+    """What an answer reports about the copy or the fill; `NONE` if it reports nothing."""
 
     NONE = 0
     HIT = 1
     FILLED = 2
     FILLED_VIA_ORIGIN = 3
-    COALESCED = 4  # it joined a fill under way; with a miss: one is under way
-    STALE = 5  # a copy older than its fresh time
+    COALESCED = 4  # it joined a fill in progress; with outcome MISS: a fill is in progress
+    STALE = 5  # the copy was older than its fresh time
     SOURCE_REJECTED = 6
-    SOURCE_FAILED = 7  # not reached, broken off or out of time
+    SOURCE_FAILED = 7  # the source was unreachable, closed the connection or timed out
     SOURCE_MISS = 8
-    NO_FILL_SLOT = 9  # the cache has too many fills under way
-    ORIGIN_FAILED = 10  # behind the parent
+    NO_FILL_SLOT = 9  # the cache has too many fills in progress
+    ORIGIN_FAILED = 10  # the parent could not fill from the origin
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     """One class of requests.
 
-    An answer is in time within the latency objective plus `objective_per_transfer` times its transfer time.
+    An answer is on time if its latency is at most the latency objective plus `objective_per_transfer` times
+    its transfer time.
     """
 
     latency_objective: float  # seconds
-    timeout: float  # seconds that a client waits, over all its tries
+    timeout: float  # seconds that a client waits in total, over all its tries
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     objective_per_transfer: float = 0.0  # seconds for each second of transfer
-    priority_weight: float = 1.0  # of an answer in time
-    late_weight: float = 0.0  # share of it for a late one
+    priority_weight: float = 1.0  # value of an answer that is on time
+    late_weight: float = 0.0  # share of the priority weight that a late answer earns
     scope: Scope = Scope.ALL
-    deduplication_window: float = 0.0  # seconds from the first attempt that may have run
+    deduplication_window: float = 0.0  # seconds after the first attempt that may have been executed
     streamed: bool = False
     fresh_seconds: float = 0.0  # 0: a copy is fresh until it is purged
-    stale_if_error_seconds: float = 0.0  # after its fresh time, where the origin fails
+    stale_if_error_seconds: float = 0.0  # a copy is usable this long after its fresh time if the origin fails
     stale_weight: float = 0.0  # share of the priority weight that a stale copy earns
-    uncacheable: bool = False  # it runs at the origin
-    partitioned: bool = False  # objects come in parts that clients ask for in turn
+    uncacheable: bool = False  # requests are executed at the origin
+    partitioned: bool = False  # objects consist of parts that clients request one after another
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """What endpoints of a role bear after their start, and what overloads them.
+    """How the capacity of endpoints of a role grows after their start, and what overloads them.
 
-    Work at `overload_factor` times the present capacity for `overload_seconds` brings one down.
+    An endpoint fails if its load is `overload_factor` times its present capacity for `overload_seconds`.
     """
 
-    initial_share: float  # of its capacity, at the start
-    duration: float  # seconds until it bears all
+    initial_share: float  # share of its full capacity that it has at the start
+    duration: float  # seconds until it reaches its full capacity
     overload_factor: float
     overload_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The deployment as a router has to know it, and what the platform permits."""
+    """What a router needs to know about its deployment, and which features the platform permits."""
 
     classes: tuple[RequestClass, ...]
-    zone: int  # the router's own: its location
+    zone: int  # the router's own zone, which is its location
     routers_by_zone: tuple[int, ...]
     routers: int
     instance: int = 0  # the router's number
     parent_kind: int = -1  # the `Endpoint.kind` of parents; -1: there are none
     origin_kind: int = -1
     hub_of_zone: tuple[int, ...] = ()
-    link_kb_per_s: tuple[float, ...] = ()  # by zone: its link in; 0 where it is not known
-    client_kb_per_s: float = 0.0  # pace of one transfer; 0 where it is not known
+    link_kb_per_s: tuple[float, ...] = ()  # inbound link of each zone; 0: not known
+    client_kb_per_s: float = 0.0  # rate of one transfer; 0: not known
     cache_slow_start: SlowStart = SlowStart(1.0, 0.0, 0.0, 1.0)
     parent_slow_start: SlowStart = SlowStart(1.0, 0.0, 0.0, 1.0)
-    drain_grace: float = 0.0  # seconds in which requests to a draining endpoint have to end
-    answer_slack: float = 0.0  # seconds after a client's deadline in which an answer still counts
-    purge_grace: float = 0.0  # seconds from a purge event on, after which no older copy may be served
-    purge_done: float = 0.0  # seconds from a purge on, after which no endpoint has an older copy
-    max_attempts: int = 1  # of one request
+    drain_grace: float = 0.0  # seconds within which requests to a draining endpoint have to finish
+    answer_slack: float = 0.0  # seconds after a client's deadline during which an answer still counts
+    purge_grace: float = 0.0  # seconds after a purge event from which on no older copy may be served
+    purge_done: float = 0.0  # seconds after a purge from which on no endpoint has an older copy
+    max_attempts: int = 1  # per request
     connect_timeout: float = 0.0  # seconds
     may_cancel: bool = False
     hedged_requests: bool = False
     probes: bool = False
-    retry_after: bool = False  # clients heed it; not used: a wait is named where max_retry_after is above 0
+    retry_after: bool = False  # clients respect Retry-After; not used: max_retry_after above 0 enables it
     max_retry_after: float = 0.0  # seconds
     may_bypass_caches: bool = False
     coalesces_fills: bool = False
-    fill_faults_reported: bool = True  # a failed fill says whether its source was at fault
+    fill_faults_reported: bool = True  # the answer to a failed fill says whether its source was at fault
     peer_fill: PeerFill = PeerFill.OFF
-    origin_overload_factor: float = 0.0  # load at which the origin stops for a while; 0: none
-    origin_overload_seconds: float = 0.0  # for which it bears that load
-    weights_known: bool = False  # `Endpoint.weight` counts the transfers that a link fits
-    must_subscribe: bool = False  # changes of the list come only to routers that subscribe
+    origin_overload_factor: float = 0.0  # load at which the origin stops for a while; 0: it never does
+    origin_overload_seconds: float = 0.0  # how long the origin withstands that load
+    weights_known: bool = False  # `Endpoint.weight` is the number of transfers that its link carries
+    must_subscribe: bool = False  # list changes are sent only to routers that subscribe
     subscribe_within: float = 0.0  # seconds
-    report_names: tuple[str, ...] = ()  # of the values of a load report
-    load_by_health_check: bool = False  # only probes bring load reports
+    report_names: tuple[str, ...] = ()  # names of the values in a load report, in their order
+    load_by_health_check: bool = False  # load reports come only with the results of probes
     clients_mark_retries: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One entry of the list: a cache, a parent or the origin, as its kind says."""
+    """One entry of the endpoint list; `kind` says whether it is a cache, a parent or the origin."""
 
     id: EndpointId
     kind: int
@@ -173,7 +175,7 @@
     state: EndpointState = EndpointState.READY
     weight: float = 1.0
     cell: int = 0
-    started_at: float = 0.0  # 0: not known, or long ago
+    started_at: float = 0.0  # 0: unknown, or long ago
 
 
 # Events -------------------------------------------------------------------------------------------
@@ -188,25 +190,25 @@
     endpoints: tuple[Endpoint, ...] = ()
 
 
-@dataclass(slots=True)  # made for each request: a frozen one takes three times as long
+@dataclass(slots=True)  # one per request: creating a frozen instance takes three times as long
 class Request:
-    """A client's request; `deadline` is when the client gives this try up."""
+    """A client's request; the client abandons this try at `deadline`."""
 
     id: int
     object: int
     group: int
     part: int
     request_class: int
-    size_kb: float  # 0 where it is not known
+    size_kb: float  # 0: not known
     deadline: float
-    repeat: bool = False  # the client tried before
+    repeat: bool = False  # the client has tried before
     write: bool = False
     tenant: int = 0
 
 
-@dataclass(slots=True)  # made for each request: a frozen one takes three times as long
+@dataclass(slots=True)  # one per request: creating a frozen instance takes three times as long
 class AttemptEnded:
-    """The end of an attempt, one for each; `closed` says that the request is over."""
+    """The end of an attempt; every attempt has exactly one. `closed` says that the request is finished."""
 
     request: int
     attempt: int
@@ -215,20 +217,20 @@
     latency: float
     closed: bool = False
     fill_outcome: FillOutcome = FillOutcome.NONE
-    fill_wait: float = 0.0  # seconds to the first byte from the source, or to its failure
-    report: tuple[float, ...] = ()  # the endpoint's load report, if one came
+    fill_wait: float = 0.0  # seconds until the first byte from the source, or until its failure
+    report: tuple[float, ...] = ()  # the endpoint's load report; empty: the answer had none
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client is no longer waiting: the request is over."""
+    """The client is no longer waiting; the request is finished."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Purged:
-    """A purge, `age` seconds old, of one object or (object None) of a whole group."""
+    """A purge that happened `age` seconds ago, of one object, or of its whole group if `object` is None."""
 
     object: int | None
     group: int
@@ -237,7 +239,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the router has set is due."""
+    """A timer that the router has set has expired."""
 
     token: int
 
@@ -254,10 +256,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings from now on.
+    """New settings take effect.
 
-    `learned` gives for each class the number that it had before, to keep what was learned of it; -1: it is
-    new.
+    `learned` has the previous index of each class in `settings.classes`, so that its estimates are kept; -1
+    for a new class.
     """
 
     settings: Settings
@@ -281,33 +283,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Lookup:
-    """An attempt that takes a fresh copy if the endpoint has one; nothing is filled. The origin has all."""
+    """An attempt that asks an endpoint for a fresh copy, without a fill; the origin has every object."""
 
     request: int
     endpoint: EndpointId
 
 
-@dataclass(slots=True)  # made for each request: a frozen one takes three times as long
+@dataclass(slots=True)  # one per request: creating a frozen instance takes three times as long
 class Fetch:
-    """An attempt that says what to do on a miss.
+    """An attempt that says what the endpoint does on a miss.
 
-    With the endpoint itself as its source nothing is filled; with rank 0 nothing is cached.
+    If `source` is the endpoint itself, nothing is filled. If `cache_rank` is 0, nothing is cached.
     """
 
     request: int
     endpoint: EndpointId
     source: EndpointId
     cache_rank: int
-    max_age: float = 0.0  # of a copy that will do, in seconds; 0: the class's own
-    coalesce: bool = False  # it may join a fill under way
-    cached_only: bool = False  # the source gives only what it has
+    max_age: float = 0.0  # of an acceptable copy, in seconds; 0: the fresh time of the class
+    coalesce: bool = False  # it may join a fill in progress
+    cached_only: bool = False  # the source answers only from its cache
     parent_proxies: bool = False  # the source caches no copy
     renew: bool = False  # a stale copy is served and renewed afterwards
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Ends the wait for one attempt; its end still comes as an event."""
+    """Cancels one attempt; an AttemptEnded event still follows."""
 
     request: int
     attempt: int
@@ -315,7 +317,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: rejected; the client may retry without harm after `retry_after` seconds."""
+    """Final answer: rejected; the client may safely retry after `retry_after` seconds."""
 
     request: int
     retry_after: float = 0.0
@@ -323,14 +325,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; nothing is promised about the effect."""
+    """Final answer: failed; the request may or may not have been executed."""
 
     request: int
 
 
-@dataclass(slots=True)  # made for each request: a frozen one takes three times as long
+@dataclass(slots=True)  # one per request: creating a frozen instance takes three times as long
 class SetTimer:
-    """Asks for TimerFired after `delay` seconds; timers cannot be taken back."""
+    """Asks for a TimerFired event after `delay` seconds; timers cannot be cancelled."""
 
     delay: float
     token: int
@@ -338,14 +340,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Asks an endpoint whether it is well."""
+    """Sends a health check to an endpoint."""
 
     endpoint: EndpointId
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Asks for changes of the list from now on, or stops them."""
+    """Subscribes to changes of the endpoint list, or unsubscribes if `enable` is False."""
 
     enable: bool = True
 
--- a/zincladder/routing/load_shedding.py
+++ b/zincladder/routing/load_shedding.py
@@ -1,6 +1,6 @@
-"""Which requests are given up at once, as their answer would come too late. No I/O.
+"""Load shedding: requests whose answer would come too late are rejected at once. No I/O.
 
-What is shed here is rejected with Retry-After. To shed less under the same load, raise
+They are rejected with Retry-After if the client may safely retry. To shed less under the same load, raise
 `MAX_OBJECTIVE_OVERRUN`.
 """
 
@@ -8,28 +8,29 @@
 
 from zincladder.routing.requests import PendingRequest
 
-# An overload may prolong a transfer by this share of its class's latency objective.
+# An overload may prolong a transfer by at most this many latency objectives of its class.
 MAX_OBJECTIVE_OVERRUN = 1.0
-# Load of the location's link, in transfers over those at full pace, from which fills are slower than the
-# load.
+# Load of the location's link (transfers on it, divided by those that it carries) above which fills become
+# slower in proportion to the load.
 SATURATED_LINK_LOAD = 2.5
-# A request with more than this share of its class's timeout left is never hopeless.
-SURE_TIMEOUT_SHARE = 0.5
+# A request with at least this share of its class's timeout left is never rejected for lack of time.
+SUFFICIENT_TIMEOUT_SHARE = 0.5
 
 
 def would_miss_objective(pending: PendingRequest, overload: float) -> bool:
-    """Whether an overload would make the answer too late; large answers go first.
+    """Whether an overload would make the answer too late; this is the case for large answers first.
 
-    `overload` is the factor by which a transfer is prolonged (1: full pace).
+    `overload` is the factor by which a transfer is prolonged; 1 means that it is not.
     """
     overrun_seconds = (overload - 1) * pending.transfer_seconds
     return overrun_seconds > MAX_OBJECTIVE_OVERRUN * pending.request_class.latency_objective
 
 
-def is_hopeless(seconds_left: float, transfer_seconds: float, timeout: float) -> bool:
-    """Whether a client gives up before its answer can be complete, even with a copy at the first cache.
+def would_miss_deadline(seconds_left: float, transfer_seconds: float, timeout: float) -> bool:
+    """Whether the client's deadline passes before the answer can be complete, even if the first cache hits.
 
-    `seconds_left` is the time until then, `timeout` that of the request's class in seconds. Half of the
-    timeout is always enough: where sizes are not announced, `transfer_seconds` is a mean that load moves.
+    `seconds_left` is the time until the deadline, `timeout` the timeout of the request's class in seconds.
+    Half of the timeout always counts as enough: if sizes are not announced, `transfer_seconds` is a mean of
+    measured latencies, which rises with the load.
     """
-    return seconds_left < min(transfer_seconds, timeout * SURE_TIMEOUT_SHARE)
+    return seconds_left < min(transfer_seconds, timeout * SUFFICIENT_TIMEOUT_SHARE)
--- a/zincladder/routing/outlier_ejection.py
+++ b/zincladder/routing/outlier_ejection.py
@@ -1,9 +1,9 @@
-"""Outliers: endpoints that fail are ejected, caches that are slow by themselves are passed by. No I/O.
+"""Outlier ejection: endpoints that fail are ejected, and caches slower than the others are skipped. No I/O.
 
-An endpoint is ejected when the moving average of its failures, silences among them, exceeds
-`EJECTION_FAILURE_RATE`, unless `MAX_EJECTED_SHARE` of its ring are ejected. A success brings it back: of an
-attempt in flight, or of the trial request that it is sent every `TRIAL_INTERVAL_SECONDS`. So does a new start
-time on the list.
+An endpoint is ejected when the moving average of its failures, including silences, exceeds
+`EJECTION_FAILURE_RATE`, unless `MAX_EJECTED_SHARE` of its ring is ejected already. While it is ejected, it is
+sent one trial request every `TRIAL_INTERVAL_SECONDS`. It is reinstated by a success, of a trial or of an
+attempt still in flight, or by a new start time in the endpoint list.
 """
 
 from __future__ import annotations
@@ -13,40 +13,40 @@
 from zincladder.routing import interface as api
 from zincladder.routing.endpoints import EndpointStats
 from zincladder.routing.requests import Attempt, PendingRequest
-from zincladder.routing.retry import BLAMES_SOURCE
+from zincladder.routing.retry import FAULTS_BEHIND_CACHE
 from zincladder.routing.state import RouterState
 
-FAILURE_EWMA_WEIGHT = 0.3  # of the newest outcome
-# One of two endpoints is blamed alone only where its failure rate exceeds the other's by this much.
+FAILURE_EWMA_WEIGHT = 0.3  # of the latest outcome
+# Either the cache or its source is blamed alone only if its failure rate exceeds the other's by this much.
 MIN_FAILURE_RATE_DIFFERENCE = 0.1
-EJECTION_FAILURE_RATE = 0.6  # three failures in a row, or most of many
-# Ejection stops once this share of the ring is ejected; a ring of one may be emptied.
+EJECTION_FAILURE_RATE = 0.6  # reached by three failures in a row, or if most attempts fail
+# No endpoint is ejected once this share of its ring is; the only endpoint of a ring may be ejected.
 MAX_EJECTED_SHARE = 0.5
 TRIAL_INTERVAL_SECONDS = 2.0  # each trial may cost one request a silence timeout
-# An attempt at a cache that says nothing at all for longer than this many latency objectives of its class
-# plus transfer times of its own is silent; answers share links, and fills come before them.
+# The silence timeout of an attempt: latency objectives of its class plus transfer times of its request.
+# More than one of each, because answers share links and may have to wait for a fill.
 SILENCE_TIMEOUT_OBJECTIVES = 1.5
 SILENCE_TIMEOUT_TRANSFERS = 3.0
-# Times the median slowdown of the location's caches: above it a cache is slow by itself, and so are its
-# fills.
+# A cache is a slow outlier if its slowdown exceeds the median of the location's caches by this factor; fills
+# through it are slow as well.
 SLOW_OUTLIER_RATIO = 4.0
-SLOWDOWN_EWMA_WEIGHT = 0.3  # of the newest answer
-SLOWDOWN_EWMA_WEIGHT_UNSIZED = 0.02  # where sizes, which are noise then, are not announced
+SLOWDOWN_EWMA_WEIGHT = 0.3  # of the latest answer
+SLOWDOWN_EWMA_WEIGHT_UNSIZED = 0.02  # lower: if sizes are not announced, their variation is noise
 MIN_TRANSFER_SECONDS = 1e-3
 
-# Outcomes that may be a rejection or a fault of the source, where caches do not report those of fills.
+# Outcomes that the cache or its source may have caused, if caches do not report the faults of fills.
 AMBIGUOUS_OUTCOMES = (api.AttemptOutcome.REJECTED, api.AttemptOutcome.ERROR)
 
 
 def attribute_failure(state: RouterState, event: api.AttemptEnded, attempt: Attempt) -> api.EndpointIds:
-    """The endpoints to blame if the attempt failed: the cache, its source, or both where it is not known.
+    """Returns the endpoints at fault if the attempt failed: the cache, its source, or both if it is unclear.
 
-    Guards against a source that rejects without a note: all its caches would be asked in vain, and ejected.
+    Otherwise a source that rejects fills, without its caches reporting it, would get all its caches ejected.
     """
     missed_at_sibling = event.outcome is api.AttemptOutcome.MISS and state.endpoints.is_sibling_fill(
         attempt.target, attempt.source
     )
-    if event.fill_outcome in BLAMES_SOURCE or missed_at_sibling:
+    if event.fill_outcome in FAULTS_BEHIND_CACHE or missed_at_sibling:
         return {attempt.source}
     if state.settings.fill_faults_reported or event.outcome not in AMBIGUOUS_OUTCOMES:
         return {attempt.target}
@@ -64,10 +64,10 @@
 def record_outcome(
     state: RouterState, stats: EndpointStats | None, failed: bool, now: float, fails_fast: bool = False
 ) -> None:
-    """Counts a success or a failure of an endpoint, and ejects it or brings it back.
+    """Counts a success or a failure of an endpoint, and ejects or reinstates the endpoint.
 
-    Guards against endpoints that do not answer, whatever the cause: silence, errors or rejections.
-    `fails_fast` says that a failure came at once.
+    All failures count alike, whether the endpoint was silent, returned errors or rejected requests.
+    `fails_fast` says that the failure was immediate.
     """
     if stats is None:
         return
@@ -85,31 +85,31 @@
 
 def _may_eject_one_more(state: RouterState, endpoint_id: api.EndpointId) -> bool:
     endpoints = state.endpoints
-    # An endpoint on neither ring (the origin, a cache of another location) counts by the ring of parents.
+    # An endpoint on neither ring (the origin, a cache of another location) is limited by the ring of parents.
     ring = endpoints.caches if endpoint_id in endpoints.caches.ids else endpoints.parents
     ejected = sum(endpoints.stats[i].is_ejected for i in ring.ids)
     return ejected < MAX_EJECTED_SHARE * len(ring.ids)
 
 
 def silence_timeout(pending: PendingRequest) -> float:
-    """The seconds for which a cache may say nothing while an attempt of this request is in flight."""
+    """Returns the seconds after which a cache counts as silent if it answered no attempt of this router."""
     objectives = SILENCE_TIMEOUT_OBJECTIVES * pending.request_class.latency_objective
     return objectives + SILENCE_TIMEOUT_TRANSFERS * pending.transfer_seconds
 
 
 def is_silent(state: RouterState, cache: EndpointStats, attempt: Attempt, now: float) -> bool:
-    """Whether a cache is silent after its silence timeout: it answered nothing else meanwhile.
+    """Whether a cache is silent at the end of the silence timeout: it has answered no other attempt either.
 
-    Slow fills look like silence: no cache counts as silent while the fills of its source are slow, or while
-    there is no retry left.
+    A slow fill looks like silence, so a cache does not count as silent while the source of the fill is
+    overloaded. It does not count as silent either while the retry budget is empty.
     """
-    if cache.last_answer_at > attempt.checked_at or not state.retry_budget.available():
+    if cache.last_answer_at > attempt.silence_timer_set_at or not state.retry_budget.available():
         return False
     return not state.fill_throttles.is_overloaded(attempt.source, now)
 
 
 def is_slow_outlier(stats: EndpointStats, median_slowdown: float) -> bool:
-    """Whether a cache is slow by itself, and not because the location is."""
+    """Whether a cache is much slower than the other caches of its location."""
     return stats.slowdown > SLOW_OUTLIER_RATIO * median_slowdown
 
 
@@ -120,10 +120,11 @@
     transfer_times: float,
     sized: bool,
 ) -> None:
-    """Counts the transfer times that a success took of the endpoint that sent the content.
+    """Updates the slowdown of the endpoint that sent the content of a successful answer.
 
-    `filling_cache` is the cache through which a source was measured: what a slow outlier adds is taken off.
-    `sized` says that the size of the answer was announced.
+    `transfer_times` is the duration of the answer in transfer times. `filling_cache` is the cache through
+    which a fill source was measured; if that is a slow outlier, its slowdown is divided out. `sized` says
+    that the size of the answer was announced.
     """
     endpoints = state.endpoints
     slowdowns = [max(1.0, endpoints.stats[i].slowdown) for i in endpoints.caches.ids]
--- a/zincladder/routing/requests.py
+++ b/zincladder/routing/requests.py
@@ -1,4 +1,4 @@
-"""The requests that are owed an answer, and their attempts. Types only."""
+"""Pending requests and their attempts. Types only."""
 
 from __future__ import annotations
 
@@ -9,26 +9,25 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that is owed its answer."""
+    """A request that has not been answered yet."""
 
     request: api.Request
     request_class: api.RequestClass
     transfer_seconds: float
-    cache_position: int  # on the ring of caches; parts are cached each by itself, so each has its own
-    source_position: int  # on the ring of parents, by the object alone: all its fills meet at one parent
+    cache_position: int  # on the ring of caches; parts are cached separately, so each part has its own
+    source_position: int  # on the ring of parents; the same for all parts, which fill from one parent
     max_attempts: int
     attempts_sent: int = 0
-    in_flight: set[int] = field(default_factory=set)  # numbers of its attempts
-    failed_endpoints: api.EndpointIds = field(default_factory=set)  # asked again only where all else is unfit
-    waits_for_fill: bool = False  # a fill of the object is under way at the cache
-    accepts_stale: bool = False  # the origin failed: a copy older than its fresh time will do
-    may_have_run_at: list[float] = field(
-        default_factory=list
-    )  # when the attempts that may have run were sent
-    truncated_by: api.EndpointIds = field(default_factory=set)  # endpoints that cut an answer off
+    in_flight: set[int] = field(default_factory=set)  # attempt numbers
+    failed_endpoints: api.EndpointIds = field(default_factory=set)  # used again only as a last resort
+    waits_for_fill: bool = False  # the cache reported a fill of the object in progress
+    accepts_stale: bool = False  # the origin failed, so a copy older than its fresh time is acceptable
+    # Send times of the attempts that may have been executed.
+    may_have_run_at: list[float] = field(default_factory=list)
+    truncated_by: api.EndpointIds = field(default_factory=set)  # endpoints that broke off an answer
     errors: int = 0
     last_outcome: api.AttemptOutcome | None = None
-    cached_only: bool = False  # the newest attempt may not make its source ask the origin
+    cached_only: bool = False  # the source of the latest attempt may not fill from the origin
 
 
 @dataclass(slots=True)
@@ -39,5 +38,5 @@
     target: api.EndpointId
     source: api.EndpointId
     sent_at: float
-    checked_at: float  # when its silence timer was last set
-    counted_as_overloaded: bool = False  # by the fill throttles, before its end
+    silence_timer_set_at: float
+    counted_as_overloaded: bool = False  # the fill throttles counted it as overloaded before it ended
--- a/zincladder/routing/ring.py
+++ b/zincladder/routing/ring.py
@@ -1,4 +1,4 @@
-"""The consistent-hash rings that pick an object's cache and its fill source. No I/O."""
+"""Consistent-hash rings, which select the cache and the fill source of an object. No I/O."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 
 from zincladder.routing import interface as api
 
-# Virtual nodes for each transfer that an endpoint's link fits: shares follow the links within a tenth.
+# Virtual nodes for each transfer that an endpoint's link carries; the shares of objects are then proportional
+# to the links within a tenth.
 VIRTUAL_NODES_PER_TRANSFER = 16
-# Virtual nodes of every endpoint where no weights are listed; with few of them shares differ by a factor of
-# two.
+# Virtual nodes of every endpoint if no weights are listed; with only a few of them the shares would differ by
+# a factor of two.
 VIRTUAL_NODES_UNWEIGHTED = 128
 
 
 def ring_position(data: bytes) -> int:
-    """A position on the MD5 range."""
+    """Returns the position of a key on the ring: its MD5 hash as a number."""
     return int.from_bytes(md5(data, usedforsecurity=False).digest(), "big")
 
 
 class Ring:
-    """A consistent-hash ring; the same endpoints with the same points give the same ring at every router.
+    """A consistent-hash ring; it is the same at every router that has the same endpoints and virtual nodes.
 
-    `virtual_nodes` gives the number of points of each endpoint.
+    `virtual_nodes` is the number of virtual nodes of each endpoint.
     """
 
     def __init__(self, virtual_nodes: dict[api.EndpointId, int]) -> None:
@@ -37,7 +38,11 @@
         self.ids = virtual_nodes.keys()
 
     def walk(self, position: int) -> Iterator[api.EndpointId]:
-        """The endpoints in the order in which an object prefers them, each once, from its own on down."""
+        """Yields each endpoint once, in the order of preference of an object at `position`.
+
+        The first is the endpoint of the virtual node at or before the position; then follow those of the
+        nodes before it, and around the ring.
+        """
         start = bisect_right(self.positions, position) - 1
         yielded: api.EndpointIds = set()
         for step in range(len(self.endpoint_ids)):
--- a/zincladder/routing/router.py
+++ b/zincladder/routing/router.py
@@ -1,8 +1,9 @@
-"""The Router: takes each event to the rules that it concerns, and gives the actions that answer it.
+"""The Router: passes each event to the modules that it concerns and returns the resulting actions.
 
-The ordinary path: MD5 picks the cache of a part on a ring over the location's caches, and the fill source of
-its object on one over all listed parents; all copies have one rank. All else acts only on what this router
-has seen. The types of events and actions stand in `interface.py`, what the rules share in `state.py`.
+In the normal case consistent hashing with MD5 selects the cache of a part from the location's caches, and the
+fill source of its object from all listed parents; all copies have the same rank. Every deviation from it is
+based only on what this router has observed. `interface.py` defines the events and actions, `state.py` the
+state that the modules share.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
     next_probed_cache,
     record_load_report,
 )
-from zincladder.routing.load_shedding import is_hopeless
-from zincladder.routing.outcomes import learn_from, record_fill
+from zincladder.routing.load_shedding import would_miss_deadline
+from zincladder.routing.outcomes import record_attempt_end, record_fill
 from zincladder.routing.outlier_ejection import (
     attribute_failure,
     is_silent,
@@ -29,37 +30,40 @@
     client_may_retry,
     has_attempts_left,
     plan_retry,
-    record_end,
+    record_end_for_retry,
     router_may_retry,
 )
 from zincladder.routing.ring import ring_position
-from zincladder.routing.selection import Route, has_other_limit, select_route
+from zincladder.routing.selection import Route, is_exempt_from_throttling, select_route
 from zincladder.routing.slow_start import charge_slow_start
 from zincladder.routing.state import RouterState
 
-CACHED_RANK = 1  # of all copies: with a single rank every cache evicts the least recently used
-NOT_CACHED_RANK = 0
-PROBE_TIMER = (-1, 0)  # in place of a request and the number of its attempt
+CACHED_RANK = 1  # the same for all copies, so that every cache evicts its least recently used copy
+UNCACHED_RANK = 0
+PROBE_TIMER = (-1, 0)  # key of the probe timer; other timers have a request id and an attempt number
 
 
 class Router:
-    """Decides for one router. Give it every event in order; carry out the actions in order."""
+    """The decisions of one router.
+
+    The caller must pass every event, in order, and carry out the returned actions in order.
+    """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.state = RouterState(settings, seed)
         self.pending: dict[int, PendingRequest] = {}
-        self.attempts: dict[tuple[int, int], Attempt] = {}  # by request and number
-        # By token: the attempt whose silence is timed, or PROBE_TIMER.
+        self.attempts: dict[tuple[int, int], Attempt] = {}  # by request id and attempt number
+        # By token: the key of the attempt whose silence timeout the timer measures, or PROBE_TIMER.
         self.timers: dict[int, tuple[int, int]] = {}
         self._last_token = 0
-        self._probing = False  # whether the round of probes goes on
+        self._probing = False  # whether a probe timer is set
         self._actions: list[api.Action] = []
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """The actions that answer one event, at `now` seconds on the caller's clock."""
+        """Handles one event and returns the resulting actions; `now` is in seconds on the caller's clock."""
         self._actions = []
         if not self._probing and are_probes_wanted(self.state.settings):
-            self._probe()  # the first event under such settings starts the round
+            self._probe()  # no event announces such settings, so the next event of any kind starts the probes
         match event:
             case api.Request():
                 self._on_request(event, now)
@@ -80,7 +84,7 @@
         return self._actions
 
     def ejected_count(self) -> int:
-        """The number of caches of this location that are ejected at present."""
+        """Returns the number of caches of this location that are currently ejected."""
         endpoints = self.state.endpoints
         return sum(endpoints.stats[i].is_ejected for i in endpoints.caches.ids)
 
@@ -88,15 +92,15 @@
         state = self.state
         if state.settings.must_subscribe and event.kind in (api.UpdateKind.CACHED, api.UpdateKind.FAILED):
             self._actions.append(api.Subscribe())
-        if event.kind is not api.UpdateKind.FAILED:  # else the list before stands
+        if event.kind is not api.UpdateKind.FAILED:  # otherwise the previous list stays in effect
             state.endpoints.apply_update(event, state.settings, now)
-            state.fill_throttles.keep_only(state.endpoints.stats)
+            state.fill_throttles.retain_sources(state.endpoints.stats)
 
     def _on_purge(self, event: api.Purged, now: float) -> None:
         done_seconds = self.state.settings.purge_done
         self.state.purges.record(event.object, event.group, now - event.age, now, done_seconds)
 
-    # A request -------------------------------------------------------------------------------
+    # Requests --------------------------------------------------------------------------------
 
     def _on_request(self, request: api.Request, now: float) -> None:
         state = self.state
@@ -117,26 +121,27 @@
             state.settings.max_attempts,
         )
         seconds_left = request.deadline - now
-        if not request_class.uncacheable and is_hopeless(
+        if not request_class.uncacheable and would_miss_deadline(
             seconds_left, transfer_seconds, request_class.timeout
         ):
-            self._give_up(pending)
+            self._reject_or_fail(pending)
         else:
             self._dispatch(pending, now)
 
     def _dispatch(self, pending: PendingRequest, now: float) -> None:
-        """Sends the next attempt of a request, or gives its final answer."""
+        """Sends the next attempt of a request, or its final answer if there is none."""
         route = self._plan_attempt(pending, now)
         if route is None:
-            self._give_up(pending)
+            self._reject_or_fail(pending)
         else:
             self._send(pending, route.target, route.source, now)
 
     def _plan_attempt(self, pending: PendingRequest, now: float) -> Route | None:
-        """The route of the next attempt; `None` gives the request up.
+        """Returns the route of the next attempt, or `None` if the request gets no further attempt.
 
-        The reasons, in the order in which they are asked for: its attempts or its time have run out; no route
-        is fit, or the answer would come too late; it might take effect twice; the retry budget is empty.
+        The reasons for `None`, in the order in which they are checked: the request has no attempts or time
+        left; no route is available, or the answer would come too late; the request might be executed twice;
+        the retry budget is empty.
         """
         state = self.state
         if not has_attempts_left(pending, now):
@@ -145,7 +150,7 @@
         if route is None or not router_may_retry(pending, now):
             return None
         pending.cached_only = False
-        if has_other_limit(state, route):
+        if is_exempt_from_throttling(state, route):
             return route
         if not state.retry_budget.charge(pending.last_outcome):
             return None
@@ -186,23 +191,23 @@
     ) -> api.Fetch:
         state, parents = self.state, self.state.endpoints.parents.ids
         passes_through = target.role is Role.PARENT or pending.request_class.uncacheable
-        # After a parent failed, the fill that would be joined may hang.
+        # After a parent failed, the fill in progress may hang, so the retry starts a fill of its own.
         coalesce = state.settings.coalesces_fills and not pending.failed_endpoints & parents
         from_parent = source.role is Role.PARENT and source is not target
         return api.Fetch(
             pending.request.id,
             target.endpoint.id,
             source.endpoint.id,
-            NOT_CACHED_RANK if passes_through else CACHED_RANK,
+            UNCACHED_RANK if passes_through else CACHED_RANK,
             max_copy_age(state, pending, now),
             coalesce,
             pending.cached_only and from_parent,
         )
 
-    def _give_up(self, pending: PendingRequest) -> None:
-        """The final answer, at once: a rejection where a repeat is harmless, else a failure."""
+    def _reject_or_fail(self, pending: PendingRequest) -> None:
+        """Sends the final answer: a rejection if the client may safely retry, otherwise a failure."""
         if client_may_retry(pending):
-            objective = pending.request_class.latency_objective  # an overload is over by then
+            objective = pending.request_class.latency_objective  # an overload should have ended by then
             retry_after = min(self.state.settings.max_retry_after, objective)
             self._actions.append(api.Reject(pending.request.id, retry_after))
         else:
@@ -214,7 +219,7 @@
         if pending and self.state.settings.may_cancel:
             self._actions.extend(api.Cancel(request_id, number) for number in sorted(pending.in_flight))
 
-    # The end of an attempt -------------------------------------------------------------------
+    # Ends of attempts ------------------------------------------------------------------------
 
     def _on_attempt_ended(self, event: api.AttemptEnded, now: float) -> None:
         state = self.state
@@ -222,7 +227,7 @@
         attempt = self.attempts.pop((event.request, event.attempt), None)
         if attempt:
             blamed = attribute_failure(state, event, attempt)
-            learn_from(state, event, attempt, blamed, now)
+            record_attempt_end(state, event, attempt, blamed, now)
         if event.closed:
             self.pending.pop(event.request, None)
             return
@@ -232,14 +237,14 @@
         pending.in_flight.discard(event.attempt)
         pending.last_outcome = event.outcome
         if attempt:
-            record_end(pending, event, attempt, blamed)
+            record_end_for_retry(pending, event, attempt, blamed)
             if not plan_retry(pending, event, attempt, blamed, state.endpoints.origin_id):
-                self._give_up(pending)
+                self._reject_or_fail(pending)
                 return
         if pending.in_flight:
             return
         if event.outcome is api.AttemptOutcome.NOT_SENT:
-            self._give_up(pending)
+            self._reject_or_fail(pending)
         else:
             self._dispatch(pending, now)
 
@@ -253,24 +258,24 @@
             self._check_silence(key, now)
 
     def _check_silence(self, key: tuple[int, int], now: float) -> None:
-        """Cancels an attempt after its silence timeout at a cache that answered nothing else meanwhile.
+        """Cancels an attempt after its silence timeout if its cache answered no other attempt either.
 
-        Guards a request against waiting for an endpoint that is gone. The cancellation leads to a retry.
+        A request would otherwise wait for an endpoint that is gone. The cancellation leads to a retry.
         """
         state = self.state
         pending, attempt = self.pending[key[0]], self.attempts[key]
         cache = state.endpoints.stats.get(attempt.target)
-        if cache and cache.last_answer_at > attempt.checked_at:
-            record_fill(state, attempt, True, now)  # the cache is well: it waits for its source
+        if cache and cache.last_answer_at > attempt.silence_timer_set_at:
+            record_fill(state, attempt, True, now)  # the cache responds, so it is waiting for its source
         if cache and state.settings.may_cancel and is_silent(state, cache, attempt, now):
             record_outcome(state, cache, True, now)
             self._actions.append(api.Cancel(*key))
         else:
-            attempt.checked_at = now
+            attempt.silence_timer_set_at = now
             self._set_timer(silence_timeout(pending), key)
 
     def _probe(self) -> None:
-        """Probes the next cache, and goes on with the round while the settings want it."""
+        """Probes the next cache and sets the timer of the next probe, while the settings ask for probes."""
         self._probing = are_probes_wanted(self.state.settings)
         if not self._probing:
             return
--- a/zincladder/routing/selection.py
+++ b/zincladder/routing/selection.py
@@ -1,4 +1,4 @@
-"""Which cache is asked next, and from where it fills. No I/O."""
+"""Selects the cache that is asked next, and the source of its fill. No I/O."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from zincladder.routing.state import RouterState
 from zincladder.routing.utilization import cache_utilization, mean_utilization
 
-# Utilization of a cache above which its objects go on to the next one on the ring, but only above this
-# multiple of the mean: slow fills load all caches alike, and then no object is better off elsewhere.
+# A cache's objects spill over to the next cache on the ring if its utilization exceeds both the first value
+# and the second times the mean: slow fills load all caches equally, and then spillover would gain nothing.
 SPILLOVER_UTILIZATION = 0.75
 SPILLOVER_MEAN_RATIO = 1.5
 
 
 @dataclass(slots=True)
 class Route:
-    """The endpoint to ask, and the source of its fill; with the same endpoint twice nothing is filled."""
+    """The endpoint to ask, and the source of its fill; if both are the same, nothing is filled."""
 
     target: EndpointStats
     source: EndpointStats
 
 
 def select_route(state: RouterState, pending: PendingRequest, now: float) -> Route | None:
-    """The route of the next attempt; `None` if nothing is fit, or its answer would come too late."""
+    """Returns the route of the next attempt, or `None` if none is available or all would answer too late."""
     endpoints = state.endpoints
     request_class = pending.request_class
     may_bypass_caches = state.settings.may_bypass_caches
@@ -52,69 +52,70 @@
 def select_endpoint(
     state: RouterState, ring: Ring, pending: PendingRequest, transfer_seconds: float, now: float
 ) -> EndpointStats | None:
-    """The first endpoint on the object's walk along a ring that may be asked; `None` if there is none.
+    """Returns the preferred available endpoint of the ring for an object, or `None` if there is none.
 
-    Passed by are, in this order, endpoints that are not ready, that would answer too late, that slow start
-    does not admit, and that are ejected or failed this request; an ejected one is asked once its trial is
-    due. Asked is, in this order:
+    Endpoints are considered in ring order, from the object's position. Skipped are endpoints that are not
+    ready, would answer too late, exceed their slow-start budget, are ejected (unless a trial is due), or
+    have already failed this request; the conditions are checked in this order. Of the others, the choice is:
 
-    1. the first below the spillover utilization whose throttle does not turn the request away;
-    2. the least utilized of those that are above it, or whose throttle is overloaded;
-    3. the first that was ejected or failed this request, if it fails at once and the origin may not be asked.
+    1. the first one below the spillover utilization whose fill throttle admits the request;
+    2. the least utilized of those above it, or not admitted by their throttle;
+    3. the first one skipped as ejected or failed, if it fails fast and the origin cannot be used instead.
 
-    `transfer_seconds` is the work that slow start counts.
+    `transfer_seconds` is the work that counts against the slow-start budget.
     """
-    of_caches = ring is state.endpoints.caches
-    mean = mean_utilization(state) if of_caches else 0.0
+    is_cache_ring = ring is state.endpoints.caches
+    mean = mean_utilization(state) if is_cache_ring else 0.0
     spillover_at = max(SPILLOVER_UTILIZATION, SPILLOVER_MEAN_RATIO * mean)
     least_utilized: EndpointStats | None = None
     last_resort: EndpointStats | None = None
-    least, utilization = 0.0, 0.0
-    for endpoint_id in ring.walk(pending.cache_position if of_caches else pending.source_position):
+    lowest_utilization, utilization = 0.0, 0.0
+    for endpoint_id in ring.walk(pending.cache_position if is_cache_ring else pending.source_position):
         stats = state.endpoints.stats[endpoint_id]
         if stats.endpoint.state is not api.EndpointState.READY:
             continue
-        if of_caches:
+        if is_cache_ring:
             utilization = cache_utilization(state, stats, mean)
-        if _would_answer_late(state, pending, stats, utilization, of_caches):
+        if _would_answer_late(state, pending, stats, utilization, is_cache_ring):
             continue
         if not admits_during_slow_start(state, stats, transfer_seconds, now):
             continue
         if endpoint_id in pending.failed_endpoints or (stats.is_ejected and now < stats.next_trial_at):
             if last_resort is None and _is_last_resort(state, stats):
                 last_resort = stats
-        elif utilization < spillover_at and state.fill_throttles.stays_at(
+        elif utilization < spillover_at and state.fill_throttles.admits(
             endpoint_id, now, state.random.random
         ):
-            # If it is ejected, this request is its trial; no other for a while.
+            # If the endpoint is ejected, this request is its trial, and the next trial has to wait.
             stats.next_trial_at = now + TRIAL_INTERVAL_SECONDS
             return stats
-        elif least_utilized is None or utilization < least:
-            least_utilized, least = stats, utilization
+        elif least_utilized is None or utilization < lowest_utilization:
+            least_utilized, lowest_utilization = stats, utilization
     return least_utilized or last_resort
 
 
 def _would_answer_late(
-    state: RouterState, pending: PendingRequest, stats: EndpointStats, utilization: float, of_caches: bool
+    state: RouterState, pending: PendingRequest, stats: EndpointStats, utilization: float, is_cache_ring: bool
 ) -> bool:
-    """Whether an endpoint's utilization, or its own slowness, would make the answer late."""
+    """Whether the answer would be late because the endpoint is overloaded or a slow outlier."""
     overload = utilization
-    if of_caches and pending.request.size_kb > 0 and is_slow_outlier(stats, state.median_slowdown):
+    if is_cache_ring and pending.request.size_kb > 0 and is_slow_outlier(stats, state.median_slowdown):
         overload = max(overload, stats.slowdown)
     return would_miss_objective(pending, overload)
 
 
 def _is_last_resort(state: RouterState, stats: EndpointStats) -> bool:
-    """Whether what failed may be asked again: it fails at once, and no fill may go to the origin."""
+    """Whether a failed endpoint may be asked again: it fails fast, and no fill may go to the origin."""
     return stats.fails_fast and not (state.origin_budget.available() and state.endpoints.origin_id)
 
 
 def _select_fill_source(
     state: RouterState, pending: PendingRequest, origin: EndpointStats | None, now: float
 ) -> EndpointStats | None:
-    """The parent of an object, or the origin where none is fit and its budget allows.
+    """Returns the parent to fill from, or the origin if no parent is available and its budget allows it.
 
-    Guards the origin, which alone runs writes: all routers would fall back on it where parents fail.
+    The budget protects the origin, which alone executes writes, from a fallback of all routers at once when
+    the parents fail.
     """
     parents = state.endpoints.parents
     parent = select_endpoint(state, parents, pending, pending.transfer_seconds, now)
@@ -124,8 +125,8 @@
 
 
 def _is_fill_overloaded(state: RouterState, pending: PendingRequest, source: EndpointStats | None) -> bool:
-    """Whether the location's link, or the pace of the source, would make a fill too late."""
-    # Where sizes are not announced, the pace of a source shows sizes alone.
+    """Whether a fill would be too late because the location's link or the source is too slow."""
+    # Without announced sizes the measured slowdown of a source reflects only the sizes of its answers.
     slowdown = source.slowdown if source and pending.request.size_kb > 0 else 0.0
     return would_miss_objective(pending, max(state.location_link_load / SATURATED_LINK_LOAD, slowdown))
 
@@ -138,16 +139,17 @@
     overloaded: bool,
     now: float,
 ) -> EndpointStats | None:
-    """The source for a cache that was selected; `None` gives the request up.
+    """Returns the fill source for the selected cache, or `None` if the request gets no further attempt.
 
-    The first attempt asks a sibling cache that likely has a copy; without a fit source it takes only a copy
-    of the cache itself. Later ones need a source, unless a fill of the object is under way.
+    The first attempt fills from a sibling cache that probably has a copy. If there is none and the source is
+    missing or overloaded, it accepts only a copy of the selected cache. Later attempts need a source that is
+    not overloaded, unless a fill of the object is in progress.
     """
     overloaded = overloaded or source is None
-    copy_at = select_sibling(state, cache, pending.cache_position, now)
+    sibling = select_sibling(state, cache, pending.cache_position, now)
     if pending.attempts_sent == 0:
-        if copy_at:
-            return copy_at
+        if sibling:
+            return sibling
         return cache if overloaded else source
     return None if overloaded and not pending.waits_for_fill else source
 
@@ -155,7 +157,10 @@
 def _bypass_caches(
     state: RouterState, pending: PendingRequest, source: EndpointStats | None, origin: EndpointStats | None
 ) -> Route | None:
-    """No cache is fit: straight to the source, unless the location's clients are too many for that."""
+    """Returns a direct route to the fill source, or `None` if the location is too busy for it.
+
+    Used when no cache is available.
+    """
     if source is None or would_miss_objective(pending, mean_utilization(state)):
         return None
     return Route(source, origin or source)
@@ -164,11 +169,11 @@
 def select_sibling(
     state: RouterState, cache: EndpointStats, position: int, now: float
 ) -> EndpointStats | None:
-    """The cache of the location that likely has a copy where the selected one has none.
+    """Returns the cache of the location that probably has a copy if the selected one has none.
 
-    That is the first on the object's walk if the selected one is another (after a spillover or an ejection),
-    and the second if the first is selected and in its slow start. Siblings are asked as often as they had a
-    copy lately.
+    If the selected cache is not the first in ring order (after a spillover or an ejection), that is the
+    first; if it is the first and in slow start, that is the second. A sibling is returned with a probability
+    that equals the recent hit share of fills from siblings. `None` means that no sibling should be asked.
     """
     settings, endpoints = state.settings, state.endpoints
     if settings.peer_fill is api.PeerFill.OFF or state.random.random() > state.sibling_hit_share:
@@ -186,10 +191,10 @@
     return sibling if admits_during_slow_start(state, sibling, 0.0, now) else None
 
 
-def has_other_limit(state: RouterState, route: Route) -> bool:
-    """Whether a route needs neither the retry budget nor the fill throttles.
+def is_exempt_from_throttling(state: RouterState, route: Route) -> bool:
+    """Whether a route is subject to neither the retry budget nor the fill throttles.
 
-    A fill from the origin although parents are listed has its own budget; a copy of a cache costs no fill.
+    A fill from the origin while parents are listed has its own budget; a copy from a cache needs no fill.
     """
     endpoints = state.endpoints
     source = route.source
--- a/zincladder/routing/slow_start.py
+++ b/zincladder/routing/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what an endpoint that has started lately is given. No I/O."""
+"""Slow start: limits the requests to endpoints that have started recently. No I/O."""
 
 from __future__ import annotations
 
@@ -11,31 +11,34 @@
 def admits_during_slow_start(
     state: RouterState, stats: EndpointStats, transfer_seconds: float, now: float
 ) -> bool:
-    """Whether an endpoint can take a request of `transfer_seconds` from this router.
+    """Whether this router may send an endpoint a request of `transfer_seconds`.
 
-    Guards an endpoint whose copies are cold against the full share of its ring: it is given more as it gets
-    older, until the duration of its slow start is over. The origin has none.
+    The full share of its ring would overload an endpoint with an empty cache, so its limit grows with its
+    age until the duration of its slow start is over. The origin has no slow start.
     """
     started_at = stats.endpoint.started_at
     if started_at <= 0 or stats.role is Role.ORIGIN:
         return True
     if stats.role is Role.PARENT:
-        rule, sharing_routers = state.settings.parent_slow_start, state.settings.routers
+        slow_start, sharing_routers = state.settings.parent_slow_start, state.settings.routers
     else:
-        rule, sharing_routers = state.settings.cache_slow_start, state.zone_routers
+        slow_start, sharing_routers = state.settings.cache_slow_start, state.zone_routers
     age = now - started_at
-    if age >= rule.duration:
+    if age >= slow_start.duration:
         return True
     budget = stats.slow_start_budget
     if budget is None:
         longest_mean = max(estimate.mean_seconds for estimate in state.transfer_times)
         budget = stats.slow_start_budget = SlowStartBudget(state.random.random() * longest_mean, now)
     link = link_transfers(state, stats)
-    return budget.admits(rule, sharing_routers, link, transfer_seconds, age, now)
+    return budget.admits(slow_start, sharing_routers, link, transfer_seconds, age, now)
 
 
 def charge_slow_start(stats: EndpointStats, transfer_seconds: float, mean_seconds: float) -> None:
-    """Counts a request sent: by its own transfer time at a parent, by the mean of its class at a cache."""
+    """Charges a request to the slow-start budget of an endpoint, if it has one.
+
+    A parent is charged the request's own transfer time, a cache the mean of the request's class.
+    """
     budget = stats.slow_start_budget
     if budget is not None:
-        budget.debt_seconds += transfer_seconds if stats.role is Role.PARENT else mean_seconds
+        budget.backlog_seconds += transfer_seconds if stats.role is Role.PARENT else mean_seconds
--- a/zincladder/routing/state.py
+++ b/zincladder/routing/state.py
@@ -1,4 +1,4 @@
-"""What one router knows, shared by its rules. No I/O."""
+"""The state of one router, shared by the modules of this package. No I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RouterState:
-    """The settings, the endpoint list, the budgets and what was learned; no two routers share any of it."""
+    """Settings, endpoint list, budgets and estimates of one router; routers share none of them."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.random = Random(seed)
@@ -22,17 +22,18 @@
         self.retry_budget = RetryBudget()
         self.origin_budget = OriginFillBudget()
         self.purges = Purges()
-        self.cores = CoresEstimate()  # of one cache, where weights are not listed
+        self.cores = CoresEstimate()  # capacity of one cache, used if the list has no weights
         self.transfer_times: list[TransferTimeEstimate] = []  # by class
-        self.sibling_hit_share = 1.0  # moving average: of the fills asked of sibling caches, those that hit
+        self.sibling_hit_share = 1.0  # moving average: share of the fills from sibling caches that hit
         self.median_slowdown = 1.0  # of the location's caches
-        self.location_link_load = 0.0  # transfers on the location's link over those at full pace, as reported
+        # Last reported load of the location's link: transfers on it, divided by those that it carries.
+        self.location_link_load = 0.0
         self.apply_settings(api.SettingsChanged(settings, (-1,) * len(settings.classes)))
 
     def apply_settings(self, event: api.SettingsChanged) -> None:
-        """Other settings from now on.
+        """Puts new settings into effect.
 
-        What was learned of a class that stays goes on; the fill throttles start anew.
+        A class that existed before keeps its estimates; the fill throttles are reset.
         """
         self.settings = settings = event.settings
         self.transfer_times = [
@@ -45,11 +46,14 @@
         self.endpoints.assign_roles(settings)
 
     def estimate_transfer(self, request: api.Request, request_class: api.RequestClass) -> float:
-        """The seconds for which an answer is being sent, without waits; the request counts for its class."""
+        """Returns the seconds that sending the answer takes at the client's rate, without any waiting.
+
+        The request counts towards the mean transfer time of its class.
+        """
         estimate = self.transfer_times[request.request_class]
-        pace = self.settings.client_kb_per_s
-        if request.size_kb > 0 and pace > 0:
-            seconds = request.size_kb / pace
+        kb_per_s = self.settings.client_kb_per_s
+        if request.size_kb > 0 and kb_per_s > 0:
+            seconds = request.size_kb / kb_per_s
             estimate.record_sized(seconds)
             return seconds
         return estimate.expect_unsized(request_class.latency_objective)
--- a/zincladder/routing/utilization.py
+++ b/zincladder/routing/utilization.py
@@ -1,17 +1,17 @@
-"""The share of the caches' links in use, as this router sees it. No I/O."""
+"""Utilization of the caches' links, as estimated by this router. No I/O."""
 
 from __future__ import annotations
 
 from zincladder.routing.endpoints import EndpointStats, Role
 from zincladder.routing.state import RouterState
 
-# A parent's link over the pooled links of the caches behind it, where it is not listed: the least likely
-# share.
+# Capacity of a parent's link if it is not listed, as a share of the total of the caches that fill from it:
+# the lowest likely value.
 PARENT_LINK_SHARE = 0.2
 
 
 def link_transfers(state: RouterState, stats: EndpointStats) -> float:
-    """The transfers that an endpoint's link fits at full pace, as listed or estimated from load reports."""
+    """Returns the transfers that an endpoint's link carries, as listed or estimated from load reports."""
     settings = state.settings
     if settings.weights_known:
         return stats.endpoint.weight
@@ -23,17 +23,17 @@
 
 
 def are_links_known(state: RouterState) -> bool:
-    """Whether the caches' links are listed, or estimated from enough load reports.
+    """Whether the capacity of the caches' links is listed, or estimated from enough load reports.
 
-    Without this check a router that has just started would reject what a lost cache leaves over.
+    Without this check a router that has just started would reject the requests of a lost cache.
     """
     return state.settings.weights_known or state.cores.is_known()
 
 
 def mean_utilization(state: RouterState) -> float:
-    """The mean share of the caches' links in use (1: all at full pace); 0 while their links are not known.
+    """Returns the mean utilization of the caches' links (1: fully used), or 0 if their capacity is unknown.
 
-    All routers of the location are taken to have as much in flight as this one.
+    All routers of the location are assumed to have as many attempts in flight as this one.
     """
     if not are_links_known(state):
         return 0.0
@@ -46,9 +46,10 @@
 
 
 def cache_utilization(state: RouterState, stats: EndpointStats, mean: float) -> float:
-    """The share of one cache's link in use; the other routers count as `mean`, this one's over the caches.
+    """Returns the utilization of one cache's link, or 0 if the capacity of links is unknown.
 
-    Their attempts are not known, and this router's own times their number would be chance.
+    `mean` is the mean utilization of the caches and stands for the other routers, whose attempts are not
+    known; multiplying this router's few attempts by the number of routers would give a random result.
     """
     if not are_links_known(state):
         return 0.0
