--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire: the worked example, round trips of every record, and malformed input."""
+"""The simulator's protocol: the documented example, every record, and malformed input."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from zincladder.routing import interface as api
 from zincladder.simulator import wire
-from zincladder.simulator.adapter import Host, run
+from zincladder.simulator.adapter import RouterHost, run
 
 CACHE_ID = bytes.fromhex("0a124a075b1b")
 SETTINGS: dict[str, Any] = {
@@ -75,7 +75,7 @@
     return got.event
 
 
-def test_the_worked_example_of_a_query() -> None:
+def test_the_documented_example_of_a_query_is_decoded() -> None:
     text = "322c00000003000000c4913a5d72b809"
     text += "000000304100002044 01 640ad2557c3bf091 00 00004040 0000 cba145b6f34d2140"
     (got,) = decoded(bytes.fromhex(text.replace(" ", "")))
@@ -86,7 +86,7 @@
     assert request.deadline == pytest.approx(8.6522, abs=1e-3) and not request.repeat and not request.write
 
 
-def test_every_event_is_read() -> None:
+def test_every_event_is_decoded() -> None:
     ended = struct.pack("<QH6sHdBBdB2f", 5, 1, CACHE_ID, 8, 0.25, 1, 8, 0.125, 2, 0.5, 1.0)
     assert event(40, ended) == api.AttemptEnded(
         5, 1, CACHE_ID, api.AttemptOutcome.MISS, 0.25, True, api.FillOutcome.SOURCE_MISS, 0.125, (0.5, 1.0)
@@ -104,22 +104,22 @@
     assert listed.event == api.EndpointUpdate(api.UpdateKind.CACHED, 1, (endpoint,))
 
 
-def test_events_that_no_decision_depends_on_are_read_and_passed_over() -> None:
+def test_events_that_affect_no_decision_are_validated_and_ignored() -> None:
     started, message = struct.pack("<IQH6sd", 3, 5, 1, CACHE_ID, 0.5), struct.pack("<IIH2s", 3, 2, 2, b"hi")
     assert decoded(record(10, message)) == (wire.IgnoredEvent(3, wire.PeerMessage(2, b"hi")),)
     assert decoded(record(60, started)) == (wire.IgnoredEvent(3, wire.AnswerStarted(5, 1, CACHE_ID, 0.5)),)
     for code, fields in ((10, message), (60, started)):
-        for wrong in (fields[:-1], fields + b"x"):
+        for malformed in (fields[:-1], fields + b"x"):
             with pytest.raises(wire.WireError):
-                decoded(record(code, wrong))
-    host = Host()
+                decoded(record(code, malformed))
+    host = RouterHost()
     (batch,) = wire.read_batches(
         io.BytesIO(frame(1, instance_started(), record(10, message), record(60, started)))
     )
     assert host.reply(batch)[8:] == b"" and not host.routers[3].pending
 
 
-def test_settings_are_read_and_unknown_keys_skipped() -> None:
+def test_settings_are_decoded_and_unknown_keys_ignored() -> None:
     (got,) = decoded(instance_started())
     assert isinstance(got, wire.InstanceStarted) and got.seed == 9
     s = got.settings
@@ -129,7 +129,7 @@
     assert s.cache_slow_start == api.SlowStart(0.3, 14.0, 2.5, 1.0)
 
 
-def test_every_action_is_written() -> None:
+def test_every_action_is_encoded() -> None:
     head = struct.pack("<IQ", 3, 5)
     expected: list[tuple[api.Action, int, bytes]] = [
         (api.Lookup(5, CACHE_ID), 10, head + CACHE_ID + struct.pack("<d", 0.0)),
@@ -157,7 +157,7 @@
     assert sink.getvalue() == bytes.fromhex("0100000000000000")
 
 
-def test_a_request_is_decided_end_to_end() -> None:
+def test_a_request_is_answered_with_an_attempt_end_to_end() -> None:
     sink = io.BytesIO()
     fleet = endpoints(
         endpoint_entry(CACHE_ID, 0, 1), endpoint_entry(b"parent", 1, 0), endpoint_entry(b"origin", 2, 0)
@@ -187,12 +187,12 @@
         (struct.pack("<IIdIB", 1, 13, 1.0, 0, 0), "1 bytes after its last record"),
     ],
 )
-def test_malformed_input_is_named(data: bytes, message: str) -> None:
+def test_malformed_input_raises_an_error_that_names_the_fault(data: bytes, message: str) -> None:
     with pytest.raises(wire.WireError, match=message.replace("(", r"\(")):
         run(io.BytesIO(data), io.BytesIO())
 
 
-def test_the_process_ends_with_a_message_and_a_status() -> None:
+def test_the_process_exits_with_a_message_and_status_2_on_malformed_input() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "zincladder.simulator.adapter"],
         input=frame(1, record(77, b"")),
@@ -210,7 +210,7 @@
 def test_an_exception_in_one_router_is_reported_for_its_instance_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    host = Host()
+    host = RouterHost()
 
     def reply(*records: bytes) -> bytes:
         (batch,) = wire.read_batches(io.BytesIO(frame(1, *records)))
@@ -230,8 +230,8 @@
     assert answer.count(CACHE_ID) == 1 and set(host.routers) == {4}
 
 
-def test_a_stopped_instance_is_forgotten() -> None:
-    host = Host()
+def test_the_router_of_a_stopped_instance_is_removed() -> None:
+    host = RouterHost()
     (batch,) = wire.read_batches(
         io.BytesIO(frame(1, instance_started(3), record(90, struct.pack("<I", 3)), request_record()))
     )
--- a/zincladder/simulator/__init__.py
+++ b/zincladder/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: its frames, and the loop that answers them."""
+"""Connects routers to the simulator: the codec of its protocol, and the loop that answers its frames."""
--- a/zincladder/simulator/adapter.py
+++ b/zincladder/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Answers the simulator on stdin and stdout: one Router for each instance, nothing shared between them."""
+"""Runs routers for the simulator over stdin and stdout: one Router per instance, with no shared state."""
 
 from __future__ import annotations
 
@@ -10,14 +10,17 @@
 from zincladder.simulator import wire
 
 
-class Host:
-    """The routers of the instances that run in one process."""
+class RouterHost:
+    """The routers of all simulated instances that run in this process."""
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
 
     def reply(self, batch: wire.Batch) -> bytes:
-        """The reply frame to a batch. An instance whose router raises is reported as broken and dropped."""
+        """Returns the reply frame to a batch.
+
+        If the router of an instance raises an exception, the instance is reported as failed and removed.
+        """
         records: list[bytes] = []
         for record in batch.records:
             try:
@@ -28,7 +31,7 @@
         return wire.encode_reply(batch.number, b"".join(records))
 
     def _answer(self, record: wire.Record, now: float) -> Iterator[bytes]:
-        """The records that answer one; none for an instance that does not run."""
+        """Yields the records that answer one record; none if its instance is not running."""
         instance = record.instance
         match record:
             case wire.InstanceStarted():
@@ -41,25 +44,28 @@
 
 
 def _describe(error: Exception) -> str:
-    """The error with the innermost function and line that raised it."""
-    where = ""
+    """Returns the type and text of an error, with the function and line that raised it."""
+    location = ""
     trace = error.__traceback__
     while trace is not None:
-        where = f"{trace.tb_frame.f_code.co_name}:{trace.tb_lineno}"
+        location = f"{trace.tb_frame.f_code.co_name}:{trace.tb_lineno}"
         trace = trace.tb_next
-    return f"{type(error).__name__} in {where}: {error}"
+    return f"{type(error).__name__} in {location}: {error}"
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the input ends."""
-    host = Host()
+    """Answers batches until the input ends.
+
+    Raises `WireError` if the input is malformed.
+    """
+    host = RouterHost()
     for batch in wire.read_batches(source):
         sink.write(host.reply(batch))
         sink.flush()
 
 
 def main() -> int:
-    """The process: 0 at the end of input, 2 on input that is not the protocol."""
+    """Runs the process; returns exit status 0 at the end of input and 2 on malformed input."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/zincladder/simulator/wire.py
+++ b/zincladder/simulator/wire.py
@@ -1,7 +1,7 @@
-"""Frames and records of the simulator's wire, to and from the router's events and actions. Translation only.
+"""Codec of the simulator's protocol: decodes frames into router events and encodes actions as records.
 
-All numbers are little-endian and unpadded. A frame or record that does not have its stated shape raises
-`WireError` with a sentence: a batch that is understood by half must never be acted on.
+All numbers are little-endian and unpadded. A malformed frame or record raises `WireError`, so that no part of
+its batch is handled.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 from zincladder.routing import interface as api
 
 BATCH_HEADER = struct.Struct("<II")
-BATCH_BODY = struct.Struct("<dI")
-RECORD = struct.Struct("<BI")
-MAX_FRAME_BYTES = 1 << 28  # batches of megabytes are common; a quarter of a gigabyte is a broken length
+BODY_HEADER = struct.Struct("<dI")
+RECORD_HEADER = struct.Struct("<BI")
+MAX_FRAME_BYTES = 1 << 28  # batches of megabytes are common; a larger length is corrupt
 ID_BYTES = 6
-MAX_TEXT_BYTES = 65000  # its length goes out in two bytes
+MAX_TEXT_BYTES = 65000  # its length is encoded in two bytes
 INSTANCE_STARTED, INSTANCE_STOPPED = 30, 90  # codes of the records that carry no event for a router
-INSTANCE_FAILED = 100  # code of the record that says that an instance's router raised
-NO_TIMEOUT = 0.0  # of an attempt: it lasts until its client gives up
+INSTANCE_FAILED = 100  # code of the record that reports an exception in an instance's router
+NO_TIMEOUT = 0.0  # an attempt has no timeout of its own and lasts until its client stops waiting
 
 
 class WireError(Exception):
-    """The input is not what the protocol promises; the text says what was wrong."""
+    """The input violates the protocol; the text says how."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """A router starts."""
+    """An instance has started and needs a router."""
 
     instance: int
     seed: int
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStopped:
-    """A router was killed."""
+    """An instance was killed; its router is removed."""
 
     instance: int
 
 
 @dataclass(frozen=True, slots=True)
 class RouterEvent:
-    """An event for the router of an instance."""
+    """An event for an instance's router."""
 
     instance: int
     event: api.Event
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Bytes from another router; routers send none."""
+    """Bytes from another instance; ignored, as routers send each other nothing."""
 
     sender: int
     data: bytes
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerStarted:
-    """A streamed answer has begun; its end comes as an event of its own."""
+    """A streamed answer has begun; a separate event reports its end."""
 
     request: int
     attempt: int
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IgnoredEvent:
-    """An event that was read and checked, and that no decision depends on."""
+    """An event that is decoded and validated, but affects no decision."""
 
     instance: int
     event: PeerMessage | AnswerStarted
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """One frame from the simulator; `clock` is the time of all its events, in seconds."""
+    """One frame from the simulator; `clock` is the time of all its events in seconds."""
 
     number: int
     clock: float
@@ -95,7 +95,7 @@
 
 
 class _FieldReader:
-    """Takes fields off one record, and complains by its name where they do not fit."""
+    """Reads the fields of one record in order; `WireError` names the record if they do not fit."""
 
     def __init__(self, data: bytes, record_name: str) -> None:
         self.data = data
@@ -108,8 +108,8 @@
         self.offset += size
         return self.data[self.offset - size : self.offset]
 
-    def number(self, form: str) -> Any:
-        return struct.unpack("<" + form, self.take(struct.calcsize("<" + form)))[0]
+    def number(self, format_code: str) -> Any:
+        return struct.unpack("<" + format_code, self.take(struct.calcsize("<" + format_code)))[0]
 
     def endpoint_id(self) -> api.EndpointId:
         return self.take(ID_BYTES)
@@ -118,9 +118,9 @@
         count = self.number("B")
         return struct.unpack(f"<{count}f", self.take(4 * count))
 
-    def code(self, kind: Callable[[int], Any], value: int) -> Any:
+    def code(self, enum_type: Callable[[int], Any], value: int) -> Any:
         try:
-            return kind(value)
+            return enum_type(value)
         except ValueError:
             raise WireError(f"record '{self.record_name}' holds an unknown code {value}") from None
 
@@ -204,7 +204,7 @@
     return AnswerStarted(request, attempt, endpoint_id, reader.number("d"))
 
 
-# By code: the record's name on the wire, and what reads its fields after the instance.
+# By code: the name of the record in the protocol, and the function that reads the fields after the instance.
 _EVENTS: dict[int, tuple[str, Callable[[_FieldReader], api.Event]]] = {
     20: ("expired_now", _read_purged),
     40: ("returned", _read_attempt_ended),
@@ -254,17 +254,17 @@
 
 
 def decode_body(number: int, body: bytes) -> Batch:
-    """The batch in a frame whose header has been taken off; WireError where it is malformed."""
-    if len(body) < BATCH_BODY.size:
+    """Decodes the body of the frame with this number; raises `WireError` if it is malformed."""
+    if len(body) < BODY_HEADER.size:
         raise WireError(f"batch {number} is too short for its header: {len(body)} bytes")
-    clock, count = BATCH_BODY.unpack_from(body)
-    offset = BATCH_BODY.size
+    clock, count = BODY_HEADER.unpack_from(body)
+    offset = BODY_HEADER.size
     records = []
     for index in range(count):
-        if offset + RECORD.size > len(body):
+        if offset + RECORD_HEADER.size > len(body):
             raise WireError(f"batch {number} ends before record {index} of {count}")
-        code, size = RECORD.unpack_from(body, offset)
-        offset += RECORD.size
+        code, size = RECORD_HEADER.unpack_from(body, offset)
+        offset += RECORD_HEADER.size
         if offset + size > len(body):
             raise WireError(f"record {index} of batch {number} (code {code}) runs past the end of its frame")
         records.append(_read_record(code, body[offset : offset + size]))
@@ -274,8 +274,8 @@
     return Batch(number, clock, tuple(records))
 
 
-def _read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """As many bytes as asked for, or fewer where the input ends."""
+def _read_up_to(stream: BinaryIO, size: int) -> bytes:
+    """Reads `size` bytes, or fewer if the input ends before."""
     data = b""
     while len(data) < size:
         chunk = stream.read(size - len(data))
@@ -286,9 +286,9 @@
 
 
 def read_batches(stream: BinaryIO) -> Iterator[Batch]:
-    """Batches until the input ends; WireError where it ends inside a frame."""
+    """Yields batches until the input ends; raises `WireError` if it is malformed or ends inside a frame."""
     while True:
-        header = _read_exactly(stream, BATCH_HEADER.size)
+        header = _read_up_to(stream, BATCH_HEADER.size)
         if not header:
             return
         if len(header) < BATCH_HEADER.size:
@@ -296,7 +296,7 @@
         number, size = BATCH_HEADER.unpack(header)
         if size > MAX_FRAME_BYTES:
             raise WireError(f"batch {number} states an impossible length of {size} bytes")
-        body = _read_exactly(stream, size)
+        body = _read_up_to(stream, size)
         if len(body) < size:
             raise WireError(f"input ends inside batch {number}: {len(body)} of {size} bytes")
         yield decode_body(number, body)
@@ -340,7 +340,7 @@
     return 110, struct.pack("<IB", instance, action.enable)
 
 
-# By type: what gives the code and the fields of an action's record.
+# By action type: the function that returns the code and the encoded fields of its record.
 _ACTIONS: dict[type, Callable[[int, Any], tuple[int, bytes]]] = {
     api.Fetch: _write_fetch,
     api.Lookup: _write_lookup,
@@ -353,21 +353,21 @@
 }
 
 
-def _framed(code: int, fields: bytes) -> bytes:
-    return RECORD.pack(code, len(fields)) + fields
+def _encode_record(code: int, fields: bytes) -> bytes:
+    return RECORD_HEADER.pack(code, len(fields)) + fields
 
 
 def encode_action(instance: int, action: api.Action) -> bytes:
-    """One action as a record."""
-    return _framed(*_ACTIONS[type(action)](instance, action))
+    """Encodes one action as a record."""
+    return _encode_record(*_ACTIONS[type(action)](instance, action))
 
 
 def encode_broken(instance: int, text: str) -> bytes:
-    """The record that says that an instance's router raised an exception."""
+    """Encodes the record that reports an exception in an instance's router; long texts are truncated."""
     data = text.encode()[:MAX_TEXT_BYTES]
-    return _framed(INSTANCE_FAILED, struct.pack("<IH", instance, len(data)) + data)
+    return _encode_record(INSTANCE_FAILED, struct.pack("<IH", instance, len(data)) + data)
 
 
 def encode_reply(number: int, records: bytes) -> bytes:
-    """The reply frame to one batch."""
+    """Encodes the reply frame to the batch with this number."""
     return BATCH_HEADER.pack(number, len(records)) + records
