--- a/tests/discovery/test_freshness.py
+++ b/tests/discovery/test_freshness.py
@@ -1,4 +1,4 @@
-"""How long a decision waits for the watch, with times given."""
+"""How long a decision waits for the watch on the coordinator, with explicit times."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     return freshness
 
 
-def test_nothing_is_decided_from_the_start_to_the_first_frame() -> None:
+def test_decisions_wait_from_the_start_until_the_first_frame() -> None:
     freshness = Freshness(min_grace_seconds=0.5)
-    assert freshness.seconds_until_usable(50.0) > 0  # the watch has not begun: the bound counts from there
+    assert freshness.seconds_until_usable(50.0) > 0  # the watch has not begun, and the limit counts from then
     freshness.connecting(100.0)
     assert freshness.seconds_until_usable(100.0) == INITIAL_SYNC_SECONDS and not freshness.has_synced(100.0)
     freshness.asked(100.1)
@@ -35,7 +35,7 @@
     assert freshness.seconds_until_usable(100.3) == 0 and freshness.has_synced(100.3)
 
 
-def test_a_silent_coordinator_keeps_no_front_out_of_service_for_long() -> None:
+def test_a_silent_coordinator_keeps_a_front_out_of_service_for_a_limited_time() -> None:
     freshness = started()
     freshness.asked(100.0)
     freshness.watch_failed(101.6, timed_out=True)
@@ -44,19 +44,19 @@
     assert freshness.seconds_until_usable(100.0 + INITIAL_SYNC_SECONDS) == 0 and freshness.has_synced(103.0)
 
 
-def test_a_connect_that_fails_for_a_moment_does_not_count_for_a_coordinator_that_is_gone() -> None:
+def test_the_coordinator_is_unreachable_only_after_several_failed_attempts() -> None:
     freshness = started()
     for n in range(MAX_FAILED_ATTEMPTS):
         assert freshness.seconds_until_usable(100.1) > 0, n
         freshness.watch_failed(100.1)
     assert freshness.seconds_until_usable(100.1) == 0 and freshness.phase is WatchPhase.UNREACHABLE
-    freshness.asked(110.0)  # it is back: all events of the meantime count as delivered
+    freshness.asked(110.0)  # it is back and counts all events since then as delivered
     assert freshness.seconds_until_usable(110.0) > 0
     freshness.frame_received(110.1)
     assert freshness.seconds_until_usable(110.1) == 0
 
 
-def test_a_broken_watch_costs_nothing_for_its_share_of_the_grace() -> None:
+def test_decisions_do_not_wait_for_a_broken_watch_during_a_share_of_the_grace() -> None:
     freshness = following()
     freshness.watch_failed(100.9)
     assert freshness.seconds_until_usable(100.95) == 0
@@ -66,7 +66,7 @@
     assert freshness.seconds_until_usable(101.3) == 0
 
 
-def test_a_coordinator_that_stalls_stops_the_fleet_once_and_not_at_each_question() -> None:
+def test_decisions_wait_for_a_stalled_coordinator_once_and_not_at_each_reconnect() -> None:
     freshness, now, waited = following(), 100.0, 0.0
     freshness.watch_failed(now)
     for _ in range(20):  # it accepts connections and stays silent
@@ -79,8 +79,8 @@
     assert 0 < waited <= RESYNC_SECONDS
 
 
-def test_a_coordinator_that_closed_each_question_is_waited_for_when_it_is_back() -> None:
-    # guards the events behind a late answer
+def test_decisions_wait_again_for_a_coordinator_that_closed_connections() -> None:
+    # It may have recovered, and the answer to the next catch-up request may contain events.
     freshness = started()
     for n in range(5):
         freshness.asked(100.0 + n)
@@ -92,7 +92,7 @@
     assert freshness.seconds_until_usable(105.3) == 0
 
 
-def test_a_stalled_process_decides_nothing_until_the_next_frame() -> None:
+def test_after_a_stall_of_the_process_decisions_wait_for_the_next_frame() -> None:
     freshness = following()
     assert freshness.seconds_until_usable(101.9) == 0
     assert freshness.seconds_until_usable(105.0) > 0  # no frame for longer than the watch's timeout
--- a/tests/discovery/test_restart_view.py
+++ b/tests/discovery/test_restart_view.py
@@ -1,13 +1,13 @@
 """Fronts that start, or reconnect, while the endpoint list changes.
 
-Incident: fronts that had been killed and restarted forwarded requests to draining endpoints, and named them
-as sources of fills, up to 0.2 s after they were ready; the drain grace was long over.
-Sequence: clients went on connecting to the address of a front that was away for a moment. Its new process
-listened before it was ready, so their requests were there when it was.
-Cause: the list in the configuration is that of the moment of the start, and starts took 1 to 3 s. The first
-requests were decided by it, while the coordinator's answer to the question for later events was on its way.
-Proof: the first test delays that answer until a request has been read. Without the fix the request is decided
-by the old list in each of the four forms.
+The failure: fronts that had been killed and restarted forwarded requests to draining endpoints, or named
+them as fill sources, up to 0.2 s after they were ready, long after the drain grace had passed. The endpoint
+list in the configuration dates from the moment of the start, and starts took 1 to 3 s. Clients kept
+connecting to the front's address, and its new process listened before it was ready. It decided their requests
+by the old list before the coordinator had answered the first catch-up request (the request for later events).
+
+The first test delays that answer until a client's request has been read. Without the fix, all four changes of
+CHANGES are missed.
 """
 
 from __future__ import annotations
@@ -49,11 +49,11 @@
 
 pytestmark = pytest.mark.anyio
 DRAINING, GONE = 1, 2
-ROUNDS = 20  # calls answered after a request was read: the front could have sent it on at each
+ROUNDS = 20  # status calls answered after a request was read; the front had that many chances to forward it
 
 
 async def connected(where: tuple[str, int]) -> anyio.abc.SocketStream:
-    """A connection to a front as soon as it listens, as clients of a restarted front have it."""
+    """Connects to a front as soon as it listens, like the clients of a restarted front."""
     with anyio.fail_after(10):
         while True:
             try:
@@ -68,21 +68,21 @@
 
 
 class Fleet:
-    """An endpoint, its parent and the origin, and a coordinator that answers once it may."""
+    """A cache, a parent, the origin, and a coordinator that answers once `may_answer` is set."""
 
     def __init__(self) -> None:
         self.endpoint, self.parent = StubCache("s-00000001", 0), StubCache("s-000000a0", 1)
         self.origin = StubCache("s-000000b0", 2)
         self.may_answer = anyio.Event()
-        self.chosen = False  # whether `status` was good before the coordinator had answered
+        self.reported_ready = False  # whether a `status` call succeeded before the coordinator had answered
         self.coordinator = Coordinator(may_answer=self.may_answer)
 
     @property
     def stubs(self) -> list[StubCache]:
         return [self.endpoint, self.parent, self.origin]
 
-    def asked(self) -> list[dict[str, str]]:
-        """The fields of all attempts, with the name of the endpoint that they reached."""
+    def attempts(self) -> list[dict[str, str]]:
+        """The fields of all attempts received, with the name of the endpoint under "to"."""
         return [{"to": stub.name} | fetch.fields for stub in self.stubs for fetch in stub.fetches]
 
     async def run(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -93,9 +93,9 @@
 
 @dataclass(frozen=True)
 class Change:
-    """An event that the initial list lacks, and whether an attempt observes it."""
+    """An event after the initial list, and a check whether an attempt takes it into account."""
 
-    event: Callable[[Fleet], tuple[int, bytes]]  # its kind and payload
+    event: Callable[[Fleet], tuple[int, bytes]]  # kind and payload
     observed: Callable[[Fleet, dict[str, str]], bool]
 
 
@@ -117,7 +117,7 @@
 
 
 async def first_attempts(folder: Path, change: Change) -> tuple[Fleet, list[dict[str, str]]]:
-    """What a starting front does with a request that finds it listening, before and after its first frame."""
+    """Sends a request to a starting front before its first frame; returns the fleet and all attempts."""
     fleet = Fleet()
     async with anyio.create_task_group() as tasks:
         await fleet.run(tasks)
@@ -128,11 +128,10 @@
         try:
             async with await connected(where) as stream:
                 c = Client(stream)
-                request = await c.ask(
-                    patience="5000"
-                )  # the longest: a slow machine has its rounds within the share for which requests wait
+                # The longest patience, so that even on a slow machine the status calls end while it waits.
+                request = await c.ask(patience="5000")
                 replies = [await status(c) for _ in range(ROUNDS)]
-                fleet.chosen = any(reply.good for reply in replies if reply.seq != request)
+                fleet.reported_ready = any(reply.good for reply in replies if reply.seq != request)
                 fleet.may_answer.set()
                 if request not in [reply.seq for reply in replies]:
                     replies.append(await c.reply())
@@ -142,27 +141,27 @@
             front.process.kill()
             front.process.wait()
         tasks.cancel_scope.cancel()
-    return fleet, fleet.asked()
+    return fleet, fleet.attempts()
 
 
-async def test_what_a_start_finds_waiting_is_not_decided_by_the_list_of_the_start(tmp_path: Path) -> None:
-    by_the_old_list = []
+async def test_requests_that_arrive_during_a_start_are_not_decided_by_the_old_list(tmp_path: Path) -> None:
+    missed_changes = []
     for name, change in CHANGES.items():
         folder = tmp_path / name.replace(" ", "-")
         folder.mkdir()
         fleet, sent = await first_attempts(folder, change)
         assert sent, name
-        assert not fleet.chosen, name  # clients that look for a front stay away for that long
+        assert not fleet.reported_ready, name  # clients do not choose a front that is not ready
         if not all(change.observed(fleet, attempt) for attempt in sent):
-            by_the_old_list.append(name)
-    assert not by_the_old_list
+            missed_changes.append(name)
+    assert not missed_changes
 
 
-# Related paths: the same class of fault in a running front ------------------------------------------
+# The same fault in a running front ------------------------------------------------------------------
 
 
 async def followed(cores: list[Core]) -> Core:
-    """The front's core, once the coordinator has spoken."""
+    """Returns the front's core once the first frame of the coordinator has arrived."""
     await until(lambda: bool(cores) and phase(cores[0]) is WatchPhase.FOLLOWING)
     return cores[0]
 
@@ -173,28 +172,28 @@
 
 
 def push_now(w: World, record: bytes) -> None:
-    """Puts a change of the list on its way without a turn of the loop: the front has not read it yet."""
+    """Sends a change of the list without running the event loop, so that the front has not read it yet."""
     number = w.coordinator.streams[-1].extra(anyio.abc.SocketAttribute.raw_socket).fileno()
     with socket.socket(fileno=os.dup(number)) as sock:
         sock.send(frame(2, 2, record))
 
 
 async def never_begins(_: CoordinatorWatch) -> None:
-    """A watch that has not had its turn."""
+    """Stands in for `CoordinatorWatch.run`: a watch that never connects."""
     await anyio.sleep_forever()
 
 
-async def test_what_the_coordinator_said_is_read_before_an_attempts_first_byte(
+async def test_events_of_the_coordinator_are_read_before_the_first_byte_of_an_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # a process may stall between its decision and the send, and read the coordinator only after that
+    # A process may stall between its decision and the send, and would read the event only afterwards.
     cores = cores_of(monkeypatch)
     async with world(serve) as w, client(w) as c:
         await followed(cores)
         endpoint, real, stalls_left = w.caches[0], WriteQueue.put, [True]
 
         def stalls(self: WriteQueue, parts: Sequence[bytes], may_go: Any = None, *more: Any) -> QueuedWrite:
-            while stalls_left and may_go is not None:  # of an attempt
+            while stalls_left and may_go is not None:  # only for writes of attempts
                 stalls_left.pop()
                 push_now(w, endpoint.record(DRAINING))
                 monkeypatch.setattr(watching, "POLL_INTERVAL_SECONDS", 0.0)
@@ -208,7 +207,7 @@
 
 
 async def test_a_front_that_was_stopped_reads_the_coordinator_first(tmp_path: Path) -> None:
-    # the same with a real process: SIGSTOP, a drain and requests on many connections, SIGCONT
+    # As above with a real process: SIGSTOP, then a drain and requests on many connections, then SIGCONT.
     fleet = Fleet()
     fleet.may_answer.set()
     async with anyio.create_task_group() as tasks:
@@ -234,10 +233,10 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_request_waits_for_the_answer_to_a_question_asked_again(
+async def test_after_a_reconnect_a_request_waits_for_the_answer_to_the_catch_up_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # events behind a broken watch count as delivered once the front asks again
+    # Events after a broken watch count as delivered once the front has sent a catch-up request.
     cores = cores_of(monkeypatch)
     async with world(serve) as w, client(w) as c:
         core = await followed(cores)
@@ -245,7 +244,7 @@
         assert freshness is not None
         endpoint, w.coordinator.may_answer = w.caches[0], anyio.Event()
         w.coordinator.events.append((2, 2, endpoint.record(DRAINING)))
-        freshness.min_grace_seconds = 0.0  # the question was asked a grace ago
+        freshness.min_grace_seconds = 0.0  # the grace has passed since the catch-up request
         for stream in w.coordinator.streams:
             await stream.aclose()
         await until(lambda: len(w.coordinator.after) == 2)
@@ -258,7 +257,9 @@
         assert not endpoint.fetches
 
 
-async def test_a_retry_waits_for_that_answer_too(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_retry_waits_for_the_answer_to_the_catch_up_request_too(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     cores, reject = cores_of(monkeypatch), anyio.Event()
 
     async def full(_: StubCache, fetch: Fetch) -> None:
@@ -285,7 +286,9 @@
         assert not any(stub.fetches for stub in drained)
 
 
-async def test_names_are_asked_for_in_vain_until_the_list_is_current(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_dns_queries_are_answered_only_once_the_list_is_current(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     cores = cores_of(monkeypatch)
     monkeypatch.setattr(CoordinatorWatch, "run", never_begins)
     async with world(serve) as w, client(w) as c, anyio.create_task_group() as tasks:
@@ -306,7 +309,7 @@
         assert answers[0].rcode() == dns.rcode.NOERROR
 
 
-async def test_a_front_without_a_coordinator_to_be_had_serves_by_what_it_knows() -> None:
+async def test_a_front_that_cannot_reach_the_coordinator_serves_by_its_initial_list() -> None:
     async with world(serve) as w:
         w.coordinator.down = True
         async with client(w) as c:
@@ -315,20 +318,20 @@
             assert (await status(c)).good
 
 
-async def test_a_request_without_the_time_to_wait_is_rejected_and_not_sent(
+async def test_a_request_without_enough_time_to_wait_is_rejected_and_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # rejected before half of its time is over, so that its client can still retry elsewhere
+    # It is rejected before half of its time has passed, so that its client can still retry elsewhere.
     monkeypatch.setattr(CoordinatorWatch, "run", never_begins)
     async with world(serve) as w, client(w) as c:
-        began = monotonic()
+        started_at = monotonic()
         await c.ask(patience="200")
         assert (await c.reply()).kind == "Throttled"
-        assert 0.05 < monotonic() - began < 0.1 + 0.05
+        assert 0.05 < monotonic() - started_at < 0.1 + 0.05
         assert not any(stub.fetches for stub in w.caches)
 
 
-async def test_what_waits_for_the_coordinator_is_answered_when_the_front_ends(
+async def test_requests_that_wait_for_the_coordinator_are_answered_when_the_front_stops(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     cores = cores_of(monkeypatch)
@@ -337,26 +340,26 @@
         await c.ask(patience="2000")
         await until(lambda: cores[0].counts["out_of_date", "held"] == 1)
         cores[0].fail_open_requests()
-        with anyio.fail_after(0.4):  # it would wait for 0.9 s
+        with anyio.fail_after(0.4):  # otherwise it would wait for 0.9 s
             assert (await c.reply()).kind == "Broken"
 
 
-async def test_a_list_that_comes_in_pieces_is_not_current_in_the_middle_of_an_event(
+async def test_the_list_is_not_current_while_only_a_part_of_an_event_has_arrived(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     cores = cores_of(monkeypatch)
-    go_on = anyio.Event()
+    may_send_rest = anyio.Event()
 
-    async def in_pieces(self: Coordinator, stream: anyio.abc.ByteStream) -> None:
+    async def send_in_pieces(self: Coordinator, stream: anyio.abc.ByteStream) -> None:
         await stream.receive()
         await until(lambda: bool(self.events))
         first, second = frame(2, 4, struct.pack(">HQ", 3, 1)), frame(3, 2, self.events[0][2])
         await stream.send(first + second[:-5])
-        await go_on.wait()
+        await may_send_rest.wait()
         await stream.send(second[-5:])
         await anyio.sleep_forever()
 
-    monkeypatch.setattr(Coordinator, "_connection", in_pieces)
+    monkeypatch.setattr(Coordinator, "_connection", send_in_pieces)
     async with world(serve) as w, client(w) as c:
         endpoint = w.caches[0]
         w.coordinator.events.append((3, 2, endpoint.record(DRAINING)))
@@ -365,6 +368,6 @@
         for _ in range(ROUNDS):
             await status(c)
         assert not endpoint.fetches and phase(cores[0]) is WatchPhase.STARTING
-        go_on.set()
+        may_send_rest.set()
         assert (await c.reply()).kind == "served"
         assert not endpoint.fetches
--- a/zincladder/discovery/__init__.py
+++ b/zincladder/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""What a front knows of the fleet from the coordinator, and whether that is current."""
+"""Tracks whether the data that a front receives from the coordinator is current."""
