--- a/tests/net/test_buffers_and_queues.py
+++ b/tests/net/test_buffers_and_queues.py
@@ -1,4 +1,4 @@
-"""Reading and writing over the two ends of a socket."""
+"""Read buffers and write queues on the two ends of a socket pair."""
 
 from __future__ import annotations
 
@@ -15,22 +15,21 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_a_message_that_waits_is_asked_again_and_one_that_began_is_written_whole() -> None:
+async def test_a_queued_message_may_be_dropped_until_its_first_byte_is_written() -> None:
     ours, theirs = socket.socketpair()
     with ours, theirs:
         ours.setblocking(False)
         theirs.setblocking(False)
         write_queue, read_buffer, allowed = WriteQueue(ours), ReadBuffer(theirs), True
-        heard: list[bool] = []
-        whole: list[bool] = []
-        large = write_queue.put(
-            [b"head\r\n", bytes(4_000_000)], None, whole.append
-        )  # more than the system takes
-        late = write_queue.put([b"late\r\n"], lambda: allowed, heard.append)
-        dropped = write_queue.put([b"dropped\r\n"])
+        done_late: list[bool] = []
+        done_large: list[bool] = []
+        # larger than the socket buffers
+        large = write_queue.put([b"head\r\n", bytes(4_000_000)], None, done_large.append)
+        late = write_queue.put([b"late\r\n"], lambda: allowed, done_late.append)
+        cancelled = write_queue.put([b"dropped\r\n"])
         write_queue.put([b"last\r\n"])
-        assert large.started and not late.started and whole == []  # not counted before its last byte
-        assert not write_queue.cancel(large) and write_queue.cancel(dropped)
+        assert large.started and not late.started and done_large == []  # called with the last byte only
+        assert not write_queue.cancel(large) and write_queue.cancel(cancelled)
         allowed = False
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(write_queue.run, 5.0)
@@ -38,11 +37,11 @@
             assert len(await read_buffer.read_exactly(4_000_000)) == 4_000_000
             assert await read_buffer.read_line(100) == b"last"
             tasks.cancel_scope.cancel()
-        assert heard == [False] and whole == [True] and not late.started and write_queue.size == 0
+        assert done_late == [False] and done_large == [True] and not late.started and write_queue.size == 0
 
 
 @pytest.mark.parametrize("data", [b"x" * 9000, b"\r" * 9000])
-async def test_a_line_without_end_is_malformed(data: bytes) -> None:
+async def test_an_endless_line_is_a_protocol_error(data: bytes) -> None:
     ours, theirs = socket.socketpair()
     with ours, theirs:
         theirs.setblocking(False)
--- a/tests/net/test_cache_connections.py
+++ b/tests/net/test_cache_connections.py
@@ -1,4 +1,4 @@
-"""Connections to members at their ends: what may still come or go out when an attempt or connection ends."""
+"""Connections to caches: what is still sent or received when an attempt or a connection ends."""
 
 from __future__ import annotations
 
@@ -37,19 +37,18 @@
 pytestmark = pytest.mark.anyio
 
 
-def held_by(caches: CacheTransport) -> int:
-    """Descriptors of connections to members."""
+def descriptors_used(caches: CacheTransport) -> int:
+    """The number of descriptors in use for connections to caches."""
     return caches.pool._descriptors.pools[DescriptorUse.CACHES].used
 
 
 # Answers -------------------------------------------------------------------------------------------
 
 
-async def test_an_answer_under_the_id_of_a_request_that_has_not_gone_out_is_nobodys() -> None:
+async def test_an_answer_to_a_request_that_is_not_sent_yet_is_ignored() -> None:
     async with wire() as w:
-        await w.send(
-            b"x" * LARGE, attempt_request("a" * 16)
-        )  # fills both systems, so that the next one waits
+        # fills the socket buffers on both sides, so that the next request has to wait
+        await w.send(b"x" * LARGE, attempt_request("a" * 16))
         await w.send(b"next\r\n", attempt_request("b" * 16))
         await w.answer(b"b" * 16 + b" 200 tell=local 5\r\nahead\r\n")
         assert w.ends == []
@@ -59,25 +58,27 @@
 
 
 @pytest.mark.parametrize("fields", ["tell=local,rev=bb,since=1", "tell=local,since=1", "-"])
-async def test_a_clients_copy_is_current_only_if_the_member_named_that_copy(fields: str) -> None:
-    # a spoilt answer, or one about another copy: the client would go on with bytes that no cache vouched for
+async def test_a_clients_copy_is_current_only_if_the_cache_repeats_its_tag(fields: str) -> None:
+    # After a malformed answer, or one about another copy, the client must not use a copy that no cache has
+    # confirmed.
     first: list[Fetch] = []
 
-    async def names_another(cache: StubCache, fetch: Fetch) -> None:
+    async def confirms_another_copy(cache: StubCache, fetch: Fetch) -> None:
         first.append(fetch)
         await (fetch.answer(304, fields) if len(first) == 1 else serve(cache, fetch))
 
-    async with world(names_another) as w, client(w) as c:
+    async with world(confirms_another_copy) as w, client(w) as c:
         await c.ask(seen="aa")
         reply = await c.reply()
         assert (reply.kind, reply.body, reply.fields) == ("served", KEY.encode(), {})
 
 
-# Requests that are given up ------------------------------------------------------------------------
+# Requests that are abandoned -----------------------------------------------------------------------
 
 
-async def test_the_rest_of_a_request_that_was_given_up_is_not_written_behind() -> None:
-    # it never arrived whole, so it never ran; its last bytes would have it run after its client was answered
+async def test_the_rest_of_an_abandoned_request_is_not_sent() -> None:
+    # The cache has not received the complete request, so it has not run. With the rest it would run after the
+    # client got its answer.
     async with wire() as w:
         scope = await w.send(b"x" * LARGE + b"end\r\n", attempt_request())
         scope.cancel()
@@ -86,7 +87,7 @@
         assert b"end" not in found and b"abort" not in found and len(found) < LARGE
 
 
-async def test_a_connection_that_others_use_stays_and_the_request_is_taken_back_by_name() -> None:
+async def test_a_request_on_a_shared_connection_is_aborted_by_its_id() -> None:
     async with wire() as w:
         await w.send(b"first\r\n", attempt_request("f" * 16))
         scope = await w.send(b"x" * LARGE + b"end\r\n", attempt_request("a" * 16))
@@ -101,17 +102,17 @@
 # Purges --------------------------------------------------------------------------------------------
 
 
-async def test_a_request_that_waits_to_be_written_takes_no_copy_from_before_a_purge_told_meanwhile(
+async def test_a_queued_request_accepts_no_copy_older_than_a_purge_that_arrives_meanwhile(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     cores, put, purges = cores_of(monkeypatch), WriteQueue.put, [2.0]
 
-    def crossing(self: WriteQueue, parts: Sequence[bytes], may_go: Any = None, *more: Any) -> Any:
-        while purges and may_go is not None:  # of an attempt of which no byte has gone out
+    def purge_before_put(self: WriteQueue, parts: Sequence[bytes], may_start: Any = None, *more: Any) -> Any:
+        while purges and may_start is not None:  # only attempts have `may_start`
             cores[0].purge(int(KEY, 16), 0, time.time() - purges.pop())
-        return put(self, parts, may_go, *more)
+        return put(self, parts, may_start, *more)
 
-    monkeypatch.setattr(WriteQueue, "put", crossing)
+    monkeypatch.setattr(WriteQueue, "put", purge_before_put)
     async with world(serve, serve) as w, client(w) as c:
         await c.ask()
         assert (await c.reply()).kind == "served"
@@ -119,12 +120,12 @@
         assert len(caps) == 1 and 2000 <= caps[0] < 3000
 
 
-# This side's own end -------------------------------------------------------------------------------
+# Connections that the front closes -----------------------------------------------------------------
 
 
-@pytest.mark.parametrize("room", [False, True])
-async def test_half_a_line_that_comes_at_the_end_of_a_resting_connection_makes_it_no_reset(
-    room: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("descriptor_needed", [False, True])
+async def test_closing_an_idle_connection_over_half_a_line_sends_no_reset(
+    descriptor_needed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with pair() as (ours, theirs):
         caches = CacheTransport(
@@ -133,33 +134,33 @@
             ["page"],
         )
         async with anyio.create_task_group() as tasks:
-            link = CacheConnection(ours)
-            caches.pool._connections[b"s-00000001"] = [link]
+            connection = CacheConnection(ours)
+            caches.pool._connections[b"s-00000001"] = [connection]
             caches.pool._descriptors.force_acquire(DescriptorUse.CACHES)
-            tasks.start_soon(caches.pool._run_connection, b"s-00000001", link)
+            tasks.start_soon(caches.pool._run_connection, b"s-00000001", connection)
             await anyio.wait_all_tasks_blocked()
-            theirs.sendall(b"a" * 16 + b" 200 te")  # in the front's system, and not read yet
-            if room:
-                assert caches.pool._free_descriptor()
+            theirs.sendall(b"a" * 16 + b" 200 te")  # received by the front's system, and not read yet
+            if descriptor_needed:
+                assert caches.pool._close_longest_idle()
             else:
                 caches.pool.close_idle(b"s-00000001")
             await anyio.wait_all_tasks_blocked()
-            if room:
-                with anyio.fail_after(LINGER_SECONDS / 2):  # the descriptor is free at once
+            if descriptor_needed:
+                with anyio.fail_after(LINGER_SECONDS / 2):  # the descriptor is freed without waiting
                     while caches.pool._connections:
                         await anyio.sleep(0.001)
             else:
                 theirs.sendall(b"ll=local 0\r\n")
             await anyio.wait_readable(theirs)
-            assert theirs.recv(100) == b""  # an end, and no ConnectionResetError
+            assert theirs.recv(100) == b""  # closed, and no ConnectionResetError
             theirs.close()
             with anyio.fail_after(5):
                 while caches.pool._connections:
                     await anyio.sleep(0.001)
-            assert held_by(caches) == 0
+            assert descriptors_used(caches) == 0
 
 
-async def test_a_connection_that_lingers_makes_room_for_one_that_is_needed() -> None:
+async def test_a_lingering_connection_is_closed_when_its_descriptor_is_needed() -> None:
     with pair() as (ours, theirs):
         caches = CacheTransport(
             CachePool(parse_config(configuration([])), DescriptorBudget(100, ELASTIC_POOLS)),
@@ -167,17 +168,17 @@
             ["page"],
         )
         async with anyio.create_task_group() as tasks:
-            link = CacheConnection(ours)
-            caches.pool._connections[b"s-00000001"] = [link]
+            connection = CacheConnection(ours)
+            caches.pool._connections[b"s-00000001"] = [connection]
             caches.pool._descriptors.force_acquire(DescriptorUse.CACHES)
-            tasks.start_soon(caches.pool._run_connection, b"s-00000001", link)
+            tasks.start_soon(caches.pool._run_connection, b"s-00000001", connection)
             await anyio.wait_all_tasks_blocked()
             caches.pool.close_idle(b"s-00000001")
             await anyio.wait_all_tasks_blocked()
-            assert held_by(caches) == 1  # the member has not ended its side
-            assert caches.pool._free_descriptor() and not caches.pool._free_descriptor()
+            assert descriptors_used(caches) == 1  # the cache has not closed its side
+            assert caches.pool._close_longest_idle() and not caches.pool._close_longest_idle()
             with anyio.fail_after(LINGER_SECONDS / 2):
-                while held_by(caches):
+                while descriptors_used(caches):
                     await anyio.sleep(0.001)
             assert theirs.recv(100) == b""
 
@@ -193,157 +194,164 @@
         (AbortReason.SOURCE_NOT_READY, EndReason.DRAINING, api.FillOutcome.SOURCE_FAILED),
     ],
 )
-async def test_an_attempt_that_may_not_begin_ends_as_one_that_never_ran(
+async def test_an_attempt_that_is_aborted_before_the_send_ends_as_one_that_never_ran(
     abort: AbortReason, reason: EndReason, fill_outcome: api.FillOutcome
 ) -> None:
-    class Held(NoAttemptGuard):
+    class AbortingGuard(NoAttemptGuard):
         def abort_reason(self, attempt: AttemptRequest) -> AbortReason | None:
             return abort
 
     caches = CacheTransport(
         CachePool(parse_config(configuration([])), DescriptorBudget(100, ELASTIC_POOLS)), time.time, ["page"]
     )
-    end = await caches.send(attempt_request(guard=Held()))
+    end = await caches.send(attempt_request(guard=AbortingGuard()))
     assert (end.reason, end.fill_outcome, end.detail) == (reason, fill_outcome, abort.description)
     assert end.outcome in (*NEVER_RAN, api.AttemptOutcome.CANCELLED)
 
 
-# Connections that come up late -----------------------------------------------------------------------
+# Connections that are established late -----------------------------------------------------------------
 
 
-def hang_after(monkeypatch: pytest.MonkeyPatch, first: int, let: anyio.Event | None = None) -> list[int]:
-    """Connections to members past the first so many do not come up, or not until `let`; counts the tries."""
-    tried = [0]
+def hang_after(monkeypatch: pytest.MonkeyPatch, first: int, released: anyio.Event | None = None) -> list[int]:
+    """Delays connections to caches after the first `first` ones until `released` is set, or for ever.
+
+    Returns a list of one number: how many connections were attempted.
+    """
+    attempts = [0]
 
     async def connecting(host: str, port: int) -> socket.socket:
-        tried[0] += 1
-        if tried[0] > first:
-            await (let.wait() if let else anyio.sleep_forever())
+        attempts[0] += 1
+        if attempts[0] > first:
+            await (released.wait() if released else anyio.sleep_forever())
         return await connect(host, port)
 
     monkeypatch.setattr(cache_pool, "connect", connecting)
-    return tried
+    return attempts
 
 
-def caches_of(monkeypatch: pytest.MonkeyPatch) -> list[CacheTransport]:
-    """The carriers of the fronts that are started from now on."""
-    made: list[CacheTransport] = []
+def transports_of(monkeypatch: pytest.MonkeyPatch) -> list[CacheTransport]:
+    """Returns a list to which each front that starts from now on adds its transport to the caches."""
+    transports: list[CacheTransport] = []
     init = CacheTransport.__init__
 
-    def keep(self: CacheTransport, *reason: Any) -> None:
-        made.append(self)
-        init(self, *reason)
+    def recording(self: CacheTransport, *arguments: Any) -> None:
+        transports.append(self)
+        init(self, *arguments)
 
-    monkeypatch.setattr(CacheTransport, "__init__", keep)
-    return made
+    monkeypatch.setattr(CacheTransport, "__init__", recording)
+    return transports
 
 
-class Held:
-    """A script that answers when it is let."""
+class AnswerWhenReleased:
+    """A script that answers once `released` is set."""
 
     def __init__(self) -> None:
-        self.let = anyio.Event()
+        self.released = anyio.Event()
 
     async def __call__(self, cache: StubCache, fetch: Fetch) -> None:
-        await self.let.wait()
+        await self.released.wait()
         await serve(cache, fetch)
 
 
-async def test_a_request_whose_connection_comes_up_late_goes_on_one_that_falls_idle(
+async def test_a_request_that_waits_for_its_connection_uses_one_that_becomes_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    tried, held = hang_after(monkeypatch, 1), Held()
-    async with world(held) as w, client(w) as c:
+    attempts, gate = hang_after(monkeypatch, 1), AnswerWhenReleased()
+    async with world(gate) as w, client(w) as c:
         await c.ask(entity=f"{1:016x}")
         while not w.caches[0].fetches:
             await anyio.sleep(0.001)
         await c.ask(entity=f"{2:016x}")
-        while tried[0] < 2:
+        while attempts[0] < 2:
             await anyio.sleep(0.001)
-        held.let.set()
+        gate.released.set()
         with anyio.fail_after(SETTINGS["ceilings"]["connectTimeout"] / 2):
             assert [(await c.reply()).kind for _ in range(2)] == ["served", "served"]
         assert w.caches[0].connections == 1 and len(w.caches[0].fetches) == 2
 
 
-async def test_the_longest_waiting_is_served_first_and_each_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    let = anyio.Event()
-    tried, held = hang_after(monkeypatch, 1, let), Held()
-    async with world(held) as w, client(w) as c:
+async def test_waiting_requests_get_an_idle_connection_in_order_and_once(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    released = anyio.Event()
+    attempts, gate = hang_after(monkeypatch, 1, released), AnswerWhenReleased()
+    async with world(gate) as w, client(w) as c:
         for n in range(1, 6):
             await c.ask(entity=f"{n:016x}")
-            while tried[0] < n:
+            while attempts[0] < n:
                 await anyio.sleep(0.001)
-        held.let.set()
+        gate.released.set()
         with anyio.fail_after(5):
             replies = [await c.reply() for _ in range(5)]
         assert [r.body for r in replies] == [f"{n:016x}".encode() for n in range(1, 6)]
         assert [r.seq for r in replies] == [1, 2, 3, 4, 5] and w.caches[0].connections == 1
-        let.set()  # nobody is left to whom one could come up
+        released.set()  # no request waits for a new connection any more
         await c.ask()
         assert (await c.reply()).kind == "served" and w.caches[0].connections == 1
 
 
-async def test_a_connection_that_was_given_up_on_is_handed_to_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    # its machine may be cut off: a connection that does not come up proves that the request never ran
-    tried, made = hang_after(monkeypatch, 1), caches_of(monkeypatch)
+async def test_a_connection_with_an_abandoned_request_is_not_offered_to_waiting_requests(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # Its machine may be cut off. A request whose own connection cannot be opened is certain not to have run.
+    attempts, transports = hang_after(monkeypatch, 1), transports_of(monkeypatch)
     async with world(hold, origin=hold) as w, client(w) as c:
         first = await c.ask(b"order", route="booking", trace="a" * 16)
         while not w.caches[-1].fetches:
             await anyio.sleep(0.001)
         await c.ask(b"order", route="booking", trace="b" * 16)
-        while tried[0] < 2:
+        while attempts[0] < 2:
             await anyio.sleep(0.001)
         await c.withdraw(first)
         while not w.caches[-1].aborts:
             await anyio.sleep(0.001)
-        (link,) = made[0].pool._connections[w.caches[-1].name.encode()]
-        assert not (link.open or link.reserved) and made[0].pool._waiters
+        (connection,) = transports[0].pool._connections[w.caches[-1].name.encode()]
+        assert not (connection.open or connection.reserved) and transports[0].pool._waiters
         assert [f.name for f in w.caches[-1].fetches] == ["a" * 16]
 
 
-async def test_a_connection_that_ends_before_its_next_request_begins_leaves_it_unsent(
+async def test_a_request_is_not_sent_if_its_reserved_connection_ends_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    tried, held = hang_after(monkeypatch, 1), Held()
+    attempts, gate = hang_after(monkeypatch, 1), AnswerWhenReleased()
     offer_idle = CachePool._offer_idle
 
-    def crossing(self: CachePool, endpoint: bytes, link: CacheConnection) -> None:
-        offer_idle(self, endpoint, link)
-        if link.reserved:
-            self.close_idle(endpoint)  # its member is gone
+    def close_after_offer(self: CachePool, endpoint: bytes, connection: CacheConnection) -> None:
+        offer_idle(self, endpoint, connection)
+        if connection.reserved:
+            self.close_idle(endpoint)  # as if the cache were gone
 
-    monkeypatch.setattr(CachePool, "_offer_idle", crossing)
-    async with world(hold, origin=held) as w, client(w) as c:
+    monkeypatch.setattr(CachePool, "_offer_idle", close_after_offer)
+    async with world(hold, origin=gate) as w, client(w) as c:
         await c.ask(b"order", route="booking", trace="a" * 16)
         while not w.caches[-1].fetches:
             await anyio.sleep(0.001)
         await c.ask(b"order", route="booking", trace="b" * 16)
-        while tried[0] < 2:
+        while attempts[0] < 2:
             await anyio.sleep(0.001)
-        held.let.set()
+        gate.released.set()
         with anyio.fail_after(5):
             assert {(await c.reply()).kind for _ in range(2)} == {"served", "Throttled"}
         assert [f.name for f in w.caches[-1].fetches] == ["a" * 16]
 
 
-async def test_a_request_that_is_given_up_while_it_waits_leaves_its_place_and_its_descriptor(
+async def test_a_request_that_is_withdrawn_while_it_waits_releases_its_descriptor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    tried, made = hang_after(monkeypatch, 0), caches_of(monkeypatch)
+    attempts, transports = hang_after(monkeypatch, 0), transports_of(monkeypatch)
     async with world(serve) as w, client(w) as c:
         seq = await c.ask()
-        while not tried[0]:
+        while not attempts[0]:
             await anyio.sleep(0.001)
-        before = held_by(made[0])
+        before = descriptors_used(transports[0])
         await c.withdraw(seq)
         with anyio.fail_after(SETTINGS["ceilings"]["connectTimeout"] / 2):
-            while made[0].pool._waiters:
+            while transports[0].pool._waiters:
                 await anyio.sleep(0.001)
-        assert held_by(made[0]) == before - 1
+        assert descriptors_used(transports[0]) == before - 1
 
 
-async def test_a_connection_promised_to_a_request_that_is_given_up_goes_to_the_next(
+async def test_a_connection_reserved_for_a_cancelled_request_goes_to_the_next(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     hang_after(monkeypatch, 0)
@@ -357,7 +365,7 @@
             b"s-1",
         )
         caches.pool.set_address(endpoint, ("127.0.0.1", 1))
-        link, got = CacheConnection(ours), list[tuple[bytes, CacheConnection]]()
+        connection, got = CacheConnection(ours), list[tuple[bytes, CacheConnection]]()
         async with anyio.create_task_group() as tasks:
             scopes = [anyio.CancelScope(), anyio.CancelScope()]
 
@@ -368,19 +376,23 @@
             for name, scope in zip((b"a", b"b"), scopes, strict=True):
                 tasks.start_soon(waits, name, scope)
                 await anyio.wait_all_tasks_blocked()
-            caches.pool._offer_idle(endpoint, link)
+            caches.pool._offer_idle(endpoint, connection)
             scopes[0].cancel()  # in the same turn of the loop
         assert (
-            got == [(b"b", link)] and not link.reserved and not caches.pool._waiters and held_by(caches) == 0
+            got == [(b"b", connection)]
+            and not connection.reserved
+            and not caches.pool._waiters
+            and descriptors_used(caches) == 0
         )
 
 
-# Settings that change while a connection stands --------------------------------------------------------
+# Settings that change while a connection is open -------------------------------------------------------
 
 
 @pytest.mark.parametrize("names", [["rif", "busy"], ["busy"], ["busy", "rif"]])
-async def test_a_load_report_is_read_in_the_order_of_the_settings_in_force(names: list[str]) -> None:
-    # the decisions take each figure by its place: in the order of older settings, cores would be shares
+async def test_a_load_report_is_read_in_the_order_of_the_current_settings(names: list[str]) -> None:
+    # The router reads each figure by its position. In the order of older settings it would read numbers of
+    # cores as shares.
     settings = copy.deepcopy(SETTINGS)
     settings["report"]["names"] = ["busy", "rif"]
     before = parse_config(configuration([], settings=settings))
@@ -395,76 +407,77 @@
         assert w.ends[0].report == tuple(figures[n] for n in w.caches.pool.report_names())
 
 
-LEFT_OVER = [b"f" * 16 + b" 200 te", b"\xff" * 40, b"f" * 16 + b" 200 tell=local 6\r\nabc"]
+STRAY_INPUTS = [b"f" * 16 + b" 200 te", b"\xff" * 40, b"f" * 16 + b" 200 tell=local 6\r\nabc"]
 
 
 def push(fetch: Fetch, data: bytes) -> None:
-    """Sends what belongs to no request on the connection of this one, at once."""
+    """Sends bytes that belong to no request on the connection of this one, without waiting."""
     number = fetch.stream.extra(SocketAttribute.raw_socket).fileno()
     with socket.socket(fileno=os.dup(number)) as sock:
         sock.sendall(data)
 
 
-# What was left over ------------------------------------------------------------------------------------
+# Input that belongs to no request ----------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("read", [True, False])
 @pytest.mark.parametrize(
-    "more", [b"f" * 16 + b" 200 te", b"\xff" * 40, b"f" * 16 + b" 200 tell=local 6\r\nabc"]
+    "stray_input", [b"f" * 16 + b" 200 te", b"\xff" * 40, b"f" * 16 + b" 200 tell=local 6\r\nabc"]
 )
-async def test_a_request_does_not_go_out_behind_what_was_left_over(
-    more: bytes, read: bool, monkeypatch: pytest.MonkeyPatch
+async def test_a_request_is_not_sent_on_a_connection_with_stray_input(
+    stray_input: bytes, read: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # half an answer that is nobody's ends its connection soon: a write that goes out there may have run
-    waiting, link_for = list[Fetch](), CachePool.acquire
+    # Half an answer to no request ends its connection soon. A write sent there would count as one that may
+    # have run.
+    waiting, acquire = list[Fetch](), CachePool.acquire
 
-    async def answers(cache: StubCache, fetch: Fetch) -> None:
+    async def serve_and_remember(cache: StubCache, fetch: Fetch) -> None:
         await serve(cache, fetch)
         if len(cache.fetches) == 1:
             waiting.append(fetch)
 
-    def crossing(self: CachePool, endpoint: bytes, name: bytes) -> Any:
+    def push_before_acquire(self: CachePool, endpoint: bytes, name: bytes) -> Any:
         while waiting and cores[0].open_requests:
-            push(waiting.pop(), more)  # it comes just before the next request goes out
-        return link_for(self, endpoint, name)
+            push(waiting.pop(), stray_input)  # arrives just before the next request is sent
+        return acquire(self, endpoint, name)
 
     cores = cores_of(monkeypatch)
-    made = caches_of(monkeypatch)
-    async with world(serve, origin=answers) as w, client(w) as c:
+    transports = transports_of(monkeypatch)
+    async with world(serve, origin=serve_and_remember) as w, client(w) as c:
         await c.ask(b"order", route="booking")
         assert (await c.reply()).kind == "served"
         if read:
-            (link,) = made[0].pool._connections[w.caches[-1].name.encode()]
-            received = link.read_buffer.received
-            push(waiting.pop(), more)
-            while link.read_buffer.received == received:
+            (connection,) = transports[0].pool._connections[w.caches[-1].name.encode()]
+            received = connection.read_buffer.received
+            push(waiting.pop(), stray_input)
+            while connection.read_buffer.received == received:
                 await anyio.sleep(0.001)
         else:
-            monkeypatch.setattr(CachePool, "acquire", crossing)
+            monkeypatch.setattr(CachePool, "acquire", push_before_acquire)
         await c.ask(b"order", route="booking")
         assert (await c.reply()).kind == "served"
         assert len(w.caches[-1].fetches) == 2 and w.caches[-1].connections == 2
 
 
-async def test_a_connection_with_more_than_its_answer_is_handed_to_nobody(
+async def test_a_connection_with_input_after_an_answer_is_not_offered_to_waiting_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    tried, held = hang_after(monkeypatch, 1), anyio.Event()
+    attempts, gate = hang_after(monkeypatch, 1), anyio.Event()
 
-    async def more(_: StubCache, fetch: Fetch) -> None:
-        await held.wait()
+    async def answer_and_half(_: StubCache, fetch: Fetch) -> None:
+        await gate.wait()
         await fetch.stream.send(
             f"{fetch.name} 200 tell=local,rev=a,since=1 2\r\nok\r\n{'f' * 16} 200 te".encode()
         )
 
-    made = caches_of(monkeypatch)
-    async with world(more) as w, client(w) as c:
+    transports = transports_of(monkeypatch)
+    async with world(answer_and_half) as w, client(w) as c:
         await c.ask(entity=f"{1:016x}")
         while not w.caches[0].fetches:
             await anyio.sleep(0.001)
         await c.ask(entity=f"{2:016x}")
-        while tried[0] < 2:
+        while attempts[0] < 2:
             await anyio.sleep(0.001)
-        held.set()
+        gate.set()
         assert (await c.reply()).body == b"ok"
-        assert made[0].pool._waiters and len(w.caches[0].fetches) == 1
+        assert transports[0].pool._waiters and len(w.caches[0].fetches) == 1
--- a/tests/net/test_clients.py
+++ b/tests/net/test_clients.py
@@ -1,4 +1,4 @@
-"""The platform's front over loopback sockets: one story for each failure it guards against."""
+"""The front with clients, caches and a coordinator over loopback sockets: failures that it has to survive."""
 
 from __future__ import annotations
 
@@ -34,17 +34,17 @@
         (serve, "page", "served", 1),
         (in_pieces, "page", "served", 1),
         (says(304, "rev=aa,since=1"), "page", "served", 1),
-        (says(404), "booking", "Throttled", 4),  # proved not to have run: tried again, then refused
+        (says(404), "booking", "Throttled", 4),  # certain not to have run: retried, then rejected
         (says(503), "booking", "Throttled", 4),
         (says(504), "booking", "Throttled", 1),
-        (says(500), "booking", "Broken", 1),  # may have run: never again, and no promise
+        (says(500), "booking", "Broken", 1),  # may have run: not retried, and answered as failed
         (cut, "booking", "Broken", 1),
         (garble, "booking", "Broken", 1),
         (too_long, "booking", "Broken", 1),
         (hold, "booking", "Broken", 1),
     ],
 )
-async def test_each_end_of_an_attempt_gives_one_answer(
+async def test_each_attempt_outcome_leads_to_one_answer(
     script: Script, route: str, kind: str, runs: int
 ) -> None:
     async with world(script, script, origin=script) as w, client(w) as c:
@@ -54,7 +54,7 @@
         fetches = [f for cache in w.caches for f in cache.fetches]
         assert len(fetches) == runs and {f.name for f in fetches} == {"0000000000000001"}
         if kind == "Throttled":
-            assert int(reply.fields["pause"]) > 0  # when to come back, told at once
+            assert int(reply.fields["pause"]) > 0  # the retry delay
         if route == "booking":
             assert {f.body for f in fetches} == {b"order"} and "store" not in fetches[0].fields
         else:
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("script", [cut, garble, says(500)])
-async def test_a_read_is_tried_elsewhere_when_a_cache_fails(script: Script) -> None:
+async def test_a_read_is_retried_at_another_cache_when_one_fails(script: Script) -> None:
     async with world(script, serve) as w, client(w) as c:
         for n in range(8):
             await c.ask(entity=f"{n:016x}")
@@ -73,36 +73,37 @@
             assert reply.kind == "served" and reply.body == b"%016x" % n
 
 
-async def test_a_refused_connection_proves_that_nothing_ran() -> None:
+async def test_a_write_is_rejected_and_not_failed_when_the_origin_refuses_connections() -> None:
     async with world(serve) as w, client(w) as c:
-        record = w.caches[-1]
-        record.port = 1  # nobody listens there
-        await w.coordinator.tell(2, record.record(0))
+        origin = w.caches[-1]
+        origin.port = 1  # nothing listens on this port
+        await w.coordinator.tell(2, origin.record(0))
         with anyio.fail_after(5):
-            while w.coordinator.events and (await _booked(c)) != "Throttled":
+            while w.coordinator.events and (await _book(c)) != "Throttled":
                 pass
 
 
-async def _booked(c: Client) -> str:
+async def _book(c: Client) -> str:
     await c.ask(b"x", route="booking", patience="500")
     return (await c.reply()).kind
 
 
-class Stuck(StubCache):
-    """A member at a port where something else listens."""
+class UnreachableCache(StubCache):
+    """A cache that does not listen on its own port."""
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
         task_status.started()
 
 
-async def test_a_member_that_does_not_come_up_holds_up_no_queue() -> None:
-    # a cut-off machine takes no connection; waiting for it in turn would cost ten requests 0.4 s each
-    with socket.create_server(("127.0.0.1", 0), backlog=0) as full, contextlib.ExitStack() as held:
-        for _ in range(4):  # its queue is full: the system drops what asks for more
-            filler = held.enter_context(socket.socket())
+async def test_requests_to_an_unreachable_cache_wait_for_it_at_the_same_time() -> None:
+    # A machine that is cut off accepts no connection. Ten requests that waited for it one after another would
+    # lose 0.4 s each.
+    with socket.create_server(("127.0.0.1", 0), backlog=0) as full, contextlib.ExitStack() as fillers:
+        for _ in range(4):  # fills the listen queue, so that the system drops further connection requests
+            filler = fillers.enter_context(socket.socket())
             filler.setblocking(False)
             filler.connect_ex(full.getsockname())
-        endpoints: list[StubCache] = [Stuck("s-000000ff", 0, port=full.getsockname()[1])]
+        endpoints: list[StubCache] = [UnreachableCache("s-000000ff", 0, port=full.getsockname()[1])]
         endpoints += [StubCache("s-000000a0", 1), StubCache("s-000000b0", 2)]
         async with world(endpoints=endpoints) as w, client(w) as c:
             for n in range(10):
@@ -112,7 +113,7 @@
 
 
 async def test_a_silent_connection_is_not_used_again() -> None:
-    # guards against a machine that is cut off: what is open stays open, and silent
+    # When the network cuts off a machine, connections to it stay open and silent.
     async with world(hold) as w, client(w) as c:
         cache = w.caches[0]
         cache.mute = True
@@ -121,13 +122,13 @@
             await c.ask(patience="1200")
             await c.reply()
             with anyio.fail_after(10):
-                while cache.connections == before:  # the next attempt at it, whenever the module tries one
+                while cache.connections == before:  # until the router sends an attempt to this cache
                     await c.ask(patience="300")
                     await c.reply()
 
 
-async def test_requests_past_the_memory_limit_are_refused_at_once() -> None:
-    # the limit holds 40 requests: a client that has its share open leaves the rest to the others
+async def test_requests_beyond_the_memory_limit_are_rejected_at_once() -> None:
+    # The limit allows 40 requests. A client that has used its share leaves the rest to other clients.
     async with world(hold, limits={"memory_mb": 1}) as w, client(w) as many, client(w) as few:
         for _ in range(32):
             await many.ask(patience="5000")
@@ -154,15 +155,15 @@
         while not cache.aborts:
             await cache.came.wait()
         assert cache.aborts == [f"{2:016x}"]
-        for n in (4, 2, 1):  # the second is answered all the same: it crosses the abort
+        for n in (4, 2, 1):  # the cache still answers the second, as if that answer crossed the abort
             gates.setdefault(f"{n:016x}", anyio.Event()).set()
         assert [(await c.reply()).seq for _ in range(2)] in ([4, 1], [1, 4])
-        await c.withdraw(1)  # crosses its answer, which stands
+        await c.withdraw(1)  # has no effect, since the request is answered already
         gates.setdefault(f"{3:016x}", anyio.Event()).set()
         assert (await c.reply()).body == f"{3:016x}".encode()
 
 
-async def test_a_client_that_leaves_takes_its_requests_with_it() -> None:
+async def test_the_requests_of_a_client_that_disconnects_are_aborted() -> None:
     async with world(hold) as w:
         async with client(w) as c:
             await c.ask(patience="5000")
@@ -187,19 +188,19 @@
         struct.pack(">i", 21) + thrift._message(thrift.CALL, "handle", 1) + b"\x63\0\1",
     ],
 )
-async def test_malformed_input_ends_its_connection_and_nothing_else(data: bytes) -> None:
-    async with world(serve) as w, client(w) as bystander, client(w) as c:
+async def test_malformed_input_closes_its_connection_and_no_other(data: bytes) -> None:
+    async with world(serve) as w, client(w) as other, client(w) as c:
         await c.stream.send(data)
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)), anyio.fail_after(5):
             await c.stream.receive()
-        await bystander.ask()
-        assert (await bystander.reply()).kind == "served"
+        await other.ask()
+        assert (await other.reply()).kind == "served"
 
 
 @pytest.mark.parametrize(
     "fields", [{"route": "tram"}, {"entity": "XYZ"}, {"trace": ""}, {"slice": "-1"}, {"patience": "soon"}]
 )
-async def test_fields_that_cannot_be_used_fail_their_request_only(fields: dict[str, str]) -> None:
+async def test_invalid_fields_fail_their_request_only(fields: dict[str, str]) -> None:
     async with world(serve) as w, client(w) as c:
         await c.ask(b"", **fields)
         assert (await c.reply()).kind == "application"
@@ -212,10 +213,10 @@
 
 
 @pytest.mark.parametrize("data", [b"\0", b"\0\0\1\0" + b"\x80\1\0\1"])
-async def test_a_frame_that_is_not_finished_ends_its_connection(
+async def test_an_incomplete_frame_closes_its_connection(
     data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # guards the descriptors and the parser against a client that begins a message and stops
+    # A client that begins a message and stops must not keep a descriptor and a parser in use.
     monkeypatch.setattr("zincladder.net.client_server.STALL_TIMEOUT_SECONDS", 0.05)
     async with world(serve) as w, client(w) as c:
         await c.stream.send(data)
@@ -223,8 +224,8 @@
             await c.stream.receive()
 
 
-async def test_an_idle_wait_that_ends_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    # guards a frame whose first bytes come as the wait for it is renewed
+async def test_a_frame_that_arrives_byte_by_byte_is_read_completely(monkeypatch: pytest.MonkeyPatch) -> None:
+    # No byte may be lost when the idle check runs while a frame is arriving.
     monkeypatch.setattr("zincladder.net.client_server.IDLE_TIMEOUT_SECONDS", 0.01)
     async with world(hold) as w, client(w) as c:
         await c.ask(patience="600")  # keeps the connection from being closed as idle
@@ -235,7 +236,7 @@
         assert (await c.reply()).good and (await c.reply()).seq == 1
 
 
-async def test_a_client_that_reads_nothing_does_not_hold_up_the_others() -> None:
+async def test_a_client_that_reads_no_answers_does_not_delay_others() -> None:
     async def large(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(200, "tell=local", bytes(240_000))
 
@@ -249,8 +250,9 @@
 
 
 @pytest.mark.parametrize("as_source", [False, True])
-async def test_a_cache_told_to_drain_before_the_send_gets_nothing_new(as_source: bool) -> None:
-    # guards rule 3 where the connection comes up late: the decision was made before the notice
+async def test_a_draining_cache_gets_no_new_request_and_is_no_source_of_fills(as_source: bool) -> None:
+    # An attempt may have been decided before the drain was announced, and be sent after it because its
+    # connection is established late (rule 3 of the platform).
     async with world(serve, serve) as w, client(w) as c:
         drained = w.caches[-2 if as_source else 0]
         await w.coordinator.tell(2, drained.record(1))
@@ -267,7 +269,7 @@
         assert as_source or len(drained.fetches) <= 1
 
 
-async def test_a_purge_that_was_told_lowers_the_age_of_copies_that_will_do() -> None:
+async def test_a_purge_lowers_the_maximum_age_of_copies() -> None:
     async with world(serve) as w, client(w) as c:
         now = int(time.time() * 1000)
         await w.coordinator.tell(3, bytes.fromhex(KEY) + struct.pack(">Q", now))
@@ -284,13 +286,13 @@
         assert "cap" in w.caches[0].fetches[-1].fields
 
 
-async def test_the_feed_is_followed_again_from_the_last_event() -> None:
+async def test_the_watch_continues_after_the_last_event_when_its_connection_is_lost() -> None:
     async with world(serve, serve) as w:
         while not w.coordinator.streams:
             await w.coordinator.followed.wait()
         await w.coordinator.tell(4, struct.pack(">HQ", 3, 5))
         with anyio.fail_after(10):
-            while 2 not in w.coordinator.after:  # lost until it had read the event
+            while 2 not in w.coordinator.after:  # closes the watch until the front has read the event
                 for stream in w.coordinator.streams:
                     await stream.aclose()
                 w.coordinator.streams.clear()
@@ -298,7 +300,7 @@
         assert w.coordinator.after[0] == 1 and set(w.coordinator.after) == {1, 2}
 
 
-async def test_a_member_that_a_whole_list_does_not_name_is_gone() -> None:
+async def test_a_cache_that_a_full_endpoint_list_omits_is_gone() -> None:
     async with world(serve, serve) as w, client(w) as c:
         gone, *rest = w.caches
         for n in range(20):
@@ -316,7 +318,7 @@
         assert len(gone.fetches) == before
 
 
-async def test_a_new_member_at_an_old_address_gets_its_own_connection() -> None:
+async def test_a_new_cache_at_an_old_address_gets_its_own_connection() -> None:
     async with world(serve) as w, client(w) as c:
         cache = w.caches[0]
         await c.ask()
@@ -336,7 +338,7 @@
     return subprocess.Popen([sys.executable, "-m", "zincladder"], env=env, stderr=subprocess.PIPE)
 
 
-async def test_sigterm_takes_what_still_comes_answers_all_and_exits_0(tmp_path: Path) -> None:
+async def test_after_sigterm_new_requests_are_still_answered_and_the_exit_status_is_0(tmp_path: Path) -> None:
     gate = anyio.Event()
 
     async def late(_: StubCache, fetch: Fetch) -> None:
@@ -358,10 +360,10 @@
                 await caches[0].came.wait()
             process.send_signal(signal.SIGTERM)
             good = True
-            while good:  # it says so as soon as it knows
+            while good:  # until `status` reports the shutdown
                 await c.send("status", b"\x02\0\1\1")
                 good = (await c.reply()).good
-            async with await anyio.connect_tcp(host, port) as second:  # and still takes new connections
+            async with await anyio.connect_tcp(host, port) as second:  # connections are still accepted
                 late_client = Client(second)
                 await late_client.ask(patience="5000", trace="f" * 16)
                 gate.set()
@@ -382,45 +384,46 @@
         ({"limits": {"sockets": "many"}}, "'limits.sockets'"),
     ],
 )
-def test_a_bad_configuration_names_its_key_and_exits_2(
+def test_a_bad_configuration_is_reported_with_its_key_and_exit_status_2(
     tmp_path: Path, change: dict[str, object], key: str
 ) -> None:
     process = start(tmp_path / "config.json", configuration([]) | change)
-    said = process.communicate()[1].decode()
-    assert process.returncode == 2 and key in said and "Traceback" not in said
+    log = process.communicate()[1].decode()
+    assert process.returncode == 2 and key in log and "Traceback" not in log
 
 
-async def test_crowds_of_connections_leave_room_for_clients() -> None:
-    # guards the descriptors, and the process: a client that has reset its connection cannot be shut down
+async def test_many_idle_connections_leave_room_for_clients() -> None:
+    # Half of them are reset by their clients: shutting such a connection down fails, which must not end the
+    # process.
     async with world(serve, limits={"sockets": 16}) as w, client(w) as c:
         await c.ask()
         assert (await c.reply()).kind == "served"
-        crowd = [socket.create_connection(w.listening.clients) for _ in range(24)]
-        for sock in crowd[::2]:
+        other_clients = [socket.create_connection(w.listening.clients) for _ in range(24)]
+        for sock in other_clients[::2]:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
         await c.ask()
         assert (await c.reply()).kind == "served"
-        crowd += [socket.create_connection(w.listening.clients) for _ in range(24)]
+        other_clients += [socket.create_connection(w.listening.clients) for _ in range(24)]
         async with client(w) as late:
             await late.ask(entity=f"{1:016x}")
             assert (await late.reply()).kind == "served"
-        for sock in crowd:
+        for sock in other_clients:
             sock.close()
 
 
 @pytest.mark.parametrize(
     "part", [b"", b"%s 200 tell=lo", b"%s 200 - 600\r\nabc", b"%s 200 since=x 1\r\na\r\n", b"\xff\r\n"]
 )
-async def test_a_spoilt_answer_costs_its_own_request_an_attempt_and_no_other_anything(part: bytes) -> None:
-    # guards the other requests at that cache, and a request whose answer stops short on an open connection
-    gate, spoilt = anyio.Event(), anyio.Event()
+async def test_a_malformed_answer_fails_its_own_attempt_only(part: bytes) -> None:
+    # Other requests to that cache go on, and the front does not wait for the rest of an incomplete answer.
+    gate, malformed = anyio.Event(), anyio.Event()
 
     async def script(cache: StubCache, fetch: Fetch) -> None:
         if fetch.fields["chunk"] == "7":
             await gate.wait()
-        elif not spoilt.is_set():
-            spoilt.set()
+        elif not malformed.is_set():
+            malformed.set()
             await fetch.stream.send(part.replace(b"%s", fetch.name.encode()) or b"200 " * 600)
             return
         await serve(cache, fetch)
@@ -437,8 +440,9 @@
         assert [f.fields["chunk"] for f in cache.fetches] == ["7", "0", "0"]
 
 
-async def test_a_second_copy_of_an_answer_is_not_taken_for_that_of_the_next_attempt() -> None:
-    # guards a booking: taken for the second attempt's, the copy of 'it never ran' would make it run twice
+async def test_a_duplicate_answer_does_not_answer_the_next_attempt() -> None:
+    # The duplicate says that the first attempt of a booking never ran. Taken as the answer to the second
+    # attempt, it would cause a third, and the booking would run twice.
     first: list[Fetch] = []
 
     async def script(cache: StubCache, fetch: Fetch) -> None:
@@ -457,9 +461,9 @@
         assert (await c.reply()).body == b"done" and len(w.caches[-1].fetches) == 2
 
 
-async def test_an_id_that_is_open_is_not_passed_on_a_second_time() -> None:
-    async with world(hold) as w, client(w) as usual, client(w) as other:
-        await usual.ask(trace="ab" * 8)
+async def test_a_request_with_the_id_of_an_open_one_is_not_forwarded() -> None:
+    async with world(hold) as w, client(w) as regular, client(w) as other:
+        await regular.ask(trace="ab" * 8)
         while not w.caches[0].fetches:
             await w.caches[0].came.wait()
         await other.ask(trace="ab" * 8, entity=f"{5:016x}")
@@ -468,11 +472,13 @@
 
 
 @pytest.mark.parametrize("withdrawn", [True, False])
-async def test_hundreds_of_requests_at_once_are_turned_away_and_none_is_passed_on(withdrawn: bool) -> None:
-    async with world(serve) as w, client(w) as bad, client(w) as usual:
+async def test_hundreds_of_requests_at_once_close_the_connection_and_none_is_forwarded(
+    withdrawn: bool,
+) -> None:
+    async with world(serve) as w, client(w) as bad, client(w) as regular:
         frames = []
         for n in range(1, 301):
-            said = {
+            fields = {
                 "route": "page",
                 "trace": f"{n:016x}",
                 "patience": "2000",
@@ -480,7 +486,7 @@
                 "slice": "0",
                 "set": "1",
             }
-            args = b"\x0d\0\1" + thrift._texts(said) + b"\x0b\0\2\0\0\0\0\0"
+            args = b"\x0d\0\1" + thrift._texts(fields) + b"\x0b\0\2\0\0\0\0\0"
             frames.append(thrift._message(thrift.CALL, "handle", n) + args)
             if withdrawn:
                 back = b"\x08\0\1" + struct.pack(">i", n) + b"\0"
@@ -490,36 +496,37 @@
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)), anyio.fail_after(5):
             while True:
                 await bad.stream.receive()
-        await usual.ask()
-        assert (await usual.reply()).kind == "served"
+        await regular.ask()
+        assert (await regular.reply()).kind == "served"
         assert len(w.caches[0].fetches) == 1
 
 
 @pytest.mark.parametrize("data", [b"", b"\0\0\1", struct.pack(">i", 60_000) + bytes(400)])
-async def test_a_connection_that_says_no_whole_message_is_closed(
+async def test_a_connection_without_a_complete_message_is_closed(
     data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("zincladder.net.client_server.FIRST_MESSAGE_TIMEOUT_SECONDS", 0.05)
-    async with world(hold) as w, client(w) as usual, client(w) as silent:
-        await usual.ask(patience="800")
+    async with world(hold) as w, client(w) as regular, client(w) as silent:
+        await regular.ask(patience="800")
         if data:
             await silent.stream.send(data)
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)), anyio.fail_after(5):
             await silent.stream.receive()
-        assert (await usual.reply()).kind == "Throttled"  # it had spoken: its connection was kept
+        assert (await regular.reply()).kind == "Throttled"  # has sent a message: its connection is kept
 
 
 @pytest.mark.parametrize(
     "fields", [{"patience": "0"}, {"patience": "99999999"}, {"seen": "a b"}, {"set": "256"}, {"redo": "7"}]
 )
-async def test_figures_out_of_range_are_not_passed_on(fields: dict[str, str]) -> None:
+async def test_requests_with_values_out_of_range_are_not_forwarded(fields: dict[str, str]) -> None:
     async with world(serve) as w, client(w) as c:
         await c.ask(**fields)
         assert (await c.reply()).kind == "application" and not w.caches[0].fetches
 
 
-async def test_requests_that_ran_out_of_time_and_are_taken_back_end_no_connection() -> None:
-    # guards usual clients, who take back all that a slow moment leaves unanswered, against the bound on abuse
+async def test_withdrawing_many_started_requests_closes_no_connection() -> None:
+    # Regular clients withdraw the requests that time out in a slow moment. The limit against abuse counts
+    # only requests that were withdrawn before they started.
     async with world(hold, origin=hold) as w, client(w) as c:
         for n in range(1, 101):
             await c.ask(patience="5000", entity=f"{n:016x}")
@@ -530,10 +537,10 @@
         assert (await c.reply()).good
 
 
-async def test_a_front_that_is_behind_refuses_what_is_new_at_once_and_goes_on(
+async def test_a_front_whose_event_loop_lags_rejects_new_requests_and_finishes_open_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # guards what is open: past its part of a core a front that took all would answer all too late
+    # An overloaded front that accepted every request would answer all of them too late.
     async with world(hold) as w, client(w) as c:
         await c.ask(patience="1500")
         while not w.caches[0].fetches:
@@ -546,37 +553,37 @@
         assert (await c.reply()).seq == 1 and len(w.caches[0].fetches) == 1
 
 
-async def test_a_fault_at_one_connection_ends_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    # guards the process: an error that nobody thought of must cost one connection, to a client or a cache
-    async with world(serve) as w, client(w) as bystander:
-        await bystander.ask()
-        assert (await bystander.reply()).kind == "served"
+async def test_an_unexpected_error_closes_one_connection_only(monkeypatch: pytest.MonkeyPatch) -> None:
+    # An unforeseen exception must end one connection to a client or a cache, not the process.
+    async with world(serve) as w, client(w) as other:
+        await other.ask()
+        assert (await other.reply()).kind == "served"
         with monkeypatch.context() as patch:
             patch.setattr("zincladder.net.thrift.read_call", lambda data: 1 // 0)
-            async with client(w) as unlucky:
-                await unlucky.ask()
+            async with client(w) as failing:
+                await failing.ask()
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)), anyio.fail_after(5):
-                    await unlucky.stream.receive()
+                    await failing.stream.receive()
         with monkeypatch.context() as patch:
             patch.setattr("zincladder.net.cache_connection.read_attempt_end", lambda *_: 1 // 0)
-            await bystander.ask(patience="500")
-            assert (await bystander.reply()).kind == "Throttled"
-        await bystander.ask()
-        assert (await bystander.reply()).kind == "served"
+            await other.ask(patience="500")
+            assert (await other.reply()).kind == "Throttled"
+        await other.ask()
+        assert (await other.reply()).kind == "served"
 
 
-async def test_a_crowd_ends_no_connection_that_has_just_come() -> None:
-    # guards the first request of a usual client, which is not read yet when the next hundred connect
+async def test_many_new_connections_evict_none_whose_first_request_is_unread() -> None:
+    # The first request of a regular client may still be unread when many other clients connect.
     async with world(serve, limits={"sockets": 16}) as w:
-        usual = [socket.create_connection(w.listening.clients) for _ in range(8)]
+        regular = [socket.create_connection(w.listening.clients) for _ in range(8)]
         frame = thrift._message(thrift.CALL, "status", 1) + b"\x02\0\1\1\0"
-        for sock in usual:
+        for sock in regular:
             sock.sendall(struct.pack(">i", len(frame)) + frame)
-        crowd = [socket.create_connection(w.listening.clients) for _ in range(40)]
-        for sock in usual:
+        other_clients = [socket.create_connection(w.listening.clients) for _ in range(40)]
+        for sock in regular:
             sock.setblocking(False)
             with anyio.fail_after(5):
                 await anyio.wait_readable(sock)
             assert sock.recv(4096)  # an answer, not an end
-        for sock in usual + crowd:
+        for sock in regular + other_clients:
             sock.close()
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -1,4 +1,7 @@
-"""Paths that end something, over loopback sockets: each crossing is forced at a seam, none is waited for."""
+"""Races at the end of connections, requests and the process, over loopback sockets.
+
+Each race is forced by a patched method, so that no test depends on timing to hit it.
+"""
 
 from __future__ import annotations
 
@@ -36,28 +39,28 @@
 from zincladder.net.client_server import ClientServer
 
 pytestmark = pytest.mark.anyio
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close sends a reset
+RESET = struct.pack("ii", 1, 0)  # for SO_LINGER: close sends a reset
 KEY_32 = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
-def shut(fetch: Fetch) -> None:
-    """Ends a member's side of a connection at once."""
+def shut_down(fetch: Fetch) -> None:
+    """Closes a cache's side of a connection, without waiting."""
     number = fetch.stream.extra(SocketAttribute.raw_socket).fileno()
     with socket.socket(fileno=os.dup(number)) as sock:
         sock.shutdown(socket.SHUT_RDWR)
 
 
-def refuses(w: World) -> bool:
-    """Whether the front takes no new connection any more."""
+def refuses_connections(w: World) -> bool:
+    """Whether the front does not accept connections any more."""
     with socket.socket() as sock:
         return sock.connect_ex(w.listening.clients) == errno.ECONNREFUSED
 
 
-# The front's own ends ------------------------------------------------------------------------------
+# Connections that the front closes -----------------------------------------------------------------
 
 
 def _idle(w: World, sock: socket.socket) -> None:
-    """`IDLE` is short: nothing is to be done."""
+    """Does nothing: the idle timeout is short."""
 
 
 def _stop(w: World, sock: socket.socket) -> None:
@@ -73,27 +76,28 @@
 
 
 @pytest.mark.parametrize("way", [_idle, _stop, _garble, _half])
-async def test_a_request_that_crosses_the_fronts_end_resets_no_answer_and_is_not_sent_on(
+async def test_a_request_that_arrives_as_the_front_closes_resets_no_answer_and_is_not_forwarded(
     way: Callable[[World, socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # a close over unread bytes sends a reset: the part of the answer that has not been read is gone with it
+    # Closing a socket with unread input sends a reset, which discards the part of the answer that the client
+    # has not read yet.
     monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
     monkeypatch.setattr("zincladder.net.client_server.STALL_TIMEOUT_SECONDS", 0.1)
     monkeypatch.setattr("zincladder.net.client_server.IDLE_TIMEOUT_SECONDS", 0.1 if way is _idle else 60.0)
-    end, body, crossing = ClientConnection.close, bytes(12_000), [request(2)]
+    close, body, crossing = ClientConnection.close, bytes(12_000), [request(2)]
 
-    def ending(self: ClientConnection, *how: Any) -> None:
+    def send_before_close(self: ClientConnection, *arguments: Any) -> None:
         while crossing:
-            sock.sendall(crossing.pop())  # it comes just after the last look
-        end(self, *how)
+            sock.sendall(crossing.pop())  # arrives just after the last check for input
+        close(self, *arguments)
 
     async def large(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(200, "tell=local,rev=aa,since=1", body)
 
-    monkeypatch.setattr(ClientConnection, "close", ending)
+    monkeypatch.setattr(ClientConnection, "close", send_before_close)
     async with world(large) as w:
         with socket.socket() as sock:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)  # most of the answer stays on its way
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)  # most of the answer stays in flight
             sock.connect(w.listening.clients)
             sock.setblocking(False)
             sock.sendall(request(1))
@@ -108,14 +112,14 @@
 
 
 @pytest.mark.parametrize(("deadline", "counted"), [(0.3, 3.0), (6.0, 0.3)])
-async def test_what_is_open_when_the_process_has_to_end_gets_its_answer(
+async def test_open_requests_are_answered_before_the_process_is_killed(
     deadline: float, counted: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # SIGKILL comes soon after the longest deadline, counted as `counted` seconds where it is longer: what
-    # would end later is answered before that
+    # SIGKILL follows the longest deadline, of which at most `counted` seconds count. Requests that are open
+    # shortly before are answered as failed.
     monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
     monkeypatch.setattr("zincladder.net.client_server.MAX_COUNTED_TIMEOUT_SECONDS", counted)
-    monkeypatch.setattr("zincladder.net.client_server.FAIL_OPEN_AFTER_SECONDS", 0.05)
+    monkeypatch.setattr("zincladder.net.client_server.FAIL_REQUESTS_AFTER_SECONDS", 0.05)
     settings = copy.deepcopy(SETTINGS)
     for row in settings["categories"]:
         row["deadline"] = deadline
@@ -133,7 +137,7 @@
 
 
 def _too_many(sock: socket.socket) -> None:
-    sock.sendall(b"".join(request(n) for n in range(3, 40)))  # past what one connection may have open
+    sock.sendall(b"".join(request(n) for n in range(3, 40)))  # more than one connection may have open
 
 
 def _breaks_off(sock: socket.socket) -> None:
@@ -145,7 +149,7 @@
 
 
 @pytest.mark.parametrize("bad", [_too_many, _breaks_off, _speaks_another_protocol])
-async def test_what_is_open_on_a_connection_that_the_front_ends_gets_its_one_answer(
+async def test_open_requests_on_a_connection_that_the_front_closes_get_one_answer_each(
     bad: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("zincladder.net.client_server.STALL_TIMEOUT_SECONDS", 0.1)
@@ -158,58 +162,58 @@
             bad(sock)
             answers = await rest(sock)
         failed = [thrift.declared_exception("handle", seq, 2, {}) for seq in (1, 2)]
-        for one in failed:
-            assert answers.count(b"".join(bytes(part) for part in one)) == 1
+        for reply in failed:
+            assert answers.count(b"".join(bytes(part) for part in reply)) == 1
         kinds = {kind: n for (what, kind), n in cores[0].counts.items() if what == "answers"}
         assert kinds == {"failed": answers.count(b"handle")} and not cores[0].open_requests
 
 
-async def test_bytes_that_come_when_the_process_ends_make_its_last_close_no_reset(
+async def test_input_that_arrives_as_the_process_ends_causes_no_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # half a frame keeps the connection from resting, so it is open until the very end
+    # An incomplete frame keeps the connection from being idle, so it stays open until the process ends.
     monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
     monkeypatch.setattr("zincladder.net.client_server.MAX_COUNTED_TIMEOUT_SECONDS", 0.0)
-    monkeypatch.setattr("zincladder.net.client_server.FAIL_OPEN_AFTER_SECONDS", 0.05)
+    monkeypatch.setattr("zincladder.net.client_server.FAIL_REQUESTS_AFTER_SECONDS", 0.05)
     monkeypatch.setattr("zincladder.net.client_server.SEND_ANSWERS_SECONDS", 0.05)
-    empty, turns, body = ClientServer._drain, [0], bytes(12_000)
+    drain, drains, body = ClientServer._drain, [0], bytes(12_000)
 
-    async def crossing(self: ClientServer, until: float) -> None:
-        await empty(self, until)
-        turns[0] += 1
-        if turns[0] == 2:
-            sock.sendall(request(2))  # nothing is awaited between this and the end
+    async def send_after_drain(self: ClientServer, until: float) -> None:
+        await drain(self, until)
+        drains[0] += 1
+        if drains[0] == 2:
+            sock.sendall(request(2))  # the server closes its connections next, without waiting
 
     async def large(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(200, "tell=local,rev=aa,since=1", body)
 
-    monkeypatch.setattr(ClientServer, "_drain", crossing)
+    monkeypatch.setattr(ClientServer, "_drain", send_after_drain)
     async with world(large) as w:
         with socket.socket() as sock:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)  # most of the answer stays on its way
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)  # most of the answer stays in flight
             sock.connect(w.listening.clients)
             sock.setblocking(False)
             sock.sendall(request(1) + b"\0\0")
             with anyio.fail_after(5):
                 await anyio.wait_readable(sock)
                 w.stopping.set()
-                while turns[0] < 2:
+                while drains[0] < 2:
                     await anyio.sleep(0.001)
             assert body in await rest(sock)
             assert [f.name for f in w.caches[0].fetches] == [f"{1:016x}"]
 
 
-async def test_a_client_that_connected_right_before_the_stop_can_still_send_its_first_request(
+async def test_a_client_that_connects_right_before_the_shutdown_can_send_its_first_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Seen at an upgrade: a connection taken in the last moment was ended before its client had spoken.
+    # During an upgrade a connection that had just been accepted was closed before its client sent anything.
     monkeypatch.setattr(client_server, "ACCEPT_AFTER_STOP_SECONDS", 0.0)
     monkeypatch.setattr(client_closing, "MIN_IDLE_SECONDS", 60.0)
-    looks = [0]
+    calls = [0]
     close_idle = ClientCloser.close_idle_at_shutdown
 
     def counted(self: ClientCloser, client: ClientConnection) -> bool:
-        looks[0] += 1
+        calls[0] += 1
         return close_idle(self, client)
 
     monkeypatch.setattr(ClientCloser, "close_idle_at_shutdown", counted)
@@ -217,95 +221,95 @@
         with plain(w) as sock:
             w.stopping.set()
             with anyio.fail_after(5):
-                while looks[0] < 3:
+                while calls[0] < 3:
                     await anyio.sleep(0.001)
             sock.sendall(frame("status", 1, b"\x02\0\1\1"))
             assert len(await some(sock)) > 4
 
 
-async def test_a_connection_chosen_to_make_room_stays_when_its_request_has_come(
+async def test_an_idle_connection_is_not_evicted_if_a_request_has_just_arrived(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     idle: list[socket.socket] = []
     evict = ClientServer._evict
 
-    def crossing(self: ClientServer, *chosen: Any) -> None:
+    def send_before_evict(self: ClientServer, *arguments: Any) -> None:
         while idle:
             idle.pop().sendall(request(2, trace="e" * 16))
-        evict(self, *chosen)
+        evict(self, *arguments)
 
-    monkeypatch.setattr(ClientServer, "_evict", crossing)
-    # 22 of the 40 descriptors are the clients'
+    monkeypatch.setattr(ClientServer, "_evict", send_before_evict)
+    # 22 of the 40 descriptors are for clients.
     async with world(serve, limits={"sockets": 40}) as w:
-        with plain(w) as first, contextlib.ExitStack() as crowd:
+        with plain(w) as first, contextlib.ExitStack() as other_clients:
             first.sendall(request(1))
             assert KEY.encode() in await some(first)
             idle.append(first)
             for _ in range(21):
-                sock = crowd.enter_context(plain(w))
+                sock = other_clients.enter_context(plain(w))
                 sock.sendall(frame("status", 1, b"\x02\0\1\1"))
-                await some(sock)  # each has spoken later than the first
-            newest = crowd.enter_context(plain(w))
+                await some(sock)  # all of them were used later than the first
+            newest = other_clients.enter_context(plain(w))
             newest.sendall(request(1, trace="f" * 16))
             assert KEY.encode() in await some(first) and not idle
-            assert KEY.encode() in await some(newest)  # another one made room
+            assert KEY.encode() in await some(newest)  # another connection was evicted
 
 
-async def test_a_connection_that_was_just_taken_can_be_looked_at_without_halting_the_process(
+async def test_an_accepted_socket_is_non_blocking_before_anything_reads_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Seen: a front with all descriptors in use answered nobody any more, without a line in its log. It stood
-    # in a read of an idle connection that was to make room, and that its own task had not set up yet.
+    # A front with all descriptors in use once stopped answering, without a log line: it was blocked in a read
+    # of an idle connection that was to be evicted, and whose task had not made it non-blocking yet.
     blocking: list[bool] = []
     add = ClientServer._add
 
-    def seated(self: ClientServer, sock: socket.socket, *more: Any) -> None:
+    def recording(self: ClientServer, sock: socket.socket, *more: Any) -> None:
         blocking.append(os.get_blocking(sock.fileno()))
         add(self, sock, *more)
 
-    monkeypatch.setattr(ClientServer, "_add", seated)
+    monkeypatch.setattr(ClientServer, "_add", recording)
     async with world(serve) as w, client(w) as c:
         await c.ask()
         assert (await c.reply()).kind == "served" and blocking == [False]
 
 
-async def test_clients_that_do_not_end_their_side_give_their_descriptors_to_who_comes(
+async def test_lingering_connections_are_closed_for_new_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("zincladder.net.client_server.LINGER_SECONDS", 60.0)
     monkeypatch.setattr("zincladder.admission.connection_admission.MIN_IDLE_SECONDS", 0.0)
-    looks, ready = [0], ConnectionAdmission.may_accept
+    calls, may_accept = [0], ConnectionAdmission.may_accept
 
     def counted(self: ConnectionAdmission, now: float) -> Any:
-        looks[0] += 1
-        return ready(self, now)
+        calls[0] += 1
+        return may_accept(self, now)
 
-    async with world(serve, limits={"sockets": 40}) as w:  # 22 of these descriptors are the clients'
-        with contextlib.ExitStack() as crowd:
+    async with world(serve, limits={"sockets": 40}) as w:  # 22 of these descriptors are for clients
+        with contextlib.ExitStack() as other_clients:
             for _ in range(22):
-                sock = crowd.enter_context(plain(w))
+                sock = other_clients.enter_context(plain(w))
                 _garble(w, sock)
-                assert await rest(sock) == b""  # the front has ended its side, and waits for this one's
+                assert await rest(sock) == b""  # the front has closed its side, and waits for the client's
             monkeypatch.setattr(ConnectionAdmission, "may_accept", counted)
-            newest = crowd.enter_context(plain(w))
+            newest = other_clients.enter_context(plain(w))
             newest.sendall(request(1))
-            assert KEY.encode() in await some(newest) and looks[0] < 20
+            assert KEY.encode() in await some(newest) and calls[0] < 20
 
 
-async def test_a_client_that_comes_again_as_soon_as_it_is_refused_is_closed_in_time(
+async def test_a_client_that_retries_at_once_after_a_rejection_is_closed_at_shutdown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # the look from outside always comes too late: the next request is there already
+    # The periodic check always runs too late: the client's next request has arrived already.
     monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
     monkeypatch.setattr("zincladder.net.client_server.DRAIN_INTERVAL_SECONDS", 60.0)
-    empty, asked, cores = ClientServer._drain, [1], cores_of(monkeypatch)
+    drain, asked, cores = ClientServer._drain, [1], cores_of(monkeypatch)
 
-    async def crossing(self: ClientServer, until: float) -> None:
+    async def send_before_drain(self: ClientServer, until: float) -> None:
         asked.append(2)
         sock.sendall(request(2))
-        await empty(self, until)
+        await drain(self, until)
 
-    monkeypatch.setattr(ClientServer, "_drain", crossing)
+    monkeypatch.setattr(ClientServer, "_drain", send_before_drain)
     async with world(serve) as w:
         with plain(w) as sock:
             sock.sendall(request(1))
@@ -314,16 +318,16 @@
             while len(asked) < 2:
                 await anyio.sleep(0.001)
             answers = 0
-            while await some(sock):  # and it comes again with each refusal, until its connection ends
+            while await some(sock):  # retries after each rejection, until the connection is closed
                 answers += 1
                 asked.append(len(asked) + 1)
                 sock.sendall(request(asked[-1]))
-        assert len(asked) - 2 <= answers <= len(asked) - 1  # at most one crossed the end
+        assert len(asked) - 2 <= answers <= len(asked) - 1  # at most one request crossed the close
         assert cores[0].counts["client_ends", "idle"] == 1 and len(w.caches[0].fetches) == 1
 
 
-def test_a_slot_whose_eviction_is_cancelled_is_not_waited_for() -> None:
-    # else the listener would wait for ever for the descriptor of one that was not closed
+def test_after_a_cancelled_eviction_another_slot_is_chosen() -> None:
+    # The listener would otherwise wait for ever for the descriptor of a connection that stays open.
     admission = ConnectionAdmission(RequestBounds(8, 8), DescriptorBudget(10, FIXED_POOLS, own=0))
     slots = [admission.open_slot(admission.connect("127.0.0.1", 0.0), 0.0) for _ in range(5)]
     chosen = admission.may_accept(1.0)
@@ -334,7 +338,7 @@
     assert admission.may_accept(1.1).verdict is Verdict.ADMIT
 
 
-# A client that has left ----------------------------------------------------------------------------
+# Clients that have disconnected --------------------------------------------------------------------
 
 
 def _closes(sock: socket.socket) -> None:
@@ -356,10 +360,11 @@
 
 @LEAVES
 @pytest.mark.parametrize("attempt", [1, 2])
-async def test_nothing_is_sent_on_for_a_client_that_left_while_a_connection_came_up(
+async def test_no_request_is_sent_for_a_client_that_disconnects_while_a_cache_connection_opens(
     leave: Callable[[socket.socket], None], attempt: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # its end is in the front's system but was not read yet: only a look just before the first byte sees it
+    # The client's close is received by the system but not read yet. Only the check just before the first byte
+    # is written can find it.
     leaver: list[socket.socket] = []
     on_connect(monkeypatch, lambda made: leave(leaver.pop()) if made == attempt else None)
     script: Script = cut if attempt == 2 else serve
@@ -378,7 +383,7 @@
         assert sent == [f"{1:016x}"] * (attempt - 1) + ["f" * 16]
 
 
-async def test_a_connection_whose_request_was_held_back_serves_the_next(
+async def test_a_connection_whose_request_was_not_sent_serves_the_next_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     leaver: list[socket.socket] = []
@@ -394,18 +399,18 @@
         assert (await stays.reply()).kind == "served" and w.caches[0].connections == 1
 
 
-# Repeats -------------------------------------------------------------------------------------------
+# Retries -------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(("late", "came"), [(0.8, 1), (0.799, 2)])
-async def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_sent(
+async def test_a_retry_is_not_sent_after_the_deduplication_window(
     late: float, came: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     now = [1000.0]
     monkeypatch.setattr(Clock, "now", lambda self: now[0])
 
     def later(made: int) -> None:
-        now[0] += late * (made == 2)  # the first may have run, and its repeat waits for a connection
+        now[0] += late * (made == 2)  # the first attempt may have run; its retry waits for a connection
 
     on_connect(monkeypatch, later)
     settings = copy.deepcopy(SETTINGS)
@@ -439,12 +444,12 @@
 @pytest.mark.parametrize(
     "after",
     [
-        [("video", SAFE), ("page", ONCE), ("booking", SAFE)],  # other rules under the same names
-        [("booking", SAFE), ("page", ONCE), ("video", SAFE)],  # and in another order
-        [("booking", SAFE), ("page", ONCE)],  # and a class less: its number is free
+        [("video", SAFE), ("page", ONCE), ("booking", SAFE)],  # the same classes with other rules
+        [("booking", SAFE), ("page", ONCE), ("video", SAFE)],  # also in another order
+        [("booking", SAFE), ("page", ONCE)],  # also without one class, whose number is free
     ],
 )
-async def test_requests_of_one_connection_keep_each_the_rules_under_which_they_were_taken(
+async def test_open_requests_keep_their_rules_when_the_settings_change(
     after: list[tuple[str, str]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     cores, runs, lose = cores_of(monkeypatch), Counter[str](), anyio.Event()
@@ -474,7 +479,9 @@
         assert [runs[f"{seq:016x}"] for seq in asked] == [2, 1, 1, 2]
 
 
-async def test_what_is_queued_for_a_slow_reader_leaves_after_sigterm(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_queued_answers_are_sent_to_a_slow_client_after_sigterm(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
     body, cores = bytes(200_000), cores_of(monkeypatch)
 
@@ -490,19 +497,19 @@
             while cores[0].counts["answers", "served"] < 20:
                 await anyio.sleep(0.001)
             w.stopping.set()
-            while not refuses(w):
+            while not refuses_connections(w):
                 await anyio.sleep(0.001)
             answers = await rest(sock)
         assert answers.count(body) == 20
 
 
-# Answers that were given up ------------------------------------------------------------------------
+# Answers to abandoned requests ---------------------------------------------------------------------
 
 
-async def test_a_connection_in_the_middle_of_an_answer_that_was_given_up_is_not_used_again(
+async def test_a_connection_with_half_an_answer_to_an_abandoned_request_is_not_used_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(cache_connection, "ANSWER_STALL_SECONDS", 60.0)  # it goes on, byte by byte
+    monkeypatch.setattr(cache_connection, "ANSWER_STALL_SECONDS", 60.0)  # the rest may take long to arrive
     begun = anyio.Event()
 
     async def half(_: StubCache, fetch: Fetch) -> None:
@@ -523,18 +530,18 @@
         assert w.caches[0].fetches[0].stream is not w.caches[0].fetches[1].stream
 
 
-async def test_a_write_is_not_lost_on_a_connection_that_its_member_has_just_closed(
+async def test_a_write_is_not_lost_on_a_connection_that_the_origin_has_just_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    link = CachePool.acquire
+    acquire = CachePool.acquire
     idle: list[Fetch] = []
 
-    async def crossing(self: CachePool, *asked: Any) -> Any:
+    async def close_before_acquire(self: CachePool, *arguments: Any) -> Any:
         while idle:
-            shut(idle.pop())
-        return await link(self, *asked)
+            shut_down(idle.pop())
+        return await acquire(self, *arguments)
 
-    monkeypatch.setattr(CachePool, "acquire", crossing)
+    monkeypatch.setattr(CachePool, "acquire", close_before_acquire)
     async with world(serve) as w, client(w) as c:
         for n in (1, 2):
             await c.ask(b"order", route="booking")
--- a/tests/net/test_live_bytes.py
+++ b/tests/net/test_live_bytes.py
@@ -1,6 +1,6 @@
-"""The bytes that a front as a process exchanges with a client, a cache and the origin, against a fixture.
+"""Compares the bytes that a front process exchanges with a client, a cache and the origin with a fixture.
 
-The peers are written here with sockets alone, so that nothing of the front's own code stands on their side.
+The peers are implemented here with plain sockets, so that they share no code with the front.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Server:
-    """A cache or the origin: notes each line that the front sends, and answers by its class of request."""
+    """A cache or the origin: records each line that the front sends, and answers by the request's class."""
 
     def __init__(self, name: str, kind: str, zone: str) -> None:
         self.listening = socket.create_server(("127.0.0.1", 0))
@@ -68,7 +68,7 @@
         if "cls=booking" in fields:
             return f"{trace} 500 - 0\r\n".encode()
         if "cls=video" in fields:
-            return b""  # silent, until the client takes the request back
+            return b""  # no answer, so that the client can withdraw the request
         return f"{trace} 200 tell=local,rev=aa,since=1 5\r\nhello\r\n".encode()
 
     def wait_for(self, pattern: str) -> str:
@@ -78,12 +78,12 @@
                 if re.match(pattern, line):
                     return re.sub(r"limit=\d+", "limit=N", line)
             time.sleep(0.01)
-        raise AssertionError(f"no line like {pattern!r} among {self.lines}")
+        raise AssertionError(f"no line matches {pattern!r} in {self.lines}")
 
 
 @contextmanager
 def front(folder: Path, *servers: Server) -> Iterator[socket.socket]:
-    """A front that knows these servers, and a connection of a client to it."""
+    """Runs a front process that knows these servers; yields a client's connection to it."""
     path, log = folder / "config.json", folder / "log"
     path.write_text(json.dumps(configuration([server.endpoint for server in servers])))
     with log.open("wb") as errors:
--- a/tests/net/test_watch_connections.py
+++ b/tests/net/test_watch_connections.py
@@ -1,4 +1,4 @@
-"""The watch on the coordinator at its ends: whatever becomes of a connection, each event is told once."""
+"""Failing connections to the coordinator: the watch reconnects and applies each event exactly once."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 
 pytestmark = pytest.mark.anyio
 Stream = anyio.abc.SocketStream
-Act = Callable[["Scripted", Stream, int], Coroutine[Any, Any, None]]
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close sends a reset
+Script = Callable[["Scripted", Stream, int], Coroutine[Any, Any, None]]
+RESET = struct.pack("ii", 1, 0)  # for SO_LINGER: close sends a reset
 
 
 @dataclass
 class Scripted:
-    """A coordinator that plays another act on each connection; the last one stays."""
+    """A coordinator that runs the next script on each connection, and the last one on all later ones."""
 
-    acts: list[Act]
-    newest: int = 1  # of its events
-    asked: list[int] = field(default_factory=list)  # from which event on, by connection
+    scripts: list[Script]
+    newest: int = 1  # number of its newest event
+    requested: list[int] = field(default_factory=list)  # the last event that the front knew, by connection
     address: tuple[str, int] = ("127.0.0.1", 0)
-    read: anyio.Event = field(default_factory=anyio.Event)  # the front has told an event
+    applied: anyio.Event = field(default_factory=anyio.Event)  # set when the front has applied an event
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
@@ -51,14 +51,14 @@
         try:
             async with stream:
                 last = int.from_bytes(await stream.receive(8), "big")
-                self.asked.append(last)
-                await self.acts[min(len(self.asked), len(self.acts)) - 1](self, stream, last)
+                self.requested.append(last)
+                await self.scripts[min(len(self.requested), len(self.scripts)) - 1](self, stream, last)
         except (anyio.BrokenResourceError, anyio.EndOfStream, anyio.ClosedResourceError):
-            pass  # the front left
+            pass  # the front closed the connection
 
 
-async def tells(self: Scripted, stream: Stream, last: int) -> None:
-    """What a healthy one does."""
+async def healthy(self: Scripted, stream: Stream, last: int) -> None:
+    """Sends all events after the last known one, then empty frames."""
     for number in range(last + 1, self.newest + 1):
         await stream.send(purge(number))
     while True:
@@ -66,73 +66,73 @@
         await anyio.sleep(0.02)
 
 
-async def _happens(self: Scripted, stream: Stream, last: int) -> None:
-    """Event 2 is told, then 3 and 4 happen behind a watch that has just died."""
+async def _send_one_of_three(self: Scripted, stream: Stream, last: int) -> None:
+    """Sends event 2; events 3 and 4 exist from now on, and are not sent on this connection."""
     await stream.send(purge(2))
     self.newest = 4
 
 
 async def silent(self: Scripted, stream: Stream, last: int) -> None:
-    await _happens(self, stream, last)
+    await _send_one_of_three(self, stream, last)
     await anyio.sleep_forever()
 
 
-async def says_nothing(self: Scripted, stream: Stream, last: int) -> None:
+async def sends_nothing(self: Scripted, stream: Stream, last: int) -> None:
     await anyio.sleep_forever()
 
 
 async def half_a_head(self: Scripted, stream: Stream, last: int) -> None:
-    await _happens(self, stream, last)
+    await _send_one_of_three(self, stream, last)
     await stream.send(purge(3)[:7])
     await anyio.sleep_forever()
 
 
 async def half_an_event(self: Scripted, stream: Stream, last: int) -> None:
-    await _happens(self, stream, last)
+    await _send_one_of_three(self, stream, last)
     await stream.send(purge(3)[:-3])
     await anyio.sleep_forever()
 
 
 async def breaks_off(self: Scripted, stream: Stream, last: int) -> None:
-    await _happens(self, stream, last)
+    await _send_one_of_three(self, stream, last)
     await stream.send(purge(3)[:-3])
 
 
 async def resets(self: Scripted, stream: Stream, last: int) -> None:
-    await _happens(self, stream, last)
-    await self.read.wait()  # else the reset would take the event with it
+    await _send_one_of_three(self, stream, last)
+    await self.applied.wait()  # a reset before that would discard the event
     sock = stream.extra(anyio.abc.SocketAttribute.raw_socket)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
 
 
 async def twice(self: Scripted, stream: Stream, last: int) -> None:
-    await _happens(self, stream, last)
+    await _send_one_of_three(self, stream, last)
     for number in (2, 3, 3, 4, 3, 4):
         await stream.send(purge(number))
-    await tells(self, stream, 4)
+    await healthy(self, stream, 4)
 
 
 async def not_a_frame(self: Scripted, stream: Stream, last: int) -> None:
-    await _happens(self, stream, last)
+    await _send_one_of_three(self, stream, last)
     await stream.send(frame(3, 2, bytes(5)))
     await anyio.sleep_forever()
 
 
 @asynccontextmanager
 async def watch(coordinator: Scripted) -> AsyncIterator[tuple[CoordinatorWatch, list[int]]]:
-    """A watch on it that knows event 1, and the events that it tells."""
-    told: list[int] = []
+    """A watch on a coordinator, of which it knows event 1; and the numbers of the events that it reports."""
+    reported: list[int] = []
 
     def on_event(event: WatchEvent) -> None:
         assert isinstance(event, PurgeReceived)
-        told.append(event.group)
-        coordinator.read.set()
+        reported.append(event.group)
+        coordinator.applied.set()
 
     async with anyio.create_task_group() as tasks:
         await tasks.start(coordinator.run)
         follower = CoordinatorWatch(coordinator.address, 1, on_event, 5)
         tasks.start_soon(follower.run)
-        yield follower, told
+        yield follower, reported
         tasks.cancel_scope.cancel()
 
 
@@ -148,71 +148,71 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("times", [1, 3])
-async def test_a_watch_that_dies_goes_on_from_the_last_event_and_loses_none(
-    fault: Act, times: int, monkeypatch: pytest.MonkeyPatch
+async def test_a_watch_reconnects_after_a_failure_and_misses_no_event(
+    fault: Script, times: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(watching, "SILENCE_TIMEOUT_SECONDS", 0.1)
-    dead: list[Act] = [fault] + [says_nothing] * (times - 1)  # and the address accepts and says nothing
-    coordinator = Scripted([*dead, tells])
-    async with watch(coordinator) as (follower, told):
-        await until(lambda: told[-1:] == [4])
-        assert told == [2, 3, 4] and coordinator.asked == [1] + [2] * times
+    # after the first failure the address accepts connections and sends nothing
+    failing: list[Script] = [fault] + [sends_nothing] * (times - 1)
+    coordinator = Scripted([*failing, healthy])
+    async with watch(coordinator) as (follower, reported):
+        await until(lambda: reported[-1:] == [4])
+        assert reported == [2, 3, 4] and coordinator.requested == [1] + [2] * times
         await until(lambda: follower.connected and follower.last_event == 4)
 
 
-async def test_events_that_come_twice_are_told_once() -> None:
+async def test_duplicate_events_are_reported_once() -> None:
     coordinator = Scripted([twice])
-    async with watch(coordinator) as (follower, told):
+    async with watch(coordinator) as (follower, reported):
         await until(lambda: follower.last_event == 4)
-        assert told == [2, 3, 4] and coordinator.asked == [1]
+        assert reported == [2, 3, 4] and coordinator.requested == [1]
 
 
-async def test_another_coordinator_is_followed_at_once_while_the_old_one_is_silent() -> None:
-    old, new = Scripted([silent]), Scripted([tells], newest=4)
-    async with watch(old) as (follower, told), anyio.create_task_group() as tasks:
+async def test_a_watch_switches_to_another_address_without_waiting_for_a_silent_coordinator() -> None:
+    old, new = Scripted([silent]), Scripted([healthy], newest=4)
+    async with watch(old) as (follower, reported), anyio.create_task_group() as tasks:
         await tasks.start(new.run)
-        await until(lambda: told == [2])
-        with anyio.fail_after(
-            watching.SILENCE_TIMEOUT_SECONDS / 2
-        ):  # the silence of the old one is not waited for
+        await until(lambda: reported == [2])
+        with anyio.fail_after(watching.SILENCE_TIMEOUT_SECONDS / 2):  # sooner than the old one times out
             follower.follow(new.address)
             await until(lambda: follower.last_event == 4)
-        assert told == [2, 3, 4] and new.asked == [2] and old.asked == [1]
+        assert reported == [2, 3, 4] and new.requested == [2] and old.requested == [1]
         tasks.cancel_scope.cancel()
 
 
-async def test_a_coordinator_that_ends_each_watch_causes_few_lines() -> None:
+async def test_a_coordinator_that_closes_each_connection_causes_one_log_line() -> None:
     async def ends(self: Scripted, stream: Stream, last: int) -> None:
         await stream.send(frame(1))
 
     coordinator = Scripted([ends])
     with capture_logs() as lines:
         async with watch(coordinator):
-            await until(lambda: len(coordinator.asked) > 5)
-    assert len([line for line in lines if line["event"] == "coordinator lost"]) == 1
+            await until(lambda: len(coordinator.requested) > 5)
+    assert len([line for line in lines if line["event"] == "connection to the coordinator lost"]) == 1
 
 
-async def test_a_silent_watch_is_given_up_after_one_frame_that_did_not_come() -> None:
-    # frames come each second: sooner would end watches that are only late, later adds to each drain's delay
+async def test_a_watch_reconnects_after_one_missing_frame() -> None:
+    # Frames arrive each second. A shorter timeout would end connections that are only late; a longer one
+    # would delay drains.
     assert 1.0 < watching.SILENCE_TIMEOUT_SECONDS < 2.0
-    coordinator = Scripted([silent, tells])
-    async with watch(coordinator) as (_, told):
-        await until(lambda: told == [2])
-        began = anyio.current_time()
-        await until(lambda: len(coordinator.asked) == 2)
-        most = watching.SILENCE_TIMEOUT_SECONDS + watching.MIN_BACKOFF_SECONDS * watching.BACKOFF_JITTER[1]
-        assert 1.0 < anyio.current_time() - began < most + 0.3
+    coordinator = Scripted([silent, healthy])
+    async with watch(coordinator) as (_, reported):
+        await until(lambda: reported == [2])
+        started_at = anyio.current_time()
+        await until(lambda: len(coordinator.requested) == 2)
+        longest = watching.SILENCE_TIMEOUT_SECONDS + watching.MIN_BACKOFF_SECONDS * watching.BACKOFF_JITTER[1]
+        assert 1.0 < anyio.current_time() - started_at < longest + 0.3
 
 
-async def test_a_drain_behind_a_silent_watch_is_kept_as_soon_as_the_watch_is_back(
+async def test_a_drain_missed_by_a_silent_watch_is_applied_when_the_watch_reconnects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(watching, "SILENCE_TIMEOUT_SECONDS", 0.5)  # the stand-in sends a frame each 0.3 s
+    monkeypatch.setattr(watching, "SILENCE_TIMEOUT_SECONDS", 0.5)  # the stub sends a frame each 0.3 s
     cores = cores_of(monkeypatch)
     async with world(serve, serve) as w, client(w) as c:
         while not w.coordinator.streams:
             await w.coordinator.followed.wait()
-        await w.coordinator.turn.acquire()  # it says nothing more on this connection
+        await w.coordinator.turn.acquire()  # nothing more is sent on this connection
         draining = [cache.name.encode() for cache in w.caches[:2]]
         w.coordinator.events += [(2 + n, 2, cache.record(1)) for n, cache in enumerate(w.caches[:2])]
         await until(
@@ -226,10 +226,10 @@
         assert not [f for cache in w.caches[:2] for f in cache.fetches]
 
 
-async def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_do_not_keep_the_watch_away(
+async def test_the_watch_reconnects_although_idle_clients_use_up_the_descriptors(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # guards drains: a watch that finds no descriptor when discovery is back hears of none
+    # Without a descriptor for the watch, a front would learn of no drain after an outage of the coordinator.
     cores = cores_of(monkeypatch)
     async with world(serve, serve, limits={"sockets": 16}) as w:
         await until(
@@ -237,8 +237,8 @@
             and cores[0].endpoint_list.freshness.phase is WatchPhase.FOLLOWING
         )
         await w.coordinator.go_down()
-        crowd = [socket.create_connection(w.listening.clients) for _ in range(64)]
-        await until(lambda: w.coordinator.turned_away > 1)  # it tries again beside the crowd
+        other_clients = [socket.create_connection(w.listening.clients) for _ in range(64)]
+        await until(lambda: w.coordinator.turned_away > 1)  # the watch keeps trying to connect
         async with client(w) as c:
             await c.send("status", b"\x02\0\1\1")
             assert (await c.reply()).good
@@ -247,7 +247,7 @@
         drained = w.caches[0]
         w.coordinator.events.append((2, 2, drained.record(1)))
         w.coordinator.down = False
-        crowd += [socket.create_connection(w.listening.clients) for _ in range(64)]
+        other_clients += [socket.create_connection(w.listening.clients) for _ in range(64)]
         await until(
             lambda: cores[0].endpoint_list.endpoints[drained.name.encode()].state is EndpointState.DRAINING
         )
@@ -257,12 +257,12 @@
                 await late.ask(entity=f"{n:016x}")
                 assert (await late.reply()).kind == "served"
         assert len(drained.fetches) == before
-        for sock in crowd:
+        for sock in other_clients:
             sock.close()
 
 
-async def test_what_the_coordinator_said_can_be_followed_in_the_log() -> None:
-    # an incident had to be told from ready lines alone: neither the watch nor the drains stood in the log
+async def test_the_log_shows_the_watch_and_the_changes_of_the_endpoint_list() -> None:
+    # In one incident neither the watch nor the drains were in the log, only the "ready" lines.
     with capture_logs() as lines:
         async with world(serve, serve) as w:
             while not w.coordinator.streams:
@@ -272,7 +272,7 @@
             await until(lambda: any(line["event"] == "endpoint list changed" for line in lines))
     (ready,) = [line for line in lines if line["event"] == "ready"]
     assert ready["last_known_event"] == 1 and ready["startup_s"] > 0
-    (followed,) = [line for line in lines if line["event"] == "coordinator followed"]
-    assert followed["after"] == 1 and 0 <= followed["waited_s"] < 5
+    (connected,) = [line for line in lines if line["event"] == "connected to the coordinator"]
+    assert connected["last_event"] == 1 and 0 <= connected["waited_s"] < 5
     (changed,) = [line for line in lines if line["event"] == "endpoint list changed"]
     assert changed["draining"] == [drained.name] and changed["ready"] == changed["gone"] == []
--- a/zincladder/net/__init__.py
+++ b/zincladder/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's side: clients (framed Thrift), quay caches (lines) and the coordinator's watch."""
+"""Network I/O with clients (framed Thrift), caches (text lines) and the coordinator (binary frames)."""
--- a/zincladder/net/cache_connection.py
+++ b/zincladder/net/cache_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a cache: many exchanges at a time, answered in any order."""
+"""A connection to a cache, which carries several exchanges at a time, answered in any order."""
 
 from __future__ import annotations
 
@@ -18,37 +18,37 @@
 from zincladder.net.write_queue import QueuedWrite, WriteQueue
 from zincladder.support.lingering_close import LINGER_SECONDS, lingering_close
 
-WRITE_STALL_SECONDS = 10.0  # for which a cache may read nothing
-ANSWER_STALL_SECONDS = 0.3  # without a byte inside an answer: those come in one piece, in under 50 ms
-ID_REUSE_SECONDS = 10.0  # for which an id is not used again on its connection, past the longest deadline
+WRITE_STALL_SECONDS = 10.0  # a cache that reads nothing for so long loses its connection
+ANSWER_STALL_SECONDS = 0.3  # without a byte inside an answer; caches send one in one piece, in under 50 ms
+ID_REUSE_SECONDS = 10.0  # an id is not reused on its connection before that; longer than any deadline
 
 
 @dataclass(slots=True, eq=False)
 class PendingExchange:
-    """One request or health check that is open on a connection."""
+    """An attempt or a health check that waits for its answer on a connection."""
 
     is_health_check: bool
-    copy_tag: str = ""  # of the copy that the client holds, if the request named one
+    copy_tag: str = ""  # tag of the copy that the client holds; "" if the request named none
     ended: anyio.Event = field(default_factory=anyio.Event)
     write: QueuedWrite | None = None
     end: AttemptEnd | None = None
 
     def finish(self, end: AttemptEnd) -> None:
-        """Set the end, unless there is one, and wake who waits for it."""
+        """Sets the end, unless it is set already, and wakes the task that waits for it."""
         if self.end is None:
             self.end = end
             self.ended.set()
 
 
 def ignore_idle(connection: CacheConnection) -> None:
-    """Nobody waits for a connection that has fallen idle."""
+    """The default for `on_idle`: does nothing."""
 
 
 class CacheConnection:
-    """One connection to a cache.
+    """A connection to a cache.
 
-    An exchange is open from `register` on, under an id that its answer repeats. A retired connection takes
-    no new exchange and closes when none is open; a closing one ends all that is open on it.
+    `register` opens an exchange under an id, which the answer repeats. A retired connection takes no new
+    exchange and is closed once none is open. A closing connection ends its open exchanges at once.
     """
 
     def __init__(
@@ -57,20 +57,31 @@
         report_names: Callable[[], Sequence[str]] = tuple,
         on_idle: Callable[[CacheConnection], None] = ignore_idle,
     ) -> None:
-        """Args: `on_idle` runs when an answer has left nothing open here."""
+        """Wraps a connected socket.
+
+        Args:
+            sock: The socket.
+            report_names: Returns the names of the load report's figures, in the order of the settings.
+            on_idle: Called after an answer that leaves no exchange open on the connection.
+        """
         self.sock, self._report_names, self._on_idle = sock, report_names, on_idle
         self.read_buffer, self.write_queue = ReadBuffer(sock), WriteQueue(sock)
         self.open: dict[bytes, PendingExchange] = {}
-        self.recent_ids: dict[bytes, float] = {}  # a second answer to one of them must find nobody
+        # When each id was last used. It is not reused soon: a duplicate answer would match the new exchange.
+        self.recent_ids: dict[bytes, float] = {}
         self.closed = self.retired = self.closing = False
-        self.reserved = False  # for a request that has not begun here yet
-        self.reading = False  # an answer, or what may be one, has begun and is not complete
-        self.used_at = monotonic()
+        self.reserved = False  # promised to a request that has not begun an exchange here yet
+        self.reading = False  # an incomplete answer, or other input, has been received
+        self.last_used_at = monotonic()
         self._scope = anyio.CancelScope()
-        self.linger_scope = anyio.CancelScope()  # cancelled, it closes at once
+        self.linger_scope = anyio.CancelScope()  # cancel to close without waiting for the cache's close
 
     async def run(self) -> AttemptEnd:
-        """Reads answers until the connection ends; what is open ends with it."""
+        """Reads answers until the connection ends, and ends the open exchanges with it.
+
+        Returns:
+            Why the connection ended.
+        """
         reason, detail = EndReason.IDLE_CLOSED, ""
         try:
             with self._scope:
@@ -88,11 +99,12 @@
             self._end_exchanges(reason, detail)
             try:
                 if has_unsent_bytes(self.sock):
-                    # Guards abandoned requests: after a usual close the system goes on sending them.
+                    # After a normal close the system would go on sending requests that were abandoned; a
+                    # reset drops them.
                     with contextlib.suppress(OSError):
                         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 elif reason is EndReason.IDLE_CLOSED:
-                    # This side closes, and the cache may be in the middle of a line.
+                    # The cache may be sending a line while this side closes, and must not get a reset.
                     with self.linger_scope:
                         await lingering_close(self.sock, LINGER_SECONDS)
             finally:
@@ -100,20 +112,22 @@
         return AttemptEnd(reason, detail=detail)
 
     def _end_exchanges(self, reason: EndReason, detail: str) -> None:
-        lost = reason
+        lost_reason = reason
         if reason in (EndReason.CLOSED_BY_PEER, EndReason.IDLE_CLOSED):
-            lost = EndReason.CONNECTION_LOST
+            lost_reason = EndReason.CONNECTION_LOST
         for exchange in list(self.open.values()):
-            # Only an exchange of which no byte was written is proved never to have run.
+            # Only an exchange of which no byte was written is certain never to have run.
             unwritten = exchange.write is not None and not exchange.write.started
-            exchange.finish(AttemptEnd(EndReason.LOST_BEFORE_SEND if unwritten else lost, detail=detail))
+            exchange.finish(
+                AttemptEnd(EndReason.LOST_BEFORE_SEND if unwritten else lost_reason, detail=detail)
+            )
 
     async def _read_answers(self) -> None:
         while True:
             self.reading = False
             await self.read_buffer.wait_for()
             self.reading = True
-            # Guards all that is open here against an answer that stops short: nothing after it can be read.
+            # The timeout protects all open exchanges: while an answer is incomplete, none after it is read.
             line = await self.read_buffer.read_line(MAX_HEAD_BYTES, ANSWER_STALL_SECONDS)
             if not line:
                 continue
@@ -122,12 +136,14 @@
             if head.body_bytes:
                 body = await self.read_buffer.read_exactly(head.body_bytes, ANSWER_STALL_SECONDS)
                 if await self.read_buffer.read_exactly(2, ANSWER_STALL_SECONDS) != b"\r\n":
-                    raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, "a body without its end")
-            self.used_at = monotonic()
+                    raise ConnectionEndedError(
+                        EndReason.PROTOCOL_ERROR, "answer's body is not followed by CR LF"
+                    )
+            self.last_used_at = monotonic()
             exchange = self.open.get(head.exchange_id)
             if exchange is None or exchange.write is None or not exchange.write.started:
-                continue  # no exchange waits for it: late, a duplicate, or before its request was sent
-            # One that cannot be read ends as all others here.
+                continue  # late, a duplicate, or sent before the request itself: no exchange waits for it
+            # An answer that cannot be parsed ends the connection, and its exchange with all others.
             end = read_attempt_end(
                 head, body, exchange.is_health_check, exchange.copy_tag, self._report_names()
             )
@@ -138,9 +154,9 @@
                 self._on_idle(self)
 
     def register(self, exchange_id: bytes, exchange: PendingExchange) -> None:
-        """Opens an exchange.
+        """Opens an exchange under an id.
 
-        Guards against a late answer or a second copy: an id is used once on a connection.
+        The id is remembered as recently used, so that a late or duplicate answer matches no other exchange.
         """
         self.open[exchange_id] = exchange
         now = monotonic()
@@ -151,11 +167,11 @@
             del self.recent_ids[oldest]
 
     def close(self) -> None:
-        """Nothing new goes out here from now on, and what is open ends with it."""
-        self.closing = True  # a flag of its own: CancelScope.cancel_called reads the clock
+        """Closes the connection: it takes no new exchange, and the open ones end."""
+        self.closing = True  # cheaper to test than CancelScope.cancel_called, which reads the clock
         self._scope.cancel()
 
     def close_if_retired(self) -> None:
-        """Closes a connection that is not used again once nothing is open on it."""
+        """Closes the connection if it is retired and no exchange is open."""
         if self.retired and not self.open:
             self.close()
--- a/zincladder/net/cache_exchange.py
+++ b/zincladder/net/cache_exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with a cache: a message, the wait for its answer, and what is done when it is abandoned."""
+"""Runs one exchange with a cache: sends a message, waits for its answer, and cleans up if it is abandoned."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from zincladder.net.write_queue import QueuedWrite
 from zincladder.routing import interface as api
 
-SILENT_CACHE_SECONDS = 0.8  # without a byte from a cache that owes an answer: its connection is retired
-MIN_RETRANSMIT_SECONDS = 0.2  # after which a system at the earliest sends again what was not acknowledged
+SILENT_CACHE_SECONDS = 0.8  # a connection on which no byte of a due answer arrives for so long is retired
+MIN_RETRANSMIT_SECONDS = 0.2  # the earliest time at which TCP retransmits unacknowledged bytes
 
-END_OF_ABORT = {
+END_REASON_OF_ABORT = {
     AbortReason.CANCELLED: EndReason.CANCELLED,
     AbortReason.DEADLINE_EXCEEDED: EndReason.DEADLINE_EXCEEDED,
     AbortReason.CLIENT_DISCONNECTED: EndReason.CANCELLED,
@@ -27,12 +27,12 @@
 
 
 def abort_before_send(attempt: AttemptRequest, reason: AbortReason) -> AttemptEnd:
-    """The end of an attempt that was not sent: what it was decided by has changed since."""
+    """Ends an attempt that may not be sent any more, because the state it was decided on has changed."""
     attempt.guard.aborted_before_send(attempt, reason)
     fill_outcome = api.FillOutcome.NONE
     if reason is AbortReason.SOURCE_NOT_READY:
         fill_outcome = api.FillOutcome.SOURCE_FAILED
-    return AttemptEnd(END_OF_ABORT[reason], fill_outcome=fill_outcome, detail=reason.description)
+    return AttemptEnd(END_REASON_OF_ABORT[reason], fill_outcome=fill_outcome, detail=reason.description)
 
 
 async def run_exchange(
@@ -41,12 +41,14 @@
     serialize: Callable[[], Sequence[bytes]],
     attempt: AttemptRequest | None,
 ) -> AttemptEnd:
-    """Sends one message and waits for its answer; cancelled, it is abandoned on the wire too.
+    """Sends one message and waits for its answer.
+
+    If the call is cancelled, the cache is sent an abort, or the rest of the message is not sent.
 
     Args:
-        connection: Where it goes.
+        connection: The connection to send on.
         exchange_id: The id that the answer repeats.
-        serialize: Gives the message as of the moment in which its first byte goes.
+        serialize: Returns the message; called just before its first byte is written.
         attempt: The attempt; None for a health check.
     """
     exchange = PendingExchange(attempt is None, attempt.request.tag if attempt else "")
@@ -57,11 +59,11 @@
         if attempt is not None and written:
             attempt.guard.written()
         elif attempt is not None:
-            # Guards the request: it was aborted at the last check, and nobody else says so.
+            # `may_start` refused the attempt just before it was written; no answer will end the exchange.
             reason = attempt.abort_reason() or AbortReason.ENDPOINT_NOT_READY
             exchange.finish(abort_before_send(attempt, reason))
 
-    # Guards the time limit that the cache gets: it is what is left as the first byte goes.
+    # Serialized only when the first byte is written, so that the cache gets the time that is really left.
     write = exchange.write = connection.write_queue.put(
         (), attempt.may_start if attempt else None, on_done, serialize
     )
@@ -70,11 +72,11 @@
             await exchange.ended.wait()
         return exchange.end
     finally:
-        if connection.open.get(exchange_id) is exchange:  # abandoned, or aborted before it was sent
+        if connection.open.get(exchange_id) is exchange:  # cancelled, or refused before it was sent
             del connection.open[exchange_id]
         if exchange.end is None:
-            # Guards the next request here: what comes of an answer that has begun would be read before its
-            # own, for as long as the rest takes to come.
+            # If an answer has begun to arrive, the answer to the next request would have to wait for its
+            # rest, however long that takes.
             connection.retired |= connection.reading
             if not connection.closed and not connection.write_queue.cancel(write):
                 if attempt is not None:
@@ -87,19 +89,19 @@
 
 def _abandon(connection: CacheConnection, exchange_id: bytes, write: QueuedWrite) -> None:
     if write.parts and not connection.open:
-        # Guards a request that has not arrived completely, and so never ran: the rest of it, written behind,
-        # would have it run after all.
+        # The cache has not received the complete request, so it never ran. Sending the rest would make the
+        # cache run it after all.
         connection.close()
     else:
         connection.write_queue.put([b"abort " + exchange_id + b"\r\n"])
 
 
 def _retire_if_cut_off(connection: CacheConnection, started_at: float, received_before: int) -> None:
-    # Guards against a machine that is cut off: its connection stays up and silent, and only a new one, which
-    # does not come up, proves that the next request never ran.
+    # A connection to a machine that the network has cut off stays open and silent. A request sent on it may
+    # have run, whereas one whose new connection fails to open has certainly not run.
     is_silent = connection.read_buffer.received == received_before
     waited_seconds = monotonic() - started_at
     connection.retired |= is_silent and waited_seconds > SILENT_CACHE_SECONDS
-    # What the cache's system has not taken goes out whenever it does: closed at once, if nothing else is open
-    # here, this side's system drops it.
+    # Bytes that the cache's system has not acknowledged may still be delivered later. Retiring the connection
+    # closes it at once if no other exchange is open, and the close drops these bytes.
     connection.retired |= waited_seconds > MIN_RETRANSMIT_SECONDS and has_unsent_bytes(connection.sock)
--- a/zincladder/net/cache_pool.py
+++ b/zincladder/net/cache_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to the caches: which one a request goes out on, when one is opened or closed."""
+"""The pool of connections to the caches: opens and closes connections, and chooses one for each exchange."""
 
 from __future__ import annotations
 
@@ -21,17 +21,19 @@
 from zincladder.routing import interface as api
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-IDLE_SHARE = 0.7  # of the caches' own idle time: this side closes first, so that no request crosses a close
+# Share of the caches' idle timeout after which this side closes an idle connection. It closes first, so that
+# no request is sent while the cache closes the connection.
+IDLE_TIMEOUT_SHARE = 0.7
 IDLE_CHECK_INTERVAL_SECONDS = 1.0
-DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.4  # where the settings name none
-FREED_DESCRIPTORS = 4  # when the system has none
-DESCRIPTOR_WAIT_SECONDS = 0.03  # for these
+DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.4  # if the settings state none
+DESCRIPTORS_TO_FREE = 4  # by admission, when the system has no descriptor left
+DESCRIPTOR_WAIT_SECONDS = 0.03  # before the next attempt to connect, while these are freed
 log = structlog.get_logger()
 
 
 @dataclass(slots=True, eq=False)
 class _Waiter:
-    """A request that waits for its connection to come up, or for another one that falls idle before."""
+    """An exchange that waits until its new connection is open or another connection becomes idle."""
 
     exchange_id: bytes
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
@@ -39,7 +41,7 @@
 
 
 class CachePool:
-    """Connections to all caches, by endpoint."""
+    """The connections to all caches, by endpoint."""
 
     def __init__(self, config: Config, descriptors: DescriptorBudget) -> None:
         self._config, self._descriptors = config, descriptors
@@ -47,50 +49,54 @@
         self._connections: dict[api.EndpointId, list[CacheConnection]] = {}
         self._waiters: dict[api.EndpointId, list[_Waiter]] = {}  # oldest first
         self._tasks: TaskGroup | None = None
-        self._lines = RateLimitedLog()
+        self._rate_limited_log = RateLimitedLog()
 
     async def run(self) -> None:
-        """Runs the connections, and closes idle ones, until it is cancelled."""
+        """Runs the connections and closes idle ones, until cancelled."""
         async with anyio.create_task_group() as self._tasks:
             while True:
                 await anyio.sleep(IDLE_CHECK_INTERVAL_SECONDS)
-                oldest = monotonic() - IDLE_SHARE * self._config.idle_close_seconds
+                oldest = monotonic() - IDLE_TIMEOUT_SHARE * self._config.idle_close_seconds
                 for connections in list(self._connections.values()):
                     for connection in connections:
                         is_idle = not (connection.open or connection.reserved)
-                        if is_idle and connection.used_at < oldest:
+                        if is_idle and connection.last_used_at < oldest:
                             connection.close()
 
     def apply_config(self, config: Config) -> None:
-        """Use a configuration that was reloaded: its limits hold from now on."""
+        """Applies the limits of a reloaded configuration from now on."""
         self._config = config
 
     def report_names(self) -> Sequence[str]:
-        """The names of a load report's figures, in the order of the settings in force."""
+        """Returns the names of a load report's figures, in the order of the current settings."""
         return self._config.settings.report_names
 
     # The endpoint list ---------------------------------------------------------------------------
 
     def set_address(self, endpoint: api.EndpointId, address: Address) -> None:
-        """Where an endpoint listens. An id is one process, so an address used again is another endpoint's."""
+        """Sets where an endpoint listens.
+
+        An endpoint id names one process. A new process at the same address has another id, and gets its own
+        connections.
+        """
         self._addresses[endpoint] = address
 
     def address_of(self, endpoint: api.EndpointId) -> Address | None:
-        """Where an endpoint listens; None for one that is gone."""
+        """Returns where an endpoint listens; None if it is gone."""
         return self._addresses.get(endpoint)
 
     def retain_only(self, endpoints: set[api.EndpointId]) -> None:
-        """Forget all that a full list does not name: they are gone."""
+        """Forgets the endpoints that are missing in a full endpoint list."""
         for endpoint in self._addresses.keys() - endpoints:
             self.forget(endpoint)
 
     def forget(self, endpoint: api.EndpointId) -> None:
-        """An endpoint that is gone: what is open on it may still end by itself, nothing new is opened."""
+        """Forgets an endpoint that is gone: no connection to it is opened; its open exchanges may finish."""
         self._addresses.pop(endpoint, None)
         self.close_idle(endpoint)
 
     def close_idle(self, endpoint: api.EndpointId) -> None:
-        """Close the connections to an endpoint on which nothing is open."""
+        """Closes the connections to an endpoint on which no exchange is open."""
         for connection in self._connections.get(endpoint, ()):
             if not connection.open:
                 connection.close()
@@ -98,47 +104,52 @@
     # Choice of a connection ----------------------------------------------------------------------
 
     async def acquire(self, endpoint: api.EndpointId, exchange_id: bytes) -> CacheConnection:
-        """A connection with nothing else open on it where the descriptors allow, else the least busy one.
+        """Returns a connection for one more exchange: an idle or a new one, else the least busy one.
 
-        Guards each request against what happens to others: one unreadable answer or reset ends all that is
-        open on its connection. All that wait for an endpoint that does not come up wait at the same time, and
-        none of them longer than until another connection falls idle.
+        Exchanges share a connection only when there is no descriptor for another one, because one malformed
+        answer or reset ends all exchanges of its connection. Each waiting exchange opens its own connection,
+        so those to an unreachable endpoint wait at the same time; a connection that becomes idle first is
+        used instead.
 
         Raises:
-            OSError: There is no connection, and none could be opened.
-            TimeoutError: The new connection did not come up in time.
+            OSError: There is no usable connection, and none could be opened.
+            TimeoutError: The new connection was not established in time.
         """
         usable = self._find_usable(endpoint, exchange_id)
         if usable and not usable.open:
             return usable
-        if self._descriptors.available(DescriptorUse.CACHES) <= 0 and not self._free_descriptor():
+        if self._descriptors.available(DescriptorUse.CACHES) <= 0 and not self._close_longest_idle():
             if usable:
                 return usable
-            self._lines.warning("no descriptor for a cache connection", used=self._descriptors.used)
-            raise OSError("no descriptor is left for one more connection")
+            self._rate_limited_log.warning(
+                "no file descriptor for a connection to a cache", descriptors_used=self._descriptors.used
+            )
+            raise OSError("no file descriptor is left for a connection to the endpoint")
         address = self._addresses.get(endpoint)
         if address is None:
-            raise OSError("the member is gone")
+            raise OSError("endpoint has left the endpoint list")
         waiter = _Waiter(exchange_id)
         sock = await self._open_or_wait(endpoint, address, waiter)
         if sock is not None:
             connection = self._add(endpoint, sock)
             if waiter.connection is None:
                 return connection
-            self._offer_idle(endpoint, connection)  # both came at once
+            self._offer_idle(endpoint, connection)  # another one became idle at the same time, and is used
         assert waiter.connection is not None
         waiter.connection.reserved = False
         if waiter.connection.closed or waiter.connection.closing:
-            raise OSError("the connection that fell idle has ended")
+            raise OSError("idle connection was closed before the request was sent on it")
         return waiter.connection
 
     async def _open_or_wait(
         self, endpoint: api.EndpointId, address: Address, waiter: _Waiter
     ) -> socket.socket | None:
-        """A new connection, unless one that fell idle comes first: it is the waiter's then."""
-        self._descriptors.force_acquire(
-            DescriptorUse.CACHES
-        )  # may pass the maximum for a moment: a connection that was closed to make room still counts
+        """Opens a connection, and returns its socket.
+
+        Returns None if another connection became idle first; `waiter.connection` is that connection then.
+        """
+        # May exceed the maximum for a moment: a connection that was closed to make room is still counted.
+        self._descriptors.force_acquire(DescriptorUse.CACHES)
         sock: socket.socket | None = None
         self._waiters.setdefault(endpoint, []).append(waiter)
         connect_timeout = self._config.settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_SECONDS
@@ -148,7 +159,7 @@
         except OSError:
             if waiter.connection is None:
                 raise
-        except BaseException:  # the request was abandoned
+        except BaseException:  # the request was cancelled
             if waiter.connection is not None:
                 self._offer_idle(endpoint, waiter.connection)
             raise
@@ -168,16 +179,17 @@
         return connection
 
     def _offer_idle(self, endpoint: api.EndpointId, connection: CacheConnection) -> None:
-        """A connection on which nothing is open any more: it is for the request that has waited longest.
+        """Gives a connection that has become idle to the exchange that has waited longest.
 
-        Only an answer makes it one: a connection whose requests were abandoned may be that of a machine that
-        is cut off, and there only a new one, which does not come up, proves that the request never ran.
+        Runs after an answer, and for a new connection that is not needed, but not after a request was
+        abandoned. Such a connection may lead to a machine that the network has cut off. A request sent on it
+        may have run, whereas one whose new connection fails to open has certainly not run.
         """
         connection.reserved = False
         for waiter in self._waiters.get(endpoint, ()):
             if waiter.connection is not None or not self._accepts(connection, waiter.exchange_id):
                 continue
-            if self._is_quiet(connection):
+            if self._has_nothing_unread(connection):
                 waiter.connection, connection.reserved = connection, True
                 waiter.scope.cancel()
                 return
@@ -188,15 +200,22 @@
         except OSError as fault:
             if fault.errno not in (errno.EMFILE, errno.ENFILE):
                 raise
-        # The limit was lowered, or the system is short. The smaller budget makes admission close idle
-        # clients: by source at the next tick, by connection when the next client comes.
-        self._lines.warning("no descriptor for a cache connection", used=self._descriptors.used)
-        self._descriptors.resize(min(self._descriptors.total, self._descriptors.used - FREED_DESCRIPTORS))
+        # The limit of descriptors was lowered, or the system has none left. The smaller budget makes
+        # admission close idle clients: by source at the next tick, by connection when the next client
+        # connects.
+        self._rate_limited_log.warning(
+            "no file descriptor for a connection to a cache", descriptors_used=self._descriptors.used
+        )
+        self._descriptors.resize(min(self._descriptors.total, self._descriptors.used - DESCRIPTORS_TO_FREE))
         await anyio.sleep(DESCRIPTOR_WAIT_SECONDS)
         return await connect(*address)
 
     def _find_usable(self, endpoint: api.EndpointId, exchange_id: bytes) -> CacheConnection | None:
-        """The first with nothing open on it, so that the later ones end idle; else that with the least."""
+        """Returns the first idle connection, else the one with the fewest open exchanges.
+
+        Taking the first idle one leaves the later ones unused, so that they reach their idle timeout. Returns
+        None if no connection is usable.
+        """
         best: CacheConnection | None = None
         for connection in self._connections.get(endpoint, ()):
             if connection.open and best is not None and len(connection.open) >= len(best.open):
@@ -204,27 +223,30 @@
             if not self._accepts(connection, exchange_id):
                 continue
             if not connection.open:
-                if self._is_quiet(connection):
+                if self._has_nothing_unread(connection):
                     return connection
-                if is_closed_by_peer(connection.sock):  # not read yet: what is written now may be lost
+                if is_closed_by_peer(connection.sock):  # a request written now could be lost
                     connection.close()
                 continue
             best = connection
         return best
 
     def _accepts(self, connection: CacheConnection, exchange_id: bytes) -> bool:
-        """Whether one more exchange, of this id, may go out there.
+        """Returns whether an exchange with this id may be opened on a connection.
 
-        Guards it against what was left over: bytes of no exchange may be half of a line without end.
+        It may not while there is input that belongs to no exchange: that may be part of a malformed line,
+        which ends the connection and the new exchange with it.
         """
-        full = len(connection.open) >= self._config.max_streams
-        taken = connection.reserved or exchange_id in connection.recent_ids
-        left_over = connection.reading and not connection.open
-        ended = connection.closed or connection.retired or connection.closing or connection.write_queue.error
-        return not (full or taken or left_over or ended)
-
-    def _is_quiet(self, connection: CacheConnection) -> bool:
-        """Whether nothing has come there that was not read yet: what was left over, or the cache's close."""
+        is_full = len(connection.open) >= self._config.max_streams
+        is_taken = connection.reserved or exchange_id in connection.recent_ids
+        has_stray_input = connection.reading and not connection.open
+        has_ended = (
+            connection.closed or connection.retired or connection.closing or connection.write_queue.error
+        )
+        return not (is_full or is_taken or has_stray_input or has_ended)
+
+    def _has_nothing_unread(self, connection: CacheConnection) -> bool:
+        """Returns whether the socket has nothing unread: no stray input and no close by the cache."""
         try:
             connection.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -233,8 +255,12 @@
             pass
         return False
 
-    def _free_descriptor(self) -> bool:
-        """Guards the descriptors: closes the connection that was idle longest, or one that lingers."""
+    def _close_longest_idle(self) -> bool:
+        """Frees a descriptor: closes the connection that has been idle longest, or one that lingers.
+
+        Returns:
+            False if there is no such connection.
+        """
         idle = [
             connection
             for connections in self._connections.values()
@@ -242,16 +268,16 @@
             if not (connection.open or connection.reserved or connection.linger_scope.cancel_called)
         ]
         if idle:
-            oldest = min(idle, key=lambda connection: connection.used_at)
-            oldest.linger_scope.cancel()  # what is here already is read all the same
+            oldest = min(idle, key=lambda connection: connection.last_used_at)
+            oldest.linger_scope.cancel()  # input that has arrived is still read
             oldest.close()
         return bool(idle)
 
     async def _run_connection(self, endpoint: api.EndpointId, connection: CacheConnection) -> None:
         try:
             end = await connection.run()
-        except Exception:  # guards all other connections: what goes wrong with one ends that one only
-            log.exception("cache connection failed", endpoint=endpoint.decode("latin-1"))
+        except Exception:  # an unexpected error ends this connection only
+            log.exception("unexpected error in a connection to a cache", endpoint=endpoint.decode("latin-1"))
             end = AttemptEnd(EndReason.CONNECTION_LOST)
         self._descriptors.release(DescriptorUse.CACHES)
         connections = self._connections[endpoint]
@@ -259,8 +285,8 @@
         if not connections:
             del self._connections[endpoint]
         if end.reason in (EndReason.PROTOCOL_ERROR, EndReason.PEER_STALLED):
-            self._lines.warning(
-                "cache connection ended",
+            self._rate_limited_log.warning(
+                "connection to a cache closed after an error",
                 endpoint=endpoint.decode(),
                 reason=end.reason.name,
                 detail=end.detail,
--- a/zincladder/net/cache_transport.py
+++ b/zincladder/net/cache_transport.py
@@ -1,4 +1,4 @@
-"""The cache side's transport: attempts and health checks as lines of words over pooled connections."""
+"""The transport to the caches: sends attempts and health checks as text lines over pooled connections."""
 
 from __future__ import annotations
 
@@ -21,12 +21,18 @@
     """Sends the core's attempts and health checks to the caches."""
 
     def __init__(self, pool: CachePool, now: Callable[[], float], class_names: Sequence[str]) -> None:
-        """Args: `class_names` is by the classes' numbers; new settings change it in place."""
+        """Creates the transport.
+
+        Args:
+            pool: The connections to the caches.
+            now: Returns the time on the core's clock.
+            class_names: The names of the request classes by number; new settings change it in place.
+        """
         self.pool, self._now, self._class_names = pool, now, class_names
         self._health_checks = 0
 
     async def send(self, attempt: AttemptRequest) -> AttemptEnd:
-        """Makes one attempt. Cancelling it abandons the attempt."""
+        """Makes one attempt and returns its end; cancelling the call abandons the attempt."""
         if reason := attempt.abort_reason():
             return abort_before_send(attempt, reason)
         exchange_id = attempt.request.trace.encode()
@@ -37,7 +43,7 @@
         return await run_exchange(connection, exchange_id, partial(self._serialize, attempt), attempt)
 
     async def check_health(self, endpoint: api.EndpointId) -> AttemptEnd:
-        """Asks a cache for its load report."""
+        """Checks the health of a cache, whose answer holds its load report."""
         self._health_checks += 1
         exchange_id = b"p%d" % self._health_checks
         with anyio.move_on_after(HEALTH_CHECK_TIMEOUT_SECONDS):
@@ -51,7 +57,7 @@
         return AttemptEnd(EndReason.TIMED_OUT)
 
     def _serialize(self, attempt: AttemptRequest) -> list[bytes]:
-        """The attempt as of this moment: the time that is left, and the oldest copy that a purge allows."""
+        """Serializes the attempt with the time that is left and the oldest copy that purges allow by now."""
         request = attempt.request
         fields = protocol.write_fetch(
             attempt, self._class_names[request.request_class], attempt.deadline - self._now()
--- a/zincladder/net/client_calls.py
+++ b/zincladder/net/client_calls.py
@@ -1,4 +1,4 @@
-"""Reads the calls of clients, and has each request worked on and answered once."""
+"""Reads the calls of clients, passes each request to the core and writes its one answer."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 from zincladder.net.errors import ConnectionEndedError, InvalidFieldsError
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-MAX_OPEN_REQUESTS = 32  # on one connection, as the protocol says
-MAX_WITHDRAWN_BEFORE_START = 64  # requests of one connection, with no answer between them
-MAX_UNREAD_BYTES = 1 << 20  # of answers that a client leaves unread before its next request is read
+MAX_OPEN_REQUESTS = 32  # on one connection; the protocol states this limit
+MAX_WITHDRAWN_BEFORE_START = 64  # requests of one connection, counted since its last answer
+MAX_UNREAD_BYTES = 1 << 20  # of unread answers; above this the client's next request is not read
 UNREAD_CHECK_INTERVAL_SECONDS = 0.1
-FRAME_HEAD_BYTES = 4  # that state a message's length
-MESSAGES_PER_TURN = 32  # of one client, read before the other tasks have their turn
-SUCCESSOR_RETRY_AFTER_SECONDS = 0.05  # after which another process takes what this one rejects
+FRAME_LENGTH_BYTES = 4  # size of the length that precedes each message
+MESSAGES_PER_TURN = 32  # read from one client before other tasks may run
+SUCCESSOR_RETRY_AFTER_SECONDS = 0.05  # retry delay while this process shuts down: another one takes over
 log = structlog.get_logger()
 
 
@@ -41,21 +41,21 @@
 
 
 class ClientCalls:
-    """The service's calls: `handle`, `withdraw` and `status`."""
+    """Handles the methods of the service: `handle`, `withdraw` and `status`."""
 
     def __init__(self, config: Config, core: Core, admission: Admission, closer: ClientCloser) -> None:
         self.config = config
         self._core, self._admission, self._closer = core, admission, closer
-        self._lines = RateLimitedLog()
-        self.open_traces: set[str] = set()  # of the requests that are open
-        self.stopping = False  # the process is to end: `status` says that it takes no new clients
-        self.draining = False  # it takes none: connections are closed as they fall idle
+        self._rate_limited_log = RateLimitedLog()
+        self.open_traces: set[str] = set()  # trace ids of the open requests
+        self.stopping = False  # shutdown was requested: `status` reports that no new clients are taken
+        self.draining = False  # new requests are rejected and connections are closed once they are idle
 
     async def read(self, client: ClientConnection, tasks: TaskGroup) -> None:
         """Reads and dispatches the calls of one client until its connection is closed.
 
         Raises:
-            ConnectionEndedError: The connection has ended, or a message breaks the protocol.
+            ConnectionEndedError: The connection has ended, or a message violates the protocol.
         """
         read_buffer, last_seq, messages = client.read_buffer, 0, 0
         while True:
@@ -65,33 +65,35 @@
             if messages % MESSAGES_PER_TURN == 0:
                 await anyio.lowlevel.checkpoint()
             if self.draining and self._closer.close_idle_at_shutdown(client):
-                # Guards a client that comes again as soon as it is rejected: when the loop lags, the next
-                # check from outside would always find its next request.
+                # A client that retries at once after a rejection would never be closed by the periodic check
+                # alone: when the event loop lags, that check always finds the client's next request.
                 return
             await client.wait_for_message()
-            noticed, noticed_at = self._core.clock.now(), monotonic()  # a stall between them makes it older
+            # In this order, a stall between the two calls makes the request appear older, never newer.
+            noticed_on_core_clock, noticed_at = self._core.clock.now(), monotonic()
             if not self._admission.may_read(client.slot, noticed_at):
-                # Guards the loop: what is over its source's share stays unread, at last in the client's
-                # system.
+                # Requests beyond the source's share must not load the event loop. They stay unread until the
+                # socket buffers are full and TCP flow control stops the client.
                 client.may_read = anyio.Event()
                 await client.may_read.wait()
             client.message_started_at = monotonic()
-            # `ClientConnection.waits_for` reads ahead of this task, from a complete head on.
-            await read_buffer.wait_for(FRAME_HEAD_BYTES)
-            size = int.from_bytes(await read_buffer.read_exactly(FRAME_HEAD_BYTES), "big")
+            # Takes the length only once it is complete, because `ClientConnection.is_waiting_for` parses
+            # the unread bytes ahead of this task and has to find the start of a frame.
+            await read_buffer.wait_for(FRAME_LENGTH_BYTES)
+            size = int.from_bytes(await read_buffer.read_exactly(FRAME_LENGTH_BYTES), "big")
             if not 0 < size <= thrift.MAX_FRAME_BYTES:
-                raise _protocol_error(f"a frame of {size} bytes")
+                raise _protocol_error(f"frame length of {size} bytes is out of range")
             call = _parse(await read_buffer.read_exactly(size))
-            client.message_started_at, client.has_sent_message, client.used_at = 0.0, True, monotonic()
+            client.message_started_at, client.has_sent_message, client.last_used_at = 0.0, True, monotonic()
             if client.closed:
-                return  # it came after this side's close: it goes again on another connection
-            if call.verb != "handle":
-                self._admission.record_message(client.slot, client.used_at)
-                self._handle_other(client, call)
+                return  # the call arrived after this side closed: the client retries on another connection
+            if call.method != "handle":
+                self._admission.record_message(client.slot, client.last_used_at)
+                self._handle_other_method(client, call)
                 continue
-            self._check_order(client, call, last_seq)
+            self._check_call(client, call, last_seq)
             last_seq = call.seq
-            arrived_at = noticed - self._measure_unread(client, noticed_at)
+            arrived_at = noticed_on_core_clock - self._unread_seconds(client, noticed_at)
             self._open_request(client, call, arrived_at, tasks)
 
     async def _wait_until_answers_are_read(self, client: ClientConnection) -> None:
@@ -100,54 +102,57 @@
             with anyio.move_on_after(UNREAD_CHECK_INTERVAL_SECONDS):
                 await client.request_ended.wait()
 
-    def _handle_other(self, client: ClientConnection, call: thrift.Call) -> None:
-        """Answers a call that asks for no work of the core."""
-        if call.verb == "withdraw":
-            self._withdraw(client, call.number)
-        elif call.verb == "status":
+    def _handle_other_method(self, client: ClientConnection, call: thrift.Call) -> None:
+        """Handles a call other than `handle`; none of them involves the router."""
+        if call.method == "withdraw":
+            self._withdraw(client, call.withdrawn_seq)
+        elif call.method == "status":
             takes_clients = not self.stopping and self._core.endpoint_list.has_synced()
             client.write_queue.put(thrift.answer("status", call.seq, b"", {}, takes_clients))
         elif call.kind != thrift.ONEWAY:
-            text = f"no method {call.verb[:40]!r}"
+            text = f"no method {call.method[:40]!r}"
             client.write_queue.put(
-                thrift.application_exception(call.verb, call.seq, thrift.UNKNOWN_METHOD, text)
+                thrift.application_exception(call.method, call.seq, thrift.UNKNOWN_METHOD, text)
             )
 
-    def _check_order(self, client: ClientConnection, call: thrift.Call, last_seq: int) -> None:
+    def _check_call(self, client: ClientConnection, call: thrift.Call, last_seq: int) -> None:
         if call.kind != thrift.CALL:
-            raise _protocol_error(f"a 'handle' of message type {call.kind}")
+            raise _protocol_error(f"'handle' has message type {call.kind}, which is not a call")
         if call.seq <= last_seq:
-            # Guards against two requests under one number: nobody could tell their answers apart.
-            raise _protocol_error(f"sequence number {call.seq} after {last_seq}")
-        if len(client.open) >= MAX_OPEN_REQUESTS:
-            # Guards the other clients: this connection ends. Its open requests are answered as failed and
-            # their attempts cancelled.
-            raise _protocol_error(f"more than {MAX_OPEN_REQUESTS} requests open")
-
-    def _measure_unread(self, client: ClientConnection, noticed_at: float) -> float:
-        """For how many seconds the request that was just read had lain unread when it was noticed.
-
-        Guards caches and clients against the time of a request that is counted from when it was read.
+            # With two requests under one sequence number the client could not tell their answers apart.
+            raise _protocol_error(f"sequence number {call.seq} is not above the previous one, {last_seq}")
+        if len(client.open_requests) >= MAX_OPEN_REQUESTS:
+            # Protects the other clients: this connection is closed, its open requests are answered as failed
+            # and their attempts are cancelled.
+            raise _protocol_error(f"client has more than {MAX_OPEN_REQUESTS} requests open")
+
+    def _unread_seconds(self, client: ClientConnection, noticed_at: float) -> float:
+        """Returns for how many seconds the newest request had been unread when its arrival was noticed.
+
+        A request's timeout counts from its arrival. If it counted from the read, it would end too late, and
+        caches would work for clients that no longer wait.
         """
         unread_seconds = client.unread_seconds(noticed_at)
         if unread_seconds > PROMPT_READ_SECONDS:
             self._core.counts[UNREAD_REQUESTS] += 1
-            self._lines.warning(
-                "request lay unread", age_s=round(unread_seconds, 3), open=len(self.open_traces)
+            self._rate_limited_log.warning(
+                "request was read late",
+                unread_s=round(unread_seconds, 3),
+                open_requests=len(self.open_traces),
             )
         return unread_seconds
 
     def _withdraw(self, client: ClientConnection, seq: int) -> None:
-        opened = client.open.pop(seq, None)
-        if opened is None:  # it crossed the answer, which stands
+        open_request = client.open_requests.pop(seq, None)
+        if open_request is None:  # the answer was sent before the withdrawal arrived, and remains valid
             return
-        opened.withdrawn = True
-        if opened.started:
-            opened.scope.cancel()
-        # Counts only requests withdrawn before they began: clients may withdraw any number of started ones.
-        client.withdrawn_before_start += not opened.started
+        open_request.withdrawn = True
+        if open_request.started:
+            open_request.scope.cancel()
+        # Clients may withdraw any number of started requests; only those not yet started are limited.
+        client.withdrawn_before_start += not open_request.started
         if client.withdrawn_before_start > MAX_WITHDRAWN_BEFORE_START:
-            raise _protocol_error(f"{client.withdrawn_before_start} requests taken back before they began")
+            raise _protocol_error(f"{client.withdrawn_before_start} requests withdrawn before they started")
 
     def _open_request(
         self, client: ClientConnection, call: thrift.Call, arrived_at: float, tasks: TaskGroup
@@ -155,9 +160,9 @@
         try:
             request = read_client_request(self._core, self.open_traces, call.fields, call.body, arrived_at)
         except InvalidFieldsError as fault:
-            self._lines.warning("request not understood", reason=str(fault))
+            self._rate_limited_log.warning("invalid client request", reason=str(fault))
             self._core.counts[UNUSABLE_REQUESTS] += 1
-            self._admission.record_message(client.slot, client.used_at)
+            self._admission.record_message(client.slot, client.last_used_at)
             client.write_queue.put(
                 thrift.application_exception("handle", call.seq, thrift.PROTOCOL_ERROR, str(fault))
             )
@@ -167,28 +172,30 @@
             self._reject(client, call.seq, request, reason)
             return
         self._admission.request_opened(client.slot)
-        opened = client.open[call.seq] = OpenRequest(call.seq, request)
-        request.client_is_waiting = partial(client.waits_for, opened)
+        open_request = client.open_requests[call.seq] = OpenRequest(call.seq, request)
+        request.client_is_waiting = partial(client.is_waiting_for, open_request)
         self.open_traces.add(request.trace)
-        tasks.start_soon(self._serve, client, opened)
+        tasks.start_soon(self._serve, client, open_request)
 
     def _rejection_reason(self, client: ClientConnection) -> RejectionReason:
         if self.draining:
-            # Guards what this client has open at a process that ends: a connection that is always busy could
-            # only be cut. Rejected at once, it falls idle and is closed; the next goes to another process.
+            # A connection that is always busy could only be cut at the end of the process, with requests
+            # open. With its new requests rejected it becomes idle and is closed, and the client reconnects
+            # to another process.
             return RejectionReason.SHUTTING_DOWN
-        return self._admission.may_open(client.slot, client.used_at)
+        return self._admission.may_open(client.slot, client.last_used_at)
 
     def _reject(
         self, client: ClientConnection, seq: int, request: ClientRequest, reason: RejectionReason
     ) -> None:
-        # Guards the memory limit, against which a request with its body counts, and the loop. The settings'
-        # ceiling of open requests is part of this check: the Router has none.
-        self._lines.warning(
+        # Load shedding keeps the process within its memory limit, which covers open requests and their
+        # bodies, and keeps the event loop responsive. The configured maximum of open requests is enforced
+        # here because the Router does not limit them.
+        self._rate_limited_log.warning(
             "request shed",
             reason=reason.value,
-            open=len(self.open_traces),
-            max_open=self.config.max_open_requests,
+            open_requests=len(self.open_traces),
+            max_open_requests=self.config.max_open_requests,
             loop_lag_s=round(self._core.loop_monitor.lag_seconds, 3),
         )
         self._core.record_answer(request.request_class, AnswerKind.REJECTED)
@@ -197,34 +204,36 @@
             retry_after = min(SUCCESSOR_RETRY_AFTER_SECONDS, retry_after)
         client.write_queue.put(write_reply(seq, Answer(AnswerKind.REJECTED, retry_after=retry_after)))
 
-    async def _serve(self, client: ClientConnection, opened: OpenRequest) -> None:
-        seq, request = opened.seq, opened.request
+    async def _serve(self, client: ClientConnection, open_request: OpenRequest) -> None:
+        seq, request = open_request.seq, open_request.request
         served, size = False, 0
         try:
-            if opened.withdrawn or client.closed:
-                return  # withdrawn, or its client was rejected, before it began: the core never gets it
-            opened.started = True
-            with opened.scope:
+            if open_request.withdrawn or client.closed:
+                return  # the core never sees a request that was withdrawn, or whose connection was closed
+            open_request.started = True
+            with open_request.scope:
                 answer = await self._core.serve(request)
-                if client.open.get(seq) is opened:  # else it was withdrawn meanwhile: no answer is owed
+                # A request that was withdrawn in the meantime gets no answer.
+                if client.open_requests.get(seq) is open_request:
                     client.withdrawn_before_start = 0
                     if answer.end is not None:
                         served, size = True, len(answer.end.body)
                     client.write_queue.put(write_reply(seq, answer))
         except Exception:
-            log.exception("request failed", trace=request.trace)  # the process and its other requests go on
-            if client.open.get(seq) is opened:
+            # An unexpected error fails this request alone.
+            log.exception("unexpected error while serving a request", trace=request.trace)
+            if client.open_requests.get(seq) is open_request:
                 self._core.record_answer(request.request_class, AnswerKind.FAILED)
                 client.write_queue.put(thrift.declared_exception("handle", seq, FAILED_EXCEPTION, {}))
         finally:
-            if client.open.get(seq) is opened:
-                del client.open[seq]
-            client.used_at = monotonic()
-            self._admission.request_closed(client.slot, client.used_at, served, size)
+            if client.open_requests.get(seq) is open_request:
+                del client.open_requests[seq]
+            client.last_used_at = monotonic()
+            self._admission.request_closed(client.slot, client.last_used_at, served, size)
             self.open_traces.discard(request.trace)
             client.request_ended.set()
             if self.draining and not client.closed:
-                self._closer.close_idle(client)  # right after an answer the next request is furthest away
+                self._closer.close_idle(client)  # a new request is least likely right after an answer
 
 
 def _parse(frame: bytearray) -> thrift.Call:
--- a/zincladder/net/client_closing.py
+++ b/zincladder/net/client_closing.py
@@ -1,4 +1,4 @@
-"""How the front closes a client's connection, without losing an answer or a request that is on its way."""
+"""Closes connections of clients without losing an answer or a request that is in flight."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ClientCloser:
-    """Closes connections of clients from this side."""
+    """Closes connections of clients on the front's initiative."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
@@ -27,17 +27,25 @@
         reason: str = EndReason.IDLE_CLOSED.value,
         linger_seconds: float = LINGER_SECONDS,
     ) -> bool:
-        """Closes a connection on which nothing is open, unwritten or unread; whether it was one.
+        """Closes a connection if it is idle: no open request, no unsent answer and no unread input.
 
-        Guards a request that is on its way: it is looked for at the last moment, and the close is sent at
-        once. What comes after that is never forwarded.
+        The socket is checked for input immediately before the close is sent, so that a request which has
+        arrived is still answered. Input that arrives later is never forwarded.
+
+        Args:
+            client: The connection.
+            reason: The value under which the end of the connection is counted.
+            linger_seconds: How long to wait for the client's own close.
+
+        Returns:
+            True if the connection was idle and is closed now.
         """
         has_partial_message = client.message_started_at or client.read_buffer.buffered()
-        if client.open or client.write_queue.size or has_partial_message or client.closed:
+        if client.open_requests or client.write_queue.size or has_partial_message or client.closed:
             return False
         try:
             client.sock.recv(1, socket.MSG_PEEK)
-            return False  # a message, or the client's own close: its reader finds it
+            return False  # the connection's read task handles this message, or the client's own close
         except BlockingIOError:
             pass
         except OSError:
@@ -49,19 +57,19 @@
         return True
 
     def close_idle_at_shutdown(self, client: ClientConnection) -> bool:
-        """`close_idle`, but a client that has just connected gets the time to send its first request."""
+        """Like `close_idle`, but gives a client that has just connected time to send its first request."""
         if not client.has_sent_message and monotonic() - client.connected_at < MIN_IDLE_SECONDS:
             return False
         return self.close_idle(client)
 
     def close(self, client: ClientConnection, linger_seconds: float) -> None:
-        """Closes a connection whatever is open: each request that was read gets its one answer first."""
+        """Closes a connection at once; each of its open requests is answered as failed before that."""
         if client.closed:
             return
-        open_requests, client.open = client.open, {}
+        open_requests, client.open_requests = client.open_requests, {}
         if open_requests:
-            self._core.fail_open_requests([opened.request for opened in open_requests.values()])
-        for seq, opened in open_requests.items():
-            self._core.record_answer(opened.request.request_class, AnswerKind.FAILED)
+            self._core.fail_open_requests([open_request.request for open_request in open_requests.values()])
+        for seq, open_request in open_requests.items():
+            self._core.record_answer(open_request.request.request_class, AnswerKind.FAILED)
             client.write_queue.put(write_reply(seq, Answer(AnswerKind.FAILED)))
         client.close(linger_seconds)
--- a/zincladder/net/client_connection.py
+++ b/zincladder/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its state, the requests that are open on it, and what its socket says of both."""
+"""State of a client's connection and of the requests that are open on it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """One request that was read from a client and has no answer yet."""
+    """A request that was read from a client and is not answered yet."""
 
     seq: int
     request: ClientRequest
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, eq=False)
 class ClientConnection:
-    """One connection of a client and the requests that are open on it."""
+    """A client's connection and the requests that are open on it."""
 
     sock: socket.socket
     slot: ConnectionSlot
@@ -39,46 +39,47 @@
     write_queue: WriteQueue
     arrival: ArrivalBound
     connected_at: float
-    used_at: float
+    last_used_at: float
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
-    open: dict[int, OpenRequest] = field(default_factory=dict)
+    open_requests: dict[int, OpenRequest] = field(default_factory=dict)  # by sequence number
     request_ended: anyio.Event = field(default_factory=anyio.Event)
-    may_read: anyio.Event = field(default_factory=anyio.Event)  # set when it may be read after a wait
+    may_read: anyio.Event = field(default_factory=anyio.Event)  # set when admission allows reading again
     closed: bool = False
-    has_sent_message: bool = False  # a complete one
-    message_started_at: float = 0.0  # of the message that is coming; 0: none
-    withdrawn_before_start: int = 0  # requests, with no answer between them
-    linger_seconds: float | None = None  # to send and to wait for the client's close; None: close at once
-    linger_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)  # cancelled, it closes at once
+    has_sent_message: bool = False  # the client has sent at least one complete message
+    message_started_at: float = 0.0  # when the incomplete message began to arrive; 0 if there is none
+    withdrawn_before_start: int = 0  # requests withdrawn before their start since the last answer
+    linger_seconds: float | None = None  # time to flush and to wait for the client's close; None: no wait
+    linger_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)  # cancel to end that wait
 
     def close(self, linger_seconds: float | None = None) -> None:
-        """Closes it and cancels its tasks: none of its requests is forwarded from here on."""
+        """Closes the connection and cancels its tasks; none of its requests is forwarded from now on."""
         if not self.closed:
             self.closed, self.linger_seconds = True, linger_seconds
             self.scope.cancel()
 
-    def waits_for(self, opened: OpenRequest) -> bool:
-        """Whether the client still waits for this request, by what its system sent and what was read.
+    def is_waiting_for(self, open_request: OpenRequest) -> bool:
+        """Returns whether the client still waits for the answer to this request.
 
-        Its last message may lie unread: the reader's turn comes late where the event loop lags.
+        Also looks for a `withdraw` or a close among the bytes that are not read yet, because the read task
+        may run late when the event loop lags.
         """
-        if self.closed or opened.withdrawn:
+        if self.closed or open_request.withdrawn:
             return False
         unread = peek_unread(self.sock)
         buffered = self.read_buffer.peek()
         if unread.data or buffered:
             withdrawn = thrift.find_withdrawn(buffered + unread.data, self.read_buffer.missing)
-            if opened.seq in withdrawn:
-                opened.withdrawn = True
-                opened.scope.cancel()
+            if open_request.seq in withdrawn:
+                open_request.withdrawn = True
+                open_request.scope.cancel()
         if unread.closed_by_peer:
             self.close()
-        return not (self.closed or opened.withdrawn)
+        return not (self.closed or open_request.withdrawn)
 
     async def wait_for_message(self) -> None:
-        """Waits until the next message begins; what bounds its arrival is noted."""
+        """Waits until the next message begins, and updates the bound of its time of arrival."""
         if self.read_buffer.buffered():
-            return  # it came with the one before
+            return  # it arrived together with the previous message, whose bound holds for it too
         self.arrival.reader_waits(monotonic())
         await self.read_buffer.wait_for()
         now = monotonic()
@@ -86,11 +87,11 @@
         self.arrival.reader_drained(now)
 
     def unread_seconds(self, noticed_at: float) -> float:
-        """For how many seconds the message that was just read had lain unread when it was noticed."""
+        """Returns for how many seconds the newest message had been unread when its arrival was noticed."""
 
         def newest_byte_age() -> float | None:
             if self.read_buffer.buffered() or peek_unread(self.sock, 1).data:
-                return None  # of a later message
+                return None  # the newest byte belongs to a later message
             age = newest_byte_age_seconds(self.sock)
             return None if age is None else age - (monotonic() - noticed_at)
 
@@ -98,7 +99,7 @@
 
 
 class UnreadAnswersCounter:
-    """Reports to admission the bytes that one client leaves unread."""
+    """Reports to admission how many bytes of answers one client has not read yet."""
 
     __slots__ = ("_admission", "_size", "_slot")
 
@@ -107,7 +108,7 @@
         self._size = 0
 
     def add(self, change: int) -> None:
-        """Adds a number of bytes, which may be negative."""
+        """Adds a number of bytes; a negative one subtracts."""
         self._size += change
         self._admission.add_unread_bytes(self._slot, change)
         if self._size == 0:
--- a/zincladder/net/client_listener.py
+++ b/zincladder/net/client_listener.py
@@ -1,4 +1,4 @@
-"""The client listener: takes connections, and carries out what admission decides on each."""
+"""The listener for clients: accepts connections and applies the decision of admission to each."""
 
 from __future__ import annotations
 
@@ -24,18 +24,19 @@
 from zincladder.net.sockets import RESET_ON_CLOSE, address_family
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-BACKLOG = 1024  # connections in the system's queue
-CONNECTIONS_PER_TURN = 64  # taken before the other tasks have their turn
-SHORTAGE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # accept(2): nothing is left
-MIN_PAUSE_SECONDS, MAX_PAUSE_SECONDS = 0.01, 0.2  # of the listener then, doubled from the first to the second
-FREED_DESCRIPTORS = 4  # by a shortage, for caches and the coordinator's watch
-WAIT_SECONDS = 0.005
-MAX_PENDING_SECONDS = 0.5  # for which a connection may wait for a slot
+BACKLOG = 1024  # connections in the kernel's listen queue
+CONNECTIONS_PER_TURN = 64  # accepted before other tasks may run
+SHORTAGE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # accept(2) lacks resources
+# After a shortage the listener pauses; the pause is doubled while the shortage lasts.
+MIN_SHORTAGE_PAUSE_SECONDS, MAX_SHORTAGE_PAUSE_SECONDS = 0.01, 0.2
+DESCRIPTORS_TO_FREE = 4  # after a shortage: for connections to caches and to the coordinator
+ACCEPT_RETRY_SECONDS = 0.005  # delay after a rejection, and while there is no room for a connection
+MAX_PENDING_SECONDS = 0.5  # for which an accepted connection may wait for a slot
 REJECT = Verdict.REJECT
 
 
 def open_listener(address: Address) -> socket.socket:
-    """A listening socket over IPv4 or IPv6; '::' takes both.
+    """Opens a listening socket for IPv4 or IPv6; the address '::' accepts both.
 
     Raises:
         OSError: The address cannot be listened on.
@@ -43,7 +44,7 @@
     sock = socket.socket(address_family(address[0]), socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # At an upgrade the next process listens here before this one ends.
+        # During an upgrade the new process listens on this address before the old one ends.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         if sock.family == socket.AF_INET6:
             sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_V6ONLY, address[0] != "::")
@@ -57,8 +58,8 @@
 
 
 def reject_connection(sock: socket.socket) -> None:
-    """Ends a connection at the least cost to this side; it leaves nothing behind (no TIME_WAIT)."""
-    try:  # noqa: SIM105  (this is done for every connection of a flood)
+    """Resets a connection, the cheapest way to end it: it leaves no socket in TIME_WAIT."""
+    try:  # noqa: SIM105  (avoids the cost of a context manager for each connection of a flood)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     except OSError:
         pass
@@ -66,17 +67,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Pending:
-    """A connection that was taken and has no slot yet."""
+class _PendingConnection:
+    """An accepted connection that waits for a slot of admission."""
 
     sock: socket.socket
     decision: Decision
-    taken_at: float
+    accepted_at: float
     connected_after: float
 
 
 class ClientListener:
-    """Takes what waits in the system's queue and passes on what gets a slot."""
+    """Accepts connections from the listen queue and passes on those that admission gives a slot."""
 
     def __init__(
         self,
@@ -88,43 +89,54 @@
         turns: LoopTurns,
         listening: socket.socket | None = None,
     ) -> None:
-        """Args: `listening` is the socket of another process of this front; without one it listens anew.
+        """Opens the listening socket, unless one is given.
 
-        `on_connection` takes what has a slot, and the time after which it connected.
+        Args:
+            address: Where to listen.
+            admission: Decides on each connection.
+            max_descriptors: Returns the configured maximum of file descriptors.
+            on_connection: Called with the socket of each admitted connection, the decision, and the
+                monotonic time after which the client connected.
+            evict: Closes the connection of a slot, for a reason.
+            turns: Records the turns of the event loop.
+            listening: The listening socket of another process of this front.
         """
-        self._queue = ArrivalBound(turns, monotonic())
+        self._arrival = ArrivalBound(turns, monotonic())
         self.listener = listening or open_listener(address)
-        self.has_successor = False  # another process takes what still waits
+        self.has_successor = False  # another process accepts the connections left in the listen queue
         self._admission, self._max_descriptors = admission, max_descriptors
         self._on_connection, self._evict = on_connection, evict
         self._spare_descriptor: int | None = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
-        self._pause_seconds = MIN_PAUSE_SECONDS
-        self._rejected = 0  # connections since the last tick
-        self._pending: deque[_Pending] = deque()
-        self._lines = RateLimitedLog()
+        self._shortage_pause_seconds = MIN_SHORTAGE_PAUSE_SECONDS
+        self._rejected = 0  # number of connections rejected since the last tick
+        self._pending: deque[_PendingConnection] = deque()
+        self._rate_limited_log = RateLimitedLog()
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The host and port of the listening socket."""
         host, port, *_ = self.listener.getsockname()
         return host, port
 
     async def run(self, accepting: anyio.CancelScope) -> None:
-        """Takes connections until `accepting` is cancelled, and what the system had taken before that."""
+        """Accepts connections until `accepting` is cancelled.
+
+        Then accepts those left in the listen queue, unless another process does.
+        """
         try:
             with accepting:
                 while True:
                     rejected_any = await self._accept_all()
-                    self._queue.reader_waits(monotonic())
+                    self._arrival.reader_waits(monotonic())
                     if rejected_any:
-                        # Guards the loop: who is rejected comes again at once, and a wake-up for each costs
-                        # more than the rejection. They come in handfuls; nobody waits for long.
-                        await anyio.sleep(WAIT_SECONDS)
+                        # Rejected clients reconnect at once, and waking up for each of them costs the event
+                        # loop more than the rejection. The short delay lets several be accepted together.
+                        await anyio.sleep(ACCEPT_RETRY_SECONDS)
                     else:
                         await anyio.wait_readable(self.listener)
-                    self._queue.reader_woke(monotonic())
+                    self._arrival.reader_woke(monotonic())
             if not self.has_successor:
-                self._queue.reader_woke(monotonic())
+                self._arrival.reader_woke(monotonic())
                 await self._accept_all()
         finally:
             self.listener.close()
@@ -135,31 +147,32 @@
                 self._spare_descriptor = None
 
     async def _accept_all(self) -> bool:
-        """Takes all that waits; whether any of it was rejected."""
+        """Accepts all connections in the listen queue; returns whether any was rejected."""
         admission, rejected_any = self._admission, False
-        for taken in itertools.count(1):
+        for accepted in itertools.count(1):
             now = monotonic()
-            readiness = admission.may_accept(now)
-            if readiness.verdict is not Verdict.ADMIT:
-                if readiness.evict is not None:
-                    self._evict(readiness.evict, RejectionReason.NO_CAPACITY)
-                if readiness.reason is RejectionReason.NONE:  # a descriptor is about to be free
+            room = admission.may_accept(now)
+            if room.verdict is not Verdict.ADMIT:
+                if room.evict is not None:
+                    self._evict(room.evict, RejectionReason.NO_CAPACITY)
+                if room.reason is RejectionReason.NONE:  # an eviction is about to free a descriptor
                     await anyio.lowlevel.checkpoint()
                     continue
-                self._lines.warning("too many clients")
-                await anyio.sleep(WAIT_SECONDS)  # they wait in the system's queue: nothing is lost there
+                self._rate_limited_log.warning("too many clients; new connections wait in the listen queue")
+                await anyio.sleep(ACCEPT_RETRY_SECONDS)
                 return False
             try:
                 sock, peer = self.listener.accept()
             except (BlockingIOError, InterruptedError):
-                self._queue.reader_drained(now)
+                self._arrival.reader_drained(now)
                 return rejected_any
             except OSError as fault:
                 if fault.errno in SHORTAGE_ERRORS:
                     await self._handle_shortage(fault)
                     return False
-                # A client that left again; accept(2) names more such faults, and all concern that one alone.
-                self._lines.warning("accept failed", reason=str(fault))
+                # The client has disconnected already, or the network failed. accept(2) lists such errors;
+                # each concerns one connection only, so accepting goes on.
+                self._rate_limited_log.warning("accepting a client connection failed", reason=str(fault))
                 await anyio.lowlevel.checkpoint()
                 continue
             decision = admission.connect(peer[0], now)
@@ -168,16 +181,16 @@
                 reject_connection(sock)
                 self._rejected += 1
             else:
-                self._apply(_Pending(sock, decision, now, self._queue.arrived_after))
-            if taken % CONNECTIONS_PER_TURN == 0:
+                self._apply(_PendingConnection(sock, decision, now, self._arrival.arrived_after))
+            if accepted % CONNECTIONS_PER_TURN == 0:
                 await anyio.lowlevel.checkpoint()
         return rejected_any
 
-    def _apply(self, pending: _Pending) -> None:
-        """Carries out the decision on a connection."""
+    def _apply(self, pending: _PendingConnection) -> None:
+        """Applies the decision of admission to a connection."""
         sock, decision = pending.sock, pending.decision
         if decision.verdict is Verdict.ADMIT:
-            # Before anybody else sees it: a read of an accepted socket that blocks stalls the whole process.
+            # Must come before any read: a blocking read of an accepted socket would stall the whole process.
             sock.setblocking(False)
             self._on_connection(sock, decision, pending.connected_after)
         elif decision.verdict is REJECT:
@@ -194,10 +207,11 @@
                 reject_connection(sock)
 
     def tick(self) -> None:
-        """Tries pending connections again, oldest first, and ends who has waited for too long."""
+        """Reconsiders pending connections, oldest first, and resets those that have waited too long."""
         if self._rejected:
-            self._lines.warning(
-                "connections rejected", so_far=dict(self._admission.counters.rejected_connections)
+            self._rate_limited_log.warning(
+                "client connections rejected",
+                total_by_reason=dict(self._admission.counters.rejected_connections),
             )
             self._rejected = 0
         for _ in range(len(self._pending)):
@@ -207,7 +221,7 @@
             decision = self._admission.reconsider(pending.decision, now)
             if decision.verdict is not Verdict.WAIT:
                 self._apply(replace(pending, decision=decision))
-            elif now - pending.taken_at <= MAX_PENDING_SECONDS:
+            elif now - pending.accepted_at <= MAX_PENDING_SECONDS:
                 if decision.evict is not None:
                     self._evict(decision.evict, decision.reason)
                 self._pending.append(pending)
@@ -215,8 +229,11 @@
                 self._admission.record_expired(pending.decision)
                 reject_connection(pending.sock)
 
-    def measure(self) -> None:
-        """Guards against a limit changed from outside: the lesser of it and the configured one holds."""
+    def update_descriptor_limit(self) -> None:
+        """Sets the descriptor budget to the lower of the configured maximum and the system's current limit.
+
+        The system's limit may be changed from outside while the process runs.
+        """
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         total = self._max_descriptors()
         if soft >= 0:
@@ -225,18 +242,21 @@
             self._admission.descriptors.resize(total)
 
     async def _handle_shortage(self, fault: OSError) -> None:
-        """No descriptor is left: shrinks the budget, resets waiting connections with the spare, and pauses.
+        """Recovers from a lack of file descriptors or memory in accept(2).
 
-        Guards against going round for ever on a listener that stays readable: it pauses, longer each time.
+        Shrinks the descriptor budget, resets connections in the listen queue with the help of the spare
+        descriptor, and pauses. The pause grows as long as the shortage lasts; without it the listener, which
+        stays readable, would keep the event loop busy.
         """
         descriptors, counters = self._admission.descriptors, self._admission.counters
-        self._lines.warning("no descriptor left", reason=str(fault), used=descriptors.used)
+        self._rate_limited_log.warning(
+            "no descriptor left", reason=str(fault), descriptors_used=descriptors.used
+        )
         counters.rejected_connections[RejectionReason.NO_DESCRIPTOR.value] = (
             counters.rejected_connections.get(RejectionReason.NO_DESCRIPTOR.value, 0) + 1
         )
-        descriptors.resize(
-            min(descriptors.total, descriptors.used - FREED_DESCRIPTORS)
-        )  # evicts; `measure` restores it
+        # Makes admission evict connections; `update_descriptor_limit` restores the budget.
+        descriptors.resize(min(descriptors.total, descriptors.used - DESCRIPTORS_TO_FREE))
         if self._spare_descriptor is not None:
             os.close(self._spare_descriptor)
             self._spare_descriptor = None
@@ -245,8 +265,10 @@
                 reject_connection(self.listener.accept()[0])
         with contextlib.suppress(OSError):
             self._spare_descriptor = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
-        await anyio.sleep(self._pause_seconds)
-        is_short = self._spare_descriptor is None
-        self._pause_seconds = (
-            min(2 * self._pause_seconds, MAX_PAUSE_SECONDS) if is_short else MIN_PAUSE_SECONDS
+        await anyio.sleep(self._shortage_pause_seconds)
+        still_short = self._spare_descriptor is None
+        self._shortage_pause_seconds = (
+            min(2 * self._shortage_pause_seconds, MAX_SHORTAGE_PAUSE_SECONDS)
+            if still_short
+            else MIN_SHORTAGE_PAUSE_SECONDS
         )
--- a/zincladder/net/client_requests.py
+++ b/zincladder/net/client_requests.py
@@ -1,4 +1,4 @@
-"""A client's call as a request of the core, and the core's answer as a reply. No I/O."""
+"""Converts a client's call to a request for the core, and the core's answer to a reply. No I/O."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 MAX_BODY_BYTES = 48_000  # of a request
 MIN_TIMEOUT_SECONDS = 0.001
-REJECTED_EXCEPTION, FAILED_EXCEPTION = 1, 2  # `Throttled` and `Broken` of the client's service
+REJECTED_EXCEPTION, FAILED_EXCEPTION = 1, 2  # field ids of `Throttled` and `Broken` in a reply
 
 
 def read_client_request(
     core: Core, open_traces: Set[str], fields: Mapping[str, str], body: bytes, arrived_at: float
 ) -> ClientRequest:
-    """The request of a call.
+    """Reads the request from the fields and the body of a call.
 
     Args:
-        core: Knows the request classes and their settings.
-        open_traces: The ids of the requests that are open.
+        core: Provides the request classes and their settings.
+        open_traces: The trace ids of the open requests.
         fields: The call's fields.
         body: The call's body.
         arrived_at: When the call arrived, on the core's clock.
 
     Raises:
-        InvalidFieldsError: The call cannot be used; the text is for the client.
+        InvalidFieldsError: The request is invalid; the text is sent to the client.
     """
     attributes = protocol.read_request(fields)
     class_name = attributes["request_class"]
@@ -38,12 +38,12 @@
     if request_class is None:
         raise InvalidFieldsError(f"'route' names no class: {class_name[:20]!r}")
     rules, timeout = core.settings.classes[request_class], attributes["deadline"] / 1000
-    # Guards the time that a request may use memory: nobody waits past the class's own timeout.
+    # Bounds the time for which a request occupies memory: twice the timeout of its class.
     if timeout > 2 * rules.timeout:
         raise InvalidFieldsError(
             f"'patience' must be {2000 * rules.timeout:g} at most, not {fields['patience']!r}"
         )
-    # Guards writes: without its key no repeat of a request with a key would be deduplicated.
+    # Without the idempotency key a repeated write could not be deduplicated.
     if rules.idempotency is api.Idempotency.WITH_KEY and "key" not in attributes:
         raise InvalidFieldsError("'nonce' is missing: a request of this class must have an idempotency key")
     if len(body) > MAX_BODY_BYTES:
@@ -56,13 +56,13 @@
     }
     request = ClientRequest(**attributes)
     if request.trace in open_traces:
-        # Guards every request against another's answer: an id names one request at the caches too.
+        # Caches match answers to requests by the trace id, so two open requests must not share one.
         raise InvalidFieldsError(f"'trace' is the id of a request that is open: {request.trace}")
     return request
 
 
 def write_reply(seq: int, answer: Answer) -> list[bytes | bytearray]:
-    """The reply to the request with this sequence number."""
+    """Serializes the reply to the request with this sequence number."""
     if answer.end is not None:
         if answer.end.reason is EndReason.NOT_MODIFIED:
             return thrift.answer("handle", seq, b"", {"current": "1"}, True)
--- a/zincladder/net/client_server.py
+++ b/zincladder/net/client_server.py
@@ -1,4 +1,4 @@
-"""The client side: serves the clients' connections on one listening socket, until an orderly stop."""
+"""Serves the connections of clients on one listening socket, and shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -29,20 +29,21 @@
 from zincladder.support.lingering_close import LINGER_SECONDS, NO_LINGER_SECONDS, lingering_close
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-FIRST_MESSAGE_TIMEOUT_SECONDS = 2.2  # from connecting to the first complete message: a close is owed within 3
-STALL_TIMEOUT_SECONDS = 2.2  # for the rest of a frame, or for a reader of answers, to move on
-IDLE_TIMEOUT_SECONDS = 5.0  # without a request; clients close after 4 s, others are closed here
-SWEEP_INTERVAL_SECONDS = 0.2  # between two checks of these
-LOAD_INTERVAL_SECONDS = 1.0  # between two measurements of the process's load
-# The platform's rules: clients connect until 0.6 s after SIGTERM, and what comes until 0.7 s is answered.
+FIRST_MESSAGE_TIMEOUT_SECONDS = 2.2  # until the first complete message; the platform requires a close in 3 s
+STALL_TIMEOUT_SECONDS = 2.2  # for the rest of an incomplete message, or for a client to read its answers
+IDLE_TIMEOUT_SECONDS = 5.0  # without a request; regular clients close their idle connections after 4 s
+SWEEP_INTERVAL_SECONDS = 0.2  # between two checks of these timeouts
+LOAD_INTERVAL_SECONDS = 1.0  # between two measurements of the process's CPU time
+# The platform lets clients connect until 0.6 s after SIGTERM, and expects an answer to every request that
+# arrives until 0.7 s after it.
 ACCEPT_AFTER_STOP_SECONDS = 0.65
-# SIGKILL comes 0.7 s after the longest timeout, counted as 3 s where it is longer. What is open a little
-# before that is answered as failed, and the answers then have a moment to leave.
+# The platform sends SIGKILL 0.7 s after the longest request timeout, of which it counts 3 s at most. Requests
+# that are open shortly before that are answered as failed, early enough for the answers to be sent.
 MAX_COUNTED_TIMEOUT_SECONDS = 3.0
-FAIL_OPEN_AFTER_SECONDS = 0.55  # after the longest timeout
-SEND_ANSWERS_SECONDS = 0.1
-LAST_TURN_SECONDS = 0.02
-DRAIN_INTERVAL_SECONDS = 0.005  # between two checks of which connections may be closed then
+FAIL_REQUESTS_AFTER_SECONDS = 0.55  # after the longest timeout
+SEND_ANSWERS_SECONDS = 0.1  # to send these answers
+FINISH_CLOSING_SECONDS = 0.02  # to finish closing the connections
+DRAIN_INTERVAL_SECONDS = 0.005  # between two checks for idle connections during the shutdown
 log = structlog.get_logger()
 
 
@@ -57,13 +58,21 @@
         listening: socket.socket | None = None,
         has_successor: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Args: `has_successor` is whether another process takes new clients from the queue."""
+        """Creates the server and its listener.
+
+        Args:
+            config: The front's configuration.
+            core: Serves the requests.
+            admission: Decides which connections and requests are accepted.
+            listening: The listening socket of another process of this front; None opens one.
+            has_successor: Returns whether another process accepts connections from the same listen queue.
+        """
         self._core, self._config, self._admission = core, config, admission
         self._clients: dict[ConnectionSlot, ClientConnection] = {}
         self._closer = ClientCloser(core)
         self._calls = ClientCalls(config, core, admission, self._closer)
         self._accepting = anyio.CancelScope()
-        self._lines = RateLimitedLog()
+        self._rate_limited_log = RateLimitedLog()
         self._tasks: TaskGroup | None = None
         self._listener = ClientListener(
             config.listen,
@@ -75,12 +84,12 @@
             listening,
         )
         self._has_successor = has_successor
-        self._fail_open_at = math.inf
+        self._fail_requests_at = math.inf
 
     def apply_config(self, config: Config) -> None:
-        """Use a configuration that was reloaded: its limits hold from now on."""
+        """Applies the limits of a reloaded configuration from now on."""
         self._config = self._calls.config = config
-        self._listener.measure()
+        self._listener.update_descriptor_limit()
 
     @property
     def listener(self) -> socket.socket:
@@ -89,44 +98,52 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The host and port of the listening socket."""
         return self._listener.address
 
     @property
     def stopping(self) -> bool:
-        """Whether the process is to end: new clients should go elsewhere."""
+        """Whether shutdown was requested, so that new clients should connect to another front."""
         return self._calls.stopping
 
     async def run(self) -> None:
-        """Accepts clients until `stop` has let the last request be answered."""
+        """Serves clients until `stop` ends the accepting and all connections are drained."""
         self._core.on_tick = self._tick
         async with anyio.create_task_group() as self._tasks:
             self._tasks.start_soon(self._sweep)
             await self._listener.run(self._accepting)
-            await self._drain(self._fail_open_at)
-            # These answers are owed too, and nobody waits for their requests any longer.
+            await self._drain(self._fail_requests_at)
+            # Time is up: the requests that are still open are answered as failed.
             self._core.fail_open_requests()
-            await self._drain(self._fail_open_at + SEND_ANSWERS_SECONDS)
+            await self._drain(self._fail_requests_at + SEND_ANSWERS_SECONDS)
             for client in self._clients.values():
-                # What still comes would make the end of the process a reset.
+                # If the process ended over unread input, the system would send a reset instead of a close.
                 self._closer.close(client, NO_LINGER_SECONDS)
-            await self._drain(self._fail_open_at + SEND_ANSWERS_SECONDS + LAST_TURN_SECONDS)
+            await self._drain(self._fail_requests_at + SEND_ANSWERS_SECONDS + FINISH_CLOSING_SECONDS)
             self._tasks.cancel_scope.cancel()
 
     async def _drain(self, until: float) -> None:
-        """Closes connections as they fall idle, until none is left or its time is up."""
+        """Closes connections as they become idle, until none is left or the time `until` is reached."""
         while self._clients and monotonic() < until:
             for client in list(self._clients.values()):
                 self._closer.close_idle_at_shutdown(client)
             await anyio.sleep(DRAIN_INTERVAL_SECONDS)
 
     async def stop(self, stopping: anyio.Event) -> None:
-        """Guards a planned restart: says so to `status`, but takes what still comes for a while."""
+        """Begins the graceful shutdown when `stopping` is set.
+
+        `status` reports the shutdown at once, but new connections are still accepted for a while, unless
+        another process accepts them.
+        """
         await stopping.wait()
         self._calls.stopping = True
         longest = max(request_class.timeout for request_class in self._core.settings.classes)
-        self._fail_open_at = monotonic() + min(MAX_COUNTED_TIMEOUT_SECONDS, longest) + FAIL_OPEN_AFTER_SECONDS
-        log.info("stopping", open=len(self._calls.open_traces), clients=len(self._clients))
+        self._fail_requests_at = (
+            monotonic() + min(MAX_COUNTED_TIMEOUT_SECONDS, longest) + FAIL_REQUESTS_AFTER_SECONDS
+        )
+        log.info(
+            "stopping", open_requests=len(self._calls.open_traces), client_connections=len(self._clients)
+        )
         if self._has_successor():
             self._listener.has_successor = True
         else:
@@ -136,11 +153,11 @@
 
     # Connections ------------------------------------------------------------------------------------
 
-    def _add(self, sock: socket.socket, decision: Decision, came_after: float) -> None:
+    def _add(self, sock: socket.socket, decision: Decision, connected_after: float) -> None:
         now = monotonic()
         slot = self._admission.open_slot(decision, now)
         write_queue = WriteQueue(sock, UnreadAnswersCounter(self._admission, slot))
-        arrival = ArrivalBound(self._core.loop_monitor.turns, came_after)
+        arrival = ArrivalBound(self._core.loop_monitor.turns, connected_after)
         client = ClientConnection(sock, slot, ReadBuffer(sock), write_queue, arrival, now, now)
         self._clients[slot] = client
         assert self._tasks is not None
@@ -149,18 +166,19 @@
     def _evict(self, slot: ConnectionSlot, reason: RejectionReason) -> None:
         """Closes a connection that admission chose.
 
-        It stays if it has a request open or, where it was to make room, is not idle any more.
+        The eviction is cancelled if a request is open on the connection. An eviction that is to make room for
+        another connection is also cancelled if this one is not idle any more.
         """
         client = self._clients.get(slot)
         if client is None:
             return
         if client.closed:
-            client.linger_scope.cancel()  # what is here already is read all the same
+            client.linger_scope.cancel()  # input that has arrived is still read
             return
         label = "crowded" if reason is RejectionReason.NO_CAPACITY else reason.value
         if self._closer.close_idle(client, label, NO_LINGER_SECONDS):
             return
-        if client.open or reason is RejectionReason.NO_CAPACITY:
+        if client.open_requests or reason is RejectionReason.NO_CAPACITY:
             self._admission.cancel_eviction(slot, monotonic())
             return
         self._core.counts["client_ends", label] += 1
@@ -176,10 +194,10 @@
                     try:
                         await self._calls.read(client, tasks)
                     except ConnectionEndedError as error:
-                        self._note_end(client, error)
-                    client.close()  # the client is gone: nobody waits for what is open
-        except Exception:  # guards all other clients: what goes wrong with one ends its connection only
-            log.exception("client failed")
+                        self._record_end(client, error)
+                    client.close()  # the client is gone, so its open requests are cancelled
+        except Exception:  # an unexpected error ends this connection only, not those of other clients
+            log.exception("unexpected error in a client connection")
         finally:
             try:
                 if client.linger_seconds is not None:
@@ -194,14 +212,18 @@
                 client.sock.close()
                 self._admission.release_slot(client.slot, monotonic())
 
-    def _note_end(self, client: ClientConnection, error: ConnectionEndedError) -> None:
+    def _record_end(self, client: ClientConnection, error: ConnectionEndedError) -> None:
         self._core.counts["client_ends", error.reason.value] += 1
-        if client.open and error.reason in (EndReason.CLOSED_BY_PEER, EndReason.CONNECTION_LOST):
+        if client.open_requests and error.reason in (EndReason.CLOSED_BY_PEER, EndReason.CONNECTION_LOST):
             self._admission.record_offense(client.slot, Offense.ABANDONED, monotonic())
         if error.reason is EndReason.PROTOCOL_ERROR:
             self._closer.close(client, LINGER_SECONDS)
             self._admission.record_offense(client.slot, Offense.MALFORMED, monotonic())
-            self._lines.warning("client connection ended", reason=str(error), open=len(client.open))
+            self._rate_limited_log.warning(
+                "client connection closed after a protocol error",
+                reason=str(error),
+                open_requests=len(client.open_requests),
+            )
 
     async def _write(self, client: ClientConnection) -> None:
         try:
@@ -210,13 +232,17 @@
             self._core.counts["client_ends", error.reason.value] += 1
             if error.reason is EndReason.PEER_STALLED:
                 self._admission.record_offense(client.slot, Offense.STALLED, monotonic())
-                self._lines.warning("client does not read", reason=str(error), open=len(client.open))
+                self._rate_limited_log.warning(
+                    "client connection closed because the client does not read its answers",
+                    reason=str(error),
+                    open_requests=len(client.open_requests),
+                )
             client.close()
 
     # Timers -----------------------------------------------------------------------------------------
 
     def _tick(self) -> None:
-        """At each tick of the core: who may be read again, and whose connection is closed."""
+        """Runs at each tick of the core: resumes reading and closes connections as admission decides."""
         verdicts = self._admission.tick(monotonic(), self._core.loop_monitor.lag_seconds)
         for slot in verdicts.to_wake:
             client = self._clients.get(slot)
@@ -227,7 +253,10 @@
         self._listener.tick()
 
     async def _sweep(self) -> None:
-        """Closes connections that send nothing, stop inside a message, or are used no more."""
+        """Closes connections that send no message, leave one incomplete, or are idle for too long.
+
+        Also reports the process's CPU time to admission.
+        """
         cpu_seconds, measured_at = time.process_time(), monotonic()
         while True:
             await anyio.sleep(SWEEP_INTERVAL_SECONDS)
@@ -236,20 +265,24 @@
                 cpu_seconds_now = time.process_time()
                 self._admission.record_cpu_seconds(cpu_seconds_now - cpu_seconds)
                 cpu_seconds, measured_at = cpu_seconds_now, now
-                self._listener.measure()
+                self._listener.update_descriptor_limit()
             for client in [client for client in self._clients.values() if not client.closed]:
-                if self._owes_message(client, now):
-                    self._lines.warning("client sent no complete message", open=len(client.open))
+                if self._is_message_overdue(client, now):
+                    self._rate_limited_log.warning(
+                        "client connection closed because no complete message arrived in time",
+                        open_requests=len(client.open_requests),
+                    )
                     self._admission.record_offense(client.slot, Offense.STALLED, now)
                     self._core.counts["client_ends", EndReason.PEER_STALLED.value] += 1
                     self._closer.close(client, LINGER_SECONDS)
-                elif now - client.used_at > IDLE_TIMEOUT_SECONDS:
+                elif now - client.last_used_at > IDLE_TIMEOUT_SECONDS:
                     self._closer.close_idle(client)
 
-    def _owes_message(self, client: ClientConnection, now: float) -> bool:
-        """Whether a client owes the first message, or the rest of one, for too long.
+    def _is_message_overdue(self, client: ClientConnection, now: float) -> bool:
+        """Returns whether a client's first message, or the rest of an incomplete one, is overdue.
 
-        Not while something of it lies unread: after a stall of the process this check goes before the reader.
+        It is not overdue while input is unread: after a stall of the process this check may run before the
+        connection's read task.
         """
         started_at = client.message_started_at
         is_partial = started_at > 0 and now - started_at > STALL_TIMEOUT_SECONDS
