--- a/zincladder/net/coordinator_watch.py
+++ b/zincladder/net/coordinator_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the coordinator: one connection, made again from the last event on whenever it ends."""
+"""The watch on the coordinator: receives its events, and continues after the last one when it reconnects."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 from zincladder.net.write_queue import WriteQueue
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-READ_BYTES = 1 << 16  # of one read
-MAX_READS = 16  # in a row before other tasks have their turn
-POLL_INTERVAL_SECONDS = 0.005  # between two reads from outside the watch's task: far below any grace
-SILENCE_TIMEOUT_SECONDS = 1.6  # an empty frame follows each second
+READ_BYTES = 1 << 16  # maximum of one read
+MAX_READS_PER_TURN = 16  # before other tasks may run
+POLL_INTERVAL_SECONDS = 0.005  # least time between two calls of `poll` that read; far below any grace period
+SILENCE_TIMEOUT_SECONDS = 1.6  # the coordinator sends an empty frame each second
 CONNECT_TIMEOUT_SECONDS = 0.5
-MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.05, 0.4  # doubled from the first to the second
-BACKOFF_JITTER = (0.5, 1.5)  # times the backoff: fronts don't all ask a coordinator that comes back at once
+MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.05, 0.4  # doubled with each failure, up to the maximum
+BACKOFF_JITTER = (0.5, 1.5)  # range of a random factor, so that fronts do not all reconnect at the same time
 log = structlog.get_logger()
 
 
 class CoordinatorWatch:
-    """Follows the coordinator from the last known event on, for as long as the front runs."""
+    """Receives the coordinator's events after the last known one, for as long as the front runs."""
 
     def __init__(
         self,
@@ -41,28 +41,37 @@
         freshness: Freshness | None = None,
         on_change: Callable[[], None] = lambda: None,
     ) -> None:
-        """Args: `freshness` is notified of the watch's state; `on_change` when that may have changed."""
+        """Creates a watch; `run` connects it.
+
+        Args:
+            coordinator: The coordinator's address.
+            last_event: The number of the last known event.
+            on_event: Called with each new event, in order.
+            seed: The seed of the backoff's jitter.
+            freshness: Notified of the state of the connection.
+            on_change: Called after `freshness` was notified.
+        """
         self._random = Random(seed)
         self._coordinator, self.last_event, self._on_event = coordinator, last_event, on_event
         self._freshness, self._on_change = freshness or Freshness(0.0), on_change
-        self.connected = False  # a frame has come on the present connection
+        self.connected = False  # a frame was received on the current connection
         self._attempt_scope = anyio.CancelScope()
         self._backoff_seconds = MIN_BACKOFF_SECONDS
-        self._lines = RateLimitedLog()
+        self._rate_limited_log = RateLimitedLog()
         self._connection: _WatchConnection | None = None
         self._polled_at = 0.0
 
     def follow(self, coordinator: Address) -> None:
-        """Go on at another address, from the last event; the old one is not read any more."""
+        """Switches to another address, where the watch continues after the last event."""
         if coordinator != self._coordinator:
             self._coordinator, self._backoff_seconds = coordinator, MIN_BACKOFF_SECONDS
             self._attempt_scope.cancel()
 
     def poll(self) -> None:
-        """Apply the events that have come in and lie unread.
+        """Applies the events that have been received by the system but are not read yet.
 
-        Guards decisions in a process that stalled, or in a loop that lags: the watch's own task has its turn
-        after them.
+        Called before routing decisions: after a stall of the process or the event loop they may run before
+        the watch's own task, and would be made on an outdated endpoint list.
         """
         now = monotonic()
         if self._connection is not None and now - self._polled_at >= POLL_INTERVAL_SECONDS:
@@ -70,15 +79,17 @@
             try:
                 self._connection.read()
             except ConnectionEndedError as end:
-                self._connection.fail(end)  # its own task ends it
-            except Exception:  # guards the request that polled, which has no part in it
-                log.exception("coordinator lost", last_event=self.last_event)
+                self._connection.fail(end)  # makes the connection's own task end it
+            except Exception:  # must not fail the request that polled
+                log.exception("coordinator's event could not be applied", last_event=self.last_event)
                 self._connection.fail(
-                    ConnectionEndedError(EndReason.PROTOCOL_ERROR, "an event that could not be applied")
+                    ConnectionEndedError(
+                        EndReason.PROTOCOL_ERROR, "an event of the coordinator could not be applied"
+                    )
                 )
 
     async def run(self) -> None:
-        """Follow the coordinator until cancelled, with a backoff after each connection that ends."""
+        """Keeps a connection to the coordinator until cancelled, with a backoff after each one that ends."""
         self._freshness.connecting(monotonic())
         while True:
             with anyio.CancelScope() as self._attempt_scope:
@@ -88,11 +99,13 @@
                     if self.connected:
                         self._backoff_seconds = MIN_BACKOFF_SECONDS
                     reason = str(fault) or type(fault).__name__
-                    self._lines.warning("coordinator lost", reason=reason, last_event=self.last_event)
-                except (
-                    Exception
-                ):  # guards drains and purges: whatever fails, the coordinator is followed again
-                    log.exception("coordinator lost", last_event=self.last_event)
+                    self._rate_limited_log.warning(
+                        "connection to the coordinator lost", reason=reason, last_event=self.last_event
+                    )
+                except Exception:  # after any error the watch reconnects, or the front would miss events
+                    log.exception(
+                        "unexpected error in the connection to the coordinator", last_event=self.last_event
+                    )
                 finally:
                     self.connected = False
                 await anyio.sleep(self._backoff_seconds * self._random.uniform(*BACKOFF_JITTER))
@@ -120,11 +133,11 @@
 
     def _on_frame(self, frame: Frame, waited_seconds: float) -> None:
         if not self.connected:
-            self._lines.info(
-                "coordinator followed",
-                after=self.last_event,
-                newest=frame.number,
-                kind=frame.kind,
+            self._rate_limited_log.info(
+                "connected to the coordinator",
+                last_event=self.last_event,
+                newest_event=frame.number,
+                frame_kind=frame.kind,
                 waited_s=round(waited_seconds, 3),
             )
         self.connected = True
@@ -134,7 +147,7 @@
             self.last_event = frame.number
 
     def _on_frames_complete(self) -> None:
-        """All that has come so far was applied, and no frame is incomplete."""
+        """Runs when all frames received so far were applied and none is incomplete."""
         self._freshness.frame_received(monotonic())
         self._on_change()
 
@@ -148,44 +161,53 @@
         on_frame: Callable[[Frame, float], None],
         on_complete: Callable[[], None],
     ) -> None:
-        """Args: `on_frame` takes each frame and the seconds since the start.
+        """Wraps a connected socket.
 
-        `on_complete` runs when no frame is incomplete after it.
+        Args:
+            sock: The socket.
+            on_frame: Called with each frame and the seconds since the start of the connection.
+            on_complete: Called after frames were received and none is incomplete.
         """
         self._sock, self._on_frame, self._on_complete = sock, on_frame, on_complete
         self._frames = FrameReader()
-        self._started_at = self._frame_at = monotonic()
-        self._fault: ConnectionEndedError | None = None
+        self._started_at = self._last_frame_at = monotonic()
+        self._failure: ConnectionEndedError | None = None
         self._read_scope = anyio.CancelScope()
 
     async def run(self) -> None:
-        """Read frames until the connection ends or one takes too long; ends by an exception only."""
+        """Reads frames until the connection ends; never returns without an exception.
+
+        Raises:
+            ConnectionEndedError: The connection has ended, or a frame cannot be parsed.
+            TimeoutError: No complete frame was received for `SILENCE_TIMEOUT_SECONDS`.
+        """
         while True:
-            timeout_seconds = self._frame_at + SILENCE_TIMEOUT_SECONDS - monotonic()
+            timeout_seconds = self._last_frame_at + SILENCE_TIMEOUT_SECONDS - monotonic()
             deadline = anyio.current_time() + max(0.0, timeout_seconds)
             with anyio.CancelScope(deadline=deadline) as self._read_scope:
                 await anyio.wait_readable(self._sock)
-            if self._fault is not None:
-                raise self._fault
+            if self._failure is not None:
+                raise self._failure
             self.read()
-            if monotonic() - self._frame_at > SILENCE_TIMEOUT_SECONDS:  # guards against a cut-off coordinator
+            # A coordinator that the network has cut off leaves the connection open and silent.
+            if monotonic() - self._last_frame_at > SILENCE_TIMEOUT_SECONDS:
                 raise TimeoutError
 
     def fail(self, fault: ConnectionEndedError) -> None:
-        """End the connection from outside its own task."""
-        self._fault = fault
+        """Ends the connection from outside its own task."""
+        self._failure = fault
         self._read_scope.cancel()
 
     def read(self) -> None:
-        """Read what is here, without waiting.
+        """Reads and applies what has been received, without waiting.
 
         Raises:
-            ConnectionEndedError: The connection has ended, or a frame cannot be read.
+            ConnectionEndedError: The connection has ended, or a frame cannot be parsed.
         """
-        if self._fault is not None:
+        if self._failure is not None:
             return
-        frame_at_before = self._frame_at
-        for _ in range(MAX_READS):
+        previous_frame_at = self._last_frame_at
+        for _ in range(MAX_READS_PER_TURN):
             try:
                 data = self._sock.recv(READ_BYTES)
             except (BlockingIOError, InterruptedError):
@@ -195,9 +217,9 @@
             if not data:
                 raise ConnectionEndedError(EndReason.CLOSED_BY_PEER)
             for frame in self._frames.take(data):
-                self._frame_at = monotonic()
-                self._on_frame(frame, self._frame_at - self._started_at)
+                self._last_frame_at = monotonic()
+                self._on_frame(frame, self._last_frame_at - self._started_at)
             if len(data) < READ_BYTES:
                 break
-        if self._frame_at > frame_at_before and not self._frames.partial:
+        if self._last_frame_at > previous_frame_at and not self._frames.partial:
             self._on_complete()
--- a/zincladder/net/errors.py
+++ b/zincladder/net/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the package's connections and codecs."""
+"""Errors of connections and of message fields."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ConnectionEndedError(Exception):
-    """The connection has ended, or cannot be used any more; `reason` says in which way."""
+    """The connection has ended or cannot be used any more; `reason` states why."""
 
     def __init__(self, reason: EndReason, detail: str = "") -> None:
         super().__init__(detail or reason.value)
@@ -14,4 +14,4 @@
 
 
 class InvalidFieldsError(Exception):
-    """A request whose fields cannot be used; the text names the field."""
+    """A request has an invalid or missing field; the text names it."""
--- a/zincladder/net/events.py
+++ b/zincladder/net/events.py
@@ -1,4 +1,4 @@
-"""The coordinator's events: frames of its connection, parsed and decoded. No I/O."""
+"""Parses the coordinator's frames and decodes the events in them. No I/O."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from zincladder.net.protocol import ENDPOINT_STATES
 from zincladder.routing import interface as api
 
-FRAME_HEAD = struct.Struct(">IQB")  # length, number, kind
-LENGTH_BYTES = 4  # of the length, which does not count itself
+FRAME_HEAD = struct.Struct(">IQB")  # length of the rest of the frame, event number, kind
+LENGTH_BYTES = 4  # size of the length field, which the length does not include
 MAX_FRAME_BYTES = 1 << 22
-ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")
-OBJECT_PURGE = struct.Struct(">QQ")  # object, Unix milliseconds
-GROUP_PURGE = struct.Struct(">HQ")  # group, Unix milliseconds
-KIND_FULL_LIST, KIND_LIST_CHANGES, KIND_OBJECT_PURGE, KIND_GROUP_PURGE = range(1, 5)  # 0: nothing new
+ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")  # fields in the order of `_read_endpoint`
+OBJECT_PURGE = struct.Struct(">QQ")  # object, Unix time in milliseconds
+GROUP_PURGE = struct.Struct(">HQ")  # group, Unix time in milliseconds
+KIND_FULL_LIST, KIND_LIST_CHANGES, KIND_OBJECT_PURGE, KIND_GROUP_PURGE = range(1, 5)  # 0: no event
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One frame as it was received: the number of the newest event, the kind and the payload."""
+    """A frame as it was received: the number of the newest event, the kind and the payload."""
 
     number: int
     kind: int
@@ -33,21 +33,21 @@
 
 
 class FrameReader:
-    """Parses what the coordinator sends: bytes in, frames out."""
+    """Splits the byte stream of the coordinator into frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     @property
     def partial(self) -> bool:
-        """Whether a frame has begun and is not complete."""
+        """Whether an incomplete frame is buffered."""
         return bool(self._buffer)
 
     def take(self, data: bytes | bytearray) -> Iterator[Frame]:
-        """The frames that these bytes complete.
+        """Adds received bytes and yields the frames that they complete.
 
         Raises:
-            ConnectionEndedError: A frame's length is impossible.
+            ConnectionEndedError: A frame's length is out of range.
         """
         self._buffer += data
         start = 0
@@ -55,7 +55,9 @@
             while len(self._buffer) - start >= FRAME_HEAD.size:
                 length, number, kind = FRAME_HEAD.unpack_from(self._buffer, start)
                 if not FRAME_HEAD.size - LENGTH_BYTES <= length <= MAX_FRAME_BYTES:
-                    raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, f"a frame of {length} bytes")
+                    raise ConnectionEndedError(
+                        EndReason.PROTOCOL_ERROR, f"frame length of {length} bytes is out of range"
+                    )
                 end = start + LENGTH_BYTES + length
                 if end > len(self._buffer):
                     break
@@ -68,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdateReceived:
-    """The endpoint list, or changes to it, with the endpoints' addresses."""
+    """The full endpoint list, or changes to it, with the endpoints' addresses."""
 
     is_full: bool
     version: int
@@ -77,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeReceived:
-    """A purge of an object, or without one of a whole group; `purged_at` is a Unix time."""
+    """A purge of one object, or of a whole group if `object` is None; `purged_at` is a Unix time."""
 
     object: int | None
     group: int
@@ -88,16 +90,19 @@
 
 
 def read_event(frame: Frame) -> WatchEvent | None:
-    """The event of a frame; None where it says nothing new.
+    """Decodes the event of a frame; returns None if the frame holds no event.
 
     Raises:
-        ConnectionEndedError: The payload cannot be read.
+        ConnectionEndedError: The payload is malformed.
     """
     kind, payload = frame.kind, frame.payload
     try:
         if kind in (KIND_FULL_LIST, KIND_LIST_CHANGES):
             if len(payload) % ENDPOINT_RECORD.size:
-                raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, f"a list of {len(payload)} bytes")
+                raise ConnectionEndedError(
+                    EndReason.PROTOCOL_ERROR,
+                    f"endpoint list of {len(payload)} bytes is not a whole number of records",
+                )
             endpoints = tuple(map(_read_endpoint, ENDPOINT_RECORD.iter_unpack(payload)))
             return EndpointUpdateReceived(kind == KIND_FULL_LIST, frame.number, endpoints)
         if kind == KIND_OBJECT_PURGE:
@@ -107,8 +112,10 @@
             group, purged_at_ms = GROUP_PURGE.unpack(payload)
             return PurgeReceived(None, group, purged_at_ms / 1000)
     except (struct.error, IndexError) as fault:
-        raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, f"a frame of kind {kind}: {fault}") from None
-    return None  # kind 0, or one of a newer coordinator
+        raise ConnectionEndedError(
+            EndReason.PROTOCOL_ERROR, f"malformed payload in a frame of kind {kind}: {fault}"
+        ) from None
+    return None  # kind 0, or a kind that only a newer coordinator sends
 
 
 def _read_endpoint(record: tuple[Any, ...]) -> tuple[api.Endpoint, Address]:
--- a/zincladder/net/known_events.py
+++ b/zincladder/net/known_events.py
@@ -1,4 +1,4 @@
-"""The coordinator's events that a front knows at its start, from its configuration."""
+"""Reads the coordinator's events that the configuration states, which a front applies at its start."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 def read_known_events(config: Config) -> tuple[int, list[WatchEvent]]:
-    """The number of the last known event, and the events.
+    """Returns the number of the last known event, and the known events.
 
     Raises:
-        ConfigError: An event holds neither endpoints nor a purge, or a field of it cannot be used.
+        ConfigError: An event holds neither endpoints nor a purge, or has an invalid field.
     """
     known = Node(config.known_events, "known")
     last_event = known.integer("index", 0)
     events: list[WatchEvent] = []
-    for position, raw in enumerate(known.data.get("updates", [])):
-        update = Node(raw, f"known.updates[{position}]")
+    for position, entry in enumerate(known.data.get("updates", [])):
+        update = Node(entry, f"known.updates[{position}]")
         if "evict" in update.data:
             events.append(_read_purge(update.child("evict")))
         elif "endpoints" in update.data:
@@ -38,18 +38,20 @@
 def _read_endpoint_update(update: Node, config: Config) -> EndpointUpdateReceived:
     zones = {name: number for number, name in enumerate(config.names.zones)}
     kinds = {name: number for number, name in enumerate(config.names.kinds)}
-    listed = update.child("endpoints")
+    endpoint_list = update.child("endpoints")
     endpoints = []
-    for position, raw in enumerate(listed.data.get("endpoints", [])):
-        line = Node(raw, f"{listed.path_of('endpoints')}[{position}]")
+    for position, entry in enumerate(endpoint_list.data.get("endpoints", [])):
+        record = Node(entry, f"{endpoint_list.path_of('endpoints')}[{position}]")
         endpoint = api.Endpoint(
-            line.text("name").encode(),
-            line.choice("type", kinds),
-            line.choice("zone", zones),
-            line.choice("status", STATE_NAMES),
-            line.number("weight", 1.0),
-            line.integer("group", 0),
-            line.number("since_ms", 0.0) / 1000,
+            record.text("name").encode(),
+            record.choice("type", kinds),
+            record.choice("zone", zones),
+            record.choice("status", STATE_NAMES),
+            record.number("weight", 1.0),
+            record.integer("group", 0),
+            record.number("since_ms", 0.0) / 1000,
         )
-        endpoints.append((endpoint, line.read("address", parse_address, "an address", None)))
-    return EndpointUpdateReceived(listed.flag("snapshot"), update.integer("index", 0), tuple(endpoints))
+        endpoints.append((endpoint, record.read("address", parse_address, "an address", None)))
+    return EndpointUpdateReceived(
+        endpoint_list.flag("snapshot"), update.integer("index", 0), tuple(endpoints)
+    )
--- a/zincladder/net/protocol.py
+++ b/zincladder/net/protocol.py
@@ -1,7 +1,7 @@
-"""The platform's protocol in one table: every field, what it has to be, and where it goes. No I/O.
+"""Tables of the fields of the platform's protocol: their names, valid values and meaning. No I/O.
 
-Reading, checking and writing fields follow from these rows, so a field is named once. A field that nothing
-follows from states the reason. Texts come from peers: one that cannot be read raises ValueError.
+The functions here read, check and write fields by these tables, so that each field is defined once. A field
+that the front does not use states the reason. A reader raises ValueError for an invalid text of a peer.
 """
 
 from __future__ import annotations
@@ -19,13 +19,14 @@
 from zincladder.routing import interface as api
 
 ID = re.compile(r"[0-9a-f]{16}", re.ASCII)
-TOKEN = re.compile(r"[0-9A-Za-z_-]{1,64}", re.ASCII)  # a copy's tag, an idempotency key: passed on unchanged
+TOKEN = re.compile(r"[0-9A-Za-z_-]{1,64}", re.ASCII)  # a copy's tag or an idempotency key, sent on unchanged
 DECIMAL = re.compile(r"[0-9]{1,15}(\.[0-9]{1,40})?", re.ASCII)
 MAX_INTEGER_DIGITS = 13
 MAX_PART = 1 << 20
 MAX_GROUP = 255
 MAX_MILLISECONDS = 10**12
-MAX_SIZE_KB = 1e7  # of a part, as clients state it: one without bound outweighs all sizes learned before
+# Of a part, as clients state it. A size without a bound would outweigh all sizes learned before.
+MAX_SIZE_KB = 1e7
 
 
 def _matching(pattern: re.Pattern[str]) -> Callable[[str], str]:
@@ -59,7 +60,7 @@
 
 
 def _decimal(above: float, maximum: float) -> Callable[[str], float]:
-    """Reads a number in decimal digits alone: Python's own reader takes spaces, underscores and words too."""
+    """Returns a reader of numbers in decimal digits; `float` alone also accepts spaces, '_' and words."""
 
     def read(text: str) -> float:
         if not DECIMAL.fullmatch(text) or not above < float(text) <= maximum:
@@ -80,13 +81,16 @@
 
 
 def _load_report(text: str) -> dict[str, float]:
-    """A load report by the router's names; one that cannot be read is empty, and the answer stands."""
+    """Reads a load report, keyed by the router's names.
+
+    A malformed report gives an empty one, so that the answer which holds it is still used.
+    """
     try:
         pairs = (pair.split(":") for pair in text.split(";") if text)
         report = {LOAD_REPORT_NAMES.get(name, name): float(value) for name, value in pairs}
     except ValueError:
         return {}
-    # float() takes 'nan' and 'inf' too: one in a mean makes the mean useless for all caches judged by it.
+    # float() also accepts 'nan' and 'inf'. One such figure would spoil the mean that caches are compared to.
     return report if all(0.0 <= value < math.inf for value in report.values()) else {}
 
 
@@ -95,17 +99,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestField:
-    """A field of a client's request, and the attribute of `ClientRequest` that it becomes."""
+    """A field of a client's request, and the attribute of `ClientRequest` that it sets."""
 
     name: str
     attribute: str
     read: Callable[[str], Any]
-    expected: str  # what the field must be, for the error's text
+    expected: str  # the valid values, for the error text
     required: bool = True
 
 
 REQUEST_FIELDS = (
-    RequestField("route", "request_class", str, "a class"),  # its number is the caller's to look up
+    RequestField("route", "request_class", str, "a class"),  # the caller replaces the name by its number
     RequestField("trace", "trace", _matching(ID), "16 hex digits"),
     RequestField("patience", "deadline", _integer(1, MAX_MILLISECONDS), "milliseconds above 0"),
     RequestField("redo", "repeat", _flag, "1 or absent", required=False),
@@ -125,10 +129,10 @@
 
 
 def read_request(fields: Mapping[str, str]) -> dict[str, Any]:
-    """The attributes of a `ClientRequest` that the fields state.
+    """Reads the attributes of a `ClientRequest` from the fields of a call.
 
     Raises:
-        InvalidFieldsError: A field is missing or cannot be used; the text names the first one.
+        InvalidFieldsError: A field is missing or invalid; the text names the first such field.
     """
     attributes: dict[str, Any] = {}
     for row in REQUEST_FIELDS:
@@ -159,7 +163,8 @@
     return f"{max(1, math.floor(age * 1000))}" if 0 < age < math.inf else ""
 
 
-# Each field of a `fetch`, from the attempt, the class's name and the seconds left; "" leaves the field out.
+# How each field of a `fetch` is written, from the attempt, the name of its class and the seconds until its
+# deadline. A field whose text is "" is left out.
 ATTEMPT_FIELDS: dict[str, Callable[[AttemptRequest, str, float], str]] = {
     "cls": lambda attempt, class_name, seconds_left: class_name,
     "item": lambda attempt, class_name, seconds_left: f"{attempt.request.object:016x}",
@@ -179,19 +184,19 @@
 
 
 def write_fetch(attempt: AttemptRequest, class_name: str, seconds_left: float) -> str:
-    """The fields of one attempt, as they go out."""
+    """Serializes the fields of a `fetch`."""
     texts = ((field, write(attempt, class_name, seconds_left)) for field, write in ATTEMPT_FIELDS.items())
     return ",".join(f"{field}={text}" for field, text in texts if text)
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseField:
-    """A field of an answer, and the attribute of `AttemptEnd` that it becomes, if any."""
+    """A field of an answer, and the attribute of `AttemptEnd` that it sets; "" if the field is not used."""
 
     name: str
     attribute: str
     read: Callable[[str], Any]
-    reason_unused: str = ""
+    reason_unused: str = ""  # why the front does not use the field
 
 
 RESPONSE_FIELDS = (
@@ -231,10 +236,10 @@
 
 
 def read_answer(fields: Mapping[str, str]) -> dict[str, Any]:
-    """The attributes of an `AttemptEnd` that the fields state.
+    """Reads the attributes of an `AttemptEnd` from the fields of an answer.
 
     Raises:
-        ValueError: A field cannot be read; the text names the first one.
+        ValueError: A field is invalid; the text names the first such field.
     """
     attributes: dict[str, Any] = {}
     for row in RESPONSE_FIELDS:
@@ -242,7 +247,7 @@
             try:
                 value = row.read(fields[row.name])
             except ValueError:
-                raise ValueError(f"'{row.name}' cannot be read: {fields[row.name][:40]!r}") from None
+                raise ValueError(f"field '{row.name}' is invalid: {fields[row.name][:40]!r}") from None
             if row.attribute:
                 attributes[row.attribute] = value
     return attributes
@@ -254,7 +259,7 @@
     api.EndpointState.READY,
     api.EndpointState.DRAINING,
     api.EndpointState.GONE,
-)  # by their numbers in a frame
+)  # indexed by the state's number in an endpoint record
 STATE_NAMES = {
     "up": api.EndpointState.READY,
     "draining": api.EndpointState.DRAINING,
--- a/zincladder/net/read_buffer.py
+++ b/zincladder/net/read_buffer.py
@@ -1,4 +1,4 @@
-"""Reading from a socket, with parsing in place."""
+"""A buffered reader of a socket, which parses messages inside its buffer."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from zincladder.net.sockets import peek_unread
 
 INITIAL_BUFFER_BYTES = 8192
-BODY_STEP_BYTES = 1 << 16  # room made for a body that has not come yet
+BODY_STEP_BYTES = 1 << 16  # first size allocated for a body that has not arrived yet
 
 
 class ReadBuffer:
-    """What a peer sends. Heads stay in one buffer and are parsed there; bodies are received in place."""
+    """Reads a peer's messages: lines and sizes from one buffer, bodies directly into their own buffers."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
         self._buffer = bytearray(INITIAL_BUFFER_BYTES)
-        self._start = self._end = 0
-        self._drained = False
-        self.received = 0  # bytes
-        self.missing = 0  # bytes of what `read_exactly` waits for that have not come
+        self._start = self._end = 0  # the part of the buffer that was received and not consumed
+        self._drained = False  # the last read emptied the socket
+        self.received = 0  # bytes in total
+        self.missing = 0  # bytes that `read_exactly` is still waiting for
 
     def buffered(self) -> int:
-        """The number of bytes that are here and were not taken yet."""
+        """Returns the number of bytes that are buffered and not consumed yet."""
         return self._end - self._start
 
     async def _receive(self, into: memoryview, timeout_seconds: float = math.inf) -> int:
         while True:
-            if self._drained:  # the last read took all there was: asking at once would be in vain
+            if self._drained:  # another read at once would find nothing
                 await self._wait_readable(timeout_seconds)
             try:
                 size = self._sock.recv_into(into)
@@ -55,15 +55,17 @@
             else:
                 await anyio.wait_readable(self._sock)
         except TimeoutError:
-            # Guards the peer against a stall of this process, whose timers go before what lies there unread.
+            # After a stall of this process the timeout may fire before input that arrived in time is read.
             unread = peek_unread(self._sock, 1)
             if not (unread.data or unread.closed_by_peer):
-                raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, "a message that broke off") from None
+                raise ConnectionEndedError(
+                    EndReason.PROTOCOL_ERROR, "the rest of a message did not arrive in time"
+                ) from None
         except (OSError, ValueError, anyio.ClosedResourceError):
             raise ConnectionEndedError(EndReason.CONNECTION_LOST) from None
 
     async def _read_more(self, max_bytes: int, timeout_seconds: float = math.inf) -> None:
-        """Reads on, making room first: the unread part moves to the front or the buffer grows."""
+        """Reads more bytes; first makes room by moving the unconsumed bytes or by growing the buffer."""
         if self._start == self._end:
             self._start = self._end = 0
         if self._end == len(self._buffer):
@@ -72,26 +74,29 @@
                 self._buffer[: len(unread)] = unread
                 self._start, self._end = 0, len(unread)
             elif len(self._buffer) >= max_bytes:
-                raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, f"a head of over {max_bytes} bytes")
+                raise ConnectionEndedError(
+                    EndReason.PROTOCOL_ERROR, f"unparsed input is longer than {max_bytes} bytes"
+                )
             else:
                 self._buffer.extend(bytes(len(self._buffer)))
         with memoryview(self._buffer) as view:
             self._end += await self._receive(view[self._end :], timeout_seconds)
 
     async def wait_for(self, size: int = 1) -> None:
-        """Waits until so many bytes are here and takes none: cancelling it loses nothing."""
+        """Waits until `size` bytes are buffered, without consuming any; cancelling it loses no input."""
         while self.buffered() < size:
             await self._read_more(INITIAL_BUFFER_BYTES)
 
     def peek(self) -> bytes:
-        """What is here and was not taken yet."""
+        """Returns the bytes that are buffered, without consuming them."""
         return bytes(memoryview(self._buffer)[self._start : self._end])
 
     async def read_line(self, max_bytes: int, timeout_seconds: float = math.inf) -> bytes:
-        """The next line without its CR LF; the timeout is for a stretch without a byte.
+        """Returns the next line without its CR LF.
 
         Raises:
-            ConnectionEndedError: The connection has ended, the line is too long, or it broke off.
+            ConnectionEndedError: The connection has ended, the line is longer than `max_bytes`, or no byte
+                arrived for `timeout_seconds`.
         """
         searched = 0
         while True:
@@ -102,20 +107,20 @@
                 return line
             searched = max(0, self.buffered() - 1)
             if searched >= max_bytes:
-                raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, f"a line of over {max_bytes} bytes")
+                raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, f"line is longer than {max_bytes} bytes")
             await self._read_more(2 * max_bytes, timeout_seconds)
 
     async def read_exactly(self, size: int, timeout_seconds: float = math.inf) -> bytearray:
-        """The next `size` bytes; what is not here yet is received straight into its place.
+        """Returns the next `size` bytes; those not buffered yet are received directly into the result.
 
         Raises:
-            ConnectionEndedError: The connection has ended, or no byte came for `timeout_seconds`.
+            ConnectionEndedError: The connection has ended, or no byte arrived for `timeout_seconds`.
         """
         filled = min(size, self.buffered())
         body = self._buffer[self._start : self._start + filled]
         self._start += filled
         while filled < size:
-            # Guards the memory against a length that is only claimed: room is made as the bytes come.
+            # A peer may announce a length and send less, so memory is allocated as the bytes arrive.
             body.extend(bytes(min(size - filled, max(BODY_STEP_BYTES, filled))))
             with memoryview(body) as view:
                 while filled < len(body):
--- a/zincladder/net/sockets.py
+++ b/zincladder/net/sockets.py
@@ -1,4 +1,4 @@
-"""What the system knows of a connection: unread and unsent bytes, the peer's close; and new connections."""
+"""Opens connections, and asks the system for their unread and unsent bytes and for the peer's close."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 MAX_PEEK_BYTES = 1 << 16
 _PEEK_BUFFER = bytearray(MAX_PEEK_BYTES)
 TCP_INFO_BYTES, LAST_DATA_RECV_OFFSET, _LAST_DATA_RECV = 104, 52, struct.Struct("=I")
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: close sends a reset and drops what was not sent
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER: close sends a reset and drops unsent bytes
 
 
 class UnreadInput(NamedTuple):
-    """What the system holds of a connection that was not read yet."""
+    """The input of a connection that the system has received and the process has not read."""
 
-    data: bytes  # the first bytes of it
-    closed_by_peer: bool  # the peer has ended its side
+    data: bytes  # its first bytes
+    closed_by_peer: bool  # the peer has closed or reset the connection
 
 
 def peek_unread(sock: socket.socket, max_bytes: int = MAX_PEEK_BYTES) -> UnreadInput:
-    """What lies unread at the system. Nothing is taken from the socket.
+    """Returns the unread input of a socket without consuming it.
 
-    With bytes unread before the peer's close only RDHUP tells of it.
+    While bytes are unread, the peer's close behind them is visible only as POLLRDHUP.
     """
     try:
         size = sock.recv_into(_PEEK_BUFFER, max_bytes, socket.MSG_PEEK)
@@ -44,26 +44,27 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Whether the peer has ended its side of the connection, as the system knows it."""
+    """Returns whether the peer has closed or reset the connection, as far as the system knows."""
     return peek_unread(sock, 1).closed_by_peer
 
 
 def newest_byte_age_seconds(sock: socket.socket) -> float | None:
-    """Seconds since the newest byte of a connection came in, read or not; None where the system tells none.
+    """Returns the seconds since the newest byte of a connection arrived, read or not.
 
-    From `tcpi_last_data_recv` of TCP_INFO (tcp(7), linux/tcp.h), which counts in milliseconds.
+    Returns None if the system does not report it. It is `tcpi_last_data_recv` of TCP_INFO (tcp(7),
+    linux/tcp.h), in milliseconds.
     """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except OSError:
         return None
-    if len(info) < TCP_INFO_BYTES or not info[0]:  # a state of 0 is none: whoever answers does not know
+    if len(info) < TCP_INFO_BYTES or not info[0]:  # 0 is no TCP state: the system does not report it
         return None
     return int(_LAST_DATA_RECV.unpack_from(info, LAST_DATA_RECV_OFFSET)[0]) / 1000
 
 
 def has_unsent_bytes(sock: socket.socket) -> bool:
-    """Whether the peer's system has not taken all that was written; False where this system tells none."""
+    """Returns whether written bytes are unsent or unacknowledged; False if the system does not report it."""
     unsent = array("i", [0])
     try:
         fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, unsent)  # SIOCOUTQ of tcp(7)
@@ -73,12 +74,12 @@
 
 
 def address_family(host: str) -> socket.AddressFamily:
-    """The family of an address in text."""
+    """Returns the address family of an IP address."""
     return socket.AF_INET6 if ":" in host else socket.AF_INET
 
 
 async def connect(host: str, port: int) -> socket.socket:
-    """A new connection; cancelling the call closes the socket.
+    """Opens a connection; cancelling the call closes the socket.
 
     Raises:
         OSError: The connection was not established.
--- a/zincladder/net/thrift.py
+++ b/zincladder/net/thrift.py
@@ -1,4 +1,4 @@
-"""Framed Thrift, strict binary: just what the front's service needs, read in place."""
+"""The framed, strict binary protocol of Thrift, as far as the front's service needs it."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 I16, I32, I64 = 6, 8, 10
 STRING, STRUCT, MAP, SET, LIST = 11, 12, 13, 14, 15
 UNKNOWN_METHOD, INTERNAL_ERROR, PROTOCOL_ERROR = 1, 6, 7
-MAX_FRAME_BYTES = 1 << 16  # a write brings 48,000 bytes at most
+MAX_FRAME_BYTES = 1 << 16  # the body of a write has 48,000 bytes at most
 MAX_NESTING = 16
-_FIXED = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
+_SIZE_OF_TYPE = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}  # types of a fixed size, in bytes
 _I32 = struct.Struct(">i")
-_MAP = struct.Struct(">BBi")
-_WITHDRAW_VERB = b"withdraw"
-_VERB_OFFSET = 8  # the verb's text follows the version and its own length
+_MAP = struct.Struct(">BBi")  # key type, value type, number of entries
+_WITHDRAW_METHOD = b"withdraw"
+_METHOD_OFFSET = 8  # the method's name follows the version and the name's length
 
 
 class MalformedMessageError(Exception):
-    """The bytes are not the protocol's."""
+    """A message violates the protocol."""
 
 
 @dataclass(slots=True)
 class Call:
-    """One message of a client."""
+    """A message of a client."""
 
-    verb: str
-    kind: int
-    seq: int
+    method: str
+    kind: int  # message type: CALL or ONEWAY in a valid message
+    seq: int  # sequence number
     fields: dict[str, str]
     body: bytes
-    number: int  # the argument of `withdraw`
+    withdrawn_seq: int  # the argument of `withdraw`: the sequence number of a request
 
 
 class _Reader:
-    """Reads values in order; each method raises MalformedMessageError where there is none."""
+    """Reads values in order; each method raises MalformedMessageError if there is no valid value."""
 
     def __init__(self, data: bytes | bytearray | memoryview) -> None:
         self.view, self.position = memoryview(data), 0
 
     def take(self, size: int) -> memoryview:
         if size < 0 or self.position + size > len(self.view):
-            raise MalformedMessageError(f"a field of {size} bytes runs past its frame")
+            raise MalformedMessageError(f"value of {size} bytes exceeds its frame")
         self.position += size
         return self.view[self.position - size : self.position]
 
@@ -59,7 +59,7 @@
         try:
             return str(self.take(self.i32()), "utf-8")
         except UnicodeDecodeError:
-            raise MalformedMessageError("a text is not UTF-8") from None
+            raise MalformedMessageError("string is not valid UTF-8") from None
 
     def field(self) -> tuple[int, int]:
         kind = self.byte()
@@ -68,17 +68,17 @@
     def texts(self) -> dict[str, str]:
         key, value, count = _MAP.unpack(self.take(6))
         if count and (key, value) != (STRING, STRING):
-            raise MalformedMessageError("a map that is not of texts")
+            raise MalformedMessageError("map has keys or values that are not strings")
         if count < 0 or count * 8 > len(self.view):
-            raise MalformedMessageError(f"a map of {count} entries")
+            raise MalformedMessageError(f"map has an invalid number of entries: {count}")
         return {self.text(): self.text() for _ in range(count)}
 
     def skip(self, kind: int, depth: int = 0) -> None:
-        """Passes over a field of a newer client."""
+        """Skips the value of an unknown field, which a newer client may send."""
         if depth > MAX_NESTING:
-            raise MalformedMessageError("fields nested too deep")
-        if kind in _FIXED:
-            self.take(_FIXED[kind])
+            raise MalformedMessageError("value is nested too deeply")
+        if kind in _SIZE_OF_TYPE:
+            self.take(_SIZE_OF_TYPE[kind])
         elif kind == STRING:
             self.take(self.i32())
         elif kind == STRUCT:
@@ -88,45 +88,46 @@
             kinds = [self.byte() for _ in range(2 if kind == MAP else 1)]
             count = self.i32()
             if count < 0 or count > len(self.view):
-                raise MalformedMessageError(f"a collection of {count} entries")
+                raise MalformedMessageError(f"collection has an invalid number of entries: {count}")
             for _ in range(count):
                 for inner in kinds:
                     self.skip(inner, depth + 1)
         else:
-            raise MalformedMessageError(f"a field of unknown type {kind}")
+            raise MalformedMessageError(f"value has unknown type {kind}")
 
 
 def read_call(data: bytes | bytearray | memoryview) -> Call:
-    """The message in a frame.
+    """Reads the message in a frame.
 
     Raises:
-        MalformedMessageError: The frame holds none.
+        MalformedMessageError: The frame does not hold exactly one valid message.
     """
     reader = _Reader(data)
     version = reader.i32() & 0xFFFFFFFF
     if version & VERSION_MASK != VERSION:
-        raise MalformedMessageError(f"not strict binary: {version:#010x}")
-    verb, seq = reader.text(), reader.i32()
+        raise MalformedMessageError(f"message does not begin with the strict binary version: {version:#010x}")
+    method, seq = reader.text(), reader.i32()
     fields: dict[str, str] = {}
-    body, number = b"", 0
+    body, withdrawn_seq = b"", 0
     while (field := reader.field())[0] != STOP:
-        if verb == "handle" and field == (MAP, 1):
+        if method == "handle" and field == (MAP, 1):
             fields = reader.texts()
-        elif verb == "handle" and field == (STRING, 2):
+        elif method == "handle" and field == (STRING, 2):
             body = bytes(reader.take(reader.i32()))
-        elif verb == "withdraw" and field == (I32, 1):
-            number = reader.i32()
+        elif method == "withdraw" and field == (I32, 1):
+            withdrawn_seq = reader.i32()
         else:
             reader.skip(field[0])
     if reader.position != len(reader.view):
-        raise MalformedMessageError(f"{len(reader.view) - reader.position} bytes after the message")
-    return Call(verb, version & 0xFF, seq, fields, body, number)
+        raise MalformedMessageError(f"frame has {len(reader.view) - reader.position} bytes after the message")
+    return Call(method, version & 0xFF, seq, fields, body, withdrawn_seq)
 
 
 def find_withdrawn(unread: bytes | bytearray, start: int) -> Iterator[int]:
-    """The requests that complete `withdraw` messages in these bytes name; the first frame begins at `start`.
+    """Yields the sequence numbers of the requests that `withdraw` messages in unread bytes name.
 
-    Looks ahead of the reader, to whom all else is left, also what cannot be read.
+    Looks at complete frames only, of which the first begins at `start`, and stops at a malformed one. Nothing
+    is consumed: the connection's read task handles all messages, including malformed ones.
     """
     position = start
     while len(unread) - position >= _I32.size:
@@ -134,50 +135,50 @@
         start_of_message, position = position + _I32.size, position + _I32.size + size
         if not 0 < size <= MAX_FRAME_BYTES or position > len(unread):
             return
-        verb_start = start_of_message + _VERB_OFFSET
-        if unread[verb_start : verb_start + len(_WITHDRAW_VERB)] == _WITHDRAW_VERB:
+        method_start = start_of_message + _METHOD_OFFSET
+        if unread[method_start : method_start + len(_WITHDRAW_METHOD)] == _WITHDRAW_METHOD:
             try:
-                yield read_call(unread[start_of_message:position]).number
+                yield read_call(unread[start_of_message:position]).withdrawn_seq
             except MalformedMessageError:
                 return
 
 
-def _text(text: str) -> bytes:
+def _encode_string(text: str) -> bytes:
     data = text.encode()
     return _I32.pack(len(data)) + data
 
 
 def _texts(fields: Mapping[str, str]) -> bytes:
-    entries = b"".join(_text(key) + _text(value) for key, value in fields.items())
+    entries = b"".join(_encode_string(key) + _encode_string(value) for key, value in fields.items())
     return _MAP.pack(STRING, STRING, len(fields)) + entries
 
 
-def _message(kind: int, verb: str, seq: int) -> bytes:
-    return _I32.pack((VERSION | kind) - (1 << 32)) + _text(verb) + _I32.pack(seq)
+def _message(kind: int, method: str, seq: int) -> bytes:
+    return _I32.pack((VERSION | kind) - (1 << 32)) + _encode_string(method) + _I32.pack(seq)
 
 
-def _framed(*parts: bytes | bytearray) -> list[bytes | bytearray]:
+def _with_frame_length(*parts: bytes | bytearray) -> list[bytes | bytearray]:
     return [_I32.pack(sum(map(len, parts))) + parts[0], *parts[1:]]
 
 
 def answer(
-    verb: str, seq: int, body: bytes | bytearray, fields: Mapping[str, str], good: bool
+    method: str, seq: int, body: bytes | bytearray, fields: Mapping[str, str], good: bool
 ) -> list[bytes | bytearray]:
-    """A reply that holds an Answer; the body is a part by itself, so that it is never copied."""
-    head = _message(REPLY, verb, seq) + b"\x0c\x00\x00" + b"\x0b\x00\x01" + _I32.pack(len(body))
+    """Serializes a reply that holds an Answer; the body is a part of its own, so that it is not copied."""
+    head = _message(REPLY, method, seq) + b"\x0c\x00\x00" + b"\x0b\x00\x01" + _I32.pack(len(body))
     tail = b"\x0d\x00\x02" + _texts(fields) + b"\x02\x00\x03" + bytes([good]) + b"\x00\x00"
-    return _framed(head, body, tail)
+    return _with_frame_length(head, body, tail)
 
 
 def declared_exception(
-    verb: str, seq: int, number: int, fields: Mapping[str, str]
+    method: str, seq: int, field_id: int, fields: Mapping[str, str]
 ) -> list[bytes | bytearray]:
-    """A reply that holds a declared exception: 1 for Throttled, 2 for Broken."""
-    head = _message(REPLY, verb, seq) + b"\x0c" + number.to_bytes(2, "big")
-    return _framed(head + b"\x0d\x00\x01" + _texts(fields) + b"\x00\x00")
+    """Serializes a reply that holds a declared exception; its field id is 1 for Throttled, 2 for Broken."""
+    head = _message(REPLY, method, seq) + b"\x0c" + field_id.to_bytes(2, "big")
+    return _with_frame_length(head + b"\x0d\x00\x01" + _texts(fields) + b"\x00\x00")
 
 
-def application_exception(verb: str, seq: int, kind: int, text: str) -> list[bytes | bytearray]:
-    """A reply for what the service does not know."""
-    head = _message(EXCEPTION, verb, seq) + b"\x0b\x00\x01" + _text(text)
-    return _framed(head + b"\x08\x00\x02" + _I32.pack(kind) + b"\x00")
+def application_exception(method: str, seq: int, kind: int, text: str) -> list[bytes | bytearray]:
+    """Serializes a TApplicationException, for an unknown method or an invalid request."""
+    head = _message(EXCEPTION, method, seq) + b"\x0b\x00\x01" + _encode_string(text)
+    return _with_frame_length(head + b"\x08\x00\x02" + _I32.pack(kind) + b"\x00")
--- a/zincladder/net/write_queue.py
+++ b/zincladder/net/write_queue.py
@@ -1,4 +1,4 @@
-"""Writing to a socket: messages in order, gathered, each asked again just before its first byte."""
+"""A queue of messages to a socket: writes them in order, and may drop one just before its first byte."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 Part = bytes | bytearray | memoryview
 Result = TypeVar("Result")
-MAX_PARTS = 64  # of one gathered write; the system takes 1,024
-MAX_CHECK_SECONDS = 0.01  # for which a last check before a write is good
-MAX_CHECKS = 3  # in a row on a slow machine
+MAX_PARTS = 64  # buffers in one gathered write; the system's limit is 1,024
+MAX_CHECK_SECONDS = 0.01  # a check that took longer is repeated, since its result may be outdated
+MAX_CHECKS = 3  # in a row; the last result counts even if it took too long
 
 
 def _views(parts: Sequence[Part]) -> list[memoryview]:
@@ -25,7 +25,7 @@
 
 
 def _check_promptly(check: Callable[[], Result]) -> Result:
-    """The result of a check just before a write; a process that stalled meanwhile checks again."""
+    """Returns the result of a check just before a write, and repeats it if the process stalled meanwhile."""
     for _ in range(MAX_CHECKS):
         started_at = monotonic()
         result = check()
@@ -35,7 +35,7 @@
 
 
 class QueuedWrite:
-    """One message on its way out: its parts, and what to ask when its first byte is about to go."""
+    """A message in the queue: its parts, and the functions to call before its first byte is written."""
 
     __slots__ = ("may_start", "on_done", "parts", "serialize", "started")
 
@@ -47,11 +47,11 @@
     ) -> None:
         self.may_start, self.serialize = may_start, serialize
         self.started = False
-        self.on_done: Callable[[bool], None] | None = None  # takes whether it was written
+        self.on_done: Callable[[bool], None] | None = None  # called with whether the message was written
         self.parts = _views(parts)
 
     def prepare(self) -> bool:
-        """Whether it may go; it is then serialized as of this moment, if it was given that way."""
+        """Returns whether the message may be written; calls `serialize`, if given, to get its parts."""
         if self.started:
             return True
         if self.may_start and not self.may_start():
@@ -61,11 +61,11 @@
         return True
 
     def size(self) -> int:
-        """Bytes that are not written yet."""
+        """Returns the number of bytes that are not written yet."""
         return sum(map(len, self.parts))
 
     def consume(self, sent: int) -> int:
-        """Takes written bytes off; gives how many were not this message's."""
+        """Removes written bytes from the parts; returns how many of them belong to later messages."""
         while self.parts and sent:
             self.started = True
             step = min(sent, len(self.parts[0]))
@@ -77,10 +77,10 @@
         return sent
 
     def notify(self, written: bool) -> None:
-        """Notifies whoever waits for it, once.
+        """Calls `on_done` once and drops it.
 
-        Guards memory: who is notified refers to the message, and a circle of the two would keep an answer
-        until the next collection.
+        The callback refers to the message. Kept, this reference cycle would hold an answer in memory until
+        the next garbage collection.
         """
         on_done, self.on_done = self.on_done, None
         if on_done:
@@ -91,18 +91,21 @@
     """Counts the bytes that wait in a write queue."""
 
     def add(self, change: int) -> None:
-        """Adds a number of bytes, which may be negative."""
+        """Adds a number of bytes; a negative one subtracts."""
 
 
 class NullByteCounter:
-    """Counts nothing."""
+    """A counter for queues whose bytes are not counted."""
 
     def add(self, change: int) -> None:
-        """What waits here concerns no one else."""
+        """Does nothing."""
 
 
 class WriteQueue:
-    """Messages to one peer, in order. One that has started is written completely or the connection ends."""
+    """The messages to one peer, in order.
+
+    A message whose first byte was written is written completely, or the connection ends.
+    """
 
     def __init__(self, sock: socket.socket, counter: ByteCounter | None = None) -> None:
         self._sock = sock
@@ -110,7 +113,7 @@
         self._queue: deque[QueuedWrite] = deque()
         self._not_empty = anyio.Event()
         self.error: ConnectionEndedError | None = None
-        self.size = self.written = 0  # bytes that wait here, and that went out of those
+        self.size = self.written = 0  # bytes in the queue, and bytes written from the queue so far
 
     def put(
         self,
@@ -119,13 +122,13 @@
         on_done: Callable[[bool], None] | None = None,
         serialize: Callable[[], Sequence[Part]] | None = None,
     ) -> QueuedWrite:
-        """Writes what the socket takes at once; `run` writes the rest.
+        """Adds a message and writes what the socket accepts at once; `run` writes the rest.
 
         Args:
-            parts: The message, unless `serialize` gives it.
-            may_start: Asked just before the first byte goes.
-            on_done: Takes True with the last byte, False where `may_start` forbade it.
-            serialize: Gives the parts as of the moment in which the first byte goes.
+            parts: The message, unless `serialize` is given.
+            may_start: Called just before the first byte is written; False drops the message.
+            on_done: Called with True once the message is written, or with False if `may_start` dropped it.
+            serialize: Returns the message; called just before the first byte is written.
         """
         write = QueuedWrite(parts, may_start, serialize)
         write.on_done = on_done
@@ -140,7 +143,7 @@
         return write
 
     def _write_at_once(self, write: QueuedWrite) -> bool:
-        """Writes a message that nothing is before; True if all of it went, as it nearly always does."""
+        """Writes a message while the queue is empty; returns whether it was written completely, as usual."""
         if self.error or not _check_promptly(write.prepare) or not write.parts:
             return False
         try:
@@ -161,13 +164,13 @@
         self._counter.add(change)
 
     def clear(self) -> None:
-        """The connection has ended: what still waits will not be written."""
+        """Drops all messages, after the connection has ended."""
         self._queue.clear()
         if self.size:
             self._change_size(-self.size)
 
     def cancel(self, write: QueuedWrite) -> bool:
-        """Takes back a message of which no byte was written; False if one was."""
+        """Removes a message from the queue; returns False if some of it was written already."""
         if write.started:
             return False
         write.on_done = None
@@ -191,7 +194,7 @@
             self._consume(sent)
 
     def _next_parts(self) -> list[memoryview]:
-        """What goes next, as of this moment; what may not go any more is taken out of the queue."""
+        """Returns the parts to write next; removes the messages that may not be written any more."""
         parts: list[memoryview] = []
         rejected: list[QueuedWrite] = []
         for write in self._queue:
@@ -204,7 +207,7 @@
                 break
             parts.extend(write.parts)
         for write in rejected:
-            self._queue.remove(write)  # something changed since it was queued
+            self._queue.remove(write)  # `may_start` has become false since the message was queued
             self._change_size(-write.size())
             write.notify(False)
         return parts
@@ -221,7 +224,7 @@
             write.notify(True)
 
     async def drain(self, timeout_seconds: float) -> None:
-        """Writes what still waits, for a bounded time; nothing is put any more."""
+        """Writes the queued messages for at most `timeout_seconds`; no message may be added meanwhile."""
         with anyio.move_on_after(timeout_seconds):
             while self._queue and not self.error:
                 try:
@@ -231,10 +234,11 @@
                 self._flush()
 
     async def run(self, stall_timeout_seconds: float) -> None:
-        """Writes what `put` could not, until cancelled.
+        """Writes the queued messages until cancelled.
 
         Raises:
-            ConnectionEndedError: The connection has ended, or the peer read nothing for too long.
+            ConnectionEndedError: The connection has ended, or the peer read nothing for
+                `stall_timeout_seconds`.
         """
         while True:
             if self.error:
@@ -251,4 +255,4 @@
             written_before = self.written
             self._flush()
             if waiting.cancelled_caught and self._queue and self.written == written_before:
-                raise ConnectionEndedError(EndReason.PEER_STALLED, "the peer does not read")
+                raise ConnectionEndedError(EndReason.PEER_STALLED, "peer does not read what it is sent")
