--- a/tests/core/test_arrival.py
+++ b/tests/core/test_arrival.py
@@ -1,4 +1,4 @@
-"""Since when a message may have been unread, with times given."""
+"""The estimate of when a message arrived, with all times set by the test."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 from zincladder.core.arrival import ArrivalBound, LoopTurns
 
 
-def test_a_message_that_the_loop_has_waited_for_counts_as_read_at_once() -> None:
+def test_a_message_that_the_event_loop_was_waiting_for_counts_as_read_at_once() -> None:
     turns = LoopTurns(100.0)
     bound = ArrivalBound(turns, 100.0)
     bound.reader_waits(100.01)
     for tick in range(1, 400):
-        turns.record_turn(100.0 + tick / 100)
+        turns.record_iteration(100.0 + tick / 100)
     bound.reader_woke(104.0)
-    assert bound.unread_seconds(104.0, lambda: 3.0) == 0.0  # whatever the system reports of other bytes
+    assert bound.unread_seconds(104.0, lambda: 3.0) == 0.0  # the reported age does not matter
 
 
 @pytest.mark.parametrize(("newest", "age"), [(0.2, 0.2), (None, 0.48), (5.0, 0.48), (-0.1, 0.0)])
-def test_a_message_that_arrived_during_a_stall_is_as_old_as_can_be_known(
+def test_a_message_that_arrived_during_a_stall_has_its_reported_age_or_the_longest_possible_one(
     newest: float | None, age: float
 ) -> None:
     turns = LoopTurns(100.0)
     bound = ArrivalBound(turns, 100.0)
     bound.reader_waits(100.0)
-    for now in (100.01, 100.02, 100.03, 100.51):  # the last turn is the one that found it
-        turns.record_turn(now)
+    for now in (100.01, 100.02, 100.03, 100.51):  # the last iteration found the message
+        turns.record_iteration(now)
     bound.reader_woke(100.5)
     assert bound.unread_seconds(100.5, lambda: newest) == pytest.approx(age)
 
 
-def test_a_message_that_arrived_while_its_reader_was_paused_counts_from_the_pause() -> None:
+def test_a_message_that_arrived_while_its_reader_was_paused_counts_from_the_start_of_the_pause() -> None:
     turns = LoopTurns(100.0)
     bound = ArrivalBound(turns, 100.0)
     bound.reader_waits(100.0)
     bound.reader_woke(100.0)
     bound.reader_drained(100.0)
     for tick in range(100):
-        turns.record_turn(100.0 + tick / 100)
-    bound.reader_waits(101.0)  # for a second it did not look
+        turns.record_iteration(100.0 + tick / 100)
+    bound.reader_waits(101.0)  # the reader did not look at the socket for a second
     bound.reader_woke(101.0)
     assert bound.unread_seconds(101.0, lambda: None) == 1.0
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -1,4 +1,4 @@
-"""The core by itself, over a transport whose attempts end as the test says."""
+"""The core with a scripted transport: the test decides how each attempt ends."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Case:
-    """One request at a core, and what became of it."""
+    """A core with a scripted transport, and the answer to the one request that it serves."""
 
     def __init__(self, **changes: Any) -> None:
         self.transport = ScriptedTransport()
@@ -57,23 +57,23 @@
 
 
 @pytest.mark.parametrize("reason", list(EndReason))
-async def test_a_write_is_sent_again_only_after_an_end_that_proves_it_never_ran(reason: EndReason) -> None:
+async def test_a_write_is_retried_only_after_an_end_that_proves_it_never_ran(reason: EndReason) -> None:
     async with case(request_class=3) as (c, _):
         c.transport.end(0, reason)
         await c.transport.until(lambda: c.answer is not None or len(c.transport.attempts) > 1)
-        again = OUTCOME_OF_END[reason] in NEVER_RAN_OUTCOMES and reason is not EndReason.DEADLINE_EXCEEDED
-        assert (len(c.transport.attempts) == 2) == again
-        assert again or c.answer
+        retried = OUTCOME_OF_END[reason] in NEVER_RAN_OUTCOMES and reason is not EndReason.DEADLINE_EXCEEDED
+        assert (len(c.transport.attempts) == 2) == retried
+        assert retried or c.answer
 
 
-async def test_a_request_that_was_read_before_other_rules_came_is_not_decided_by_the_old() -> None:
-    # guards the fleet's promise that no answer is under replaced rules once new ones are in force
+async def test_a_request_that_was_read_before_its_class_was_replaced_is_rejected() -> None:
+    # Once new rules are in force in the fleet, no request may be answered under the replaced ones.
     c = Case()
-    c.core.decisions_paused_for = lambda: 0.0  # only the rules under which it was read are replaced
-    before, *others = c.core.settings.classes
-    rules = (replace(before, fresh_seconds=before.fresh_seconds + 1), *others)
+    c.core.decisions_paused_for = lambda: 0.0  # decisions are not paused: only the class is replaced
+    old_rules, *others = c.core.settings.classes
+    rules = (replace(old_rules, fresh_seconds=old_rules.fresh_seconds + 1), *others)
     c.core.apply_settings(replace(c.core.settings, classes=rules), c.core.classes.names[: len(rules)])
-    assert c.core.classes.rules[0] == before  # open requests would go on under it
+    assert c.core.classes.rules[0] == old_rules  # number 0 still stands for the old rules
     await c.serve(0)
     assert (
         c.answer == Answer(AnswerKind.REJECTED, retry_after=REPLACED_CLASS_RETRY_AFTER_SECONDS)
@@ -86,7 +86,7 @@
     )
 
 
-async def test_a_withdrawn_request_leaves_no_trace_in_the_router() -> None:
+async def test_a_cancelled_request_leaves_no_state_in_the_router() -> None:
     async with case() as (c, scope):
         assert c.core.router.attempts
         scope.cancel()
@@ -95,13 +95,13 @@
     assert c.core.counts["answers", "withdrawn"] == 1
 
 
-async def test_a_request_that_nobody_answers_is_answered_by_its_deadline() -> None:
+async def test_a_request_that_no_endpoint_answers_fails_at_its_deadline() -> None:
     async with case(request_class=3, patience=0.05) as (c, _):
         await c.transport.until(lambda: c.answer is not None)
         assert c.answer and c.answer.kind is AnswerKind.FAILED
 
 
-async def test_a_fault_in_the_router_fails_its_request_and_the_core_goes_on(
+async def test_an_exception_in_the_router_ends_its_request_and_the_core_serves_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     c = Case()
@@ -124,26 +124,26 @@
     assert c.answer and c.answer.kind is AnswerKind.SERVED
 
 
-async def test_a_fault_in_the_transport_ends_its_attempt_and_no_other() -> None:
-    # guards the attempts of all requests, which share one task group
+async def test_an_exception_in_the_transport_ends_only_its_own_attempt() -> None:
+    # The attempts of all requests share one task group, which an exception would cancel.
     async with case() as (c, _):
-        whole, c.transport.send = c.transport.send, fault  # type: ignore[method-assign]
+        working_send, c.transport.send = c.transport.send, raise_error  # type: ignore[method-assign]
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(c.serve)
             await c.transport.until(lambda: c.answer is not None)
         assert c.answer and c.answer.kind is AnswerKind.REJECTED
-        c.transport.send = whole  # type: ignore[method-assign]
-        c.transport.end(0, EndReason.SERVED)  # of the request that was open throughout
+        c.transport.send = working_send  # type: ignore[method-assign]
+        c.transport.end(0, EndReason.SERVED)  # the attempt of the request that was open throughout
         await c.transport.until(lambda: c.answer is not None and c.answer.kind is AnswerKind.SERVED)
 
 
-async def fault(attempt: object) -> AttemptEnd:
+async def raise_error(attempt: object) -> AttemptEnd:
     raise ZeroDivisionError
 
 
-async def test_a_fault_in_a_health_check_ends_it_and_no_attempt() -> None:
+async def test_an_exception_in_a_health_check_ends_only_that_health_check() -> None:
     async with case() as (c, _):
-        c.transport.check_health = fault  # type: ignore[method-assign, assignment]
+        c.transport.check_health = raise_error  # type: ignore[method-assign, assignment]
         c.core.health_checks.request(b"cache1")
         with anyio.fail_after(5):
             while not c.core.counts["probes", "silent"]:
@@ -155,10 +155,11 @@
 
 @pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.GONE])
 @pytest.mark.parametrize("lost_is_source", [False, True])
-async def test_what_changed_after_the_decision_counts_at_the_send(
+async def test_purges_and_endpoint_updates_after_the_decision_apply_to_the_send(
     state: api.EndpointState, lost_is_source: bool
 ) -> None:
-    # guards rules 3 and 5 while a connection is established: the decision is older than the update
+    # Updates may arrive after the decision, while a connection is established. Rules 3 and 5, on draining
+    # endpoints and on purges, apply at the send.
     async with case() as (c, _):
         (attempt,) = c.transport.attempts
         assert attempt.may_start() and attempt.max_age_now() == 0.0
@@ -174,7 +175,7 @@
         assert attempt.abort_reason() is reason
 
 
-async def test_direct_routing_notifies_the_router_of_no_outcome() -> None:
+async def test_direct_routing_reports_no_outcome_to_the_router() -> None:
     c = Case()
     for n in range(50):
         deadline = c.core.clock.now() + 1.0
--- a/tests/core/test_late_attempts.py
+++ b/tests/core/test_late_attempts.py
@@ -1,14 +1,12 @@
-"""Attempts whose client has disconnected, or whose deadline is over, before their first byte goes out.
-
-Incident: fronts with a late event loop forwarded requests after their clients had disconnected; the endpoints
-found them expired 1 ms after they arrived.
-Sequence: an attempt was decided in time. Until its first byte its connection had to be established, and the
-loop had much else to do. By then its client's deadline was over.
-Cause: the check just before the first byte covered drains, purges, the deduplication window and the end of
-the client's connection, and not the deadline. What should have ended the attempt, a timer, an unread message
-or a cancellation, waits for its turn of the loop; the first byte did not.
-Proof: each test lets one of these happen at the moment at which the connection is established. Without the
-fix the attempt goes out; where its deadline is over, the endpoint is given a limit of 1 ms.
+"""An attempt is not sent if its client has disconnected, or its deadline has passed, before its first byte.
+
+Fronts with a late event loop once forwarded requests of clients that had disconnected; the endpoints found
+them expired 1 ms after they arrived. The attempts had been decided in time, and the deadline passed while
+their connections were established. The timer, message or cancellation that ends an attempt waits for its turn
+in the event loop, and the first byte does not. So the deadline and the client are checked just before it.
+
+Each test causes one of these ends at the moment at which the connection is established. Without the check the
+attempt is sent, with a limit of 1 ms if its deadline has passed.
 """
 
 from __future__ import annotations
@@ -49,15 +47,15 @@
 from zincladder.routing.router import Router
 
 pytestmark = pytest.mark.anyio
-PATIENCE = 1.0  # seconds of the request that must not be sent
-PAGE_PATIENCE = 1.35  # seconds that the router has with a page's cache
-WAIT = 0.05  # seconds for which a peer may be silent
-LISTENS = socket.SOL_SOCKET, socket.SO_ACCEPTCONN
-NO_PROBES = SETTINGS | {"ceilings": SETTINGS["ceilings"] | {"probes": False}}  # only attempts connect
+PATIENCE = 1.0  # seconds from a request that must not be sent to its deadline
+PAGE_PATIENCE = 1.35  # seconds for which the router waits for a cache's answer to a page
+PEER_TIMEOUT = 0.05  # seconds
+IS_LISTENING = socket.SOL_SOCKET, socket.SO_ACCEPTCONN
+NO_PROBES = SETTINGS | {"ceilings": SETTINGS["ceilings"] | {"probes": False}}  # so that only attempts connect
 Act = Callable[[Core, socket.socket], None]
 
 
-# What happens between the decision and the first byte ---------------------------------------------------
+# Ends of an attempt between its decision and its first byte ---------------------------------------------
 
 
 def its_deadline_passes(core: Core, _: socket.socket) -> None:
@@ -96,9 +94,10 @@
 async def sent_after(
     act: Act, monkeypatch: pytest.MonkeyPatch, attempt: int = 1, behind: bytes = b""
 ) -> list[str]:
-    """What reaches endpoints where `act` happens as the connection for that attempt is established.
+    """Returns the traces of the requests that reach endpoints.
 
-    `behind` is sent right behind the request, and is read before.
+    `act` is called when the connection for the attempt of this number is established. `behind` is sent right
+    after the request, and is read before that.
     """
     cores, waiting = cores_of(monkeypatch), list[socket.socket]()
     on_connect(monkeypatch, lambda made: act(cores[0], waiting.pop()) if made == attempt else None)
@@ -115,7 +114,7 @@
             with anyio.fail_after(5):
                 while cores[0].open_requests:
                     await anyio.sleep(0.001)
-        async with client(w) as other:  # once it is served, the stubs have read what was sent before
+        async with client(w) as other:  # once it is served, the stubs have read all that was sent earlier
             await other.ask(trace="f" * 16)
             assert (await other.reply()).kind == "served"
         return [fetch.name for stub in w.caches for fetch in stub.fetches if fetch.name != "f" * 16]
@@ -132,23 +131,23 @@
         it_is_withdrawn_behind_another_message,
     ],
 )
-async def test_an_attempt_that_is_over_when_its_connection_has_come_up_is_not_sent(
+async def test_an_attempt_that_ended_before_its_connection_was_established_is_not_sent(
     act: Act, attempt: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert await sent_after(act, monkeypatch, attempt) == [f"{1:016x}"] * (attempt - 1)
 
 
 @pytest.mark.parametrize("part", [2, 13], ids=["in its length", "in its text"])
-async def test_a_withdrawal_behind_the_rest_of_a_message_is_found(
+async def test_a_withdrawal_after_the_rest_of_a_split_message_is_found(
     part: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def the_rest_comes(_: Core, sock: socket.socket) -> None:
+    def send_the_rest(_: Core, sock: socket.socket) -> None:
         sock.sendall(STATUS[part:] + withdrawal(1))
 
-    assert await sent_after(the_rest_comes, monkeypatch, behind=STATUS[:part]) == []
+    assert await sent_after(send_the_rest, monkeypatch, behind=STATUS[:part]) == []
 
 
-async def test_the_withdrawal_of_another_request_holds_none_back(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_withdrawal_of_another_request_aborts_no_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
     assert await sent_after(another_is_withdrawn, monkeypatch) == [f"{1:016x}"]
 
 
@@ -157,49 +156,49 @@
     [
         (withdrawal(3) + withdrawal(4), 0, [3, 4]),
         (b"rest" + withdrawal(3), 4, [3]),
-        (withdrawal(3)[:-1], 0, []),  # not whole
+        (withdrawal(3)[:-1], 0, []),  # incomplete
         (STATUS + b"\0\0", 0, []),
-        (b"\xff\xff\xff\xff" + withdrawal(3), 0, []),  # nothing behind it can be read
+        (b"\xff\xff\xff\xff" + withdrawal(3), 0, []),  # nothing after an invalid length can be parsed
         (struct.pack(">i", 20) + b"\0" * 8 + b"withdraw" + b"\0" * 4 + withdrawal(3), 0, []),
         (b"", 40, []),
     ],
 )
-def test_withdrawals_are_found_in_whole_messages_only(unread: bytes, start: int, found: list[int]) -> None:
+def test_withdrawals_are_found_in_complete_messages_only(unread: bytes, start: int, found: list[int]) -> None:
     assert list(thrift.find_withdrawn(unread, start)) == found
 
 
 # The last check before the first byte -----------------------------------------------------
 
 
-def test_a_process_that_stood_still_in_its_last_look_looks_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    now, halts, looks = [100.0], [0.5, 0.0], list[float]()
+def test_a_process_that_stalled_during_its_last_check_checks_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    now, stalls, checks = [100.0], [0.5, 0.0], list[float]()
     monkeypatch.setattr(write_queue, "monotonic", lambda: now[0])
 
-    def look() -> bool:
-        looks.append(now[0])
-        now[0] += halts.pop(0)
+    def check() -> bool:
+        checks.append(now[0])
+        now[0] += stalls.pop(0)
         return True
 
-    assert write_queue._check_promptly(look) and looks == [100.0, 100.5]
+    assert write_queue._check_promptly(check) and checks == [100.0, 100.5]
 
 
-async def test_a_member_is_told_what_is_left_when_the_first_byte_goes() -> None:
-    # the second waits behind a first that the endpoint does not read yet
+async def test_an_endpoint_receives_the_time_that_is_left_when_the_first_byte_is_sent() -> None:
+    # The second request waits behind the first, which the endpoint does not read yet.
     now = [1000.0]
     async with wire(now=lambda: now[0]) as w:
         await w.send(b"x" * LARGE, attempt_request("a" * 16))
-        until = attempt_request("b" * 16, deadline=now[0] + 2.0)
-        await w.attempt("b" * 16, lambda: w.caches._serialize(until), until)
-        w.link.write_queue._flush()  # serialized, and not accepted by the system
+        second = attempt_request("b" * 16, deadline=now[0] + 2.0)
+        await w.attempt("b" * 16, lambda: w.caches._serialize(second), second)
+        w.link.write_queue._flush()  # serialized, but the operating system accepts no bytes of it
         now[0] += 1.5
         found = await w.read(lambda found: found.endswith(b" 0\r\n\r\n"))
         assert b"limit=500" in found
 
 
-async def test_what_a_member_has_not_taken_of_a_request_that_was_given_up_is_dropped(
+async def test_bytes_of_a_cancelled_request_that_the_endpoint_has_not_received_are_dropped(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # else this side's system sends it once the endpoint reads again, long after its client disconnected
+    # Otherwise the operating system sends them when the endpoint reads again, long after the client is gone.
     monkeypatch.setattr(cache_exchange, "MIN_RETRANSMIT_SECONDS", 0.0)
     async with wire() as w:
         scopes = list[anyio.CancelScope]()
@@ -215,18 +214,18 @@
         assert b"last" not in found and last.encode() not in found
 
 
-# When a request arrived ------------------------------------------------------------------------------
+# The arrival of a request -----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("reported", [True, False], ids=["the system reports the age", "it does not"])
-async def test_a_request_that_waited_in_the_listeners_queue_has_only_the_time_that_is_left(
+async def test_a_request_that_waited_in_the_listen_queue_has_only_the_time_that_is_left(
     reported: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     full, waited = [True], 0.4
-    ready = ConnectionAdmission.may_accept
+    may_accept = ConnectionAdmission.may_accept
 
     def full_for_a_while(self: ConnectionAdmission, now: float) -> Decision:
-        return Decision(Verdict.WAIT, RejectionReason.NO_CAPACITY) if full else ready(self, now)
+        return Decision(Verdict.WAIT, RejectionReason.NO_CAPACITY) if full else may_accept(self, now)
 
     monkeypatch.setattr(ConnectionAdmission, "may_accept", full_for_a_while)
     if not reported:
@@ -243,27 +242,27 @@
 
 @pytest.fixture
 def connected_after(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """For each connection that gets a slot, how long it may have waited at most."""
-    found = list[float]()
+    """Returns the upper bounds of how many seconds each accepted connection waited, in their order."""
+    waited = list[float]()
     add = ClientServer._add
 
-    def seated(self: ClientServer, sock: socket.socket, decision: Decision, came_after: float) -> None:
-        found.append(monotonic() - came_after)
+    def recording(self: ClientServer, sock: socket.socket, decision: Decision, came_after: float) -> None:
+        waited.append(monotonic() - came_after)
         add(self, sock, decision, came_after)
 
-    monkeypatch.setattr(ClientServer, "_add", seated)
-    return found
+    monkeypatch.setattr(ClientServer, "_add", recording)
+    return waited
 
 
-async def test_a_connection_behind_others_that_are_turned_away_is_new(
+async def test_a_connection_accepted_after_others_were_rejected_counts_as_new(
     connected_after: list[float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    admit = ClientListener._accept_all
+    accept_all = ClientListener._accept_all
 
-    async def turns_away(self: ClientListener) -> bool:
-        return await admit(self) or True
+    async def reports_a_rejection(self: ClientListener) -> bool:
+        return await accept_all(self) or True
 
-    monkeypatch.setattr(ClientListener, "_accept_all", turns_away)
+    monkeypatch.setattr(ClientListener, "_accept_all", reports_a_rejection)
     async with world(serve) as w:
         await anyio.sleep(0.3)
         with plain(w) as sock:
@@ -272,15 +271,15 @@
     assert connected_after[0] < 0.2
 
 
-async def test_a_connection_that_is_taken_at_the_stop_is_new(
+async def test_a_connection_accepted_at_the_stop_counts_as_new(
     connected_after: list[float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    wait = anyio.wait_readable
+    wait_readable = anyio.wait_readable
 
-    async def misses_connections(sock: socket.socket) -> None:
-        await (anyio.sleep_forever() if sock.getsockopt(*LISTENS) else wait(sock))
+    async def ignores_the_listener(sock: socket.socket) -> None:
+        await (anyio.sleep_forever() if sock.getsockopt(*IS_LISTENING) else wait_readable(sock))
 
-    monkeypatch.setattr(anyio, "wait_readable", misses_connections)
+    monkeypatch.setattr(anyio, "wait_readable", ignores_the_listener)
     monkeypatch.setattr(client_server, "ACCEPT_AFTER_STOP_SECONDS", 0.0)
     async with world(serve) as w:
         await anyio.sleep(0.3)
@@ -292,7 +291,7 @@
     assert connected_after[0] < 0.2
 
 
-async def test_the_system_tells_the_age_of_what_lies_unread() -> None:
+async def test_the_operating_system_reports_the_age_of_unread_bytes() -> None:
     with (
         socket.create_server(("127.0.0.1", 0)) as listening,
         socket.create_connection(listening.getsockname()) as theirs,
@@ -308,11 +307,11 @@
         assert newest_byte_age_seconds(ours) is None
 
 
-# Timers that fire before what arrived meanwhile is read ----------------------------------------------
+# Timers that fire before data that arrived during a stall is read ------------------------------------
 
 
 def answer_at_once(fetch: Fetch) -> None:
-    """Answers before the event loop has another turn."""
+    """Answers before the next iteration of the event loop."""
     number = fetch.stream.extra(SocketAttribute.raw_socket).fileno()
     with socket.socket(fileno=os.dup(number)) as sock:
         sock.sendall(f"{fetch.name} 200 tell=local,rev=aa,since=1 4\r\nbody\r\n".encode())
@@ -324,7 +323,7 @@
 async def test_a_stall_of_the_process_does_not_count_as_an_endpoints_timeout(
     patience: float, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # the deadline of the attempt, or of the request, passes while the answer is unread
+    # The deadline of the attempt, or of the request, passes while the answer is unread.
     cores, stalls = cores_of(monkeypatch), [PAGE_PATIENCE + 0.2]
 
     async def answers_and_stalls(stub: StubCache, fetch: Fetch) -> None:
@@ -340,10 +339,10 @@
         assert {stats.failure_rate for stats in cores[0].router.state.endpoints.stats.values()} == {0.0}
 
 
-async def test_a_stall_of_the_process_is_no_part_of_an_endpoints_latency(
+async def test_a_stall_of_the_process_is_not_part_of_an_endpoints_latency(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # else every later request looks too late for its transfer, and is rejected
+    # Otherwise later requests would be rejected, because their transfer would seem to take too long.
     events, stalls = list[api.Event](), [0.6]
     handle = Router.handle
 
@@ -365,34 +364,34 @@
 
 @contextlib.asynccontextmanager
 async def stalling(act: Callable[[], None]) -> AsyncIterator[None]:
-    """Stalls the process past every timeout, between its poll of all sockets and its timers.
+    """Stalls the process past all timeouts, after it polled its sockets and before its timers fire.
 
-    `act` is what peers do meanwhile.
+    `act` does what the peers do during the stall.
     """
-    bell, ear = socket.socketpair()
-    loop, over = asyncio.get_running_loop(), anyio.Event()
+    sender, receiver = socket.socketpair()
+    loop, stall_ended = asyncio.get_running_loop(), anyio.Event()
 
     def stall() -> None:
-        loop.remove_reader(ear)
+        loop.remove_reader(receiver)
         act()
-        time.sleep(2 * WAIT)
-        over.set()
+        time.sleep(2 * PEER_TIMEOUT)
+        stall_ended.set()
 
-    with bell, ear:
-        loop.add_reader(ear, stall)
-        bell.send(b"x")
-        await over.wait()
+    with sender, receiver:
+        loop.add_reader(receiver, stall)
+        sender.send(b"x")
+        await stall_ended.wait()
         yield
 
 
-async def test_the_rest_of_a_message_that_came_during_a_halt_is_read() -> None:
+async def test_the_rest_of_a_message_that_arrived_during_a_stall_is_read() -> None:
     ours, theirs = socket.socketpair()
     with ours, theirs:
         ours.setblocking(False)
         read_buffer, lines = ReadBuffer(ours), list[bytes]()
 
         async def read() -> None:
-            lines.append(await read_buffer.read_line(100, WAIT))
+            lines.append(await read_buffer.read_line(100, PEER_TIMEOUT))
 
         async with anyio.create_task_group() as tasks:
             theirs.sendall(b"half")
@@ -403,7 +402,7 @@
         assert lines == [b"half a line"]
 
 
-async def test_a_peer_that_read_during_a_halt_is_not_taken_for_one_that_does_not() -> None:
+async def test_a_peer_that_read_during_a_stall_does_not_count_as_one_that_stopped_reading() -> None:
     ours, theirs = socket.socketpair()
 
     def reads() -> None:
@@ -417,7 +416,7 @@
         queue = WriteQueue(ours)
         queue.put([b"x" * LARGE])
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(queue.run, WAIT)
+            tasks.start_soon(queue.run, PEER_TIMEOUT)
             await anyio.wait_all_tasks_blocked()
             async with stalling(reads):
                 with anyio.fail_after(5):
--- a/tests/core/test_request_classes.py
+++ b/tests/core/test_request_classes.py
@@ -1,4 +1,4 @@
-"""The numbers of request classes through changed settings."""
+"""The numbers of request classes across changes of the settings."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 )
 
 
-def test_an_open_request_keeps_its_number_and_rules_through_any_change() -> None:
+def test_an_open_request_keeps_its_class_number_and_rules_when_settings_change() -> None:
     classes = RequestClasses(["page", "scan"], [READ, READ])
     assert classes.replace(["page", "scan"], [READ, WRITE], {1}, 0.0) == (0, 1, 1)
     assert classes.number_of("scan", 0.0) == 2 and classes.rules[1] == READ and classes.rules[2] == WRITE
-    assert classes.replace(["page"], [READ], {1}, 10.0) == (0, 1, 2)  # removed, with a request open under 1
+    # "scan" is removed while a request is open under number 1.
+    assert classes.replace(["page"], [READ], {1}, 10.0) == (0, 1, 2)
     assert (
         classes.number_of("scan", 10.0 + REMOVED_CLASS_SECONDS / 2) == 2
         and classes.number_of("scan", 10.0 + REMOVED_CLASS_SECONDS) is None
     )
-    # Back again as a read: never under the number of an open request, nor the reserved one.
+    # The class returns as a read. It gets neither the number of an open request nor the reserved one.
     classes.replace(["page", "scan"], [READ, READ], {1}, 11.0)
     assert classes.number_of("scan", 11.0) == 3 and (classes.names[1], classes.rules[1]) == ("scan", READ)
 
--- a/tests/core/test_stalled_front.py
+++ b/tests/core/test_stalled_front.py
@@ -1,7 +1,7 @@
-"""A front process that is stopped again and again while clients with short deadlines come in bursts.
+"""A front process is stopped repeatedly (SIGSTOP) while clients with short deadlines send bursts of requests.
 
-One seed is one history of stops of a real process. The endpoints judge, by what reaches them and by what each
-client has done until then. `STALL_SEEDS=50` plays more of them by hand.
+Each seed gives one sequence of stops of a real process. Each attempt that reaches a stub endpoint is checked
+against what its client has done until then. `STALL_SEEDS=50` runs more seeds by hand.
 """
 
 from __future__ import annotations
@@ -32,18 +32,18 @@
 
 pytestmark = pytest.mark.anyio
 SEEDS = range(int(os.environ.get("STALL_FROM", "0")), int(os.environ.get("STALL_SEEDS", "3")))
-BEGIN_SLACK = 0.1  # seconds after a client has gone, or its deadline, in which an attempt may still start
-LIMIT_SLACK = 0.15  # seconds by which an attempt's limit may exceed what the client has left
-WRITE_IN_PROGRESS = 0.005  # seconds after a process continues in which the write it had begun arrives
-ANSWER_SLACK = 0.5  # seconds by which an answer may be late
+START_TOLERANCE = 0.1  # seconds after a client has left, or its deadline, in which an attempt may still start
+LIMIT_TOLERANCE = 0.15  # seconds by which an attempt's limit may exceed the time that its client has left
+WRITE_ARRIVAL_TIME = 0.005  # seconds after a process continues in which a write that it had begun arrives
+ANSWER_TOLERANCE = 0.5  # seconds by which an answer may be late
 CONNECTIONS, REQUESTS_EACH, ROUNDS = 6, 10, 8
-STOP_AFTER = (0.0, 0.05)  # seconds from the begin of a burst to a stop
-STOP_FOR = (0.15, 0.6)
-PATIENCE = (0.25, 1.2)
+STOP_DELAY = (0.0, 0.05)  # seconds from the start of a burst to a stop
+STOP_DURATION = (0.15, 0.6)  # seconds
+PATIENCE = (0.25, 1.2)  # seconds from a request to its deadline
 
 
-class Leaving(Enum):
-    """What a client does whose deadline is over."""
+class ClientBehavior(Enum):
+    """What a client does when the deadline of its request has passed."""
 
     STAYS = "stays"
     WITHDRAWS = "withdraws"
@@ -52,91 +52,94 @@
 
 @dataclass
 class SentRequest:
-    """One request, as its client knows of it; times are seconds of the monotonic clock."""
+    """One request as its client sees it; times are seconds of the monotonic clock."""
 
     trace: str
-    written: float
+    sent_at: float
     patience: float
-    leaving: Leaving
+    behavior: ClientBehavior
     gone_at: float | None = None  # when its client withdrew it or closed the connection
-    answers: int = 0
+    answer_count: int = 0
     answered_at: float = 0.0
 
     @property
-    def over(self) -> float:
-        """When its client waits no longer."""
-        by_time = self.written + self.patience
-        return by_time if self.gone_at is None else min(by_time, self.gone_at)
+    def waits_until(self) -> float:
+        """The time until which its client waits for the answer."""
+        deadline = self.sent_at + self.patience
+        return deadline if self.gone_at is None else min(deadline, self.gone_at)
 
 
 @dataclass
-class Judge:
+class AttemptChecker:
     """Knows every request, and checks each attempt that reaches an endpoint."""
 
-    asked: dict[str, SentRequest] = field(default_factory=dict)
+    requests: dict[str, SentRequest] = field(default_factory=dict)
     attempts: int = 0
-    broken: list[str] = field(default_factory=list)
-    lag: float = 0.0  # by which this process's own loop was late lately
-    late_writes: int = 0  # writes in progress as the process was stopped, which would have been faults
-    stopped_at: float | None = None  # when it was stopped; None once that write has arrived
+    violations: list[str] = field(default_factory=list)
+    lag: float = 0.0  # recent lag of the event loop of the test itself, in seconds
+    excused_writes: int = 0  # writes that were in progress at a stop, and would otherwise be violations
+    stopped_at: float | None = None  # when the front was last stopped; None once such a write has arrived
     continued_at: float = 0.0
 
-    async def measure(self) -> None:
-        """Keeps `lag`: what is seen late here is not the front's."""
+    async def measure_lag(self) -> None:
+        """Measures `lag`, by which the test sees attempts later than they arrived."""
         while True:
             before = monotonic()
             await anyio.sleep(0.005)
             self.lag = max(0.9 * self.lag, monotonic() - before - 0.005)
 
-    def stops(self) -> None:
-        """The process is stopped; it may be in one write, after its last check and before its call."""
+    def process_stopping(self) -> None:
+        """The front is about to be stopped, perhaps between the last check of a write and its system call."""
         self.stopped_at = monotonic()
 
-    def continues(self) -> None:
+    def process_continued(self) -> None:
         self.continued_at = monotonic()
 
-    def came(self, to: str, fetch: Fetch) -> None:
-        request = self.asked.get(fetch.name)
+    def attempt_arrived(self, to: str, fetch: Fetch) -> None:
+        request = self.requests.get(fetch.name)
         if request is None:
             return
         self.attempts += 1
         at = monotonic() - self.lag
-        found = self.faults(to, fetch, request, at)
-        if found and self.stopped_at is not None and at - self.continued_at < WRITE_IN_PROGRESS:
-            # No process can notice that it is stopped there: that one write counts as of the stop.
+        found = self.violations_of(to, fetch, request, at)
+        if found and self.stopped_at is not None and at - self.continued_at < WRITE_ARRIVAL_TIME:
+            # A process cannot notice a stop between its last check and the write. One such write per stop
+            # counts as if it had arrived at the stop.
             at, self.stopped_at = self.stopped_at, None
-            found = self.faults(to, fetch, request, at)
-            self.late_writes += 1
-        self.broken += found
-
-    def faults(self, to: str, fetch: Fetch, request: SentRequest, at: float) -> list[str]:
-        """What is wrong with an attempt that begins at that time."""
-        late, limit = at - request.over, int(fetch.fields["limit"]) / 1000
-        left, found = request.written + request.patience - at, []
-        if late > BEGIN_SLACK:
-            reason = request.leaving.value if request.gone_at is not None else "its deadline was over"
+            found = self.violations_of(to, fetch, request, at)
+            self.excused_writes += 1
+        self.violations += found
+
+    def violations_of(self, to: str, fetch: Fetch, request: SentRequest, at: float) -> list[str]:
+        """Returns the rules that an attempt violates if it starts at that time, as texts."""
+        late, limit = at - request.waits_until, int(fetch.fields["limit"]) / 1000
+        left, found = request.sent_at + request.patience - at, []
+        if late > START_TOLERANCE:
+            reason = request.behavior.value if request.gone_at is not None else "its deadline had passed"
             found.append(
-                f"{to} got {fetch.name} {late:.3f} s after its client had gone ({reason}), limit {limit}"
+                f"{to} got {fetch.name} {late:.3f} s after its client had left ({reason}), limit {limit}"
+            )
+        if limit > max(0.0, left) + LIMIT_TOLERANCE:
+            found.append(
+                f"{to} got a limit of {limit:.3f} s for {fetch.name}, its client had {left:.3f} s left"
             )
-        if limit > max(0.0, left) + LIMIT_SLACK:
-            found.append(f"{to} got a limit of {limit:.3f} s for {fetch.name}, its client had {left:.3f}")
         return found
 
 
-class History:
-    """What one seed does to a front, and what came of it."""
+class Scenario:
+    """A front with stub endpoints, and the clients and stops that one seed gives."""
 
     def __init__(self, seed: int, folder: Path) -> None:
-        self.random, self.judge = Random(seed), Judge()
+        self.random, self.checker = Random(seed), AttemptChecker()
         self.caches = [StubCache(f"s-{n:08x}", 0, self.endpoint) for n in range(1, 5)]
         self.stubs = [*self.caches, StubCache("s-000000a0", 1, self.endpoint)]
         self.stubs.append(StubCache("s-000000b0", 2, self.endpoint))
-        self.where = ("127.0.0.1", free_port())
+        self.address = ("127.0.0.1", free_port())
         self.folder = folder
 
     async def endpoint(self, stub: StubCache, fetch: Fetch) -> None:
-        """Serves most, misses or rejects some at once, delays some, and closes connections at times."""
-        self.judge.came(stub.name, fetch)
+        """Answers a request: serves, misses, rejects or delays it, or closes the connection, at random."""
+        self.checker.attempt_arrived(stub.name, fetch)
         drawn = self.random.random()
         if drawn < 0.3:
             await anyio.sleep(self.random.uniform(0.02, 0.4))
@@ -152,69 +155,71 @@
     async def burst(self) -> None:
         async with anyio.create_task_group() as tasks:
             for _ in range(CONNECTIONS):
-                tasks.start_soon(self.client)
+                tasks.start_soon(self.run_client)
 
-    async def client(self) -> None:
-        """One connection: its requests at once, then each one's end."""
-        leaving = self.random.choice(list(Leaving))
+    async def run_client(self) -> None:
+        """Sends requests on one connection, and waits until each is answered or given up."""
+        behavior = self.random.choice(list(ClientBehavior))
         try:
-            async with await anyio.connect_tcp(*self.where) as stream:
-                c, mine = Client(stream), dict[int, SentRequest]()
+            async with await anyio.connect_tcp(*self.address) as stream:
+                c, sent = Client(stream), dict[int, SentRequest]()
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(self.answers, c, mine)
+                    tasks.start_soon(self.receive_answers, c, sent)
                     for _ in range(REQUESTS_EACH):
-                        await self.ask(c, leaving, mine, round(self.random.uniform(*PATIENCE), 3))
-                    await self.leave(c, mine)
+                        await self.send_request(c, behavior, sent, round(self.random.uniform(*PATIENCE), 3))
+                    await self.leave_at_deadlines(c, sent)
                     tasks.cancel_scope.cancel()
         except* (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
-            pass  # the front may end a connection on which nothing is open
+            pass  # the front may close a connection without open requests
 
-    async def ask(self, c: Client, leaving: Leaving, mine: dict[int, SentRequest], patience: float) -> None:
+    async def send_request(
+        self, c: Client, behavior: ClientBehavior, sent: dict[int, SentRequest], patience: float
+    ) -> None:
         trace = f"{self.random.getrandbits(60):016x}"
-        request = self.judge.asked[trace] = SentRequest(trace, monotonic(), patience, leaving)
+        request = self.checker.requests[trace] = SentRequest(trace, monotonic(), patience, behavior)
         entity = f"{self.random.getrandbits(48):016x}"
         seq = await c.ask(trace=trace, entity=entity, patience=str(round(patience * 1000)))
-        request.written = monotonic()
-        mine[seq] = request
+        request.sent_at = monotonic()
+        sent[seq] = request
 
-    async def answers(self, c: Client, mine: dict[int, SentRequest]) -> None:
+    async def receive_answers(self, c: Client, sent: dict[int, SentRequest]) -> None:
         while True:
             reply = await c.reply()
-            request = mine[reply.seq]
-            request.answers, request.answered_at = request.answers + 1, monotonic()
+            request = sent[reply.seq]
+            request.answer_count, request.answered_at = request.answer_count + 1, monotonic()
 
-    async def leave(self, c: Client, mine: dict[int, SentRequest]) -> None:
-        for seq, request in sorted(mine.items(), key=lambda item: item[1].over):
-            await anyio.sleep(max(0.0, request.over - monotonic()))
-            if request.answers or request.leaving is Leaving.STAYS:
+    async def leave_at_deadlines(self, c: Client, sent: dict[int, SentRequest]) -> None:
+        for seq, request in sorted(sent.items(), key=lambda item: item[1].waits_until):
+            await anyio.sleep(max(0.0, request.waits_until - monotonic()))
+            if request.answer_count or request.behavior is ClientBehavior.STAYS:
                 continue
             request.gone_at = monotonic()
-            if request.leaving is Leaving.WITHDRAWS:
+            if request.behavior is ClientBehavior.WITHDRAWS:
                 await c.withdraw(seq)
                 continue
-            for other in mine.values():
+            for other in sent.values():
                 other.gone_at = other.gone_at or monotonic()
             return
-        await anyio.sleep(ANSWER_SLACK + STOP_FOR[1])
+        await anyio.sleep(ANSWER_TOLERANCE + STOP_DURATION[1])
 
-    async def stop(self, front: FrontProcess) -> None:
-        await anyio.sleep(self.random.uniform(*STOP_AFTER))
-        self.judge.stops()
+    async def stop_and_continue(self, front: FrontProcess) -> None:
+        await anyio.sleep(self.random.uniform(*STOP_DELAY))
+        self.checker.process_stopping()
         front.process.send_signal(signal.SIGSTOP)
-        await anyio.sleep(self.random.uniform(*STOP_FOR))
-        self.judge.continues()
+        await anyio.sleep(self.random.uniform(*STOP_DURATION))
+        self.checker.process_continued()
         front.process.send_signal(signal.SIGCONT)
 
     @contextlib.asynccontextmanager
-    async def front(self) -> AsyncIterator[FrontProcess]:
-        """A process that is ready, its members and the judge."""
+    async def running_front(self) -> AsyncIterator[FrontProcess]:
+        """Runs a front process, its endpoints and the measurement of lag; enters once the front is ready."""
         async with anyio.create_task_group() as tasks:
             for stub in self.stubs:
                 await tasks.start(stub.run)
-            tasks.start_soon(self.judge.measure)
+            tasks.start_soon(self.checker.measure_lag)
             listed = [stub.endpoint() for stub in self.stubs]
             front = FrontProcess(
-                self.folder, configuration(listed, listen=f"{self.where[0]}:{self.where[1]}")
+                self.folder, configuration(listed, listen=f"{self.address[0]}:{self.address[1]}")
             )
             try:
                 await front.until(front.ready)
@@ -224,26 +229,26 @@
                 front.process.wait()
             tasks.cancel_scope.cancel()
 
-    async def play(self) -> None:
-        async with self.front() as front:
+    async def run(self) -> None:
+        async with self.running_front() as front:
             for _ in range(ROUNDS):
                 async with anyio.create_task_group() as round_:
                     round_.start_soon(self.burst)
                     for _ in range(3):
-                        await self.stop(front)
+                        await self.stop_and_continue(front)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 async def test_no_stop_of_the_process_forwards_requests_of_clients_that_are_gone(
     seed: int, tmp_path: Path
 ) -> None:
-    history = History(seed, tmp_path)
-    await history.play()
-    judge = history.judge
+    scenario = Scenario(seed, tmp_path)
+    await scenario.run()
+    checker = scenario.checker
     logs = [json.loads(line) for log in sorted(tmp_path.glob("log*")) for line in log.open()]
-    assert not judge.broken, "\n".join([*judge.broken, *map(str, logs)])
-    assert judge.attempts > 40 and judge.late_writes <= 1
-    assert all(request.answers <= 1 for request in judge.asked.values())
+    assert not checker.violations, "\n".join([*checker.violations, *map(str, logs)])
+    assert checker.attempts > 40 and checker.excused_writes <= 1
+    assert all(request.answer_count <= 1 for request in checker.requests.values())
     assert not [line for line in logs if line["level"] == "error"], logs
 
 
@@ -252,41 +257,41 @@
 async def test_a_request_that_arrived_while_the_process_was_stopped_counts_from_when_it_was_sent(
     new: bool, patience: float, stopped: float, tmp_path: Path
 ) -> None:
-    history = History(0, tmp_path)
-    async with history.front() as front:
-        stream = await anyio.connect_tcp(*history.where)
+    scenario = Scenario(0, tmp_path)
+    async with scenario.running_front() as front:
+        stream = await anyio.connect_tcp(*scenario.address)
         c = Client(stream)
-        await c.ask(trace="f" * 16)  # the judge does not know it
+        await c.ask(trace="f" * 16)  # the checker does not know this request
         await c.reply()
         front.process.send_signal(signal.SIGSTOP)
         if new:
             await stream.aclose()
-            c = Client(stream := await anyio.connect_tcp(*history.where))
-        mine = dict[int, SentRequest]()
-        await history.ask(c, Leaving.STAYS, mine, patience)
+            c = Client(stream := await anyio.connect_tcp(*scenario.address))
+        sent = dict[int, SentRequest]()
+        await scenario.send_request(c, ClientBehavior.STAYS, sent, patience)
         await anyio.sleep(stopped)
         front.process.send_signal(signal.SIGCONT)
-        with anyio.fail_after(ANSWER_SLACK):
+        with anyio.fail_after(ANSWER_TOLERANCE):
             reply = await c.reply()
         await stream.aclose()
-    assert history.judge.broken == []
-    assert (history.judge.attempts > 0) == (patience > stopped) and reply.seq in mine
+    assert scenario.checker.violations == []
+    assert (scenario.checker.attempts > 0) == (patience > stopped) and reply.seq in sent
 
 
 @pytest.mark.parametrize("part", [0, 9], ids=["nothing", "half of it"])
 async def test_a_request_of_which_the_rest_arrived_while_the_process_was_stopped_is_answered(
     part: int, tmp_path: Path
 ) -> None:
-    # the timeout of a first message, or of the rest of one, passed meanwhile
-    history = History(0, tmp_path)
-    async with history.front() as front:
-        with socket.create_connection(history.where, 5.0) as sock:
+    # The timeout for a first message, or for the rest of a message, passes during the stop.
+    scenario = Scenario(0, tmp_path)
+    async with scenario.running_front() as front:
+        with socket.create_connection(scenario.address, 5.0) as sock:
             message = call(1, route="video", patience="6000", trace="f" * 16)
             sock.sendall(message[:part])
-            async with await anyio.connect_tcp(*history.where) as other:
+            async with await anyio.connect_tcp(*scenario.address) as other:
                 c = Client(other)
                 await c.ask(trace="e" * 16)
-                await c.reply()  # so the first has been taken, and its part read
+                await c.reply()  # so the first connection has been accepted, and its bytes read
             front.process.send_signal(signal.SIGSTOP)
             await anyio.sleep(max(FIRST_MESSAGE_TIMEOUT_SECONDS, STALL_TIMEOUT_SECONDS) + 0.3)
             sock.sendall(message[part:])
--- a/tests/core/test_statistics.py
+++ b/tests/core/test_statistics.py
@@ -1,4 +1,4 @@
-"""What is counted by endpoint and by request class."""
+"""Statistics by endpoint and by request class."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from zincladder.routing import interface as api
 
 
-def test_an_endpoint_that_is_asked_and_does_not_answer_is_silent() -> None:
+def test_an_endpoint_that_does_not_answer_messages_counts_as_silent() -> None:
     statistics, one, other = Statistics(), b"s-1", b"s-2"
     statistics.retain_endpoints({m: api.Endpoint(m, 0, 0) for m in (one, other)})
-    for i in range(50):  # both are asked all the time; one never answers, of the other some are cancelled
+    for i in range(50):  # `one` never answers, and of the attempts at `other` some are cancelled
         now = 10.0 + i * 0.1
         statistics.record_started(one, now, "page")
         statistics.record_ended(one, EndReason.TIMED_OUT)
@@ -22,7 +22,7 @@
         statistics.silent_seconds(one, 15.0) == pytest.approx(4.9)
         and statistics.silent_seconds(other, 15.0) == 0.0
     )
-    # Cancelled and then not asked any more: the time stops, and is forgotten.
+    # Without further messages the time no longer grows, and after a while it is 0.
     assert statistics.silent_seconds(other, 20.0) == 0.0 and statistics.silent_seconds(
         one, 20.0
     ) == pytest.approx(4.9)
@@ -32,13 +32,13 @@
         statistics.silent_seconds(one, 20.0) == 0.0
         and statistics.endpoints[one].health_check_seconds == 0.001
     )
-    statistics.retain_endpoints({other: api.Endpoint(other, 0, 0)})  # gone, with an attempt that ends later
+    statistics.retain_endpoints({other: api.Endpoint(other, 0, 0)})  # `one` is gone; its attempt ends later
     statistics.record_ended(one, EndReason.CONNECTION_LOST)
     statistics.record_started(one, 21.0, "page")
     assert list(statistics.endpoints) == [other]
 
 
-def test_classes_that_come_and_go_all_day_are_bounded() -> None:
+def test_statistics_of_classes_that_are_added_and_removed_are_bounded() -> None:
     statistics = Statistics()
     for i in range(10 * MAX_CLASSES):
         statistics.retain_classes([f"c{i}", "page"], ())
--- a/zincladder/core/__init__.py
+++ b/zincladder/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: one router, its clock and timers, and the life of each request. It knows no wire format."""
+"""The core of a front: one router, its clock and timers, and open requests. It knows no wire format."""
--- a/zincladder/core/answers.py
+++ b/zincladder/core/answers.py
@@ -1,4 +1,4 @@
-"""The final answer to a request."""
+"""The final answer to a request, as the core returns it to a front."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from zincladder.core.attempt_end import AttemptEnd
 
-ANSWER_MARGIN_SECONDS = 0.02  # before the client's deadline: time to write the answer that ends it
+ANSWER_MARGIN_SECONDS = 0.02  # reserved before the client's deadline for writing the answer
 
 
 class AnswerKind(Enum):
-    """How a request was answered. The value is the published label of metrics and `STATS`."""
+    """How a request was answered. The value is the label in metrics and in `STATS`."""
 
     SERVED = "served"
-    REJECTED = "refused"  # harmless to repeat, after the answer's `retry_after`
+    REJECTED = "refused"  # the request did not run; the client may retry after `Answer.retry_after`
     FAILED = "failed"
 
 
 @dataclass(slots=True)
 class Answer:
-    """The final answer; one that was served carries the end of its attempt."""
+    """The final answer to a request."""
 
     kind: AnswerKind
-    end: AttemptEnd | None = None
-    retry_after: float = 0.0  # seconds; 0: none is named
+    end: AttemptEnd | None = None  # of the attempt that served the request, if `kind` is SERVED
+    retry_after: float = 0.0  # seconds; 0: no delay is sent to the client
--- a/zincladder/core/arrival.py
+++ b/zincladder/core/arrival.py
@@ -1,8 +1,9 @@
-"""Since when a message may have been unread. No I/O; times are seconds of one monotonic clock.
+"""Estimates when a message arrived on a socket. No I/O; times are seconds of one monotonic clock.
 
-A client's time counts from when it sent its request. A process that is late, or was stalled, reads the
-request later, and would count on time that the client no longer has. Not every system reports when a byte
-arrived; what is known is when the event loop, or a reader, last found that nothing was there.
+A client's time for a request starts when it sends the request. If a process that stalls, or reads late,
+counted from when it read the request, it would count on time that the client no longer has. Not every
+operating system reports when a byte arrived. What is always known is when the event loop, or a reader, last
+found that a socket had no unread bytes.
 """
 
 from __future__ import annotations
@@ -10,42 +11,44 @@
 from collections import deque
 from collections.abc import Callable
 
-PROMPT_READ_SECONDS = 0.05  # unread for less counts as read at once; all deadlines grow by as much
-# The newest turn may be that of the poll that found the bytes, the one before that in which the loop slept.
-TURNS_KEPT = 3
+# A message that was unread for less counts as read at once; its deadline is later by up to this much.
+PROMPT_READ_SECONDS = 0.05
+# The newest iteration may be that of the poll that reported the bytes, and the one before it the iteration in
+# which the loop slept until they arrived. Only the oldest of three was surely recorded before they arrived.
+ITERATIONS_KEPT = 3
 
 
 class LoopTurns:
-    """When the event loop had its latest turns."""
+    """The times of the latest iterations of the event loop."""
 
     def __init__(self, now: float) -> None:
-        self._turns = deque([now] * TURNS_KEPT, maxlen=TURNS_KEPT)
+        self._iterations = deque([now] * ITERATIONS_KEPT, maxlen=ITERATIONS_KEPT)
 
-    def record_turn(self, now: float) -> None:
-        """The loop has polled all that it waits for, and had a turn."""
-        self._turns.append(now)
+    def record_iteration(self, now: float) -> None:
+        """Records that the event loop has polled all its sockets and run an iteration."""
+        self._iterations.append(now)
 
     @property
     def last_polled_at(self) -> float:
-        """What the loop waits for and has not reported by now arrived after this time."""
-        return self._turns[0]
+        """A time at which the loop has polled: bytes that it has not reported yet arrived after this time."""
+        return self._iterations[0]
 
 
 class ArrivalBound:
-    """The earliest time at which what a reader finds on one socket can have arrived."""
+    """The earliest time at which the unread bytes of one socket can have arrived."""
 
     def __init__(self, turns: LoopTurns, arrived_after: float) -> None:
-        """`arrived_after` bounds the first bytes, which may be there already."""
-        self._turns = turns
+        """`arrived_after` is the bound for the first bytes, which may have arrived already."""
+        self._loop_iterations = turns
         self.arrived_after = self._drained_at = self._waiting_since = arrived_after
 
     def reader_waits(self, now: float) -> None:
-        """The reader waits in the event loop from now on; before that it may not have looked here."""
+        """Records that the reader waits in the event loop; until now it may not have looked at the socket."""
         self._waiting_since = now
 
     def reader_woke(self, now: float) -> None:
-        """The reader goes on, as something is there."""
-        last_polled_at = self._turns.last_polled_at
+        """Records that the event loop reported the socket readable, and updates `arrived_after`."""
+        last_polled_at = self._loop_iterations.last_polled_at
         paused = self._waiting_since - self._drained_at
         if last_polled_at > self._waiting_since or paused <= PROMPT_READ_SECONDS:
             self.arrived_after = min(now, max(self._waiting_since, last_polled_at))
@@ -53,15 +56,15 @@
             self.arrived_after = self._drained_at
 
     def reader_drained(self, now: float) -> None:
-        """The reader has read all that was there."""
+        """Records that the reader has read all bytes of the socket."""
         self._drained_at = now
 
     def unread_seconds(self, noticed_at: float, newest_byte_age: Callable[[], float | None]) -> float:
-        """For how long a message was unread when it was noticed, as far as is known.
+        """Returns for how many seconds a message was unread when it was noticed, or an upper bound for it.
 
-        `newest_byte_age` returns the seconds from the newest byte to that moment, or None where that says
-        nothing of this message. Without it the longest possible time counts: a shorter one would have work
-        done for clients that no longer wait.
+        `newest_byte_age` returns the age in seconds that the newest byte had when the message was noticed, or
+        None if that age says nothing about this message. Without it the longest possible time is returned: a
+        shorter one would let endpoints work for clients that no longer wait.
         """
         longest = noticed_at - self.arrived_after
         if longest <= PROMPT_READ_SECONDS:
--- a/zincladder/core/attempt.py
+++ b/zincladder/core/attempt.py
@@ -1,4 +1,4 @@
-"""Requests as the fronts pass them on, and single attempts at them as a transport sends them."""
+"""Requests as a front passes them to the core, and the attempts at them that a transport sends."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A request as a front hands it over; `deadline` is a time on the core's clock."""
+    """A request as a front passes it to the core; `deadline` is a time of the core's clock."""
 
     trace: str
     request_class: int
@@ -28,13 +28,13 @@
     key: str = ""  # idempotency key: the same in all attempts
     body: bytes = b""
     size_kb: float = 0.0
-    client_is_waiting: Callable[[], bool] = lambda: True  # asked again just before an attempt's first byte
+    client_is_waiting: Callable[[], bool] = lambda: True  # called again just before an attempt's first byte
 
 
 class AbortReason(Enum):
-    """Why an attempt may not start any more; the first that applies is reported.
+    """Why an attempt must not be sent any more. If several reasons apply, the first one checked is reported.
 
-    The value is the published label of the metric, `description` the text for the log.
+    The value is the label in metrics, `description` the text in log lines.
     """
 
     CANCELLED = "called_off", "cancelled"
@@ -48,7 +48,7 @@
     description: str
 
     def __new__(cls, label: str, description: str) -> AbortReason:
-        """Make a member whose value is its label."""
+        """Creates a member whose value is the label alone."""
         member = object.__new__(cls)
         member._value_ = label
         member.description = description
@@ -56,37 +56,40 @@
 
 
 class AttemptGuard(Protocol):
-    """What can change between the decision for an attempt and its first byte."""
+    """Checks just before the first byte of an attempt whether it may still be sent.
+
+    Time passes between the router's decision and that byte, for example while a connection is established.
+    """
 
     def abort_reason(self, attempt: AttemptRequest) -> AbortReason | None:
-        """Why the attempt may not start at this moment; `None` where it may."""
+        """Returns why the attempt must not be sent now, or None if it may be sent."""
 
     def aborted_before_send(self, attempt: AttemptRequest, reason: AbortReason) -> None:
-        """Counts an attempt that was not sent for this reason."""
+        """Records that an attempt was not sent for this reason."""
 
     def max_copy_age(self, attempt: AttemptRequest) -> float:
-        """The age in seconds of the oldest acceptable copy at this moment; 0: any that is fresh."""
+        """Returns the maximum age in seconds of a copy that may be served now; 0: any fresh copy."""
 
     def written(self) -> None:
-        """Counts an attempt whose last byte has been written."""
+        """Records that the last byte of an attempt has been written."""
 
 
 class NoAttemptGuard:
-    """The guard of an attempt whose decision nothing can change."""
+    """A guard that allows every attempt and records nothing."""
 
     def abort_reason(self, attempt: AttemptRequest) -> AbortReason | None:
-        """Allows every attempt."""
+        """Returns None: the attempt may be sent."""
         return None
 
     def aborted_before_send(self, attempt: AttemptRequest, reason: AbortReason) -> None:
-        """Counts nothing."""
+        """Does nothing."""
 
     def max_copy_age(self, attempt: AttemptRequest) -> float:
-        """The age of the decision."""
+        """Returns the maximum age that the router decided."""
         return attempt.max_age
 
     def written(self) -> None:
-        """Counts nothing."""
+        """Does nothing."""
 
 
 NO_ATTEMPT_GUARD = NoAttemptGuard()
@@ -94,41 +97,41 @@
 
 @dataclass(slots=True)
 class AttemptRequest:
-    """One attempt, as the transport is to send it."""
+    """One attempt, with all that the transport needs to send it."""
 
     request: ClientRequest
     endpoint: api.EndpointId
-    source: api.EndpointId | None = None  # None: no fill
+    source: api.EndpointId | None = None  # where a miss is filled from; None: it is not filled
     cache_rank: int = 0
-    max_age: float = 0.0
-    coalesce: bool = False
-    cached_only: bool = False
-    parent_proxies: bool = False
-    renew: bool = False
-    deadline: float = 0.0  # when the wait for its answer ends
-    start_before: float = math.inf  # repeats are deduplicated until then: its first byte goes out before
-    cancelled: bool = False  # set before the cancellation itself had its turn of the event loop
-    stalled_seconds_before: float = 0.0  # for which the process had stalled when the attempt was decided
+    max_age: float = 0.0  # seconds, of a copy that may be served; 0: any fresh copy
+    coalesce: bool = False  # may join a fill that is in progress
+    cached_only: bool = False  # the source serves cached copies only
+    parent_proxies: bool = False  # the source does not cache a copy
+    renew: bool = False  # a stale copy is served, and renewed afterwards
+    deadline: float = 0.0  # when the wait for the answer ends
+    start_before: float = math.inf  # end of the deduplication window; the first byte must be sent before
+    cancelled: bool = False  # set at once; the event loop delivers the cancellation itself later
+    stalled_seconds_at_decision: float = 0.0  # `LoopMonitor.stalled_seconds` when the router decided
     guard: AttemptGuard = NO_ATTEMPT_GUARD
 
     def abort_reason(self) -> AbortReason | None:
-        """Why it may not start at this moment; asked again just before its first byte."""
+        """Returns why the attempt must not be sent now, or None; called again just before its first byte."""
         return self.guard.abort_reason(self)
 
     def may_start(self) -> bool:
-        """Whether it may start at this moment."""
+        """Returns whether the attempt may be sent now."""
         return self.abort_reason() is None
 
     def max_age_now(self) -> float:
-        """The age in seconds of the oldest acceptable copy, as of this moment."""
+        """Returns the maximum age in seconds of a copy that may be served now; 0: any fresh copy."""
         return self.guard.max_copy_age(self)
 
 
 class Transport(Protocol):
-    """What reaches the endpoints."""
+    """Sends attempts and health checks to the endpoints."""
 
     async def send(self, attempt: AttemptRequest) -> AttemptEnd:
-        """Makes one attempt. Cancelling it abandons the attempt."""
+        """Sends one attempt and waits for its end. Cancelling the call cancels the attempt."""
 
     async def check_health(self, endpoint: api.EndpointId) -> AttemptEnd:
-        """Asks an endpoint for its load report."""
+        """Asks an endpoint for its load report and waits for the end of the exchange."""
--- a/zincladder/core/attempt_guard.py
+++ b/zincladder/core/attempt_guard.py
@@ -1,4 +1,4 @@
-"""The last check of an attempt, just before its first byte: what has changed since it was decided?"""
+"""Checks an attempt just before its first byte against what has changed since the router decided it."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from zincladder.routing.purges import Purges
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-MIN_ATTEMPT_SECONDS = 0.001  # the shortest limit that the wire can name
-MIN_COPY_AGE_SECONDS = 0.001  # 0 would mean that any fresh copy is acceptable
+MIN_ATTEMPT_SECONDS = 0.001  # the shortest time limit that the wire format can express
+MIN_COPY_AGE_SECONDS = 0.001  # not 0, which would allow any fresh copy
 
 
 class CoreAttemptGuard:
-    """The guard of the core's attempts: deadlines, clients, the endpoint list, purges."""
+    """The guard of the core's attempts: checks the deadline, the client, the endpoint list and purges."""
 
     def __init__(
         self,
@@ -28,16 +28,16 @@
         purges: Purges,
         statistics: Statistics,
         counts: Counts,
-        lines: RateLimitedLog,
+        rate_limited_log: RateLimitedLog,
     ) -> None:
-        self.settings = settings  # replaced where new settings come into force
+        self.settings = settings  # replaced by the core when new settings are applied
         self._clock, self._endpoint_list, self._purges = clock, endpoint_list, purges
-        self._statistics, self._counts, self._lines = statistics, counts, lines
+        self._statistics, self._counts, self._rate_limited_log = statistics, counts, rate_limited_log
 
     def abort_reason(self, attempt: AttemptRequest) -> AbortReason | None:
-        """Why an attempt may not start at this moment; `None` where it may.
+        """Returns why an attempt must not be sent now, or None if it may be sent.
 
-        Asks for cancellation and deadline itself: both reach the attempt late where the event loop is late.
+        Checks cancellation and deadline directly, because a late event loop delivers both late.
         """
         if attempt.cancelled:
             return AbortReason.CANCELLED
@@ -54,9 +54,9 @@
         return None if self._endpoint_list.is_ready(attempt.source) else AbortReason.SOURCE_NOT_READY
 
     def aborted_before_send(self, attempt: AttemptRequest, reason: AbortReason) -> None:
-        """Counts and logs an attempt that was not sent."""
+        """Counts and logs an attempt that was not sent for this reason."""
         self._counts[ABORTED_ATTEMPTS, reason.value] += 1
-        self._lines.info(
+        self._rate_limited_log.info(
             "attempt aborted before send",
             reason=reason.description,
             trace=attempt.request.trace,
@@ -65,9 +65,9 @@
         )
 
     def max_copy_age(self, attempt: AttemptRequest) -> float:
-        """The age of the oldest acceptable copy, in seconds.
+        """Returns the maximum age in seconds of a copy that may be served now; 0: any fresh copy.
 
-        Guards "no answer from a copy older than a purge": one may arrive between the decision and the send.
+        A purge may have arrived since the router decided, and no copy older than the purge may be served.
         """
         request = attempt.request
         age = self._purges.age(request.object, request.group, self._clock.now())
--- a/zincladder/core/clock.py
+++ b/zincladder/core/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the core."""
+"""The clock by which the core keeps deadlines and timers."""
 
 from __future__ import annotations
 
@@ -6,11 +6,14 @@
 
 
 class Clock:
-    """Unix time that never steps back: deadlines of open requests must not move with the system's clock."""
+    """A clock that starts at the Unix time and advances with the monotonic clock.
+
+    It never steps, so that an adjustment of the system's clock does not move the deadlines of open requests.
+    """
 
     def __init__(self) -> None:
         self._offset = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """Seconds since the epoch."""
+        """Returns the time in seconds since the Unix epoch."""
         return time.monotonic() + self._offset
--- a/zincladder/core/direct_routing.py
+++ b/zincladder/core/direct_routing.py
@@ -1,4 +1,4 @@
-"""Routing without forwarding: the client itself connects to the endpoint that the router names."""
+"""Direct routing: the router names an endpoint, and the client itself connects to it."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class Decisions(Protocol):
-    """The part of the core that direct routing asks."""
+    """The part of the core that direct routing calls."""
 
     def next_request_number(self) -> int:
-        """A number that no request had before."""
+        """Returns a number that no request had before."""
 
     def paused_seconds(self, request_class: int) -> float:
-        """Seconds for which a request of this class may not be decided; 0: it may."""
+        """Returns the seconds for which requests of this class must not be decided; 0: they may be."""
 
     def handle(self, event: api.Event) -> list[api.Action]:
-        """The router's actions on an event."""
+        """Passes an event to the router and returns its actions."""
 
 
 class DirectRouting:
-    """Names endpoints to clients, as the DNS front does."""
+    """Chooses an endpoint for a client that connects to it itself; used by the DNS front."""
 
     def __init__(
         self,
@@ -41,9 +41,9 @@
         self._endpoint_list, self._counts = endpoint_list, counts
 
     def route_only(self, request: ClientRequest) -> api.EndpointId | None:
-        """The endpoint to which a client is directed; None where the router rejects the request.
+        """Returns the endpoint that the client is to connect to, or None if the request is rejected.
 
-        The outcome stays unknown, so the router is notified of none: the attempt ends as not sent.
+        The front never learns how the request ends, so the router is notified that the attempt was not sent.
         """
         current = self._endpoint_list.is_current()
         if not current or self._decisions.paused_seconds(request.request_class):
@@ -55,7 +55,8 @@
 
     def _chosen_endpoint(self, request: ClientRequest) -> api.EndpointId | None:
         event = request_event(self._decisions.next_request_number(), request)
-        # The client's deadline ends its wait for the name; what follows has the class's own time.
+        # The client's deadline limits only its wait for the name of an endpoint. The request that it then
+        # sends to that endpoint has the timeout of its class.
         event.deadline = self._clock.now() + self._classes.rules[request.request_class].timeout
         for action in self._decisions.handle(event):
             if isinstance(action, api.Fetch | api.Lookup):
--- a/zincladder/core/endpoint_list.py
+++ b/zincladder/core/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as this front knows it, and the wait until it is current enough to decide by."""
+"""The endpoint list as this front knows it, and the wait until it is current enough for routing decisions."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 def poll_nothing() -> None:
-    """There is no watch to poll."""
+    """Does nothing; the default if no watch on the coordinator runs."""
 
 
 class EndpointList:
     """All endpoints on the list by id, with their states.
 
-    `freshness` follows the watch on the coordinator; None where nothing notifies this front of changes.
-    `poll_watch_events` takes in, without waiting, the watch events that lie unread. Both are set by whoever
-    runs the watch.
+    `freshness` tracks whether the list is current; it is None if no watch on the coordinator runs.
+    `poll_watch_events` processes the watch events that have arrived and are unread, without waiting. Both are
+    set by the code that starts the watch.
     """
 
     def __init__(self, counts: Counts) -> None:
@@ -33,7 +33,7 @@
         self._changed = anyio.Event()
 
     def update(self, kind: api.UpdateKind, endpoints: tuple[api.Endpoint, ...]) -> None:
-        """Takes in the whole list, or changes to it."""
+        """Replaces the whole list, or applies changes to it."""
         if kind is not api.UpdateKind.DELTA:
             self.endpoints.clear()
         for endpoint in endpoints:
@@ -43,27 +43,29 @@
                 self.endpoints[endpoint.id] = endpoint
 
     def is_ready(self, endpoint: api.EndpointId | None) -> bool:
-        """Whether an endpoint may be sent requests now; True for None."""
+        """Returns whether an endpoint may be sent requests now; True for None (no endpoint)."""
         if endpoint is None:
             return True
         listed = self.endpoints.get(endpoint)
         return listed is not None and listed.state is api.EndpointState.READY
 
     def ready_count(self) -> int:
-        """Endpoints that may be sent requests."""
+        """Returns the number of endpoints that may be sent requests."""
         return sum(endpoint.state is api.EndpointState.READY for endpoint in self.endpoints.values())
 
     # Freshness ------------------------------------------------------------------------------------
 
     def is_current(self) -> bool:
-        """Whether the list may be decided by at this moment."""
+        """Returns whether the list is current enough for routing decisions now."""
         self.poll_watch_events()
         return self.freshness is None or self.freshness.seconds_until_usable(monotonic()) <= 0
 
     async def wait_until_current(self, context: RequestContext, max_seconds: float) -> bool:
-        """Waits until the list may be decided by; False after `max_seconds`, or if the request is answered.
+        """Waits until the list is current enough for routing decisions.
 
-        Guards draining endpoints, purges and slow starts against a list of an earlier moment.
+        Returns False if that takes longer than `max_seconds`, or if the request is answered meanwhile. With
+        an outdated list a request could be sent to a draining endpoint, be answered from a purged copy, or
+        overload an endpoint that is still in slow start.
         """
         if self.freshness is None or self.is_current():
             return True
@@ -78,16 +80,16 @@
         return context.answer is None
 
     def has_synced(self) -> bool:
-        """Whether a request could have been decided since the start: clients may be sent here."""
+        """Returns whether the list has been current once since the start; clients can be served then."""
         return self.freshness is None or self.freshness.has_synced(monotonic())
 
     async def wait_until_synced(self) -> None:
-        """Waits until a request can be decided for the first time since the start."""
+        """Waits until the list is current for the first time since the process started."""
         while self.freshness is not None and not self.has_synced():
             with anyio.move_on_after(self.freshness.seconds_until_usable(monotonic())):
                 await self._changed.wait()
 
     def notify_changed(self) -> None:
-        """The list may be current now: requests that wait for that look again."""
+        """Wakes the requests that wait for a current list, so that they check again."""
         waiting, self._changed = self._changed, anyio.Event()
         waiting.set()
--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -1,7 +1,7 @@
-"""Runs one router: hands it every event in order and performs its actions.
+"""Runs one router: passes it every event in order and performs the actions that it returns.
 
-A front calls `serve` once for each request, or `route_only` where the client itself connects to the endpoint.
-The other side, which reaches the endpoints, is a `Transport`. Neither side decides anything.
+A front calls `serve` for each request, or `route_only` if the client itself connects to the endpoint. A
+`Transport` sends attempts and health checks to the endpoints. Only the router makes routing decisions.
 """
 
 from __future__ import annotations
@@ -20,13 +20,7 @@
 from zincladder.core.attempt_end import AttemptEnd, EndReason
 from zincladder.core.attempt_guard import CoreAttemptGuard
 from zincladder.core.clock import Clock
-from zincladder.core.counts import (
-    ANSWERS,
-    ATTEMPTS,
-    REJECTED_WITHOUT_LIST,
-    WITHDRAWN_REQUESTS,
-    Counts,
-)
+from zincladder.core.counts import ANSWERS, ATTEMPTS, REJECTED_WITHOUT_LIST, WITHDRAWN_REQUESTS, Counts
 from zincladder.core.direct_routing import DirectRouting
 from zincladder.core.endpoint_list import EndpointList
 from zincladder.core.health_checks import HealthChecks
@@ -42,15 +36,15 @@
 from zincladder.routing.router import Router
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-LIST_WAIT_SHARE = 0.45  # of its time that a request waits for a current list: its client can still retry
-ATTEMPT_LIST_WAIT_SECONDS = 0.2  # for which a retry waits for one: below the timeouts that judge endpoints
-SCOPE_MARGIN_SECONDS = 0.001  # by which an attempt's cancellation follows its deadline
-REPLACED_CLASS_RETRY_AFTER_SECONDS = 0.05  # for a request that was read under replaced settings
+LIST_WAIT_FRACTION = 0.45  # of a request's time, to wait for a current list; its client can still retry
+ATTEMPT_LIST_WAIT_SECONDS = 0.2  # the same wait for a retry; less than timeouts that count against endpoints
+CANCEL_SCOPE_MARGIN_SECONDS = 0.001  # from the deadline of an attempt to its cancellation
+REPLACED_CLASS_RETRY_AFTER_SECONDS = 0.05  # sent to a client whose request was read under replaced settings
 log = structlog.get_logger()
 
 
 class Core:
-    """One router and all that it needs to act."""
+    """One router, its clock, timers, endpoint list and statistics, and the open requests."""
 
     def __init__(
         self,
@@ -74,40 +68,40 @@
         self.purges = Purges()
         self.open_requests: dict[int, RequestContext] = {}
         self.loop_monitor = LoopMonitor()
-        # Called at each tick: a front's own timers.
+        # Called at each tick, for timers of a front that the router does not know of.
         self.on_tick: Callable[[], None] | None = None
-        # Seconds for which nothing new may be decided; 0 if it may. Asked for each request, never cached.
-        # Where it is set, requests are decided under the classes in force only.
+        # Returns the seconds for which no request may be decided, or 0. It is called for each request; the
+        # result is never cached. If set, a request whose class was replaced after it was read is rejected.
         self.decisions_paused_for: Callable[[], float] | None = None
         self.health_checks = HealthChecks(
             transport, self.clock, self.statistics, self.counts, self._notify_router
         )
         self._direct_routing = DirectRouting(self, self.clock, self.classes, self.endpoint_list, self.counts)
-        self._lines = RateLimitedLog()
-        self._guard = CoreAttemptGuard(
+        self._rate_limited_log = RateLimitedLog()
+        self._attempt_guard = CoreAttemptGuard(
             settings,
             self.clock,
             self.endpoint_list,
             self.purges,
             self.statistics,
             self.counts,
-            self._lines,
+            self._rate_limited_log,
         )
         self._timers = TimerQueue()
         self._last_request_number = 0
-        self._attempts: TaskGroup | None = None  # shared by all requests: one for each is expensive
+        self._task_group: TaskGroup | None = None  # shared by all requests: one for each request is expensive
 
     # Requests -------------------------------------------------------------------------------------
 
     async def serve(self, request: ClientRequest) -> Answer:
-        """The life of one request, from its arrival to its one answer.
+        """Serves one request, and returns its one final answer.
 
-        Cancelling it means that the client disconnected or withdrew the request.
+        Cancelling the call means that the client disconnected or cancelled the request.
         """
         number = self.next_request_number()
         context = self.open_requests[number] = RequestContext(request)
         try:
-            list_wait = LIST_WAIT_SHARE * (request.deadline - self.clock.now())
+            list_wait = LIST_WAIT_FRACTION * (request.deadline - self.clock.now())
             if not await self.endpoint_list.wait_until_current(context, list_wait):
                 context.answer = context.answer or self._rejected_without_list(request)
             elif paused := self.paused_seconds(request.request_class):
@@ -116,81 +110,81 @@
                 self._handle_event(request_event(number, request))
             while context.answer is None:
                 await self._run_or_wait(number, context)
-                self._take_ends(number, context)
+                self._process_ended_attempts(number, context)
             self.record_answer(request.request_class, context.answer.kind)
             return context.answer
         finally:
-            self._forget(number)
+            self._close_request(number)
 
     def route_only(self, request: ClientRequest) -> api.EndpointId | None:
-        """The endpoint to which a client is directed that connects there itself; None: rejected."""
+        """Returns the endpoint for a client that connects to it itself; None if the request is rejected."""
         return self._direct_routing.route_only(request)
 
     def fail_open_requests(self, requests: Sequence[ClientRequest] | None = None) -> None:
-        """Answers these requests, or all that are open, as failed at once."""
+        """Answers the given requests, or by default all open requests, as failed at once."""
         identities = None if requests is None else {id(request) for request in requests}
         for number, context in self.open_requests.items():
             if context.answer is None and (identities is None or id(context.request) in identities):
                 self._notify_router(api.ClientDisconnected(number))
-                self._finish(number, Answer(AnswerKind.FAILED))
-        self.endpoint_list.notify_changed()  # those that wait for a current list are among them
+                self._set_answer(number, Answer(AnswerKind.FAILED))
+        self.endpoint_list.notify_changed()  # wakes the requests that wait for a current list
 
     def record_answer(self, request_class: int, kind: AnswerKind) -> None:
-        """Counts an answer; fronts report here what they answer without the core."""
+        """Counts an answer. Fronts also call this for requests that they answer without the core."""
         self.counts[ANSWERS, kind.value] += 1
         self.statistics.record_answer(self.classes.names[request_class], kind.value)
 
     def next_request_number(self) -> int:
-        """A number that no request had before."""
+        """Returns a number that no request had before."""
         self._last_request_number += 1
         return self._last_request_number
 
     def paused_seconds(self, request_class: int) -> float:
-        """Seconds for which a request that was read under this class's number may not be decided; 0: it may.
+        """Returns the seconds for which requests with this class number must not be decided; 0: they may be.
 
-        Guards a request that was read just before new settings came into force: its number has the old rules.
+        A request that was read just before new settings were applied has a number that stands for old rules.
         """
         if self.decisions_paused_for is None:
             return 0.0
         if paused := self.decisions_paused_for():
             return paused
-        return 0.0 if self.classes.in_force(request_class) else REPLACED_CLASS_RETRY_AFTER_SECONDS
+        return 0.0 if self.classes.has_current_rules(request_class) else REPLACED_CLASS_RETRY_AFTER_SECONDS
 
     def _rejected_without_list(self, request: ClientRequest) -> Answer:
-        """The answer to a request that was never forwarded: its client may retry elsewhere at once."""
+        """Answers a request that was never forwarded; its client may retry elsewhere at once."""
         assert self.endpoint_list.freshness is not None
         self.counts[REJECTED_WITHOUT_LIST] += 1
         phase = self.endpoint_list.freshness.phase.value
-        self._lines.warning(
-            "request rejected: endpoint list may be out of date", trace=request.trace, coordinator=phase
+        self._rate_limited_log.warning(
+            "request rejected: endpoint list may be out of date", trace=request.trace, coordinator_watch=phase
         )
         return Answer(AnswerKind.REJECTED)
 
     async def _run_or_wait(self, number: int, context: RequestContext) -> None:
-        """Makes the next attempt in the request's own task, or waits for one that runs in another."""
+        """Runs the next attempt in the request's own task, or waits for one that runs in another task."""
         if context.next_attempt:
-            # Most requests need one attempt only: a task of its own would be a large part of their cost.
+            # Most requests need one attempt only; a task for it would be a large part of the request's cost.
             context.running_attempt, context.next_attempt = context.next_attempt, None
             await self._run_attempt(number, context, context.running_attempt)
             context.running_attempt = None
-        elif not context.ended and not await self._wait_for_change(context):
+        elif not context.ended_attempts and not await self._wait_for_change(context):
             context.answer = Answer(AnswerKind.FAILED)
             self._handle_event(api.ClientDisconnected(number))
 
     async def _wait_for_change(self, context: RequestContext) -> bool:
-        """Waits for the end of an attempt or for an answer; False when there is none to wait for."""
+        """Waits for the end of an attempt or for an answer; False if the request's deadline passes first."""
         context.changed = anyio.Event()
-        # Guards one final answer to each request: an attempt ends by its own deadline, but a request without
-        # one in flight has none.
-        with anyio.CancelScope() as waiting:
+        # An attempt in flight ends by its own deadline. If there is none, the scope ends the wait, so that
+        # every request is answered.
+        with anyio.CancelScope() as wait_scope:
             if not context.in_flight:
                 left = context.request.deadline - self.clock.now()
-                waiting.deadline = anyio.current_time() + max(0.0, left)
+                wait_scope.deadline = anyio.current_time() + max(0.0, left)
             await context.changed.wait()
-        changed = context.ended or context.next_attempt or context.answer
-        return bool(changed or not waiting.cancelled_caught)
+        changed = context.ended_attempts or context.next_attempt or context.answer
+        return bool(changed or not wait_scope.cancelled_caught)
 
-    def _finish(self, request_number: int, answer: Answer) -> None:
+    def _set_answer(self, request_number: int, answer: Answer) -> None:
         context = self.open_requests.get(request_number)
         if context and context.answer is None:
             context.answer = answer
@@ -198,15 +192,15 @@
             if context.running_attempt:
                 context.running_attempt.cancel()
 
-    def _forget(self, number: int) -> None:
-        """Closes a request: the router is notified of each attempt's end exactly once."""
+    def _close_request(self, number: int) -> None:
+        """Removes a request. Attempts in flight are cancelled, so the router is notified of each end once."""
         context = self.open_requests.pop(number)
         if context.answer is None:
             self.counts[WITHDRAWN_REQUESTS] += 1
             self._notify_router(api.ClientDisconnected(number))
         for in_flight in context.in_flight.values():
-            # Open here only where the client disconnected: the Router makes one attempt at a time; more are
-            # handled all the same.
+            # Attempts are in flight here only if the client disconnected. The Router makes one attempt at a
+            # time; several are handled all the same.
             in_flight.cancel()
             end = AttemptEnd(EndReason.CANCELLED)
             self._notify_router(self._attempt_ended(number, in_flight, end, answered=True))
@@ -217,9 +211,9 @@
         context = self.open_requests[action.request]
         number, context.attempts_started = context.attempts_started, context.attempts_started + 1
         now = self.clock.now()
-        attempt = attempt_request(action, context, self._guard)
-        attempt.stalled_seconds_before = self.loop_monitor.stalled_seconds
-        timeout = max(0.0, attempt.deadline - now) + SCOPE_MARGIN_SECONDS
+        attempt = attempt_request(action, context, self._attempt_guard)
+        attempt.stalled_seconds_at_decision = self.loop_monitor.stalled_seconds
+        timeout = max(0.0, attempt.deadline - now) + CANCEL_SCOPE_MARGIN_SECONDS
         scope = anyio.CancelScope(deadline=anyio.current_time() + timeout)
         in_flight = context.in_flight[number] = InFlightAttempt(number, attempt, scope, now)
         class_name = self.classes.names[context.request.request_class]
@@ -228,8 +222,8 @@
             context.next_attempt = in_flight
             context.changed.set()
             return
-        assert self._attempts is not None, "a core serves while it runs"
-        self._attempts.start_soon(self._run_attempt, action.request, context, in_flight)
+        assert self._task_group is not None, "requests are served only while `run` is running"
+        self._task_group.start_soon(self._run_attempt, action.request, context, in_flight)
 
     async def _run_attempt(
         self, request_number: int, context: RequestContext, in_flight: InFlightAttempt
@@ -238,34 +232,35 @@
         attempt, scope = in_flight.attempt, in_flight.scope
         try:
             with scope:
-                await anyio.lowlevel.checkpoint_if_cancelled()  # cancelled before it started
-                end = await self._send(context, attempt)
-        except Exception:  # guards all other attempts, which share their task group
-            log.exception("attempt failed", trace=attempt.request.trace)
-            end = AttemptEnd(EndReason.SERVER_ERROR, detail="the transport failed")
+                await anyio.lowlevel.checkpoint_if_cancelled()  # it may have been cancelled before it started
+                end = await self._send_once_current(context, attempt)
+        except Exception:  # must not cancel the attempts of other requests, which share the task group
+            log.exception("transport raised an exception during an attempt", trace=attempt.request.trace)
+            end = AttemptEnd(EndReason.SERVER_ERROR, detail="the transport raised an exception")
         if scope.cancelled_caught:
-            # Guards the endpoint's record: where the timer itself is late, its answer may lie here unread.
-            silent = 0.0 <= self.clock.now() - attempt.deadline <= STALL_SECONDS
-            end = AttemptEnd(EndReason.TIMED_OUT if silent else EndReason.CANCELLED, detail="timeout")
+            # A late timer does not prove that the endpoint timed out: its answer may have arrived unread.
+            timed_out = 0.0 <= self.clock.now() - attempt.deadline <= STALL_SECONDS
+            end = AttemptEnd(EndReason.TIMED_OUT if timed_out else EndReason.CANCELLED, detail="timeout")
         in_flight.end = end
-        context.ended.append(in_flight)
+        context.ended_attempts.append(in_flight)
         running = context.running_attempt
-        # The Router makes one attempt at a time; more are handled all the same.
+        # The Router makes one attempt at a time; several are handled all the same.
         if running is not None and running is not in_flight:
-            self._take_ends(request_number, context)
+            self._process_ended_attempts(request_number, context)
             if context.answer is not None:
                 running.cancel()
         context.changed.set()
 
-    async def _send(self, context: RequestContext, attempt: AttemptRequest) -> AttemptEnd:
+    async def _send_once_current(self, context: RequestContext, attempt: AttemptRequest) -> AttemptEnd:
+        """Sends an attempt once the endpoint list is current, or ends it if the list takes too long."""
         if await self.endpoint_list.wait_until_current(context, ATTEMPT_LIST_WAIT_SECONDS):
             return await self.transport.send(attempt)
         return AttemptEnd(EndReason.DEADLINE_EXCEEDED, detail=AbortReason.LIST_OUT_OF_DATE.description)
 
-    def _take_ends(self, request_number: int, context: RequestContext) -> None:
-        """Notifies the router of attempts that ended: it retries, rejects, fails or goes on waiting."""
-        while context.ended and context.answer is None:
-            in_flight = context.ended.pop(0)
+    def _process_ended_attempts(self, request_number: int, context: RequestContext) -> None:
+        """Notifies the router of ended attempts, and performs its actions, such as a retry or an answer."""
+        while context.ended_attempts and context.answer is None:
+            in_flight = context.ended_attempts.pop(0)
             del context.in_flight[in_flight.number]
             end = in_flight.end
             assert end is not None
@@ -273,7 +268,7 @@
             rules = self.classes.rules[context.request.request_class]
             if rules.idempotency is api.Idempotency.WITH_KEY and end.outcome not in NEVER_RAN:
                 expires_at = in_flight.sent_at + rules.deduplication_window
-                context.repeat_before = min(context.repeat_before, expires_at)
+                context.resend_before = min(context.resend_before, expires_at)
             if end.reason is EndReason.DEADLINE_EXCEEDED:
                 self._log_deadline_exceeded(in_flight, end)
             if served:
@@ -283,75 +278,75 @@
     def _attempt_ended(
         self, request_number: int, in_flight: InFlightAttempt, end: AttemptEnd, *, answered: bool
     ) -> api.AttemptEnded:
-        """Counts the end of an attempt and builds the router's event for it."""
+        """Counts the end of an attempt, and returns the router's event for it."""
         attempt = in_flight.attempt
         self.counts[ATTEMPTS, end.reason.value] += 1
         self.statistics.record_ended(attempt.endpoint, end.reason)
-        # Guards the endpoint's record and the learned transfer times: stalls of this process are not its own.
-        stalled_seconds = self.loop_monitor.stalled_seconds - attempt.stalled_seconds_before
+        # Stalls of this process are not latency of the endpoint, and must not distort learned transfer times.
+        stalled_seconds = self.loop_monitor.stalled_seconds - attempt.stalled_seconds_at_decision
         latency = max(0.0, self.clock.now() - in_flight.sent_at - stalled_seconds)
         return attempt_ended_event(request_number, in_flight, end, latency, answered)
 
     def _log_deadline_exceeded(self, in_flight: InFlightAttempt, end: AttemptEnd) -> None:
-        """Distinguishes an attempt that its endpoint found expired from one that this front sent too late."""
+        """Logs an expired attempt, and whether its endpoint or this front found that it had expired."""
         now, attempt = self.clock.now(), in_flight.attempt
-        self._lines.warning(
+        self._rate_limited_log.warning(
             "attempt expired before it ran",
             reason=end.detail or "reported by the endpoint",
             trace=attempt.request.trace,
             endpoint=attempt.endpoint.decode("latin-1"),
-            decided_s_ago=round(now - in_flight.sent_at, 3),
-            client_left_s=round(attempt.request.deadline - now, 3),
+            since_decision_s=round(now - in_flight.sent_at, 3),
+            client_time_left_s=round(attempt.request.deadline - now, 3),
             loop_lag_s=round(self.loop_monitor.lag_seconds, 3),
         )
 
     # Updates --------------------------------------------------------------------------------------
 
     def apply_settings(self, settings: api.Settings, names: Sequence[str]) -> None:
-        """New settings from now on. Open requests keep the rules under which they were read."""
+        """Applies new settings. Open requests keep the class rules under which they were read."""
         open_classes = {context.request.request_class for context in self.open_requests.values()}
-        learned = self.classes.replace(names, settings.classes, open_classes, self.clock.now())
+        learned_from = self.classes.replace(names, settings.classes, open_classes, self.clock.now())
         self.statistics.retain_classes(names, (self.classes.names[number] for number in open_classes))
         self.settings = replace(settings, classes=tuple(self.classes.rules))
-        self._guard.settings = self.settings
-        self._notify_router(api.SettingsChanged(self.settings, learned))
+        self._attempt_guard.settings = self.settings
+        self._notify_router(api.SettingsChanged(self.settings, learned_from))
 
     def update_endpoints(
         self, kind: api.UpdateKind, version: int, endpoints: tuple[api.Endpoint, ...]
     ) -> None:
-        """The whole endpoint list, or changes to it."""
+        """Replaces the whole endpoint list, or applies changes to it."""
         self.endpoint_list.update(kind, endpoints)
         self.statistics.retain_endpoints(self.endpoint_list.endpoints)
         self._notify_router(api.EndpointUpdate(kind, version, endpoints))
 
-    def purge(self, obj: int | None, group: int, purged_at: float) -> None:
-        """A purge of one object, or of a whole group (`obj` is None), at a Unix time."""
+    def purge(self, object_id: int | None, group: int, purged_at: float) -> None:
+        """Records a purge at a Unix time, of one object or (`object_id` is None) of a whole group."""
         now = self.clock.now()
-        self.purges.record(obj, group, purged_at, now, self.settings.purge_done)
-        self._notify_router(api.Purged(obj, group, max(0.0, now - purged_at)))
+        self.purges.record(object_id, group, purged_at, now, self.settings.purge_done)
+        self._notify_router(api.Purged(object_id, group, max(0.0, now - purged_at)))
 
     def ejected_count(self) -> int:
-        """Caches on the list that the router has ejected."""
+        """Returns the number of caches on the list that the router has ejected."""
         return self.router.ejected_count()
 
     # Events and actions ---------------------------------------------------------------------------
 
     def handle(self, event: api.Event) -> list[api.Action]:
-        """The router's actions on an event, which the caller performs."""
+        """Passes an event to the router, and returns its actions for the caller to perform."""
         return self.router.handle(event, self.clock.now())
 
     def _handle_event(self, event: api.Event) -> None:
         for action in self.handle(event):
-            self._perform(action)
+            self._perform_action(action)
 
     def _notify_router(self, event: api.Event) -> None:
-        """Handles an event that concerns no request alone: a router's error must not end the process."""
+        """Handles an event, and logs an exception instead of raising it: it must not end the process."""
         try:
             self._handle_event(event)
         except Exception:
-            log.exception("router failed", event_type=type(event).__name__)
+            log.exception("router raised an exception", event_type=type(event).__name__)
 
-    def _perform(self, action: api.Action) -> None:
+    def _perform_action(self, action: api.Action) -> None:
         match action:
             case api.Fetch() | api.Lookup():
                 self._start_attempt(action)
@@ -360,25 +355,25 @@
                 if context and attempt in context.in_flight:
                     context.in_flight[attempt].cancel()
             case api.Reject(request, retry_after):
-                self._finish(request, Answer(AnswerKind.REJECTED, retry_after=retry_after))
+                self._set_answer(request, Answer(AnswerKind.REJECTED, retry_after=retry_after))
             case api.Fail(request):
-                self._finish(request, Answer(AnswerKind.FAILED))
+                self._set_answer(request, Answer(AnswerKind.FAILED))
             case api.SetTimer(delay, token):
                 self._timers.set(self.clock.now() + delay, token)
             case api.Probe(endpoint):
                 self.health_checks.request(endpoint)
             case _:  # the coordinator pushes the list, and routers have no channel to each other
-                log.warning("unsupported action", action=type(action).__name__)
+                log.warning("router action is not supported and is ignored", action=type(action).__name__)
 
     # Running --------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Makes attempts and health checks and fires timers until it is cancelled."""
+        """Runs attempts and health checks, and fires timers, until it is cancelled."""
         self.loop_monitor.start()
-        async with anyio.create_task_group() as self._attempts:
+        async with anyio.create_task_group() as self._task_group:
             while True:
-                self.loop_monitor.turns.record_turn(monotonic())
-                self._start_health_checks(self._attempts)
+                self.loop_monitor.turns.record_iteration(monotonic())
+                self._start_health_checks(self._task_group)
                 self._fire_timers()
                 if self.on_tick is not None:
                     self.on_tick()
@@ -386,7 +381,9 @@
                     continue
                 if stalled := await self.loop_monitor.sleep_until_tick():
                     open_requests = len(self.open_requests)
-                    self._lines.warning("event loop stalled", stalled_s=round(stalled, 3), open=open_requests)
+                    self._rate_limited_log.warning(
+                        "event loop stalled", stalled_s=round(stalled, 3), open_requests=open_requests
+                    )
                     await let_readers_catch_up()
 
     def _start_health_checks(self, tasks: TaskGroup) -> None:
--- a/zincladder/core/health_checks.py
+++ b/zincladder/core/health_checks.py
@@ -17,7 +17,7 @@
 
 
 class HealthChecks:
-    """Health checks that are requested and not started yet, and how each is made."""
+    """Holds the health checks that the router requested, and runs them."""
 
     def __init__(
         self,
@@ -27,23 +27,25 @@
         counts: Counts,
         notify: Callable[[api.Event], None],
     ) -> None:
-        """`notify` hands an event to the router."""
+        """`notify` passes an event to the router."""
         self._transport, self._clock, self._statistics = transport, clock, statistics
         self._counts, self._notify = counts, notify
-        self.pending: list[api.EndpointId] = []
+        self.pending: list[api.EndpointId] = []  # requested and not started
 
     def request(self, endpoint: api.EndpointId) -> None:
-        """Has an endpoint checked at the next tick."""
+        """Requests a health check of an endpoint, which starts at the next tick."""
         self.pending.append(endpoint)
 
     async def check(self, endpoint: api.EndpointId) -> None:
-        """Makes one health check and notifies the router of its end."""
+        """Runs one health check and notifies the router of its end."""
         started_at = self._clock.now()
         self._statistics.record_started(endpoint, started_at)
         try:
             end = await self._transport.check_health(endpoint)
-        except Exception:  # guards all attempts, which share its task group
-            log.exception("health check failed", endpoint=endpoint.decode("latin-1"))
+        except Exception:  # must not cancel attempts and other health checks, which share the task group
+            log.exception(
+                "transport raised an exception during a health check", endpoint=endpoint.decode("latin-1")
+            )
             end = AttemptEnd(EndReason.TIMED_OUT)
         self._counts[HEALTH_CHECKS, end.reason.value] += 1
         now = self._clock.now()
--- a/zincladder/core/loop_monitor.py
+++ b/zincladder/core/loop_monitor.py
@@ -1,4 +1,4 @@
-"""The lag of the event loop, and the stalls of the process, measured at each tick of the core."""
+"""Measures the lag of the event loop and the stalls of the process, at each tick of the core."""
 
 from __future__ import annotations
 
@@ -9,33 +9,35 @@
 
 from zincladder.core.arrival import LoopTurns
 
-TICK_SECONDS = 0.01  # between two ticks, at which timers fire
-STALL_SECONDS = 0.1  # lateness from which the process counts as stalled: time-outs then prove nothing
-CATCH_UP_TURNS = 4  # of the loop: poll, read, hear of the attempt's end, notify the router
+TICK_SECONDS = 0.01  # from tick to tick; the core fires timers at each tick
+STALL_SECONDS = 0.1  # a process that is later counts as stalled; its timeouts prove nothing about endpoints
+# Iterations of the event loop from the arrival of an answer to the router's event: poll the socket, read the
+# answer, resume the task of the attempt, notify the router.
+CATCH_UP_ITERATIONS = 4
 
 
 class LoopMonitor:
-    """How late the event loop is; all times are of the monotonic clock, in seconds."""
+    """Measures how late the event loop runs; all times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
         self.turns = LoopTurns(monotonic())
-        self.stalled_seconds = 0.0  # in all, since the start
-        self.lag_seconds = 0.0  # the lesser lateness of the last two ticks: one alone is a short pause
+        self.stalled_seconds = 0.0  # total since the start
+        self.lag_seconds = 0.0  # the smaller of the last two ticks' lags; one alone may be a short pause
         self._last_lag_seconds = 0.0
         self._ticked_at = monotonic()
 
     def start(self) -> None:
-        """Begins to measure: called once, as the core begins to run."""
+        """Starts the measurement; called once, when the core starts to run."""
         self._ticked_at = monotonic()
 
     async def sleep_until_tick(self) -> float:
-        """Sleeps for one tick; returns the seconds for which the process stalled since the last, or 0."""
-        sleeps_at = monotonic()
+        """Sleeps for one tick; returns for how many seconds the process stalled since the last tick, or 0."""
+        sleep_started_at = monotonic()
         await anyio.sleep(TICK_SECONDS)
         now = monotonic()
-        lag, previous_lag = now - sleeps_at - TICK_SECONDS, self._last_lag_seconds
+        lag, previous_lag = now - sleep_started_at - TICK_SECONDS, self._last_lag_seconds
         self._last_lag_seconds, self.lag_seconds = lag, min(lag, previous_lag)
-        # From tick to tick: a stall may also lie between two sleeps.
+        # Measured from tick to tick, because a stall may also occur between two sleeps.
         stalled, self._ticked_at = now - self._ticked_at - TICK_SECONDS, now
         if stalled <= STALL_SECONDS:
             return 0.0
@@ -44,9 +46,9 @@
 
 
 async def let_readers_catch_up() -> None:
-    """Yields until what arrived during a stall has been read.
+    """Yields to the event loop until the data that arrived during a stall has been read.
 
-    Guards endpoints against timers that would judge them silent while their answers lie unread.
+    Otherwise timers would fire first, and endpoints whose answers are still unread would count as timed out.
     """
-    for _ in range(CATCH_UP_TURNS):
+    for _ in range(CATCH_UP_ITERATIONS):
         await anyio.lowlevel.checkpoint()
--- a/zincladder/core/request_classes.py
+++ b/zincladder/core/request_classes.py
@@ -1,7 +1,7 @@
-"""The numbers of the request classes, through settings that change while requests are open. No I/O.
+"""Numbers the request classes, across settings that change while requests are open. No I/O.
 
-A number has one name and one set of rules for as long as anything refers to it: an open request looks its
-rules up by number, so it keeps those under which it was read, whatever becomes of its class.
+A number keeps its name and its rules for as long as anything refers to it. An open request looks its rules up
+by number, so it keeps the rules under which it was read, even if its class is changed or removed.
 """
 
 from __future__ import annotations
@@ -10,23 +10,23 @@
 
 from zincladder.routing import interface as api
 
-# A removed class is still accepted for so long, and its number not reused: clients learn of new settings
+# For this time a removed class is still accepted, and its number is not reused: clients receive new settings
 # 1.2 s after the front.
 REMOVED_CLASS_SECONDS = 2.0
-NEW_CLASS = -1  # in place of the number whose learned statistics a class goes on with
+NEW_CLASS = -1  # stands for the number of a class that has no learned statistics to continue with
 
 
 class RequestClasses:
-    """All classes that have a number. The lists are shared with those who look names and rules up."""
+    """All classes that have a number. Other parts share the lists `names` and `rules`, changed in place."""
 
     def __init__(self, names: Sequence[str], rules: Sequence[api.RequestClass]) -> None:
         self.names, self.rules = list(names), list(rules)
         self.current = {name: number for number, name in enumerate(names)}
-        self._removed: dict[str, int] = {}  # a moment ago
-        self._reserved_until: dict[int, float] = {}  # by number: nobody else gets it before
+        self._removed: dict[str, int] = {}  # numbers of classes that were removed recently, by name
+        self._reserved_until: dict[int, float] = {}  # by number: it is not reused before this time
 
     def number_of(self, name: str, now: float) -> int | None:
-        """The number under which a request of this class is read; None where there is no such class."""
+        """Returns the number for a new request of this class, or None if there is no such class."""
         number = self.current.get(name)
         if number is not None:
             return number
@@ -35,46 +35,46 @@
             return removed
         return None
 
-    def in_force(self, number: int) -> bool:
-        """Whether a number has the current rules of its class, not replaced ones."""
+    def has_current_rules(self, number: int) -> bool:
+        """Returns whether a number stands for the current rules of its class, and not for replaced ones."""
         return self.current.get(self.names[number]) == number
 
     def replace(
         self, names: Sequence[str], rules: Sequence[api.RequestClass], open_numbers: Set[int], now: float
     ) -> tuple[int, ...]:
-        """Replaces the classes; `open_numbers` are those of open requests.
+        """Replaces the classes; `open_numbers` are the class numbers of open requests.
 
-        Returns for each number the one whose learned statistics it goes on with, or `NEW_CLASS`. A class with
-        changed rules gets another number. The table is bounded by the current classes, the open requests and
-        the numbers in reserve.
+        Returns for each number the number whose learned statistics it continues with, or `NEW_CLASS`. A class
+        whose rules changed gets another number. Numbers are reused, so the current classes, the open requests
+        and the reserved numbers bound the size of the table.
         """
-        before, self.current = self.current, {}
-        self._drop_expired_reserves(now)
-        taken = open_numbers | self._reserved_until.keys() | set(before.values())
+        previous_numbers, self.current = self.current, {}
+        self._drop_expired_reservations(now)
+        used = open_numbers | self._reserved_until.keys() | set(previous_numbers.values())
         learned_from = list(range(len(self.names)))
         for name, rule in zip(names, rules, strict=True):
-            previous = before.get(name, NEW_CLASS)
+            previous = previous_numbers.get(name, NEW_CLASS)
             if previous != NEW_CLASS and self.rules[previous] == rule:
                 self.current[name] = previous
                 continue
-            number = next((n for n in range(len(self.names)) if n not in taken), len(self.names))
+            number = next((n for n in range(len(self.names)) if n not in used), len(self.names))
             if number == len(self.names):
                 self.names.append(name)
                 self.rules.append(rule)
                 learned_from.append(previous)
             self.names[number], self.rules[number], learned_from[number] = name, rule, previous
             self.current[name] = number
-            taken |= {number}
-        self._reserve_replaced(before, now)
+            used |= {number}
+        self._reserve_replaced(previous_numbers, now)
         return tuple(learned_from)
 
-    def _drop_expired_reserves(self, now: float) -> None:
+    def _drop_expired_reservations(self, now: float) -> None:
         reserved = {number: until for number, until in self._reserved_until.items() if now < until}
         self._reserved_until = reserved
         self._removed = {name: number for name, number in self._removed.items() if number in reserved}
 
-    def _reserve_replaced(self, before: dict[str, int], now: float) -> None:
-        for name, number in before.items():
+    def _reserve_replaced(self, previous_numbers: dict[str, int], now: float) -> None:
+        for name, number in previous_numbers.items():
             if self.current.get(name) == number:
                 continue
             self._reserved_until[number] = now + REMOVED_CLASS_SECONDS
--- a/zincladder/core/request_context.py
+++ b/zincladder/core/request_context.py
@@ -1,4 +1,4 @@
-"""What the core keeps of a request while its answer is outstanding."""
+"""The state that the core keeps of each open request and of its attempts in flight."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 class InFlightAttempt:
     """One attempt from its decision until the router is notified of its end."""
 
-    number: int  # counted within its request
+    number: int  # from 0, within its request
     attempt: AttemptRequest
     scope: anyio.CancelScope
     sent_at: float  # on the core's clock
     end: AttemptEnd | None = None
 
     def cancel(self) -> None:
-        """Cancels the attempt; one that is about to start sees it without a turn of the event loop."""
+        """Cancels the attempt; the flag takes effect before the event loop delivers the cancellation."""
         self.attempt.cancelled = True
         self.scope.cancel()
 
@@ -35,9 +35,11 @@
     request: ClientRequest
     attempts_started: int = 0
     in_flight: dict[int, InFlightAttempt] = field(default_factory=dict)  # by number
-    ended: list[InFlightAttempt] = field(default_factory=list)  # of which the router is not notified yet
-    next_attempt: InFlightAttempt | None = None  # to be made by the request's own task
-    running_attempt: InFlightAttempt | None = None  # being made by the request's own task
-    repeat_before: float = math.inf  # a keyed request that may have run is sent again before this or never
-    changed: anyio.Event = field(default_factory=anyio.Event)  # an attempt ended, or there is an answer
+    ended_attempts: list[InFlightAttempt] = field(default_factory=list)  # the router does not know yet
+    next_attempt: InFlightAttempt | None = None  # to be run in the request's own task
+    running_attempt: InFlightAttempt | None = None  # runs in the request's own task
+    # End of the deduplication window, for a request with an idempotency key that may have run: a retry that
+    # is sent later could run it twice.
+    resend_before: float = math.inf
+    changed: anyio.Event = field(default_factory=anyio.Event)  # an attempt ended, or the answer is known
     answer: Answer | None = None
--- a/zincladder/core/router_messages.py
+++ b/zincladder/core/router_messages.py
@@ -1,4 +1,4 @@
-"""Translates between the router's events and actions and the core's requests and attempts."""
+"""Converts the core's requests and attempts to events of the router, and its actions to attempts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def request_event(number: int, request: ClientRequest) -> api.Request:
-    """A request that is to be decided, under the number that names it to the router."""
+    """Returns the event for a new request; `number` identifies the request in later events and actions."""
     return api.Request(
         number,
         request.object,
@@ -26,10 +26,10 @@
 def attempt_request(
     action: api.Fetch | api.Lookup, context: RequestContext, guard: AttemptGuard
 ) -> AttemptRequest:
-    """The attempt that an action asks for; its time ends with the request's."""
+    """Returns the attempt for an action; it has the deadline of the request."""
     request = context.request
     attempt = AttemptRequest(
-        request, action.endpoint, deadline=request.deadline, start_before=context.repeat_before, guard=guard
+        request, action.endpoint, deadline=request.deadline, start_before=context.resend_before, guard=guard
     )
     if isinstance(action, api.Fetch):
         attempt.source = None if action.source == action.endpoint else action.source
@@ -42,7 +42,10 @@
 def attempt_ended_event(
     request_number: int, in_flight: InFlightAttempt, end: AttemptEnd, latency: float, answered: bool
 ) -> api.AttemptEnded:
-    """The end of an attempt, `latency` seconds after its decision; `answered`: no more is needed."""
+    """Returns the event for an attempt that ended `latency` seconds after it was decided.
+
+    `answered` is true if the request needs no further attempt.
+    """
     return api.AttemptEnded(
         request_number,
         in_flight.number,
--- a/zincladder/core/statistics.py
+++ b/zincladder/core/statistics.py
@@ -1,4 +1,4 @@
-"""Statistics by request class and by endpoint: a few additions to a request, read when they are asked for."""
+"""Statistics by request class and by endpoint. Requests only add to counters, which exporters read."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from zincladder.core.attempt_end import EndReason
 from zincladder.routing import interface as api
 
-# Ends by which an endpoint has shown that it is alive: it sent something that could be read.
+# Ends that show that an endpoint is alive, because it sent a message that could be parsed.
 ALIVE_ENDS = frozenset(
     (
         EndReason.SERVED,
@@ -20,37 +20,40 @@
         EndReason.DEADLINE_EXCEEDED,
     )
 )
-NEVER_ASKED_ENDS = frozenset((EndReason.LOST_BEFORE_SEND, EndReason.DRAINING))
-MAX_CLASSES = 64  # that are counted, with removed ones
-SILENCE_MEMORY_SECONDS = 30.0  # after the last message, for which an endpoint's silence is remembered
+NOT_SENT_ENDS = frozenset((EndReason.LOST_BEFORE_SEND, EndReason.DRAINING))
+MAX_CLASSES = 64  # for which statistics are kept, removed classes included
+SILENCE_EXPIRY_SECONDS = 30.0  # after the last message to an endpoint, when its silence no longer counts
 
 
 @dataclass(slots=True)
 class EndpointStatistics:
-    """One endpoint; times are on the core's clock."""
+    """Statistics of one endpoint; times are on the core's clock."""
 
     attempts: Counter[str] = field(default_factory=Counter)  # by the label of their end
     health_checks: Counter[str] = field(default_factory=Counter)  # by the label of their end
-    health_check_seconds: float = 0.0  # in all
+    health_check_seconds: float = 0.0  # total duration of all health checks
     in_flight: int = 0
-    unanswered_since: float | None = None  # the first message sent after the last answer
+    unanswered_since: float | None = None  # when the first message after the last answer was sent
     last_sent_at: float = 0.0
-    reported_at: float | None = None
+    reported_at: float | None = None  # when the load report arrived
     report: tuple[float, ...] = ()
 
 
 class Statistics:
-    """All endpoints on the list, and all classes. An endpoint that is gone takes its statistics with it."""
+    """Statistics of all classes, and of all endpoints; an endpoint's are dropped when it leaves the list."""
 
     def __init__(self) -> None:
         self.endpoints: dict[api.EndpointId, EndpointStatistics] = {}
         self.answers: Counter[tuple[str, str]] = Counter()  # by class and kind
         self.attempts: Counter[str] = Counter()  # by class
         self.forwarded = 0  # attempts that were written completely
-        self.classes: dict[str, None] = {}  # that are counted, the oldest first
+        self.classes: dict[str, None] = {}  # ordered set of counted classes, the oldest first
 
     def retain_endpoints(self, endpoints: dict[api.EndpointId, api.Endpoint]) -> None:
-        """Guards memory where endpoints are replaced under new ids again and again."""
+        """Keeps statistics of exactly these endpoints.
+
+        Dropping the others bounds memory where endpoints are replaced under new ids again and again.
+        """
         for endpoint in self.endpoints.keys() - endpoints.keys():
             del self.endpoints[endpoint]
         for endpoint in endpoints:
@@ -58,7 +61,10 @@
                 self.endpoints[endpoint] = EndpointStatistics()
 
     def retain_classes(self, names: Iterable[str], in_use: Iterable[str]) -> None:
-        """Guards memory against classes that come and go under new names: the oldest are dropped."""
+        """Adds classes, and drops the oldest unused ones above MAX_CLASSES to bound memory.
+
+        `names` are the current classes, `in_use` those of open requests; both are kept.
+        """
         self.classes |= dict.fromkeys(names)
         kept = {*names, *in_use}
         excess = max(0, len(self.classes) - MAX_CLASSES)
@@ -68,20 +74,20 @@
         self.answers = Counter({key: n for key, n in self.answers.items() if key[0] in self.classes})
 
     def record_answer(self, request_class: str, kind: str) -> None:
-        """A request was answered; `kind` is the published label."""
+        """Counts the answer to a request; `kind` is the value of an AnswerKind."""
         self.answers[request_class, kind] += 1
 
     def record_written(self) -> None:
-        """The last byte of an attempt was written."""
+        """Counts an attempt whose last byte was written."""
         self.forwarded += 1
 
     def record_started(self, endpoint: api.EndpointId, now: float, request_class: str | None = None) -> None:
-        """An attempt starts, or with no class a health check."""
+        """Records the start of an attempt, or of a health check if `request_class` is None."""
         if request_class is not None:
             self.attempts[request_class] += 1
         statistics = self.endpoints.get(endpoint)
         if statistics is None:
-            return  # gone since the decision
+            return  # removed from the list since the router decided
         if request_class is not None:
             statistics.in_flight += 1
         statistics.last_sent_at = now
@@ -89,14 +95,14 @@
             statistics.unanswered_since = now
 
     def record_ended(self, endpoint: api.EndpointId, reason: EndReason) -> None:
-        """An attempt has ended."""
+        """Records the end of an attempt."""
         statistics = self.endpoints.get(endpoint)
         if statistics is None:
             return
         statistics.attempts[reason.value] += 1
-        # An endpoint that left and came back under its id starts at 0, with attempts of before in flight.
+        # An endpoint that left the list and returned under its id starts at 0 with earlier attempts open.
         statistics.in_flight = max(0, statistics.in_flight - 1)
-        self._record_sign_of_life(statistics, reason)
+        self._end_silence_if_alive(statistics, reason)
 
     def record_health_check(
         self,
@@ -106,7 +112,7 @@
         report: tuple[float, ...],
         now: float,
     ) -> None:
-        """A health check has ended after `duration` seconds, with a load report where there is one."""
+        """Records the end of a health check after `duration` seconds; an empty `report` is ignored."""
         statistics = self.endpoints.get(endpoint)
         if statistics is None:
             return
@@ -114,24 +120,24 @@
         statistics.health_check_seconds += duration
         if report:
             statistics.report, statistics.reported_at = report, now
-        self._record_sign_of_life(statistics, reason)
+        self._end_silence_if_alive(statistics, reason)
 
     @staticmethod
-    def _record_sign_of_life(statistics: EndpointStatistics, reason: EndReason) -> None:
-        if reason in ALIVE_ENDS or (reason in NEVER_ASKED_ENDS and not statistics.in_flight):
+    def _end_silence_if_alive(statistics: EndpointStatistics, reason: EndReason) -> None:
+        if reason in ALIVE_ENDS or (reason in NOT_SENT_ENDS and not statistics.in_flight):
             statistics.unanswered_since = None
 
     def silent_seconds(self, endpoint: api.EndpointId, now: float) -> float:
-        """Seconds for which an endpoint was asked and did not answer; 0 if no answer is outstanding.
+        """Returns for how many seconds an endpoint has not answered messages; 0 if no answer is outstanding.
 
-        Guards endpoints that get no more requests: a cancelled attempt says little by itself, so the time
-        stops at the last message, and is forgotten where none follows.
+        A cancelled attempt alone does not show that the endpoint is silent. So once no attempt is in flight,
+        the time counts up to the last message only, and is 0 after SILENCE_EXPIRY_SECONDS without a message.
         """
         statistics = self.endpoints[endpoint]
         if statistics.unanswered_since is None:
             return 0.0
         if not statistics.in_flight:
-            if now - statistics.last_sent_at > SILENCE_MEMORY_SECONDS:
+            if now - statistics.last_sent_at > SILENCE_EXPIRY_SECONDS:
                 return 0.0
             now = statistics.last_sent_at
         return max(0.0, now - statistics.unanswered_since)
--- a/zincladder/core/timers.py
+++ b/zincladder/core/timers.py
@@ -1,4 +1,4 @@
-"""The timers that the router has set, earliest first. No I/O."""
+"""A queue of the timers that the router has set, earliest first. No I/O."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class Timer(NamedTuple):
-    """One timer; tuples keep the order of equal times by token."""
+    """One timer. Timers compare as tuples, so timers of the same time are ordered by token."""
 
     fires_at: float
     token: int
 
 
 class TimerQueue:
-    """A heap that is polled on each tick of the core: a sleeping task for each timer costs far more."""
+    """A heap that the core polls at each tick; a sleeping task for each timer would cost far more."""
 
     __slots__ = ("_timers",)
 
@@ -22,11 +22,11 @@
         self._timers: list[Timer] = []
 
     def set(self, fires_at: float, token: int) -> None:
-        """Adds a timer that fires at a time of the core's clock."""
+        """Adds a timer that fires at the given time of the core's clock."""
         heapq.heappush(self._timers, Timer(fires_at, token))
 
     def pop_due(self, now: float) -> int | None:
-        """Removes the earliest timer that is due and returns its token; None where none is."""
+        """Removes the earliest timer that is due and returns its token, or returns None if none is due."""
         if self._timers and self._timers[0].fires_at <= now:
             return heapq.heappop(self._timers).token
         return None
