--- a/tests/wiring/test_coordinator.py
+++ b/tests/wiring/test_coordinator.py
@@ -1,4 +1,4 @@
-"""What the coordinator's events change in a front, and what is logged of them."""
+"""How events of the coordinator change the parts of a front, and how they are logged."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RecordingCaches:
-    """Stands in for the connections to the caches, and notes what it is told."""
+    """Stands in for the pool of cache connections, and records the calls."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[Any, ...]] = []
@@ -71,7 +71,7 @@
     assert events == [(object_id, 3, 100.0)] and not caches.calls
 
 
-def test_a_log_line_names_so_many_endpoints_of_each_state_and_counts_all() -> None:
+def test_a_log_line_names_a_limited_number_of_endpoints_of_each_state_and_counts_all() -> None:
     states = {f"s{n:03d}": DRAINING for n in range(MAX_LOGGED_ENDPOINTS + 5)}
     with structlog.testing.capture_logs() as lines:
         log_update(update(False, 4, up=READY, **states), RateLimitedLog())
@@ -81,6 +81,6 @@
     assert line["draining"] == sorted(states)[:MAX_LOGGED_ENDPOINTS]
 
 
-def test_the_shorter_of_the_two_graces_bounds_how_long_a_decision_may_wait() -> None:
+def test_the_least_grace_is_the_shorter_one_of_drains_and_purges() -> None:
     assert min_grace_seconds(settings(drain_grace=0.5, purge_grace=0.25)) == 0.25
     assert min_grace_seconds(settings(drain_grace=0.5, purge_grace=2.0)) == 0.5
--- a/tests/wiring/test_front.py
+++ b/tests/wiring/test_front.py
@@ -1,4 +1,4 @@
-"""A front is built of the parts that its configuration names, and of no others."""
+"""A front is built from the parts that its configuration enables, and from no others."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def imported_packages(config: dict[str, Any], tmp_path: Path) -> set[str]:
-    """The packages that a process has imported once a front is ready with this configuration."""
+    """Returns the packages that a process has imported once its front with this configuration is ready."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
     code = """
@@ -51,14 +51,14 @@
     return set(ended.stdout.splitlines()[-1].split())
 
 
-def test_a_front_of_the_platform_imports_no_optional_part(tmp_path: Path) -> None:
+def test_a_front_without_an_operators_file_imports_no_optional_package(tmp_path: Path) -> None:
     imported = imported_packages(configuration([]), tmp_path)
     assert "wiring" in imported and not imported & set(OPTIONAL_PACKAGES)
     with_status = imported_packages(configuration([]) | {"control": "127.0.0.1:0"}, tmp_path)
     assert with_status - imported == {"control"}
 
 
-async def test_only_what_is_configured_listens() -> None:
+async def test_a_front_listens_only_for_the_parts_that_are_configured() -> None:
     async with world(serve, operator={"metrics": {"listen": "127.0.0.1:0"}}) as w, client(w) as c:
         await c.ask()
         assert (await c.reply()).kind == "served"
@@ -67,7 +67,7 @@
         assert w.listening.operators and not w.listening.metrics
 
 
-async def test_subscribers_to_reloads_are_told_in_the_order_of_start() -> None:
+async def test_subscribers_to_reloads_are_in_the_order_in_which_parts_are_built() -> None:
     config = parse_config(configuration([], 4222))
     reload = Reload(config)
     front = Front(config, parse_operator({}, config.names), reload, None)
@@ -87,7 +87,7 @@
     assert names == expected and reload.counts is front.core.counts and reload.limits is None
 
 
-def test_a_front_without_commands_imports_none_of_their_libraries() -> None:
+def test_a_front_imports_no_library_that_only_commands_use() -> None:
     code = "import sys, zincladder.__main__; print(*sys.modules)"
     loaded = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
@@ -95,7 +95,7 @@
     assert not {"click", "rich", "msgspec", "zincladder.cli", "zincladder.control"} & set(loaded)
 
 
-async def test_a_front_takes_clients_over_ipv6() -> None:
+async def test_a_front_accepts_clients_over_ipv6() -> None:
     async with world(serve, listen="[::1]:0", operator={"admission": {}}) as w, client(w) as c:
         assert w.listening.clients[0] == "::1"
         await c.ask()
--- a/tests/wiring/test_process.py
+++ b/tests/wiring/test_process.py
@@ -1,4 +1,4 @@
-"""A front as a real process: its start."""
+"""The start of a front as a real process."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_fronts_started_anew_beside_a_crowd_and_without_discovery_are_ready_in_time(
+async def test_a_front_is_ready_in_time_while_clients_connect_and_the_coordinator_is_unreachable(
     tmp_path: Path,
 ) -> None:
-    # nine in ten are ready within 10 s; idle clients take what descriptors they get as soon as one listens
-    where = ("127.0.0.1", free_port())
-    listen = f"{where[0]}:{where[1]}"
+    # Nine of ten fronts must be ready within 10 s. Idle clients take all descriptors once the front listens.
+    address = ("127.0.0.1", free_port())
+    listen = f"{address[0]}:{address[1]}"
     endpoint = StubCache("s-00000001", 0, port=free_port()).endpoint()
     config = configuration([endpoint], free_port(), limits={"sockets": 16}) | {"listen": listen}
 
-    def filled(crowd: list[socket.socket]) -> bool:
+    def all_connected(clients: list[socket.socket]) -> bool:
         with contextlib.suppress(OSError):
-            while len(crowd) < 64:
-                crowd.append(socket.create_connection(where, 0.2))
-        return len(crowd) == 64
+            while len(clients) < 64:
+                clients.append(socket.create_connection(address, 0.2))
+        return len(clients) == 64
 
     for _ in range(3):
-        crowd: list[socket.socket] = []
-        began = anyio.current_time()
+        clients: list[socket.socket] = []
+        started_at = anyio.current_time()
         front = FrontProcess(tmp_path, config)
         try:
-            await front.until(partial(filled, crowd))
+            await front.until(partial(all_connected, clients))
             await front.until(front.ready)
-            assert anyio.current_time() - began < 10
+            assert anyio.current_time() - started_at < 10
         finally:
             front.process.kill()
             front.process.wait()
-            for sock in crowd:
+            for sock in clients:
                 sock.close()
--- a/zincladder/__init__.py
+++ b/zincladder/__init__.py
@@ -1,4 +1,4 @@
-"""zincladder: the decisions of a caching router, as a library without I/O."""
+"""zincladder: a caching router. The package exports its decision logic, `Router`, which does no I/O."""
 
 from zincladder.routing.router import Router
 
--- a/zincladder/support/__init__.py
+++ b/zincladder/support/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers that any part may use."""
+"""Small helpers for all other packages."""
--- a/zincladder/support/lingering_close.py
+++ b/zincladder/support/lingering_close.py
@@ -1,4 +1,4 @@
-"""An orderly close: shut this side down, discard what the peer still sends, then close the descriptor."""
+"""A lingering close: stop sending, and discard what the peer still sends before the socket is closed."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 import anyio
 
-LINGER_SECONDS = 0.5  # for the peer's own end after this side's: many round trips
-NO_LINGER_SECONDS = 0.0  # where the descriptor is needed: only what has arrived already is read
+LINGER_SECONDS = 0.5  # to wait for the peer's end; many round trips
+NO_LINGER_SECONDS = 0.0  # if the descriptor is needed at once: reads only what has already arrived
 MAX_DISCARDED_BYTES = 1 << 20
-READ_BYTES = 1 << 16  # at once
+READ_BYTES = 1 << 16  # per call of recv
 
 
 async def lingering_close(sock: socket.socket, linger_seconds: float) -> None:
-    """Shuts this side down, then reads and discards until the peer's end or a bound.
+    """Shuts down sending, then reads and discards until the peer ends or a limit of time or bytes is reached.
 
-    Guards what was sent last: a close over unread bytes sends a reset, and the peer's system then drops the
-    answers that its client has not read yet (RFC 9112 9.6).
+    The caller closes the socket. Closing it with unread bytes would send a reset, on which the peer's system
+    drops the last answers if its application has not read them yet (RFC 9112 section 9.6).
     """
-    buffer, left = bytearray(READ_BYTES), MAX_DISCARDED_BYTES
+    buffer, bytes_left = bytearray(READ_BYTES), MAX_DISCARDED_BYTES
     try:
         sock.shutdown(socket.SHUT_WR)
         with anyio.move_on_after(linger_seconds):
-            while left > 0:
+            while bytes_left > 0:
                 try:
                     size = sock.recv_into(buffer)
                 except (BlockingIOError, InterruptedError):
@@ -30,6 +30,6 @@
                     continue
                 if not size:
                     return
-                left -= size
+                bytes_left -= size
     except (OSError, ValueError, anyio.ClosedResourceError):
-        pass  # the peer has reset it: nothing is left to guard
+        pass  # the peer has reset the connection, so there is nothing to wait for
--- a/zincladder/support/logging_setup.py
+++ b/zincladder/support/logging_setup.py
@@ -1,4 +1,4 @@
-"""How every process of the project logs: one JSON object a line, on standard error."""
+"""Logging of all processes of the project: one JSON object per line, on standard error."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def configure_logging() -> None:
-    """Set up structlog for this process; a program calls it once, before its first line."""
+    """Configures structlog for this process. A program calls it once, before it logs anything."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/zincladder/support/rate_limited_log.py
+++ b/zincladder/support/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Log lines that a peer can cause at will, at a bounded rate."""
+"""Limits the rate of log lines that a peer could otherwise cause without limit."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 import structlog
 
-MIN_INTERVAL_SECONDS = 1.0  # between two lines of one event
+MIN_INTERVAL_SECONDS = 1.0  # between two lines with the same event
 log = structlog.get_logger()
 
 
 @dataclass(slots=True)
 class _EventState:
-    """When an event was last logged, and how many of its lines were suppressed since."""
+    """When an event was last logged, and how many lines with it have been suppressed since then."""
 
     logged_at: float = float("-inf")
     suppressed: int = 0
 
 
 class RateLimitedLog:
-    """Logs at most one line of each event in an interval; the next one counts those that were suppressed."""
+    """Logs each event at most once per interval; the next line has the number suppressed as `suppressed`."""
 
     def __init__(self, min_interval_seconds: float = MIN_INTERVAL_SECONDS) -> None:
         self._min_interval_seconds = min_interval_seconds
-        self._events: dict[str, _EventState] = {}  # by event, of which the program has few
+        self._events: dict[str, _EventState] = {}  # by event text; the program has few of them
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Logs a warning, unless one of its event was logged lately."""
+        """Logs a warning, unless a line with the same event was logged within the interval."""
         self._log(log.warning, event, fields)
 
     def info(self, event: str, **fields: Any) -> None:
-        """Logs an informational line, unless one of its event was logged lately."""
+        """Logs an informational line, unless a line with the same event was logged within the interval."""
         self._log(log.info, event, fields)
 
     def _log(self, write: Callable[..., Any], event: str, fields: dict[str, Any]) -> None:
--- a/zincladder/wiring/__init__.py
+++ b/zincladder/wiring/__init__.py
@@ -1,1 +1,1 @@
-"""Builds a front from its configuration: one builder for each part."""
+"""Builds a front from its configuration; each module builds one part and connects it to the others."""
--- a/zincladder/wiring/admission.py
+++ b/zincladder/wiring/admission.py
@@ -1,4 +1,4 @@
-"""Admission of connections and requests, as the configuration bounds it."""
+"""Builds the admission of connections and requests with the limits of the configuration."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def build_admission(config: Config, operator: Operator) -> Admission:
-    """Admission by source where the operator's file turns it on, else by connection."""
+    """Returns admission by source if the operator's file enables it, else admission by connection."""
     bounds = RequestBounds(config.max_open_requests, config.max_unread_bytes)
     if operator.admission is None:
         return ConnectionAdmission(bounds, DescriptorBudget(config.sockets, FIXED_POOLS, own=0))
@@ -20,6 +20,6 @@
 
 
 def apply_bounds(admission: Admission, config: Config) -> None:
-    """Take the bounds of a configuration that was reloaded."""
+    """Applies the request limits of a reloaded configuration."""
     admission.bounds.max_open = config.max_open_requests
     admission.bounds.max_unread_bytes = config.max_unread_bytes
--- a/zincladder/wiring/commands.py
+++ b/zincladder/wiring/commands.py
@@ -1,4 +1,4 @@
-"""The control socket. Imported only where the operator's file names one."""
+"""Builds the server of the control socket. Imported only if the operator's file names a socket."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def build_command_server(path: str, admission: Admission, replaces: bool) -> CommandServer:
-    """A server that listens already. With `replaces` it takes the path from the old process."""
+    """Returns a server that already listens. With `replaces` it takes over the path of the old process."""
     return CommandServer(path, AdmissionCommands(admission).table, admission.descriptors, replaces)
--- a/zincladder/wiring/coordinator.py
+++ b/zincladder/wiring/coordinator.py
@@ -1,4 +1,4 @@
-"""The watch on the coordinator, and what its events change in a front."""
+"""Builds the watch on the coordinator, and applies its events to the parts of a front."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from zincladder.routing import interface as api
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-LOG_INTERVAL_SECONDS = 0.1  # between two lines on changes of the endpoint list
-MAX_LOGGED_ENDPOINTS = 16  # of each state, in one line
+LOG_INTERVAL_SECONDS = 0.1  # the least time between two log lines about the endpoint list
+MAX_LOGGED_ENDPOINTS = 16  # of each state in one log line
 
 
 def apply_update(core: Core, caches: CachePool, event: WatchEvent) -> None:
-    """Give one event of the coordinator to the parts that it concerns."""
+    """Applies one event of the coordinator: a purge, or an update of the endpoint list."""
     if not isinstance(event, EndpointUpdateReceived):
         core.purge(event.object, event.group, event.purged_at)
         return
@@ -31,36 +31,36 @@
     core.update_endpoints(kind, event.version, tuple(endpoint for endpoint, _ in event.endpoints))
 
 
-def log_update(update: EndpointUpdateReceived, lines: RateLimitedLog) -> None:
-    """Log the endpoints that an update concerns, by their state and as far as one line names them."""
+def log_update(update: EndpointUpdateReceived, rate_limited_log: RateLimitedLog) -> None:
+    """Logs the endpoints of an update by state, at most MAX_LOGGED_ENDPOINTS of each."""
     names_by_state = {
         state.name.lower(): [
             endpoint.id.decode("latin-1") for endpoint, _ in update.endpoints if endpoint.state is state
         ][:MAX_LOGGED_ENDPOINTS]
         for state in api.EndpointState
     }
-    lines.info(
+    rate_limited_log.info(
         "endpoint list changed", version=update.version, endpoints=len(update.endpoints), **names_by_state
     )
 
 
 def min_grace_seconds(settings: api.Settings) -> float:
-    """The least time from an event of the fleet to the moment from which it has to be observed."""
+    """Returns the shortest time in seconds from an event of the coordinator until a front must obey it."""
     return min(settings.drain_grace, settings.purge_grace)
 
 
 def build_watch(
     coordinator: Address, config: Config, last_event: int, core: Core, caches: CachePool
 ) -> CoordinatorWatch:
-    """The watch, which follows the events after `last_event`.
+    """Builds the watch, which receives the events that follow event number `last_event`.
 
-    From now on the core decides no request before its list is current.
+    From now on the core decides requests only while its endpoint list is current.
     """
-    lines = RateLimitedLog(LOG_INTERVAL_SECONDS)
+    rate_limited_log = RateLimitedLog(LOG_INTERVAL_SECONDS)
 
     def on_event(event: WatchEvent) -> None:
         if isinstance(event, EndpointUpdateReceived):
-            log_update(event, lines)
+            log_update(event, rate_limited_log)
         apply_update(core, caches, event)
 
     core.endpoint_list.freshness = Freshness(min_grace_seconds(config.settings))
@@ -77,13 +77,13 @@
 
 
 def apply_settings(core: Core, config: Config) -> None:
-    """Take the settings and classes of a configuration that was reloaded."""
+    """Applies the settings and request classes of a reloaded configuration."""
     core.apply_settings(config.settings, config.names.classes)
     if core.endpoint_list.freshness is not None:
         core.endpoint_list.freshness.min_grace_seconds = min_grace_seconds(config.settings)
 
 
 def follow_coordinator(watch: CoordinatorWatch, config: Config) -> None:
-    """Follow the coordinator of a configuration that was reloaded; without one the old one is followed."""
+    """Follows the coordinator of a reloaded configuration, or still the old one if it names none."""
     if config.coordinator:
         watch.follow(config.coordinator)
--- a/zincladder/wiring/dns.py
+++ b/zincladder/wiring/dns.py
@@ -1,4 +1,4 @@
-"""The DNS front. Imported only where the operator's file turns it on."""
+"""Builds the DNS front. Imported only if the operator's file enables it."""
 
 from __future__ import annotations
 
@@ -13,6 +13,6 @@
 def build_dns_server(
     config: DnsConfig, core: Core, caches: CacheTransport, admission: Admission
 ) -> DnsServer:
-    """A server that listens already; its `run` answers."""
+    """Returns a server that already listens; its `run` answers queries."""
     answers = Answers(config, core, caches.pool.address_of)
     return DnsServer(config.listen, answers, core.clock, admission, core.endpoint_list.wait_until_synced)
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -1,4 +1,4 @@
-"""One front: builds its parts in order, runs them, and ends them in order."""
+"""Builds the parts of one front, runs them, and stops them in order."""
 
 from __future__ import annotations
 
@@ -32,14 +32,15 @@
     from zincladder.policy.lease_client import FleetPolicy
     from zincladder.tasks.runner import TaskRunner
 
-STARTED_AT = time.monotonic()  # before the event loop runs; only the interpreter and the imports come earlier
-FLUSH_TIMEOUT_SECONDS = 0.5  # after the last answer, for the last samples and releases to be sent
+# Taken before the event loop runs; only the start of the interpreter and earlier imports are not measured.
+STARTED_AT = time.monotonic()
+FLUSH_TIMEOUT_SECONDS = 0.5  # after the last answer, to send the last samples and to release leases
 log = structlog.get_logger()
 
 
 @dataclass(slots=True)
 class ListeningAddresses:
-    """Where a front listens; a port of 0 in the configuration is the system's choice."""
+    """The addresses at which a front listens, with the port that the system chose for port 0."""
 
     clients: Address
     dns: Address | None = None
@@ -50,27 +51,28 @@
 class Front:
     """The parts of one front.
 
-    A part that the configuration does not turn on is None, and its modules are not imported: a front on the
-    platform starts sooner and holds less memory.
+    An optional part that the configuration does not enable is None. Its modules are not imported, so that a
+    front that does not need it starts faster and uses less memory.
     """
 
     def __init__(
-        self, config: Config, operator: Operator, reload: Reload, rendezvous_folder: str | None
+        self, config: Config, operator: Operator, reload: Reload, rendezvous_directory: str | None
     ) -> None:
-        """Build what every front has; from now on it listens for clients.
+        """Builds the parts that every front has, and starts to listen for clients.
 
-        In `rendezvous_folder` a process meets the next one of the same front at an upgrade.
+        At an upgrade, a process passes its listening socket to the next process of the same front through a
+        unix socket in `rendezvous_directory`.
         """
         self.config, self.operator, self.reload = config, operator, reload
         clock = Clock()
-        self.handover = self._build_handover(rendezvous_folder)
+        self.handover = self._build_handover(rendezvous_directory)
         self.inherited_listener = self.handover.take_over() if self.handover else None
         self.admission = build_admission(config, operator)
         classes = RequestClasses(config.names.classes, config.settings.classes)
         self.caches = CacheTransport(CachePool(config, self.admission.descriptors), clock.now, classes.names)
         self.core = Core(config.settings, config.seed, self.caches, clock, classes)
         self.last_event = self._apply_known_events()
-        # Listens only now: what clients send while the list is taken in would wait unread.
+        # Starts to listen only after the events are applied: requests sent earlier would wait unread.
         self.clients = ClientServer(
             config, self.core, self.admission, self.inherited_listener, self._has_successor
         )
@@ -80,23 +82,23 @@
         self.tasks: TaskRunner | None = None
         self.remote_writes: list[RemoteWrite] = []
 
-    def _build_handover(self, folder: str | None) -> Handover | None:
+    def _build_handover(self, directory: str | None) -> Handover | None:
         _, port = self.config.listen
-        return Handover(folder, self.config.listen, self.reload.share) if folder and port else None
+        return Handover(directory, self.config.listen, self.reload.share) if directory and port else None
 
     def _has_successor(self) -> bool:
-        """Whether a newer process of this front takes new clients."""
+        """Returns whether a newer process of this front accepts new clients."""
         return self.handover is not None and self.handover.generations.has_successor
 
     def _apply_known_events(self) -> int:
-        """Apply the events that the configuration holds; the number of the last one."""
+        """Applies the events that the configuration holds, and returns the number of the last one."""
         last_event, events = read_known_events(self.config)
         for event in events:
             apply_update(self.core, self.caches.pool, event)
         return last_event
 
     async def run(self, stopping: anyio.Event, task_status: TaskStatus[ListeningAddresses]) -> None:
-        """Run all parts until `stopping` is set and the last request is answered."""
+        """Runs all parts until `stopping` is set and the last request is answered."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.clients.stop, stopping)
             group.start_soon(self.caches.pool.run)
@@ -115,7 +117,7 @@
             await self.clients.run()
             await self._flush()
             group.cancel_scope.cancel()
-        self._log_ended()
+        self._log_stopped()
 
     # Starting -------------------------------------------------------------------------------------
 
@@ -198,12 +200,12 @@
             for remote_write in self.remote_writes:
                 group.start_soon(remote_write.run)
 
-    # Ending ---------------------------------------------------------------------------------------
+    # Stopping -------------------------------------------------------------------------------------
 
     async def _flush(self) -> None:
-        """Send the last samples and release leases, each within FLUSH_TIMEOUT_SECONDS.
+        """Sends the last samples and releases leases, each within FLUSH_TIMEOUT_SECONDS.
 
-        It may end after SIGKILL is due; all requests are answered by then.
+        The platform may send SIGKILL before this ends. All requests are answered by then.
         """
         async with anyio.create_task_group() as group:
             for remote_write in self.remote_writes:
@@ -228,9 +230,11 @@
             **asdict(self.listening),
         )
 
-    def _log_ended(self) -> None:
+    def _log_stopped(self) -> None:
         counts = self.core.counts.items()
-        log.info("ended", answers={kind: count for (group, kind), count in counts if group == "answers"})
+        log.info(
+            "front stopped", answers={kind: count for (group, kind), count in counts if group == "answers"}
+        )
 
 
 async def run_front(
@@ -239,13 +243,13 @@
     stopping: anyio.Event,
     *,
     reload: Reload | None = None,
-    rendezvous_folder: str | None = None,
+    rendezvous_directory: str | None = None,
     task_status: TaskStatus[ListeningAddresses] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run a front until `stopping` is set and what was taken is answered.
+    """Runs a front until `stopping` is set and all accepted requests are answered.
 
-    Reports the addresses through `task_status` once it is ready. Raises ConfigError, in a group, where a part
-    cannot use what its configuration names.
+    Reports the listening addresses through `task_status` once the front is ready. Raises an exception group
+    with a ConfigError if a part cannot use what its configuration names.
     """
-    front = Front(config, operator, reload or Reload(config), rendezvous_folder)
+    front = Front(config, operator, reload or Reload(config), rendezvous_directory)
     await front.run(stopping, task_status)
--- a/zincladder/wiring/metrics.py
+++ b/zincladder/wiring/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics and their export. Imported only where the operator's file turns one of them on."""
+"""Builds the metrics and their export. Imported only if the operator's file enables one of them."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     policy: FleetPolicy | None,
     tasks: TaskRunner | None,
 ) -> Registry:
-    """The samples of the front `name`, read off its parts."""
+    """Returns the registry that reads the samples of the front `name` from its parts."""
     return Registry(
         core,
         name,
@@ -41,7 +41,7 @@
 
 
 def build_exporter(listen: Address, registry: Registry, admission: Admission) -> MetricsExporter:
-    """The HTTP endpoint of the metrics; its `run` listens and answers."""
+    """Returns the HTTP endpoint for metrics; its `run` listens and answers."""
     from zincladder.metrics.exporter import MetricsExporter
 
     return MetricsExporter(listen, registry, admission)
@@ -50,15 +50,15 @@
 def build_remote_writes(
     receivers: Iterable[RemoteWriteConfig], registry: Registry, core: Core
 ) -> list[RemoteWrite]:
-    """A sender of samples for each receiver. Raises ConfigError where a spool cannot be used."""
+    """Returns a sender of samples for each receiver. Raises ConfigError if a spool cannot be used."""
     from zincladder.export.sender import RemoteWrite
 
-    count = _counter(core)
-    return [RemoteWrite(receiver, registry.samples, count) for receiver in receivers]
+    count_batches = _batch_counter(core)
+    return [RemoteWrite(receiver, registry.samples, count_batches) for receiver in receivers]
 
 
-def _counter(core: Core) -> Callable[[str, int], None]:
-    def count(outcome: str, batches: int) -> None:
+def _batch_counter(core: Core) -> Callable[[str, int], None]:
+    def count_batches(outcome: str, batches: int) -> None:
         core.counts["remote_write", outcome] += batches
 
-    return count
+    return count_batches
--- a/zincladder/wiring/policy.py
+++ b/zincladder/wiring/policy.py
@@ -1,4 +1,4 @@
-"""Joins the fleet's policy to the parts of a front: its configuration in force, and its decisions."""
+"""Connects the fleet's policy to a front: to its configuration, and to its core, which needs a lease."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 
 
 class PolicyOverlay:
-    """The front's own files, and the policy that is laid over them."""
+    """The front's own files, and the policy whose values take precedence over them."""
 
     def __init__(self, config: Config, operator: dict[str, Any]) -> None:
         self.files = document.FrontFiles(config.raw, operator)
         self.policy: dict[str, Any] = {}
 
     def over(self, config: Config, operator: Operator) -> tuple[Config, Operator]:
-        """The configuration in force for the given files. Raises ConfigError."""
+        """Returns the configuration and the operator's file with the policy applied. Raises ConfigError."""
         if not self.policy:
             return config, operator
         return document.configuration_under(replace(self.files, platform=config.raw), self.policy, config)
 
     def read_again(self) -> None:
-        """Reads the front's files anew, at SIGHUP.
+        """Reads the front's own files again, at SIGHUP.
 
-        Raises ConfigError for a changed key that the policy sets.
+        Raises ConfigError if a key that the policy sets has changed in them.
         """
         new = document.FrontFiles(configuration.load().raw, _read_operator_file())
         if overridden := document.overridden_keys(self.files, new, self.policy):
-            raise ConfigError(f"'{overridden[0]}' is part of the fleet's policy, and is changed there")
+            raise ConfigError(f"'{overridden[0]}' is part of the fleet's policy and must be changed there")
         self.files = new
 
 
 def follow_policy(policy_config: PolicyConfig, config: Config, reload: Reload, core: Core) -> FleetPolicy:
-    """Makes the front take part in the policy; from now on it decides under a lease only."""
+    """Makes a front follow the fleet's policy; from now on it decides requests only while it has a lease."""
     overlay = PolicyOverlay(config, _read_operator_file())
 
     def validate(content: bytes) -> tuple[str, ...]:
@@ -53,11 +53,11 @@
     def apply(content: bytes) -> str:
         if reasons := validate(content):
             return reasons[0]
-        before, overlay.policy = overlay.policy, document.parse_policy(content)
+        previous_policy, overlay.policy = overlay.policy, document.parse_policy(content)
         try:
-            reload.take(reload.own, Operator())  # the operator's part comes from the overlay
+            reload.take(reload.own, Operator())  # the overlay supplies the operator's file
         except ConfigError as error:
-            overlay.policy = before
+            overlay.policy = previous_policy
             return str(error)
         return ""
 
--- a/zincladder/wiring/process.py
+++ b/zincladder/wiring/process.py
@@ -1,4 +1,4 @@
-"""The process of a front: its signals and its event loop."""
+"""Runs a front as a process: its event loop and its signal handling."""
 
 from __future__ import annotations
 
@@ -13,15 +13,18 @@
 
 
 def run_process(config: Config, operator: Operator) -> None:
-    """Run a front until SIGTERM or SIGINT has ended it in order. Raises ConfigError in a group."""
-    # uvloop: a front has to serve 950 requests a second on part of a core.
+    """Runs a front until SIGTERM or SIGINT stops it.
+
+    Raises an exception group with a ConfigError if a part cannot use what the configuration names.
+    """
+    # uvloop, because a front has to serve 950 requests per second on a fraction of a CPU core.
     anyio.run(_run, config, operator, backend_options={"use_uvloop": True})
 
 
 async def _run(config: Config, operator: Operator) -> None:
-    """SIGTERM and SIGINT stop the front, and what was taken is answered first. SIGHUP reloads."""
+    """Runs a front. SIGTERM and SIGINT stop it once open requests are answered; SIGHUP reloads the files."""
     stopping, reload = anyio.Event(), Reload(config)
-    rendezvous_folder = os.environ.get("TMPDIR")
+    rendezvous_directory = os.environ.get("TMPDIR")
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async with anyio.create_task_group() as tasks:
 
@@ -33,5 +36,7 @@
                         stopping.set()
 
             tasks.start_soon(handle_signals)
-            await run_front(config, operator, stopping, reload=reload, rendezvous_folder=rendezvous_folder)
+            await run_front(
+                config, operator, stopping, reload=reload, rendezvous_directory=rendezvous_directory
+            )
             tasks.cancel_scope.cancel()
--- a/zincladder/wiring/status.py
+++ b/zincladder/wiring/status.py
@@ -1,4 +1,4 @@
-"""The address at which operators ask READY and STATS. Imported only where the configuration names one."""
+"""Builds the server that answers READY and STATS. Imported only if the configuration names its address."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from zincladder.policy.lease_client import FleetPolicy
     from zincladder.tasks.runner import TaskRunner
 
-# Sections of STATS; each goes before the names of its values.
+# The sections of STATS; a section is the prefix of the names of its values.
 POLICY_SECTION, TASKS_SECTION = "policy", "duty"
 
 
@@ -31,7 +31,7 @@
     policy: FleetPolicy | None,
     tasks: TaskRunner | None,
 ) -> StatusServer:
-    """A server that listens already; its `run` answers."""
+    """Returns a server that already listens; its `run` answers calls."""
     readiness = Readiness(
         core.endpoint_list.ready_count,
         core.endpoint_list.has_synced,
--- a/zincladder/wiring/tasks.py
+++ b/zincladder/wiring/tasks.py
@@ -1,4 +1,4 @@
-"""Joins the fleet's singleton tasks to a front: its counters, and the tasks in its operator's file."""
+"""Connects the fleet's singleton tasks to a front: its counters, and the tasks in the operator's file."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def front_counters(core: Core) -> dict[str, float]:
-    """A front's answers by class and attempts by cache, since its start."""
+    """Returns a front's answers by class and attempts by cache, counted since its start."""
     counters = {series(ANSWERS, *key): float(count) for key, count in core.statistics.answers.items()}
     for cache, statistics in core.statistics.endpoints.items():
         for end, count in statistics.attempts.items():
@@ -19,7 +19,7 @@
 
 
 def build_task_runner(config: TasksConfig, name: str, core: Core) -> TaskRunner:
-    """A front's part in the singleton tasks of its fleet."""
+    """Returns the runner that takes part in the singleton tasks of the fleet."""
     functions: dict[str, TaskFunction] = {}
     if config.metrics_receiver is not None and "figures" in config.offered:
         functions["figures"] = FleetMetricsTask(config.metrics_receiver)
