--- a/tests/handover/test_model.py
+++ b/tests/handover/test_model.py
@@ -1,4 +1,4 @@
-"""The messages of an upgrade, and the count of processes."""
+"""The messages of an upgrade, and the count of the processes of one front."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         decode(good, "127.0.0.1:81")
 
 
-def test_processes_are_counted_until_they_end_and_bounded() -> None:
+def test_processes_are_counted_until_they_end_and_their_number_is_bounded() -> None:
     generations = ProcessGenerations()
     old = generations.add(newer=False)
     assert old and generations.process_count == 2 and not generations.has_successor
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrades of real processes."""
+"""Upgrades with real processes: a new process takes over the listening socket of the old one."""
 
 from __future__ import annotations
 
@@ -24,45 +24,44 @@
 
 pytestmark = pytest.mark.anyio
 
-
-STATUS = b"\0\0\0\x17\x80\x01\0\1\0\0\0\6status\0\0\0\1\x02\0\1\1\0"  # one whole call
+STATUS = b"\0\0\0\x17\x80\x01\0\1\0\0\0\6status\0\0\0\1\x02\0\1\1\0"  # one complete call
 
 
 class ConnectionStorm:
-    """Threads that connect, ask for `status` and leave, all the time; what ends without an answer is lost.
+    """Threads that connect, call `status` and disconnect, repeatedly. Calls without an answer count as lost.
 
-    A thread that is held up between its connect and its call may cross the end of a silent connection: that
-    call goes again on a new one, once, as the platform's clients do it.
+    If a thread is delayed between its connect and its call, the front may close the idle connection first.
+    Such a call is repeated once on a new connection, as the platform's clients do.
     """
 
-    def __init__(self, where: tuple[str, int], threads: int = 4) -> None:
-        self.where, self.lost, self.answered, self._stop = where, 0, 0, False
+    def __init__(self, address: tuple[str, int], threads: int = 4) -> None:
+        self.address, self.lost, self.answered, self._stop = address, 0, 0, False
         self._threads = [threading.Thread(target=self._run) for _ in range(threads)]
         for thread in self._threads:
             thread.start()
 
     def _run(self) -> None:
         while not self._stop:
-            good, prompt = self._call()
-            if not good and not prompt:
-                good, _ = self._call()
-            self.answered, self.lost = self.answered + good, self.lost + (not good)
+            answered, prompt = self._call()
+            if not answered and not prompt:
+                answered, _ = self._call()
+            self.answered, self.lost = self.answered + answered, self.lost + (not answered)
             time.sleep(0.001)
 
     def _call(self) -> tuple[bool, bool]:
-        """Whether a call on a new connection was answered, and whether it was sent at once."""
+        """Returns whether a call on a new connection was answered, and whether it was sent at once."""
         sent_after = 0.0
         try:
-            with socket.create_connection(self.where, 3.0) as sock:
+            with socket.create_connection(self.address, 3.0) as sock:
                 connected = time.monotonic()
                 sock.sendall(STATUS)
                 sent_after = time.monotonic() - connected
-                good = len(sock.recv(64)) > 4
+                answered = len(sock.recv(64)) > 4
         except OSError:
-            good = False
-        return good, sent_after < MIN_IDLE_SECONDS
+            answered = False
+        return answered, sent_after < MIN_IDLE_SECONDS
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self._stop = True
         for thread in self._threads:
             thread.join()
@@ -73,53 +72,53 @@
     async with anyio.create_task_group() as tasks:
         await tasks.start(stub_cache.run)
         await tasks.start(origin.run)
-        where = ("127.0.0.1", free_port())
+        address = ("127.0.0.1", free_port())
         config = configuration([stub_cache.endpoint(), origin.endpoint()]) | {
-            "listen": f"{where[0]}:{where[1]}"
+            "listen": f"{address[0]}:{address[1]}"
         }
         fronts = [FrontProcess(tmp_path, config)]
         storm = None
         try:
             await fronts[0].until(fronts[0].ready)
-            storm = await anyio.to_thread.run_sync(ConnectionStorm, where)
-            for early in (
-                False,
-                True,
-            ):  # and an upgrade on an upgrade, with SIGTERM before the new one is ready
-                busy = Client(await anyio.connect_tcp(*where))
-                slow = await anyio.connect_tcp(*where)
+            storm = await anyio.to_thread.run_sync(ConnectionStorm, address)
+            # At the second upgrade, the old process gets SIGTERM before the new one is ready.
+            for early in (False, True):
+                busy = Client(await anyio.connect_tcp(*address))
+                slow = await anyio.connect_tcp(*address)
                 await slow.send(STATUS[:9])
                 fronts.append(FrontProcess(tmp_path, config))
                 if early:
                     await fronts[-1].until(lambda log=fronts[-1].log: b"taken over" in log.read_bytes())  # type: ignore[misc]
                 else:
                     await fronts[-1].until(fronts[-1].ready)
-                    fronts[-1].process.send_signal(signal.SIGHUP)  # while two run
+                    fronts[-1].process.send_signal(signal.SIGHUP)  # while both processes run
                     await fronts[-1].until(lambda: b"applied=1" in fronts[-1].ask(b"STATS\n"))
-                    assert b"applied=0" in fronts[-2].ask(b"STATS\n")  # each has its own figures
+                    assert b"applied=0" in fronts[-2].ask(b"STATS\n")  # each process has its own statistics
                 kinds = set()
                 fronts[-2].process.send_signal(signal.SIGTERM)
                 try:
-                    for i in range(10_000):  # never idle: answered until the connection is closed between two
+                    # Requests follow without a pause until the front closes the connection between two.
+                    for i in range(10_000):
                         await busy.ask(trace=f"{i + 1:016x}")
                         kinds.add((await busy.reply()).kind)
                 except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
                     pass
-                await slow.send(STATUS[9:])  # half was here at the end: it is read and answered
+                # The process had read the first half of this call when it got SIGTERM, and answers it.
+                await slow.send(STATUS[9:])
                 assert len(await slow.receive()) > 4
                 assert kinds <= {"served", "Throttled"} and await fronts[-2].ended() == 0
                 await fronts[-1].until(fronts[-1].ready)
-            await anyio.to_thread.run_sync(storm.end)
+            await anyio.to_thread.run_sync(storm.stop)
             assert storm.lost == 0 and storm.answered > 50
         finally:
             if storm:
-                await anyio.to_thread.run_sync(storm.end)
+                await anyio.to_thread.run_sync(storm.stop)
             for front in fronts:
                 front.process.kill()
         tasks.cancel_scope.cancel()
 
 
-async def test_an_upgrade_takes_along_all_that_an_operators_file_turns_on(tmp_path: Path) -> None:
+async def test_an_upgrade_takes_over_all_parts_that_the_operators_file_enables(tmp_path: Path) -> None:
     dns, metrics, path = free_port(), free_port(), tmp_path / "c.sock"
     operator = tmp_path / "operator.toml"
     operator.write_text(
@@ -139,7 +138,7 @@
             subprocess.run(ask, capture_output=True, check=True)
             fronts[-2].process.send_signal(signal.SIGTERM)
             assert await fronts[-2].ended() == 0
-            subprocess.run(ask, capture_output=True, check=True)  # the path is the new one's
+            subprocess.run(ask, capture_output=True, check=True)  # the path belongs to the new process
             for port in (dns, metrics):
                 socket.create_connection(("127.0.0.1", port), 1.0).close()
     finally:
@@ -147,28 +146,28 @@
             front.process.kill()
 
 
-async def test_a_rendezvous_path_that_another_version_took_is_left_alone(tmp_path: Path) -> None:
-    where = f"127.0.0.1:{free_port()}"
+async def test_a_rendezvous_path_that_another_version_replaced_is_not_replaced(tmp_path: Path) -> None:
+    address = f"127.0.0.1:{free_port()}"
     front = FrontProcess(
-        tmp_path, configuration([StubCache("s-000000b0", 2, port=1).endpoint()]) | {"listen": where}
+        tmp_path, configuration([StubCache("s-000000b0", 2, port=1).endpoint()]) | {"listen": address}
     )
-    path, other = tmp_path / f"zincladder-{where.replace(':', '-')}.sock", tmp_path / "other"
+    path, other = tmp_path / f"zincladder-{address.replace(':', '-')}.sock", tmp_path / "other"
     try:
         await front.until(front.ready)
         await front.until(path.exists)
         other.touch()
         other.rename(path)
-        await anyio.sleep(1.5)  # it looks once a second
+        await anyio.sleep(1.5)  # the front checks the path once per second
         assert path.is_file()
     finally:
         front.process.kill()
 
 
-async def test_after_the_death_of_a_new_process_the_old_one_has_all_limits_and_the_path(
+async def test_after_a_new_process_was_killed_the_old_one_has_all_limits_and_the_rendezvous_path(
     tmp_path: Path,
 ) -> None:
-    where = f"127.0.0.1:{free_port()}"
-    config = configuration([StubCache("s-000000b0", 2, port=1).endpoint()]) | {"listen": where}
+    address = f"127.0.0.1:{free_port()}"
+    config = configuration([StubCache("s-000000b0", 2, port=1).endpoint()]) | {"listen": address}
     fronts = [FrontProcess(tmp_path, config)]
     try:
         await fronts[0].until(fronts[0].ready)
@@ -180,10 +179,10 @@
             log = tmp_path / "log0"
             ended = len(fronts) - 1
             await fronts[0].until(
-                lambda log=log, ended=ended: log.read_bytes().count(b"other process ended") == ended  # type: ignore[misc]
+                lambda log=log, ended=ended: log.read_bytes().count(b"process of this front ended") == ended  # type: ignore[misc]
             )
-            path = tmp_path / f"zincladder-{where.replace(':', '-')}.sock"
-            inode = path.stat().st_ino  # of the one that died: the old one takes the path back
+            path = tmp_path / f"zincladder-{address.replace(':', '-')}.sock"
+            inode = path.stat().st_ino  # of the killed process; the old one publishes the path again
             await fronts[0].until(lambda path=path, inode=inode: path.stat().st_ino != inode)  # type: ignore[misc]
         assert fronts[0].ready()
         ask = [sys.executable, "-m", "zincladder"]
@@ -208,7 +207,9 @@
 
 
 @pytest.mark.parametrize("left", ["torn", "dead", "folder"])
-async def test_what_a_killed_process_left_behind_does_no_harm(tmp_path: Path, left: str) -> None:
+async def test_a_rendezvous_path_that_a_killed_process_left_behind_does_no_harm(
+    tmp_path: Path, left: str
+) -> None:
     port = free_port()
     path = tmp_path / f"zincladder-127.0.0.1-{port}.sock"
     if left == "torn":
