--- a/tests/admission/test_clock_steps.py
+++ b/tests/admission/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Admission under a clock that jumps."""
+"""Admission when the clock steps forward or back."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from zincladder.admission.model import PriorityLane, RejectionReason
 
 
-def test_a_clock_that_jumps_changes_no_lane_and_no_sum() -> None:
+def test_a_clock_step_changes_no_lane_and_no_decayed_sum() -> None:
     admission = source_admission()
     now = become_known(admission, KNOWN_HOST, 1000.0)
-    for jump in (-500.0, 3.0, -1e6, 0.0):
-        now += jump
+    for step in (-500.0, 3.0, -1e6, 0.0):
+        now += step
         admission.tick(now, 0.0)
         slot = admit(admission, KNOWN_HOST, now)
-        assert slot is not None and slot.lane is PriorityLane.KNOWN, jump
+        assert slot is not None and slot.lane is PriorityLane.KNOWN, step
         assert admission.may_read(slot, now) and open_request(admission, slot, now) is RejectionReason.NONE
         admission.tick(now, 0.0)
         admission.request_closed(slot, now, True)
--- a/tests/admission/test_connection_control.py
+++ b/tests/admission/test_connection_control.py
@@ -1,4 +1,4 @@
-"""Which connections get a slot, and which idle one makes room."""
+"""Which connections get a slot, and which idle connection is evicted for a new one."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         if decision.verdict is Verdict.ADMIT:
             slots.append(admission.open_slot(decision, now + 1))
     assert len(slots) <= admission.limits.max_per_address
-    for i in range(200):  # and many addresses together leave the reserve
+    for i in range(200):  # many addresses together do not use up the reserve either
         admit(admission, f"10.{i}.0.1", now + 1)
     pool = admission.descriptors.pools[DescriptorUse.CLIENTS]
     assert admission.slots_by_lane[PriorityLane.NEW] <= pool.max_used * (1 - admission.limits.reserve)
@@ -43,14 +43,14 @@
     assert all(known_slots) and all(slot and slot.lane is PriorityLane.KNOWN for slot in known_slots)
 
 
-def test_a_network_has_a_cap_of_its_own() -> None:
+def test_the_connections_of_a_network_are_capped() -> None:
     admission = source_admission(sockets=2048)
-    taken = [admit(admission, f"198.51.100.{i % 250}", i * 0.01) for i in range(400)]
-    assert sum(slot is not None for slot in taken) == admission.limits.max_per_network
+    admitted = [admit(admission, f"198.51.100.{i % 250}", i * 0.01) for i in range(400)]
+    assert sum(slot is not None for slot in admitted) == admission.limits.max_per_network
     assert admit(admission, "203.0.113.1", 5.0)
 
 
-def test_listed_networks_have_caps_of_their_own_and_no_penalty() -> None:
+def test_listed_networks_have_their_own_caps_and_get_no_penalty() -> None:
     admission = source_admission(networks=(ListedNetwork("192.0.2.0/24", connections=3),))
     slots = [admit(admission, KNOWN_HOST, 0.0) for _ in range(5)]
     assert [bool(s) for s in slots] == [True] * 3 + [False] * 2
@@ -68,15 +68,13 @@
     while admit(admission, FLOOD_HOST, now + 1):
         pass
     now += 5
-    # A newcomer that has no slot yet takes one from whoever has many; a known one finds the reserve.
-    newcomer = admission.connect("203.0.113.5", now)
+    # A new source without a slot gets one of a source with many; a known source gets the reserved slots.
+    pending = admission.connect("203.0.113.5", now)
     assert (
-        newcomer.verdict is Verdict.WAIT
-        and newcomer.evict
-        and newcomer.evict.source.key == key_of(FLOOD_HOST)
+        pending.verdict is Verdict.WAIT and pending.evict and pending.evict.source.key == key_of(FLOOD_HOST)
     )
-    admission.release_slot(newcomer.evict, now)
-    assert admission.reconsider(newcomer, now).verdict is Verdict.ADMIT
+    admission.release_slot(pending.evict, now)
+    assert admission.reconsider(pending, now).verdict is Verdict.ADMIT
     while (slot := admit(admission, KNOWN_HOST, now)) is not None:
         assert slot.lane is PriorityLane.KNOWN
     evicted: list[ConnectionSlot] = []
--- a/tests/admission/test_descriptor_budget.py
+++ b/tests/admission/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The budget of descriptors."""
+"""The budget of file descriptors."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     later=st.integers(8, 2000),
 )
 @hypothesis_settings(max_examples=80, deadline=None)
-def test_descriptors_are_never_overdrawn(
+def test_descriptors_in_use_never_exceed_the_limit_and_every_guarantee_is_kept(
     total: int, steps: list[tuple[DescriptorUse, bool]], later: int
 ) -> None:
     descriptors = DescriptorBudget(total, ELASTIC_POOLS)
@@ -25,7 +25,7 @@
         elif descriptors.pools[use].used:
             descriptors.release(use)
         assert descriptors.used <= max(total, 24)
-        for other, pool in descriptors.pools.items():  # each is guaranteed its part, whatever the rest use
+        for other, pool in descriptors.pools.items():  # each guarantee holds, whatever the other uses take
             assert pool.used >= pool.guaranteed or descriptors.available(other) > 0
     descriptors.resize(later)
-    assert descriptors.over == max(0, descriptors.used - later)
+    assert descriptors.excess == max(0, descriptors.used - later)
--- a/tests/admission/test_floods.py
+++ b/tests/admission/test_floods.py
@@ -1,4 +1,4 @@
-"""Floods and failures against a front as a process: who behaves is served, and each request ends once."""
+"""Floods and failures against a front process: other clients are served, and each request ends once."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return [rig.UsualClient(front, home, 60 / len(homes), count, **more) for home in homes]
 
 
-async def ask(usual: list[rig.UsualClient], seconds: float) -> None:
+async def run_clients(usual: list[rig.UsualClient], seconds: float) -> None:
     until = time.monotonic() + seconds
     await asyncio.gather(*(c.run(until) for c in usual))
 
@@ -36,7 +36,7 @@
 async def flooded(
     front: rig.Front, kind: str, seconds: float, addresses: int = 1
 ) -> AsyncIterator[dict[str, int]]:
-    """A flood from a process of its own; what it counted is there at the end."""
+    """Runs a flood in a separate process; its counts are in the yielded dict after the block."""
     command = [sys.executable, "-m", "benchmarks.flood", kind, front.host, str(front.port), str(seconds)]
     process = subprocess.Popen([*command, str(addresses)], cwd=rig.ROOT, stdout=subprocess.PIPE)
     counted: dict[str, int] = {}
@@ -62,75 +62,76 @@
         ("malformed", 1, KNOWN, True),
         ("burst", 254, KNOWN, False),
         ("burst", 10_000, KNOWN, False),
-        ("burst", 1, ["127.0.2.1"] * 60, False),  # sixty users behind one gateway
+        ("burst", 1, ["127.0.2.1"] * 60, False),  # sixty users that share the address of a gateway
     ],
 )
-def test_a_flood_takes_nothing_from_known_clients(
+def test_known_clients_are_served_during_a_flood(
     kind: str, addresses: int, homes: list[str], fresh: bool
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with rig.members() as ports, rig.front(ports, operator=OPERATOR) as front:
-            calm, count = rig.Count(), rig.Count()
-            await ask(clients(front, calm, homes), 2.3)
+            warm_up_count, count = rig.Count(), rig.Count()
+            await run_clients(clients(front, warm_up_count, homes), 2.3)
             async with flooded(front, kind, 3.3, addresses) as flood:
-                await ask(clients(front, count, homes, fresh=fresh), 2.2)
-            # The unchanged front served 0.02 to 0.2 of them beside a burst.
+                await run_clients(clients(front, count, homes, fresh=fresh), 2.2)
+            # Before admission by source was added, a front served 0.02 to 0.2 of them during a burst.
             assert count.served >= 0.95, (count.ends, flood)
             assert count.twice == flood.get("twice", 0) == count.lost == 0
             assert flood["connections"] > 50 and front.usage.descriptors <= 256 and front.usage.rss_mb <= 96
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_the_clients_of_a_dead_front_are_taken_by_one_that_is_flooded() -> None:
-    async def story() -> None:
+def test_a_flooded_front_serves_the_clients_of_a_dead_front() -> None:
+    async def scenario() -> None:
         async with (
             rig.members() as ports,
             rig.front(ports, operator=OPERATOR) as dying,
             rig.front(ports, operator=OPERATOR) as other,
         ):
-            before, mixed = rig.Count(), rig.Count()
-            await ask(clients(dying, before), 1.0)
+            warm_up_count, count = rig.Count(), rig.Count()
+            await run_clients(clients(dying, warm_up_count), 1.0)
             async with flooded(other, "burst", 5.0), flooded(dying, "burst", 4.5):
-                os.kill(dying.pid, signal.SIGSTOP)  # a dead machine: connections stay open and silent
-                late: list[rig.UsualClient] = clients(other, mixed)
-                await ask(late, 3.0)  # nobody here knows them
+                # Like a dead machine: its connections stay open and silent.
+                os.kill(dying.pid, signal.SIGSTOP)
+                moved_clients: list[rig.UsualClient] = clients(other, count)
+                await run_clients(moved_clients, 3.0)  # the other front has not seen them before
             os.kill(dying.pid, signal.SIGCONT)
-            start = min(at for at, _ in mixed.at)
-            from_second_two = [good for at, good in mixed.at if at >= start + 1.0]
-            assert sum(from_second_two) / len(from_second_two) >= 0.95 and mixed.twice == 0
+            start = min(at for at, _ in count.at)
+            from_second_two = [good for at, good in count.at if at >= start + 1.0]
+            assert sum(from_second_two) / len(from_second_two) >= 0.95 and count.twice == 0
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_descriptors_taken_away_from_outside_end_no_request_and_no_process() -> None:
-    async def story() -> None:
+def test_a_front_keeps_serving_after_its_descriptor_limit_is_lowered_from_outside() -> None:
+    async def scenario() -> None:
         async with rig.members() as ports, rig.front(ports, operator=OPERATOR) as front:
             count = rig.Count()
-            await ask(clients(front, rig.Count()), 2.5)
+            await run_clients(clients(front, rig.Count()), 2.5)
             held = [await asyncio.open_connection(front.host, front.port, local_addr=("127.0.3.1", 0))
                     for _ in range(40)]  # fmt: skip
             resource.prlimit(front.pid, resource.RLIMIT_NOFILE, (48, 256))
             cpu, begun = front.cpu(), time.monotonic()
-            await ask(clients(front, count, fresh=True), 3.0)
+            await run_clients(clients(front, count, fresh=True), 3.0)
             assert (front.cpu() - cpu) / (time.monotonic() - begun) < 0.6  # no busy loop
             assert count.served >= 0.9 and count.twice == 0, count.ends
             log = (front.folder / "log").read_text()
             assert log.count("no descriptor left") < 12
-            # And back again, with no word from anybody.
+            # After the limit is raised again, the front recovers without a signal or a command.
             resource.prlimit(front.pid, resource.RLIMIT_NOFILE, (256, 256))
             after = rig.Count()
             await asyncio.sleep(1.2)
-            await ask(clients(front, after, fresh=True), 1.0)
+            await run_clients(clients(front, after, fresh=True), 1.0)
             assert after.served == 1.0
             for _, writer in held:
                 writer.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_reload_that_lowers_caps_below_what_is_open_answers_all_that_was_taken() -> None:
-    async def story() -> None:
+def test_requests_that_are_open_when_a_reload_lowers_the_caps_are_answered() -> None:
+    async def scenario() -> None:
         async with rig.members() as ports, rig.front(ports, operator=OPERATOR) as front:
             pairs = [await asyncio.open_connection(front.host, front.port, local_addr=("127.0.3.1", 0))
                      for _ in range(30)]  # fmt: skip
@@ -144,9 +145,8 @@
             front.process.send_signal(signal.SIGHUP)
             for reader, _ in pairs[:10]:
                 assert await asyncio.wait_for(rig.reply(reader), 5) == (1, "served")
-            with pytest.raises(
-                (asyncio.IncompleteReadError, ConnectionError)
-            ):  # the new cap holds for the next
+            # The new cap applies to the next connection.
+            with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 reader, writer = await asyncio.open_connection(
                     front.host, front.port, local_addr=("127.0.3.1", 0)
                 )
@@ -156,23 +156,24 @@
             (front.folder / "operator.toml").write_text("[admission]\nper_adress = 2\n")
             front.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.3)
-            assert "admission.per_adress" in (front.folder / "log").read_text()  # and the old one is kept
+            # The file is rejected, and the former one stays in effect.
+            assert "admission.per_adress" in (front.folder / "log").read_text()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_sigterm_in_a_flood_answers_what_was_taken_and_ends_with_0() -> None:
-    async def story() -> None:
+def test_sigterm_during_a_flood_answers_open_requests_and_exits_with_0() -> None:
+    async def scenario() -> None:
         async with rig.members() as ports, rig.front(ports, operator=OPERATOR) as front:
             count = rig.Count()
-            await ask(clients(front, rig.Count()), 2.5)
+            await run_clients(clients(front, rig.Count()), 2.5)
             async with flooded(front, "burst", 4.0):
                 usual = clients(front, count)
-                asking = asyncio.create_task(ask(usual, 1.0))
+                client_task = asyncio.create_task(run_clients(usual, 1.0))
                 await asyncio.sleep(0.6)
                 front.process.send_signal(signal.SIGTERM)
-                await asking
+                await client_task
                 assert await asyncio.wait_for(asyncio.to_thread(front.process.wait), 5) == 0
             assert count.twice == count.lost == 0 and count.served >= 0.95, count.ends
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/admission/test_networks.py
+++ b/tests/admission/test_networks.py
@@ -1,4 +1,4 @@
-"""Networks by their longest prefix."""
+"""Longest-prefix matching of networks."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_no_io.py
+++ b/tests/admission/test_no_io.py
@@ -1,4 +1,4 @@
-"""The decisions of admission do no I/O and read no clock."""
+"""The admission package does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
         names |= {
             n.module or "" for n in ast.walk(ast.parse(path.read_text())) if isinstance(n, ast.ImportFrom)
         }
-        ours = {n for n in names if n.startswith("zincladder") and not n.startswith("zincladder.admission")}
-        assert not ours and not names & {
+        other_packages = {
+            n for n in names if n.startswith("zincladder") and not n.startswith("zincladder.admission")
+        }
+        assert not other_packages and not names & {
             "time",
             "os",
             "asyncio",
--- a/tests/admission/test_other_listeners.py
+++ b/tests/admission/test_other_listeners.py
@@ -1,4 +1,4 @@
-"""Admission to DNS and metrics."""
+"""Admission to the DNS and metrics listeners."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from zincladder.admission.response_rate_limiter import DatagramVerdict
 
 
-def test_connections_to_dns_are_capped_by_address_and_given_back() -> None:
+def test_dns_connections_are_capped_by_address_and_closed_ones_are_released() -> None:
     admission = source_admission()
     assert [admission.open_connection(DescriptorUse.DNS, FLOOD_HOST, 0.0) for _ in range(9)][-2:] == [
         RejectionReason.NONE,
@@ -25,7 +25,7 @@
     )
 
 
-def test_datagrams_past_a_networks_rate_get_a_truncated_answer_now_and_then() -> None:
+def test_one_in_three_datagrams_above_a_networks_rate_gets_a_truncated_answer() -> None:
     admission = source_admission()
     now = become_known(admission, KNOWN_HOST, 0.0)
     forged = Counter(admission.judge_datagram(f"192.0.2.{i % 200 + 2}", now + i * 1e-5) for i in range(4000))
@@ -33,8 +33,8 @@
     assert (
         0.3
         < forged[DatagramVerdict.TRUNCATED]
-        / (forged[DatagramVerdict.TRUNCATED] + forged[DatagramVerdict.NOTHING])
+        / (forged[DatagramVerdict.TRUNCATED] + forged[DatagramVerdict.DROP])
         < 0.36
     )
-    # What is forged in its network takes nothing from a known address.
+    # Forged queries from its network do not use up the rate of a known address.
     assert all(admission.judge_datagram(KNOWN_HOST, now + 0.04) is DatagramVerdict.ANSWER for _ in range(100))
--- a/tests/admission/test_read_control.py
+++ b/tests/admission/test_read_control.py
@@ -1,4 +1,4 @@
-"""Messages that wait for their turn to be read."""
+"""Messages that wait to be read."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from zincladder.admission.model import RejectionReason
 
 
-def test_a_message_that_waits_too_long_ends_its_connection() -> None:
+def test_a_connection_whose_message_waits_too_long_is_evicted() -> None:
     admission, now = source_admission(), 0.0
     slots = [s for _ in range(60) if (s := admit(admission, FLOOD_HOST, now))]
     waiting = [
@@ -14,8 +14,8 @@
     ]
     assert waiting
     admission.read_queue.rate = 0.0
-    found = admission.tick(now + 2.5, 1.0)
-    assert found.to_evict and all(reason is RejectionReason.READ_TIMEOUT for _, reason in found.to_evict)
+    result = admission.tick(now + 2.5, 1.0)
+    assert result.to_evict and all(reason is RejectionReason.READ_TIMEOUT for _, reason in result.to_evict)
     for slot in slots:
         admission.release_slot(slot, now + 2.5)
     assert (
--- a/tests/admission/test_reputation.py
+++ b/tests/admission/test_reputation.py
@@ -1,4 +1,4 @@
-"""What sources earn and lose."""
+"""Reputation, strikes and penalties of sources."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from zincladder.admission.source_key import key_of
 
 
-def test_connecting_past_the_rate_brings_a_penalty_that_grows_and_ends() -> None:
+def test_connecting_above_the_rate_leads_to_penalties_that_grow_and_expire() -> None:
     admission = source_admission(sockets=2048)
-    times: list[float] = []
+    penalties: list[float] = []
     now = 0.0
     for _ in range(3):
         while lane_of(admission, FLOOD_HOST, now) is not PriorityLane.LIMITED:
@@ -27,21 +27,21 @@
             slot = admit(admission, FLOOD_HOST, now)
             if slot:
                 admission.release_slot(slot, now)
-        times.append(admission.sources.obtain(key_of(FLOOD_HOST), now).penalty_until - now)
-        # Limited is not banned: a few connections are still taken.
+        penalties.append(admission.sources.obtain(key_of(FLOOD_HOST), now).penalty_until - now)
+        # A limited source is not banned: a few of its connections are still admitted.
         limited = [admit(admission, FLOOD_HOST, now + i * 0.3) for i in range(3)]
         assert any(limited)
         for slot in filter(None, limited):
             admission.release_slot(slot, now + 1)
-        now += times[-1] + 0.01
+        now += penalties[-1] + 0.01
         assert lane_of(admission, FLOOD_HOST, now) is PriorityLane.NEW
-    assert times[0] < times[1] < times[2] and times[0] == pytest.approx(
+    assert penalties[0] < penalties[1] < penalties[2] and penalties[0] == pytest.approx(
         admission.limits.penalty_seconds, rel=0.2
     )
 
 
-def test_a_large_gateway_with_a_few_bad_users_is_not_limited() -> None:
-    # guards a terminal behind one address: of many users some always misbehave
+def test_an_address_shared_by_many_users_is_not_limited_when_a_few_misbehave() -> None:
+    # For example a terminal whose users share one address: some of many users always misbehave.
     admission, now = source_admission(sockets=1024), become_known(source_admission(), KNOWN_HOST, 0.0)
     slot = admit(admission, KNOWN_HOST, now)
     assert slot
@@ -54,22 +54,21 @@
     assert lane_of(admission, KNOWN_HOST, now) is PriorityLane.KNOWN
 
 
-def test_a_flood_that_is_served_a_part_of_what_it_asks_earns_nothing() -> None:
+def test_a_flood_whose_requests_are_partly_served_does_not_become_known() -> None:
     admission, now = source_admission(), 0.0
     slots = [s for _ in range(40) if (s := admit(admission, FLOOD_HOST, now))]
-    asleep: set[ConnectionSlot] = set()
+    waiting_slots: set[ConnectionSlot] = set()
     for _ in range(1200):
         now += 0.01
         for slot in slots:
-            while slot not in asleep:
+            while slot not in waiting_slots:
                 if not admission.may_read(slot, now):
-                    asleep.add(slot)
+                    waiting_slots.add(slot)
                 elif open_request(admission, slot, now) is RejectionReason.NONE:
                     admission.request_closed(slot, now, True)
-        for slot in admission.tick(
-            now, 0.0
-        ).to_wake:  # its message is paid for, and it has the next one ready
-            asleep.discard(slot)
+        # The message of each of these slots has been charged already, and its client has the next one ready.
+        for slot in admission.tick(now, 0.0).to_wake:
+            waiting_slots.discard(slot)
             if open_request(admission, slot, now) is RejectionReason.NONE:
                 admission.request_closed(slot, now, True)
     source = admission.sources.obtain(key_of(FLOOD_HOST), now)
--- a/tests/admission/test_request_control.py
+++ b/tests/admission/test_request_control.py
@@ -1,4 +1,4 @@
-"""Which requests are worked on."""
+"""Which requests may be opened."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from zincladder.admission.model import RejectionReason
 
 
-def test_open_requests_of_one_source_leave_room_for_others() -> None:
+def test_the_open_requests_of_one_source_leave_capacity_for_others() -> None:
     admission = source_admission(max_open=100)
     now = become_known(admission, KNOWN_HOST, 0.0)
     flood, known, other = (
@@ -22,18 +22,18 @@
         admit(admission, "203.0.113.1", now),
     )
     assert flood and known and other
-    taken = 0
+    flood_opened = 0
     while open_request(admission, flood, now) is RejectionReason.NONE:
-        taken += 1
-    assert 25 <= taken <= 31  # half of what newcomers may have
+        flood_opened += 1
+    assert 25 <= flood_opened <= 31  # half of the requests that new sources may have open
     assert open_request(admission, other, now) is RejectionReason.NONE
-    kept = 0
+    known_opened = 0
     while open_request(admission, known, now) is RejectionReason.NONE:
-        kept += 1
-    assert kept >= 100 // 3 and admission.open_requests <= 100  # an even share of all at the least
+        known_opened += 1
+    assert known_opened >= 100 // 3 and admission.open_requests <= 100  # at least an equal share
 
 
-def test_answers_that_a_source_leaves_unread_count_against_it_alone() -> None:
+def test_unread_answers_of_a_source_cause_rejections_of_that_source_only() -> None:
     admission = source_admission()
     now = become_known(admission, KNOWN_HOST, 0.0)
     flood, known = admit(admission, FLOOD_HOST, now), admit(admission, KNOWN_HOST, now)
@@ -47,7 +47,7 @@
     assert open_request(admission, flood, now) is RejectionReason.NONE
 
 
-def test_while_the_loop_lags_the_largest_user_is_rejected_first() -> None:
+def test_while_the_loop_lags_the_source_with_the_most_loop_time_is_rejected() -> None:
     admission = source_admission()
     now = become_known(admission, KNOWN_HOST, 0.0)
     flood, known = admit(admission, FLOOD_HOST, now), admit(admission, KNOWN_HOST, now)
--- a/tests/admission/test_source_table.py
+++ b/tests/admission/test_source_table.py
@@ -1,4 +1,4 @@
-"""The bounded record of sources."""
+"""The bounded table of sources."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from zincladder.admission.model import PriorityLane
 
 
-def test_addresses_seen_once_push_out_no_known_source() -> None:
+def test_addresses_seen_once_do_not_replace_known_sources() -> None:
     admission = source_admission(max_sources=256)
     known_hosts = [f"192.0.2.{i}" for i in range(40)]
     now = 0.0
--- a/zincladder/admission/__init__.py
+++ b/zincladder/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission control: which connections and requests are taken, and which connections make room for others."""
+"""Admission control: which connections and requests are accepted, and which connections are evicted."""
--- a/zincladder/admission/connection_admission.py
+++ b/zincladder/admission/connection_admission.py
@@ -1,10 +1,10 @@
-"""Admission by connection alone: even shares, for a platform whose clients share addresses."""
+"""Admission by connection, with an equal share for each, for platforms whose clients share addresses."""
 
 from __future__ import annotations
 
 from zincladder.admission.connection_slots import MIN_IDLE_SECONDS
 from zincladder.admission.descriptor_budget import DescriptorBudget, DescriptorUse
-from zincladder.admission.interface import ADMITTED, NOTHING_DUE, RequestBounds, TickResult
+from zincladder.admission.interface import ADMITTED, EMPTY_TICK_RESULT, RequestBounds, TickResult
 from zincladder.admission.model import (
     AdmissionCounters,
     ConnectionSlot,
@@ -17,58 +17,59 @@
 )
 from zincladder.admission.response_rate_limiter import DatagramVerdict
 
-MAX_LOOP_LAG_SECONDS = 0.04  # past which new requests are rejected at once
+MAX_LOOP_LAG_SECONDS = 0.04  # above this delay of the event loop, new requests are rejected
 
 
 class ConnectionAdmission:
-    """Judges by connection alone; implements `Admission`.
+    """Implements `Admission` without regard to source addresses.
 
-    Connections wait in the system's queue while there is no room; requests past an even share are rejected.
+    While there is no descriptor left, connections wait in the kernel's accept queue. Requests of a connection
+    that has more than an equal share open are rejected.
     """
 
     def __init__(self, bounds: RequestBounds, descriptors: DescriptorBudget) -> None:
         self.bounds, self.descriptors = bounds, descriptors
         self.counters = AdmissionCounters()
-        self._any_source = Source(0)
-        # Slots that may be evicted, with the moment since when they are idle; the longest idle first.
-        self._idle_unused: dict[ConnectionSlot, float] = {}  # whose client has sent nothing
+        self._shared_source = Source(0)
+        # Slots that may be evicted, each with the time at which it became idle; the longest idle comes first.
+        self._idle_unused: dict[ConnectionSlot, float] = {}  # slots whose client has sent nothing
         self._idle_used: dict[ConnectionSlot, float] = {}
-        self._evicting = 0  # slots
+        self._evicting_count = 0
         self._open_requests = self._unread_bytes = 0
-        self._busy_slots = 0  # with a request open
+        self._busy_slots = 0  # number of slots with an open request
         self._loop_lag = 0.0  # seconds
 
     def may_accept(self, now: float) -> Decision:
-        """Whether there is a descriptor; else which idle connection is closed for one.
+        """Decide whether a descriptor is available for a connection; if not, choose an idle one to evict.
 
-        Connections that have sent nothing go first, then the longest idle. Guards a connection that just
-        came or was just answered, whose request may be on its way, and one with a request open, which
-        would be lost.
+        Connections that have sent nothing are evicted first, then the one that has been idle longest. A
+        connection that was just opened or answered is not evicted, because its next request may be on its
+        way, nor is one with an open request, which would be lost.
         """
         if self.descriptors.available(DescriptorUse.CLIENTS) > 0:
             return ADMITTED
-        if self._evicting:  # its descriptor is free only once it is closed
+        if self._evicting_count:  # a descriptor becomes free once that connection has closed
             return Decision(Verdict.WAIT)
         for idle in (self._idle_unused, self._idle_used):
             for slot, idle_since in idle.items():
                 if now - idle_since > MIN_IDLE_SECONDS:
                     self._remove_idle(slot)
                     slot.evicting = True
-                    self._evicting += 1
+                    self._evicting_count += 1
                     self.counters.evicted[PriorityLane.NEW] += 1
                     return Decision(Verdict.WAIT, evict=slot)
                 break
         return Decision(Verdict.WAIT, RejectionReason.NO_CAPACITY)
 
     def connect(self, host: str, now: float) -> Decision:
-        """Admit a connection: `may_accept` has judged it."""
+        """Admit every connection: `may_accept` has decided already."""
         return ADMITTED
 
     def open_slot(self, decision: Decision, now: float) -> ConnectionSlot:
-        """Give a connection its slot."""
+        """Create the slot of a connection and count its descriptor."""
         self.descriptors.force_acquire(DescriptorUse.CLIENTS)
         self.counters.admitted[PriorityLane.NEW] += 1
-        slot = ConnectionSlot(self._any_source, PriorityLane.NEW)
+        slot = ConnectionSlot(self._shared_source, PriorityLane.NEW)
         self._add_idle(slot, now)
         return slot
 
@@ -85,35 +86,37 @@
             slot.idle_list = None
 
     def release_slot(self, slot: ConnectionSlot, now: float) -> None:
-        """Take back the slot of a connection that was closed."""
+        """Release the slot of a connection that was closed."""
         self.descriptors.release(DescriptorUse.CLIENTS)
-        self._evicting -= slot.evicting
+        self._evicting_count -= slot.evicting
         self._remove_idle(slot)
         self._unread_bytes -= slot.unread_bytes
 
     def cancel_eviction(self, slot: ConnectionSlot, now: float) -> None:
-        """Keep a connection that was chosen to make room."""
+        """Keep a connection that was chosen for eviction."""
         if slot.evicting:
             slot.evicting = False
-            self._evicting -= 1
+            self._evicting_count -= 1
             if not slot.open_requests:
                 self._add_idle(slot, now)
 
     def may_read(self, slot: ConnectionSlot, now: float) -> bool:
-        """Read every message at once."""
+        """Allow every message to be read at once."""
         return True
 
     def record_message(self, slot: ConnectionSlot, now: float) -> None:
-        """Count a message that was read and asks for no work."""
+        """Record a message that was read and does not open a request."""
         slot.has_sent_message = True
         if slot.idle_list is not None:
             self._add_idle(slot, now)
 
     def may_open(self, slot: ConnectionSlot, now: float) -> RejectionReason:
-        """Judge a request: past half of what may be open each client has an even share, and at least one.
+        """Decide whether a request may be opened; NONE means that it may.
 
-        Guards the requests that are open against a rate past this process's part of a core: a rejection
-        costs far less than a request, and a request that waits for its turn ends too late.
+        Once half of all requests that may be open are open, each connection is limited to an equal share, but
+        may always have one request open. This protects open requests from a rate that exceeds this process's
+        part of a CPU core: a rejection costs far less than a request, and a request that had to wait would
+        miss its deadline.
         """
         slot.has_sent_message = True
         reason, max_open = RejectionReason.NONE, self.bounds.max_open
@@ -135,14 +138,14 @@
         return reason
 
     def request_opened(self, slot: ConnectionSlot) -> None:
-        """Count a request that is worked on from now."""
+        """Count a request as open."""
         self._remove_idle(slot)
         self._busy_slots += slot.open_requests == 0
         self._open_requests += 1
         slot.open_requests += 1
 
     def request_closed(self, slot: ConnectionSlot, now: float, served: bool, size: int = 0) -> None:
-        """Count a request that ended."""
+        """Count a request as closed."""
         self._open_requests -= 1
         slot.open_requests -= 1
         self._busy_slots -= slot.open_requests == 0
@@ -150,32 +153,32 @@
             self._add_idle(slot, now)
 
     def add_unread_bytes(self, slot: ConnectionSlot, change: int) -> None:
-        """Count bytes of answers that the client has not read."""
+        """Add `change`, which may be negative, to the answer bytes that the client has not read."""
         slot.unread_bytes += change
         self._unread_bytes += change
 
     def answers_read(self, slot: ConnectionSlot, now: float) -> None:
-        """Note that a client has read all its answers."""
+        """Make the slot evictable if it has no open request, as the client has read all its answers."""
         if not slot.open_requests:
             self._add_idle(slot, now)
 
     def record_offense(self, slot: ConnectionSlot, offense: Offense, now: float) -> None:
-        """Do nothing: the clients of one address cannot be distinguished."""
+        """Do nothing, because clients that share an address cannot be distinguished."""
 
     def tick(self, now: float, loop_lag: float) -> TickResult:
-        """Take in how late the event loop runs, in seconds; nothing is due."""
+        """Record the delay of the event loop in seconds; return an empty result."""
         self._loop_lag = loop_lag
-        return NOTHING_DUE
+        return EMPTY_TICK_RESULT
 
     def record_cpu_seconds(self, cpu_seconds: float) -> None:
-        """Do nothing: costs are not counted here."""
+        """Do nothing, because admission by connection does not use costs."""
 
     def open_connection(self, use: DescriptorUse, host: str, now: float) -> RejectionReason:
-        """Take a connection to another listener if there is a descriptor for it."""
+        """Admit a connection to another listener if a descriptor is available."""
         return RejectionReason.NONE if self.descriptors.acquire(use) else RejectionReason.NO_CAPACITY
 
     def close_connection(self, use: DescriptorUse, host: str) -> None:
-        """Give back a connection to another listener."""
+        """Release the descriptor of a connection to another listener."""
         self.descriptors.release(use)
 
     def judge_datagram(self, host: str, now: float) -> DatagramVerdict:
--- a/zincladder/admission/descriptor_budget.py
+++ b/zincladder/admission/descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The budget of the process's descriptors, with a pool for each use."""
+"""The budget of the process's file descriptors, with a pool for each use."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 
 
 class DescriptorUse(Enum):
-    """What a descriptor is used for."""
+    """The use of a descriptor; the value is a metric label."""
 
     CLIENTS = "clients"
     CACHES = "caches"
-    DNS = "dns"  # over TCP
+    DNS = "dns"  # DNS over TCP
     METRICS = "metrics"
-    CONTROL = "control"  # operators' calls
+    CONTROL = "control"  # operators' commands
 
 
-# Standard streams, the event loop, listeners, the coordinator's connection, a spare to accept and close with.
+# For the standard streams, the event loop, the listeners, the coordinator's connection, and a spare with
+# which a connection can be accepted and closed at once when no other descriptor is left.
 OWN_DESCRIPTORS = 24
 
 
 class PoolShare(NamedTuple):
-    """Parts of all descriptors that one use is guaranteed, and may have at most."""
+    """The fractions of all descriptors that one use is guaranteed and may have at most."""
 
     guaranteed: float
     maximum: float
@@ -32,29 +33,29 @@
 class DescriptorPool:
     """The descriptors of one use."""
 
-    guaranteed: int  # kept free for this use whatever the others do
+    guaranteed: int  # other uses cannot take these descriptors
     max_used: int
     used: int = 0
 
 
 class DescriptorBudget:
-    """Lets each use take what no other use has or is guaranteed, up to its own maximum.
+    """Grants each use descriptors that no other use has or is guaranteed, up to the use's own maximum.
 
-    Guards the process against running out of descriptors, and each use against the others.
+    The budget keeps the process from running out of descriptors and one use from starving the others.
     """
 
     def __init__(
         self, total: int, shares: dict[DescriptorUse, PoolShare], own: int = OWN_DESCRIPTORS
     ) -> None:
-        """`own` descriptors are the process's own and in no pool."""
+        """Create a budget of `total` descriptors, of which `own` are kept for the process and in no pool."""
         self._shares, self._own = shares, own
         self.pools = {use: DescriptorPool(0, 0) for use in shares}
         self.total = 0
-        self._reserved = 0  # that all uses have or are guaranteed
+        self._reserved = 0  # sum over all uses of the larger of the used and the guaranteed descriptors
         self.resize(total)
 
     def resize(self, total: int) -> None:
-        """Change the limit; descriptors in use past it are not taken back here."""
+        """Change the limit; the caller has to close descriptors that exceed it (see `excess`)."""
         self.total = total
         usable = max(0, total - self._own)
         for use, share in self._shares.items():
@@ -63,7 +64,7 @@
             pool.guaranteed = min(pool.max_used, int(total * share.guaranteed))
         guaranteed = sum(pool.guaranteed for pool in self.pools.values())
         if guaranteed > usable:
-            # Under so low a limit each use gets its part of what there is.
+            # The limit is too low for all guarantees, so reduce them in proportion.
             for pool in self.pools.values():
                 pool.guaranteed = pool.guaranteed * usable // guaranteed
         self._reserved = sum(max(pool.used, pool.guaranteed) for pool in self.pools.values())
@@ -74,44 +75,44 @@
         self._reserved += max(pool.used, pool.guaranteed) - reserved_before
 
     def available(self, use: DescriptorUse) -> int:
-        """How many more descriptors this use may take; negative where it has more than it may."""
+        """Return how many more descriptors a use may take; negative if it has more than it may have."""
         return self.available_in(self.pools[use])
 
     def available_in(self, pool: DescriptorPool) -> int:
-        """`available` for a caller that keeps its pool: this runs for every connection of a flood."""
+        """Return the same as `available` for a pool; saves a look-up for every connection of a flood."""
         used, guaranteed = pool.used, pool.guaranteed
         left = self.total - self._own - self._reserved + (used if used > guaranteed else guaranteed)
         return (left if left < pool.max_used else pool.max_used) - used
 
     def acquire(self, use: DescriptorUse) -> bool:
-        """Take one descriptor if this use may have one more."""
+        """Take one descriptor if this use may have one more; return whether it was taken."""
         if self.available(use) <= 0:
             return False
         self._change_used(self.pools[use], 1)
         return True
 
     def force_acquire(self, use: DescriptorUse) -> None:
-        """Take one although none is available: another of this use is about to be given back."""
+        """Take one descriptor even if none is available, as another of this use is about to be released."""
         self._change_used(self.pools[use], 1)
 
     def release(self, use: DescriptorUse) -> None:
-        """Give one descriptor back."""
+        """Release one descriptor."""
         pool = self.pools[use]
-        assert pool.used > 0, f"more {use.value} descriptors given back than were taken"
+        assert pool.used > 0, f"released a {use.value} descriptor that was not acquired"
         self._change_used(pool, -1)
 
     @property
     def used(self) -> int:
-        """All descriptors in use, with the process's own where the budget counts them."""
+        """Descriptors in use by all pools, plus all that are kept for the process itself."""
         return self._own + sum(pool.used for pool in self.pools.values())
 
     @property
-    def over(self) -> int:
-        """Descriptors in use past the limit, after it was lowered."""
+    def excess(self) -> int:
+        """How many descriptors in use exceed the limit, after it was lowered."""
         return max(0, self.used - self.total)
 
 
-# Without admission by source: fixed shares.
+# Shares for admission by connection: each use but DNS and metrics has a fixed share.
 FIXED_POOLS = {
     DescriptorUse.CLIENTS: PoolShare(0.55, 0.55),
     DescriptorUse.CACHES: PoolShare(0.33, 0.33),
@@ -119,7 +120,7 @@
     DescriptorUse.METRICS: PoolShare(0.0, 0.06),
     DescriptorUse.CONTROL: PoolShare(0.03, 0.03),
 }
-# With it: a use that is short takes what the others leave.
+# Shares for admission by source: a use may take what the others leave, up to its maximum.
 ELASTIC_POOLS = {
     DescriptorUse.CLIENTS: PoolShare(0.40, 0.62),
     DescriptorUse.CACHES: PoolShare(0.22, 0.45),
--- a/zincladder/admission/fair_queue.py
+++ b/zincladder/admission/fair_queue.py
@@ -1,10 +1,11 @@
-"""Weighted fair queueing of messages: a fair share of the loop's time for each lane, network and source.
-
-Each lane earns its share of the loop's time as credit, and what a lane does not need becomes spare credit
-that any lane may use, so that no time is left idle. A reader asks before it parses a message. While its lane
-has credit it goes on at once; else its slot is queued, and `dispatch` serves the queues by deficit round
-robin (Shreedhar and Varghese, SIGCOMM 1995): in the lanes of newcomers over networks and within a network
-over sources, so that ten thousand addresses of one network are one flow beside another network's three.
+"""Weighted fair queueing of messages: a fair share of event loop time for each lane, network and source.
+
+Each lane earns its share of the event loop's time as credit. Credit that a lane does not need becomes spare
+credit, which any lane may use, so that no time is left idle. Before a message is parsed, its reader asks for
+credit: while the lane has some, the message is read at once; otherwise the slot is queued. `dispatch` serves
+the queues by deficit round robin (Shreedhar and Varghese, SIGCOMM 1995). In the NEW and LIMITED lanes each
+network is one flow, which is shared evenly by its sources, so that ten thousand addresses of one network get
+no more than three addresses of another. In the other lanes each source is a flow.
 """
 
 from __future__ import annotations
@@ -14,22 +15,22 @@
 from zincladder.admission.loop_costs import REQUEST_SECONDS
 from zincladder.admission.model import ConnectionSlot, PriorityLane, Source
 
-MAX_CREDIT_SECONDS = 0.03  # of loop time, times a lane's share
-SPARE_GRANT_SECONDS = 0.006  # of spare credit to a lane with a queue, at each dispatch
-QUANTUM_SECONDS = REQUEST_SECONDS  # that a flow may use in one turn
-RATE_CUT_LAG_SECONDS = 0.025  # past which less is let in
-MIN_RATE, MAX_RATE = 0.08, 0.9  # seconds of loop time a second
-RATE_CUT = 0.96  # factor, at each dispatch while the loop lags
-RATE_REGAIN = 0.004  # at each dispatch else; three times that while nothing is queued
-MAX_DISPATCH_GAP_SECONDS = 0.1  # that is credited after a halt
-MIN_LIMITED_SHARE = 0.01  # for sources under a penalty
-MIN_CALIBRATION_SECONDS = 0.05  # with less to do, a measurement says nothing
-CALIBRATION_WEIGHT = 0.2  # of one measurement
-MIN_PACE, MAX_PACE = 0.25, 4.0  # measured over modelled cost
+MAX_CREDIT_SECONDS = 0.03  # maximum spare credit and debt; a lane's maximum credit is its share of this
+SPARE_GRANT_SECONDS = 0.006  # spare credit granted per dispatch to a lane with a queue
+QUANTUM_SECONDS = REQUEST_SECONDS  # loop time that a flow earns per round
+RATE_DECREASE_LAG_SECONDS = 0.025  # above this delay of the event loop, the rate is decreased
+MIN_RATE, MAX_RATE = 0.08, 0.9  # seconds of loop time per second
+RATE_DECREASE_FACTOR = 0.96  # per dispatch while the event loop lags
+RATE_INCREASE = 0.004  # per dispatch while it does not; three times this while nothing is queued
+MAX_CREDITED_INTERVAL_SECONDS = 0.1  # a longer time between dispatches, as after a pause, earns no more
+MIN_LIMITED_SHARE = 0.01  # share of the lane of sources under a penalty
+MIN_CALIBRATION_SECONDS = 0.05  # a measurement with less work than this is too inaccurate
+CALIBRATION_WEIGHT = 0.2  # weight of a new measurement in the moving average
+MIN_COST_SCALE, MAX_COST_SCALE = 0.25, 4.0  # ratio of measured to modelled cost
 
 
 class _Flow:
-    """The queued slots of one network or source, by source."""
+    """The queued slots of one network or source, by source; the source that is served next comes first."""
 
     __slots__ = ("deficit", "sources")
 
@@ -37,8 +38,8 @@
         self.sources: OrderedDict[Source, deque[ConnectionSlot]] = OrderedDict()
         self.deficit = 0.0  # seconds
 
-    def next(self) -> ConnectionSlot:
-        """Take the first slot of the source whose turn it is; that source goes behind the others."""
+    def pop_next(self) -> ConnectionSlot:
+        """Remove and return the next slot; its source moves behind the other sources of the flow."""
         source, slots = next(iter(self.sources.items()))
         slot = slots.popleft()
         if slots:
@@ -49,27 +50,27 @@
 
 
 class _LaneQueue:
-    """The credit of one lane and its flows in the order of their turns."""
+    """The credit of one lane and its flows, in the order in which they are served."""
 
-    __slots__ = ("credit", "flows", "share", "waiting")
+    __slots__ = ("credit", "flows", "queued_slots", "share")
 
     def __init__(self, share: float) -> None:
         self.share = share
         self.credit = MAX_CREDIT_SECONDS * share  # seconds
         self.flows: OrderedDict[int, _Flow] = OrderedDict()
-        self.waiting = 0  # slots
+        self.queued_slots = 0
 
 
 class WeightedFairQueue:
-    """Loop time by lane, network and source."""
+    """Divides event loop time among lanes, networks and sources."""
 
     def __init__(self, known_share: float, new_share: float) -> None:
-        self.rate = MAX_RATE  # seconds of loop time a second that are let in
-        self.pace = 1.0  # measured cost over the modelled one
+        self.rate = MAX_RATE  # seconds of loop time that are credited per second
+        self.pace = 1.0  # ratio of measured to modelled cost
         self._spare = MAX_CREDIT_SECONDS
         self._queues = tuple(_LaneQueue(0.0) for _ in range(3))
         known, new, limited = self._queues
-        self._by_lane = (known, known, new, limited)  # listed sources count as known
+        self._by_lane = (known, known, new, limited)  # listed sources share the queue of known sources
         self.set_shares(known_share, new_share)
         for queue in self._queues:
             queue.credit = MAX_CREDIT_SECONDS * queue.share
@@ -77,24 +78,24 @@
         self._modelled_seconds = 0.0  # since the last calibration
 
     def set_shares(self, known: float, new: float) -> None:
-        """Change the shares; what the two leave is for sources under a penalty."""
+        """Change the shares of loop time; sources under a penalty get the remainder."""
         shares = (known, new, max(MIN_LIMITED_SHARE, 1.0 - known - new))
         for queue, share in zip(self._queues, shares, strict=True):
             queue.share = share
 
     @property
     def waiting(self) -> int:
-        """Slots that are queued."""
-        return sum(queue.waiting for queue in self._queues)
+        """The number of queued slots."""
+        return sum(queue.queued_slots for queue in self._queues)
 
     def try_take(self, lane: PriorityLane, cost: float = REQUEST_SECONDS) -> bool:
-        """Whether one message may be read at once; if so, its cost is taken from the credit.
+        """Return whether one message may be read at once, and take its cost from the credit if so.
 
-        Not while others of the lane are queued: these come first.
+        Returns False while other slots of the lane are queued, because they come first.
         """
         queue = self._by_lane[lane]
         cost *= self.pace
-        if queue.waiting:
+        if queue.queued_slots:
             return False
         if queue.credit > 0.0:
             queue.credit -= cost
@@ -106,9 +107,9 @@
         return True
 
     def charge(self, lane: PriorityLane, cost: float) -> None:
-        """Charge a lane for what was not taken in advance; a negative cost gives back what was too much.
+        """Charge a lane a cost that `try_take` has not taken; a negative cost refunds an excess.
 
-        Debts are bounded, so that the cost of one source is not owed by the others of its lane for long.
+        The debt of a lane is bounded, so that the cost of one source does not burden the others for long.
         """
         cost *= self.pace
         self._modelled_seconds += cost
@@ -116,33 +117,33 @@
         queue.credit = max(-MAX_CREDIT_SECONDS, queue.credit - cost)
 
     def charge_shared(self, cost: float) -> None:
-        """Charge the spare credit for connections, which cannot be asked for in advance.
+        """Charge the spare credit for connections, whose cost cannot be requested in advance.
 
-        Charged to a lane, newcomers that behave would pay for those that are rejected beside them.
+        If their lane were charged, well-behaved new sources would pay for connections that are rejected.
         """
         cost *= self.pace
         self._modelled_seconds += cost
         self._spare = max(-MAX_CREDIT_SECONDS, self._spare - cost)
 
     def enqueue(self, slot: ConnectionSlot) -> None:
-        """Queue a slot that is not queued."""
+        """Queue a slot that is not queued yet."""
         queue = self._by_lane[slot.lane]
         flow_key = self._flow_key(slot)
         flow = queue.flows.get(flow_key)
         if flow is None:
             flow = queue.flows[flow_key] = _Flow()
         flow.sources.setdefault(slot.source, deque()).append(slot)
-        queue.waiting += 1
+        queue.queued_slots += 1
 
     def remove(self, slot: ConnectionSlot) -> None:
-        """Take a slot out of its queue, if it is there."""
+        """Remove a slot from its queue if it is queued."""
         queue = self._by_lane[slot.lane]
         flow_key = self._flow_key(slot)
         flow = queue.flows.get(flow_key)
         if flow is None or slot not in (slots := flow.sources.get(slot.source, deque())):
             return
         slots.remove(slot)
-        queue.waiting -= 1
+        queue.queued_slots -= 1
         if not slots:
             del flow.sources[slot.source]
             if not flow.sources:
@@ -153,40 +154,41 @@
         return slot.source.key if slot.lane <= PriorityLane.KNOWN else slot.source.network_key
 
     def dispatch(self, now: float, loop_lag: float) -> list[ConnectionSlot]:
-        """Credit the lanes with the time since the last call, and take the slots whose turn it is, in order.
+        """Credit the lanes with the time since the last call; return the slots to read from now, in order.
 
-        `loop_lag` is the seconds by which the event loop runs late.
+        `loop_lag` is the delay of the event loop in seconds.
         """
         if self._dispatched_at is None:
             self._dispatched_at = now
-        elapsed = min(MAX_DISPATCH_GAP_SECONDS, max(0.0, now - self._dispatched_at))
+        elapsed = min(MAX_CREDITED_INTERVAL_SECONDS, max(0.0, now - self._dispatched_at))
         self._dispatched_at = now
         self._adapt_rate(loop_lag)
         dispatched: list[ConnectionSlot] = []
         for queue in self._queues:
             queue.credit += elapsed * self.rate * queue.share
-            if not queue.waiting:
+            if not queue.queued_slots:
                 self._move_excess_to_spare(queue)
-            self._serve(queue, dispatched)
+            self._dispatch_lane(queue, dispatched)
         for queue in self._queues:
-            if queue.waiting and self._spare > 0.0:
-                # In small parts: a message that comes next must not wait behind all that was saved up.
+            if queue.queued_slots and self._spare > 0.0:
+                # Spare credit is granted in small amounts: if all of it were used at once, the messages that
+                # arrive next would have to wait.
                 grant = min(self._spare, SPARE_GRANT_SECONDS)
                 queue.credit, self._spare = queue.credit + grant, self._spare - grant
-                self._serve(queue, dispatched)
+                self._dispatch_lane(queue, dispatched)
             self._move_excess_to_spare(queue)
         return dispatched
 
     def _adapt_rate(self, loop_lag: float) -> None:
-        """Increase the rate additively, decrease it multiplicatively.
+        """Adapt the rate to the delay of the event loop: increase additively, decrease multiplicatively.
 
-        How much of a core this process gets is not known; that the loop lags is seen.
+        The process cannot know which part of a CPU core it gets, but it can measure the delay.
         """
-        waiting = any(queue.waiting for queue in self._queues)
-        if loop_lag > RATE_CUT_LAG_SECONDS:
-            self.rate = max(MIN_RATE, self.rate * RATE_CUT)
+        waiting = any(queue.queued_slots for queue in self._queues)
+        if loop_lag > RATE_DECREASE_LAG_SECONDS:
+            self.rate = max(MIN_RATE, self.rate * RATE_DECREASE_FACTOR)
         elif self.rate < MAX_RATE:
-            self.rate = min(MAX_RATE, self.rate + (RATE_REGAIN if waiting else 3 * RATE_REGAIN))
+            self.rate = min(MAX_RATE, self.rate + (RATE_INCREASE if waiting else 3 * RATE_INCREASE))
 
     def _move_excess_to_spare(self, queue: _LaneQueue) -> None:
         excess = queue.credit - MAX_CREDIT_SECONDS * queue.share
@@ -194,17 +196,17 @@
             queue.credit -= excess
             self._spare = min(MAX_CREDIT_SECONDS, self._spare + excess)
 
-    def _serve(self, queue: _LaneQueue, dispatched: list[ConnectionSlot]) -> None:
-        """Take slots by deficit round robin while the lane has credit."""
+    def _dispatch_lane(self, queue: _LaneQueue, dispatched: list[ConnectionSlot]) -> None:
+        """Dequeue slots by deficit round robin while the lane has credit, and append them to `dispatched`."""
         cost = REQUEST_SECONDS * self.pace
-        while queue.waiting and queue.credit > 0.0:
+        while queue.queued_slots and queue.credit > 0.0:
             key, flow = next(iter(queue.flows.items()))
             flow.deficit += QUANTUM_SECONDS * self.pace
             while flow.sources and flow.deficit >= cost and queue.credit > 0.0:
-                slot = flow.next()
+                slot = flow.pop_next()
                 flow.deficit -= cost
                 queue.credit -= cost
-                queue.waiting -= 1
+                queue.queued_slots -= 1
                 self._modelled_seconds += cost
                 dispatched.append(slot)
             if flow.sources:
@@ -213,12 +215,12 @@
                 del queue.flows[key]
 
     def calibrate(self, cpu_seconds: float) -> None:
-        """Fit the costs to the machine; `cpu_seconds` is the process's time since the last call.
+        """Scale the costs to the machine; `cpu_seconds` is the process's CPU time since the last call.
 
-        What has no modelled cost (timers, health checks, scrapes) counts as if requests had caused it, so a
-        measurement with too little to do is left out.
+        Work without a modelled cost (timers, health checks, scrapes) is attributed to requests, so a
+        measurement with too little work is ignored.
         """
         modelled, self._modelled_seconds = self._modelled_seconds / self.pace, 0.0
         if modelled > MIN_CALIBRATION_SECONDS and cpu_seconds > MIN_CALIBRATION_SECONDS:
-            measured_pace = min(MAX_PACE, max(MIN_PACE, cpu_seconds / modelled))
-            self.pace += CALIBRATION_WEIGHT * (measured_pace - self.pace)
+            measured_scale = min(MAX_COST_SCALE, max(MIN_COST_SCALE, cpu_seconds / modelled))
+            self.pace += CALIBRATION_WEIGHT * (measured_scale - self.pace)
--- a/zincladder/admission/interface.py
+++ b/zincladder/admission/interface.py
@@ -1,4 +1,4 @@
-"""What the listeners ask of admission, whether it judges by source or by connection alone."""
+"""The interface between the listeners and admission, which works by source or by connection alone."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class RequestBounds:
-    """What all clients together may have open; a reload may change it."""
+    """Limits for all clients together; a reload may change them."""
 
     max_open: int  # requests
     max_unread_bytes: int
@@ -28,21 +28,22 @@
 
 @dataclass(slots=True)
 class TickResult:
-    """What one tick of the clock brought."""
+    """What the caller of `Admission.tick` has to do."""
 
-    to_wake: list[ConnectionSlot] = field(default_factory=list)  # their next message may be read
+    to_wake: list[ConnectionSlot] = field(default_factory=list)  # slots whose next message may be read now
     to_evict: list[Eviction] = field(default_factory=list)
 
 
-# The usual results, made once: they are returned for every connection and tick, and never changed.
+# Shared instances of the most frequent results, which callers must not modify: creating one for every
+# connection and tick would cost time.
 ADMITTED = Decision(Verdict.ADMIT)
-NOTHING_DUE = TickResult()
+EMPTY_TICK_RESULT = TickResult()
 
 
 class Admission(Protocol):
-    """Decides over connections, reads and requests.
+    """Decides which connections are admitted, when messages are read and which requests are opened.
 
-    Times are seconds on the caller's monotonic clock.
+    Times are in seconds on the caller's monotonic clock.
     """
 
     bounds: RequestBounds
@@ -50,65 +51,68 @@
     counters: AdmissionCounters
 
     def may_accept(self, now: float) -> Decision:
-        """Whether a connection may be accepted from the system's queue."""
+        """Return whether a connection may be accepted from the kernel's accept queue."""
 
     def connect(self, host: str, now: float) -> Decision:
-        """Judge a connection that was accepted.
+        """Decide whether a connection that was accepted from the kernel's queue is admitted.
 
         Raises:
-            ValueError: `host` is no address.
+            ValueError: `host` is not an address.
         """
 
     def open_slot(self, decision: Decision, now: float) -> ConnectionSlot:
-        """Give an admitted connection its slot, and its descriptor a place in the budget."""
+        """Create the slot of an admitted connection and count its descriptor in the budget."""
 
     def release_slot(self, slot: ConnectionSlot, now: float) -> None:
-        """Take back the slot of a connection that was closed: its descriptor is free."""
+        """Release the slot and the descriptor of a connection that was closed."""
 
     def cancel_eviction(self, slot: ConnectionSlot, now: float) -> None:
-        """Keep a connection that was chosen to make room, as it has sent something meanwhile."""
+        """Keep a connection that was chosen for eviction, because a message has arrived on it since."""
 
     def may_read(self, slot: ConnectionSlot, now: float) -> bool:
-        """Whether a message may be read. If not, the slot waits until `tick` names it."""
+        """Return whether a message may be read now; if not, the slot waits until `tick` returns it."""
 
     def record_message(self, slot: ConnectionSlot, now: float) -> None:
-        """Count a message that was read and asks for no work."""
+        """Record a message that was read and does not open a request."""
 
     def may_open(self, slot: ConnectionSlot, now: float) -> RejectionReason:
-        """Judge a request that was read: NONE if it may be worked on."""
+        """Decide whether a request that was read may be opened; NONE means that it may."""
 
     def request_opened(self, slot: ConnectionSlot) -> None:
-        """Count a request that is worked on from now."""
+        """Count a request as open."""
 
     def request_closed(self, slot: ConnectionSlot, now: float, served: bool, size: int = 0) -> None:
-        """Count a request that ended, by an answer whose body has `size` bytes or without one."""
+        """Count a request as closed.
+
+        `size` is the length of the answer's body in bytes, or 0 if there was none.
+        """
 
     def add_unread_bytes(self, slot: ConnectionSlot, change: int) -> None:
-        """Count bytes of answers that the client has not read: more, or fewer where `change` is negative."""
+        """Add `change`, which may be negative, to the answer bytes that the client has not read."""
 
     def answers_read(self, slot: ConnectionSlot, now: float) -> None:
-        """Note that a client has read all its answers."""
+        """Record that the client has read all its answers."""
 
     def record_offense(self, slot: ConnectionSlot, offense: Offense, now: float) -> None:
-        """Count what a client did against it."""
+        """Record an offense of the client."""
 
     def tick(self, now: float, loop_lag: float) -> TickResult:
-        """Say whose turn it is and who has to leave; called every few milliseconds.
+        """Return the slots to read from and those to evict; called every few milliseconds.
 
-        `loop_lag` is the seconds by which the event loop runs late.
+        `loop_lag` is the delay of the event loop in seconds.
         """
 
     def record_cpu_seconds(self, cpu_seconds: float) -> None:
-        """Take in the process's CPU time since the last call."""
+        """Record the CPU time that the process has used since the last call."""
 
     def open_connection(self, use: DescriptorUse, host: str, now: float) -> RejectionReason:
-        """Judge a connection to another listener than the clients': NONE if it is taken.
+        """Decide whether a connection to a listener that does not serve clients is admitted.
 
-        One that is taken is given back by `close_connection`.
+        NONE means that it is; an admitted connection has to be released by `close_connection`.
         """
 
     def close_connection(self, use: DescriptorUse, host: str) -> None:
-        """Give back a connection to another listener."""
+        """Release a connection that `open_connection` admitted."""
 
     def judge_datagram(self, host: str, now: float) -> DatagramVerdict:
-        """What the sender of one more datagram gets."""
+        """Decide how one more datagram from a host is answered."""
--- a/zincladder/admission/networks.py
+++ b/zincladder/admission/networks.py
@@ -1,4 +1,4 @@
-"""Networks that the operator named, looked up by the longest prefix that contains an address."""
+"""A map from IP networks to values with longest-prefix matching."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from zincladder.admission.source_key import KIND_BITS, KIND_MASK, PREFIX_LENGTH, V4_KINDS
 
-MAX_IPV6_PREFIX = 64  # sources are distinguished by /64
+MAX_IPV6_PREFIX = 64  # all addresses of a /64 are one source
 T = TypeVar("T")
 
 
 class NetworkMap(Generic[T]):
-    """A map from networks to values; a look-up costs one dict probe for each prefix length in use."""
+    """A map from networks to values; a look-up takes one dict access for each prefix length in use."""
 
     def __init__(self) -> None:
-        # By IP version: prefix lengths, longest first, each with its values by prefix.
+        # For each IP version, the prefix lengths in use, longest first, each with a dict of values by prefix.
         self._by_version: dict[int, list[tuple[int, dict[int, T]]]] = {4: [], 6: []}
 
     def put(self, net: str, value: T) -> None:
-        """Add or replace a network, '10.0.0.0/8' or '2001:db8::/32'; a bare address is a network of one.
+        """Set the value of a network such as '10.0.0.0/8' or '2001:db8::/32', or of a single address.
 
         Raises:
-            ValueError: `net` is no network, or an IPv6 network longer than /64.
+            ValueError: `net` is not a network, or is an IPv6 network with a prefix longer than /64.
         """
         network = ipaddress.ip_network(net)
         length = network.prefixlen
@@ -38,7 +38,7 @@
         by_length.sort(key=lambda pair: -pair[0])
 
     def drop(self, net: str) -> bool:
-        """Remove a network; False if it was not in the map."""
+        """Remove a network; return False if it was not in the map."""
         network = ipaddress.ip_network(net)
         prefix = int(network.network_address) >> network.max_prefixlen - network.prefixlen
         for length, values in self._by_version[network.version]:
@@ -47,7 +47,7 @@
         return False
 
     def find(self, key: int) -> T | None:
-        """The value of the longest network that contains an address or network, given as a source's key."""
+        """Return the value of the longest network that contains a source key; None if there is none."""
         kind = key & KIND_MASK
         key_length, bits = PREFIX_LENGTH[kind], key >> KIND_BITS
         for length, values in self._by_version[4 if kind in V4_KINDS else 6]:
--- a/zincladder/admission/rate_limiter.py
+++ b/zincladder/admission/rate_limiter.py
@@ -1,34 +1,34 @@
-"""Rates of any number of addresses and networks in bounded memory."""
+"""Rate limiting of any number of addresses and networks in a fixed amount of memory."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-CELLS = 1 << 12  # of each row; a power of two
+CELLS = 1 << 12  # cells per row; has to be a power of two because of CELL_MASK
 CELL_MASK = CELLS - 1
-SECOND_ROW_SHIFT = 40  # of the hash: the two rows use different bits of it
-EMPTY_ROW = [float("-inf")] * CELLS
+SECOND_ROW_SHIFT = 40  # the second row is indexed by these higher bits of the hash, the first by its lowest
+INITIAL_ROW = [float("-inf")] * CELLS
 
 
 class Rate(NamedTuple):
-    """A rate as the cell rate algorithm takes it, in seconds."""
+    """A rate limit as the parameters of the generic cell rate algorithm, in seconds."""
 
-    interval: float  # between two at the rate
-    tolerance: float  # by which a key may be ahead of it
+    interval: float  # time between two events at the rate
+    tolerance: float  # how far a key's theoretical arrival time may lie in the future
 
     @classmethod
     def of(cls, per_second: float, burst: int) -> Rate:
-        """So many a second, and so many at once."""
+        """Return the limit of `per_second` events with bursts of `burst`."""
         return cls(1 / per_second, burst / per_second)
 
 
 class RateLimiter:
     """The generic cell rate algorithm (ITU-T I.371, virtual scheduling) over hashed cells.
 
-    A key's theoretical arrival time is the lesser of two cells, one in each row, so a key that shares a cell
-    with a flood is still judged by its other. A cell counts only while it lies ahead of the clock, a few
-    seconds at most: nothing has to be swept, and a million keys seen once leave nothing behind. The seed
-    keeps clients from aiming at the cells of others.
+    A key's theoretical arrival time is the lesser value of two cells, one in each row, so a key that shares
+    one cell with a flood is still judged by its other cell. A cell has an effect only while its time lies in
+    the future, which is a few seconds at most, so no cleanup is needed, and a million keys seen once have no
+    lasting effect. The seed keeps clients from choosing addresses that share cells with those of others.
     """
 
     __slots__ = ("_first_row", "_second_row", "_seed")
@@ -38,19 +38,20 @@
         self.clear()
 
     def clear(self) -> None:
-        """Forget all rates.
+        """Reset all rates.
 
-        Needed after a step back of the clock, which leaves all cells ahead of it.
+        This is needed after the clock has stepped back, which leaves the times of all cells in the future.
         """
-        self._first_row, self._second_row = EMPTY_ROW[:], EMPTY_ROW[:]
+        self._first_row, self._second_row = INITIAL_ROW[:], INITIAL_ROW[:]
 
     def conforms(self, key: int, now: float, interval: float, burst: int) -> bool:
-        """Count one more of this key at `now`, if it keeps the rate; `interval` is in seconds.
+        """Return whether one more event of a key conforms to the rate, and count it if it does.
 
-        What does not conform is not counted: a source is not rejected for longer because it asked again.
+        `interval` is the time between two events at the rate, in seconds. An event that does not conform is
+        not counted, so a source that retries while it is rejected is not rejected for longer.
         """
-        mixed = hash((key, self._seed))
-        i, j = mixed & CELL_MASK, mixed >> SECOND_ROW_SHIFT & CELL_MASK
+        hashed = hash((key, self._seed))
+        i, j = hashed & CELL_MASK, hashed >> SECOND_ROW_SHIFT & CELL_MASK
         first, second = self._first_row[i], self._second_row[j]
         arrival = first if first < second else second
         if arrival < now:
@@ -64,15 +65,18 @@
             self._second_row[j] = arrival
         return True
 
-    def conforms_both(self, key: int, network_key: int, now: float, own: Rate, network: Rate) -> bool:
-        """Count one more of an address and of its network, if both keep their rates.
+    def conforms_both(
+        self, key: int, network_key: int, now: float, address_rate: Rate, network_rate: Rate
+    ) -> bool:
+        """Return whether one more event conforms to the rates of both an address and its network.
 
-        Steps of `conforms` written out twice: this runs for every connection of a flood.
+        The event is counted for the address even if it then exceeds the network's rate. The body of
+        `conforms` is inlined twice, because this runs for every connection of a flood.
         """
         first_row, second_row = self._first_row, self._second_row
-        interval, tolerance = own
-        mixed = hash((key, self._seed))
-        i, j = mixed & CELL_MASK, mixed >> SECOND_ROW_SHIFT & CELL_MASK
+        interval, tolerance = address_rate
+        hashed = hash((key, self._seed))
+        i, j = hashed & CELL_MASK, hashed >> SECOND_ROW_SHIFT & CELL_MASK
         first, second = first_row[i], second_row[j]
         arrival = first if first < second else second
         if arrival < now:
@@ -84,9 +88,9 @@
             first_row[i] = arrival
         if second < arrival:
             second_row[j] = arrival
-        interval, tolerance = network
-        mixed = hash((network_key, self._seed))
-        i, j = mixed & CELL_MASK, mixed >> SECOND_ROW_SHIFT & CELL_MASK
+        interval, tolerance = network_rate
+        hashed = hash((network_key, self._seed))
+        i, j = hashed & CELL_MASK, hashed >> SECOND_ROW_SHIFT & CELL_MASK
         first, second = first_row[i], second_row[j]
         arrival = first if first < second else second
         if arrival < now:
--- a/zincladder/admission/read_control.py
+++ b/zincladder/admission/read_control.py
@@ -1,4 +1,4 @@
-"""When messages are read: at once within a source's share of the loop's time, else in their turn."""
+"""Decides when messages are read: at once while their lane has credit, otherwise in fair queueing order."""
 
 from __future__ import annotations
 
@@ -8,25 +8,28 @@
 from zincladder.admission.reputation import Reputation
 from zincladder.admission.state import AdmissionState
 
-MAX_WAIT_SECONDS = 2.0  # of a message for its turn; a close is owed within 3
-# A source some of whose messages wait for so long without a break asks for more than its share.
+# How long a message may wait to be read before its connection is evicted, which has to be closed within 3 s.
+MAX_WAIT_SECONDS = 2.0
+# A source that has messages waiting for this long without a break sends more than its share.
 OVERUSE_AFTER_SECONDS = 0.25
-MIN_BREAK_SECONDS = 0.05  # without a waiting message
+MIN_BREAK_SECONDS = 0.05  # a shorter time without a waiting message does not count as a break
 
 
 class ReadControl:
     """Keeps the slots whose next message waits to be read.
 
-    What waits stays unread in the system's buffers, so that a client over its share stops sending.
+    A waiting message stays in the kernel's receive buffer, so that TCP flow control stops a client that
+    exceeds its share from sending.
     """
 
     def __init__(self, state: AdmissionState, reputation: Reputation) -> None:
         self._state, self._reputation = state, reputation
-        self.waiting: dict[ConnectionSlot, float] = {}  # since when, the longest first
+        # Each slot with the start of its wait, the longest wait first.
+        self.waiting_slots: dict[ConnectionSlot, float] = {}
 
     def may_read(self, slot: ConnectionSlot, now: float) -> bool:
-        """Whether a message may be read; if not, the slot waits for its turn."""
-        if slot in self.waiting:
+        """Return whether a message may be read now; if not, the slot is queued."""
+        if slot in self.waiting_slots:
             return False
         source = slot.source
         lane = self._reputation.lane_of(source, now)
@@ -36,7 +39,7 @@
         if self._state.read_queue.try_take(lane):
             return True
         slot.waiting_since = now
-        self.waiting[slot] = now
+        self.waiting_slots[slot] = now
         if source.waiting_messages == 0 and now - source.last_waited_at > MIN_BREAK_SECONDS:
             source.waiting_since = now
         source.waiting_messages += 1
@@ -55,16 +58,16 @@
             state.idle_slots.add(slot, now)
 
     def stop_waiting(self, slot: ConnectionSlot) -> None:
-        """Take a slot out of the queue, if it waits."""
-        if self.waiting.pop(slot, None) is not None:
+        """Remove a slot from the queue if it waits."""
+        if self.waiting_slots.pop(slot, None) is not None:
             self._state.read_queue.remove(slot)
             slot.waiting_since = 0.0
             slot.source.waiting_messages -= 1
 
     def dispatch(self, result: TickResult, now: float) -> None:
-        """Name the slots whose turn it is."""
+        """Add to `result` the slots that may read their next message now."""
         for slot in self._state.read_queue.dispatch(now, self._state.loop_lag):
-            del self.waiting[slot]
+            del self.waiting_slots[slot]
             source = slot.source
             slot.waiting_since, source.last_waited_at = 0.0, now
             source.waiting_messages -= 1
@@ -73,9 +76,9 @@
             result.to_wake.append(slot)
 
     def evict_overdue(self, result: TickResult, now: float) -> None:
-        """Name the slots whose message has waited too long, except those with a request open."""
+        """Evict the slots whose message has waited too long, except those with an open request."""
         overdue = []
-        for slot, waiting_since in self.waiting.items():
+        for slot, waiting_since in self.waiting_slots.items():
             if now - waiting_since < MAX_WAIT_SECONDS:
                 break
             if not slot.open_requests:
@@ -87,5 +90,5 @@
             result.to_evict.append(Eviction(slot, RejectionReason.READ_TIMEOUT))
 
     def restart_waiting(self, now: float) -> None:
-        """Let all that waits have waited since `now`, after a step back of the clock."""
-        self.waiting = dict.fromkeys(self.waiting, now)
+        """Set the start of every wait to `now`, after the clock has stepped back."""
+        self.waiting_slots = dict.fromkeys(self.waiting_slots, now)
--- a/zincladder/admission/source_admission.py
+++ b/zincladder/admission/source_admission.py
@@ -1,11 +1,11 @@
-"""Admission by source: puts the parts together that judge connections, reads and requests."""
+"""Admission by source: combines the parts that control connections, reads and requests."""
 
 from __future__ import annotations
 
 from zincladder.admission.connection_control import ConnectionControl
 from zincladder.admission.connection_rates import ConnectionRates
 from zincladder.admission.descriptor_budget import DescriptorBudget
-from zincladder.admission.interface import NOTHING_DUE, RequestBounds, TickResult
+from zincladder.admission.interface import EMPTY_TICK_RESULT, RequestBounds, TickResult
 from zincladder.admission.model import (
     AdmissionLimits,
     ConnectionSlot,
@@ -20,15 +20,16 @@
 from zincladder.admission.source_report import SourceReport
 from zincladder.admission.state import AdmissionState
 
-MAX_CLOCK_STEP_BACK_SECONDS = 0.5  # between two ticks, past which the clock counts as stepped back
-IDLE_TICK_SECONDS = 0.03  # between two ticks that do something while nothing waits
+# If the clock goes back by more than this between two ticks, recorded times are shifted.
+MAX_CLOCK_STEP_BACK_SECONDS = 0.5
+IDLE_TICK_SECONDS = 0.03  # while nothing waits, a tick sooner than this after the last one does nothing
 
 
 class SourceAdmission:
-    """Judges by source what each client may have; implements `Admission`.
+    """Implements `Admission` with limits for each source.
 
-    The methods that run for each connection and message are those of the parts, bound here without a call
-    between: `interface.Admission` documents them.
+    The methods that run for each connection and message are bound methods of the parts, assigned as
+    attributes to avoid an extra call. They are documented in `interface.Admission`.
     """
 
     def __init__(
@@ -38,7 +39,7 @@
         descriptors: DescriptorBudget,
         seed: int = 0,
     ) -> None:
-        """`seed` keeps clients from foreseeing which of them share a cell of the rates."""
+        """`seed` keeps clients from predicting which addresses share a cell of the rate limiter."""
         self._state = state = AdmissionState(limits, bounds, descriptors)
         self.bounds, self.descriptors, self.counters = bounds, descriptors, state.counters
         self.sources, self.read_queue, self.idle_slots = state.sources, state.read_queue, state.idle_slots
@@ -48,7 +49,7 @@
         self._connections = connections = ConnectionControl(state, reputation, self._rates)
         self._reads = ReadControl(state, reputation)
         self._requests = requests = RequestControl(state, reputation)
-        self._others = others = OtherListeners(state, reputation, self._rates, seed + 1)
+        self._other_listeners = other_listeners = OtherListeners(state, reputation, self._rates, seed + 1)
         report = SourceReport(state, reputation)
         self._ticked_at = float("-inf")
 
@@ -66,43 +67,44 @@
         self.add_unread_bytes = requests.add_unread_bytes
         self.answers_read = requests.answers_read
         self.record_cpu_seconds = state.read_queue.calibrate
-        self.open_connection = others.open_connection
-        self.close_connection = others.close_connection
-        self.judge_datagram = others.judge_datagram
+        self.open_connection = other_listeners.open_connection
+        self.close_connection = other_listeners.close_connection
+        self.judge_datagram = other_listeners.judge_datagram
         self.top = report.top
         self.show = report.show
 
     @property
     def limits(self) -> AdmissionLimits:
-        """The operator's limits."""
+        """The limits that the operator has set."""
         return self._state.limits
 
     @property
     def open_requests(self) -> int:
-        """Requests that are open."""
+        """The number of open requests."""
         return self._state.open_requests
 
     @property
     def unread_bytes(self) -> int:
-        """Bytes of answers that clients have not read."""
+        """The number of answer bytes that clients have not read."""
         return self._state.unread_bytes
 
-    # Operators -------------------------------------------------------------------------------------
+    # Operators' commands and reloads ---------------------------------------------------------------
 
     def apply_limits(self, limits: AdmissionLimits) -> None:
-        """Change the limits; what is open past a lowered cap stays until it has been answered."""
+        """Change the limits; connections and requests that exceed a lowered cap stay until answered."""
         self._rates.apply_limits(limits)
-        self._others.apply_limits(limits)
+        self._other_listeners.apply_limits(limits)
         self._state.apply_limits(limits)
 
     def block(self, net: str, until: float, now: float) -> int:
-        """Block a network until a time.
+        """Block a network until the time `until`.
 
         Returns:
-            How many slots this ends at the next tick; busy ones end once they are answered.
+            The number of idle slots that are evicted at the next tick. Busy slots of the network are evicted
+            after their requests have been answered.
 
         Raises:
-            ValueError: `net` is no network, or too many are blocked.
+            ValueError: `net` is not a network, or too many networks are blocked already.
         """
         state = self._state
         state.lists.block(net, until, now)
@@ -112,53 +114,53 @@
         return len(blocked)
 
     def unblock(self, net: str) -> bool:
-        """Take back a block by command; False if there was none on just this network."""
+        """Remove a block by command; return False if there was none of exactly this network."""
         was_blocked = self._state.lists.unblock(net)
-        self._state.relist_sources()
+        self._state.refresh_listed_networks()
         return was_blocked
 
     def trust(self, net: str) -> None:
-        """List a network until the process ends, as if the operator's file named it.
+        """List a network until the process ends, as if it were listed in the operator's file.
 
         Raises:
-            ValueError: `net` is no network, or too many are trusted.
+            ValueError: `net` is not a network, or too many networks are trusted already.
         """
         self._state.lists.trust(net)
-        self._state.relist_sources()
+        self._state.refresh_listed_networks()
 
     # Slots ----------------------------------------------------------------------------------------
 
     def cancel_eviction(self, slot: ConnectionSlot, now: float) -> None:
-        """Keep a connection that was chosen to make room, as it has sent something meanwhile."""
+        """Keep a connection that was chosen for eviction, because a message has arrived on it since."""
         slot.evicting = False
-        if not (slot.open_requests or slot.unread_bytes or slot in self._reads.waiting):
+        if not (slot.open_requests or slot.unread_bytes or slot in self._reads.waiting_slots):
             self.idle_slots.add(slot, now)
 
     def release_slot(self, slot: ConnectionSlot, now: float) -> None:
-        """Take back the slot of a connection that was closed: its descriptor is free."""
+        """Release the slot and the descriptor of a connection that was closed."""
         self._reads.stop_waiting(slot)
         if slot.unread_bytes:
             self.add_unread_bytes(slot, -slot.unread_bytes)
         self._connections.release_slot(slot, now)
 
     def record_offense(self, slot: ConnectionSlot, offense: Offense, now: float) -> None:
-        """Count what a client did against its source."""
+        """Record an offense of the source of a slot."""
         self._reputation.record_offense(slot.source, offense, now)
 
-    # The clock ------------------------------------------------------------------------------------
+    # Ticks ----------------------------------------------------------------------------------------
 
     def tick(self, now: float, loop_lag: float) -> TickResult:
-        """Say whose turn it is and who has to leave; called every few milliseconds.
+        """Return the slots to read from and those to evict; called every few milliseconds.
 
-        `loop_lag` is the seconds by which the event loop runs late.
+        `loop_lag` is the delay of the event loop in seconds.
         """
         state = self._state
         if now < self._ticked_at - MAX_CLOCK_STEP_BACK_SECONDS:
             self._shift_times(self._ticked_at - now, now)
         state.loop_lag = loop_lag
-        is_quiet = not (self._reads.waiting or state.evictions or self.descriptors.over)
-        if is_quiet and 0.0 <= now - self._ticked_at < IDLE_TICK_SECONDS:
-            return NOTHING_DUE
+        is_idle = not (self._reads.waiting_slots or state.evictions or self.descriptors.excess)
+        if is_idle and 0.0 <= now - self._ticked_at < IDLE_TICK_SECONDS:
+            return EMPTY_TICK_RESULT
         self._ticked_at = now
         result = TickResult()
         self._reads.dispatch(result, now)
@@ -169,9 +171,9 @@
         return result
 
     def _evict_past_limit(self, result: TickResult) -> None:
-        """Evict as many idle slots as there are descriptors past a limit that was lowered."""
-        for _ in range(self.descriptors.over):
-            slot = self.idle_slots.first()
+        """Evict as many idle slots as there are descriptors in use above a lowered limit."""
+        for _ in range(self.descriptors.excess):
+            slot = self.idle_slots.choose_any_victim()
             if slot is None:
                 break
             self._state.begin_eviction(slot)
@@ -179,9 +181,10 @@
             result.to_evict.append(Eviction(slot, RejectionReason.NO_DESCRIPTOR))
 
     def _shift_times(self, seconds: float, now: float) -> None:
-        """Move what is recorded back with the clock.
+        """Shift recorded times after the clock has stepped back by `seconds`.
 
-        Guards against a step back: times that lay ahead of the clock would hold for as long as the step was.
+        Otherwise recorded times would lie in the future, and penalties and intervals would last longer by the
+        length of the step.
         """
         self._rates.clear()
         for source in self.sources:
--- a/zincladder/admission/source_key.py
+++ b/zincladder/admission/source_key.py
@@ -1,7 +1,8 @@
-"""Keys of sources: an address or a network around it, packed into one integer.
+"""Source keys: an address or the network around it, encoded as one integer.
 
-The low byte of a key says which prefix the bits above it are: hashing and shifting an integer costs far less
-than handling an address object for every connection of a flood.
+The low byte of a key is its kind; the bits above it are the address's or network's prefix. Integers are used
+because hashing and shifting one costs far less than handling an address object for every connection of a
+flood.
 """
 
 from __future__ import annotations
@@ -9,25 +10,25 @@
 import socket
 import struct
 
-# Kinds of keys: the low byte.
+# Kinds of keys (the low byte), named after IP version and prefix length; V4 is a single IPv4 address.
 V4, V4_24, V4_16, V6_64, V6_48 = 1, 2, 3, 4, 5
 V4_KINDS = (V4, V4_24, V4_16)
 KIND_BITS = 8
 KIND_MASK = 0xFF
 PREFIX_LENGTH = {V4: 32, V4_24: 24, V4_16: 16, V6_64: 64, V6_48: 48}
-# Kind of the network around a key, and by how many bits its prefix is shorter.
+# For each kind, the kind of the next larger network and by how many bits the network's prefix is shorter.
 ENCLOSING = {V4: (V4_24, 8), V4_24: (V4_16, 8), V6_64: (V6_48, 16)}
-# The prefix of an IPv4 address in an IPv6 socket (RFC 4291, 2.5.5.2).
+# The prefix of IPv4-mapped IPv6 addresses (RFC 4291, 2.5.5.2).
 IPV4_MAPPED = b"\0" * 10 + b"\xff\xff"
-MAX_SHOWN_LENGTH = 50  # characters of what is no address
+MAX_SHOWN_LENGTH = 50  # characters of invalid input quoted in an error text
 _to_packed_ipv4, _unpack_uint32 = socket.inet_aton, struct.Struct(">I").unpack
 
 
 def key_of(host: str) -> int:
-    """The key of an address in text: IPv4 /32, IPv6 /64 (RFC 4291, 2.5.4).
+    """Return the source key of an IP address: that of an IPv4 address or of an IPv6 /64 (RFC 4291, 2.5.4).
 
     Raises:
-        ValueError: `host` is no address.
+        ValueError: `host` is not an address.
     """
     try:
         if ":" not in host:
@@ -41,7 +42,7 @@
 
 
 def enclosing_key(key: int) -> int | None:
-    """The key of the network around an address or network; None for the widest."""
+    """Return the key of the next larger network around a key; None for a /16 or /48, the largest kinds."""
     enclosing = ENCLOSING.get(key & KIND_MASK)
     if enclosing is None:
         return None
@@ -50,12 +51,12 @@
 
 
 def network_key_of(key: int) -> int:
-    """The key of the /24 or /48 around an address."""
+    """Return the key of the /24 or /48 network around the key of an address."""
     return key >> 16 << 8 | V4_24 if key & KIND_MASK == V4 else key >> 24 << 8 | V6_48
 
 
 def text_of(key: int) -> str:
-    """A key as an operator writes it: '192.0.2.1', '192.0.2.0/24' or '2001:db8::/64'."""
+    """Return a key in the usual notation: '192.0.2.1', '192.0.2.0/24' or '2001:db8::/64'."""
     kind = key & KIND_MASK
     length = PREFIX_LENGTH[kind]
     if kind in V4_KINDS:
--- a/zincladder/admission/source_table.py
+++ b/zincladder/admission/source_table.py
@@ -1,4 +1,4 @@
-"""The bounded record of sources: addresses that have had a slot or a strike, and what they did lately."""
+"""The bounded table of sources: addresses that have had a slot or a strike, with their recent behavior."""
 
 from __future__ import annotations
 
@@ -7,25 +7,26 @@
 from zincladder.admission.lrfu import LrfuSet
 from zincladder.admission.model import Source
 
-HALF_LIFE_SECONDS = 20.0  # of the count by which a source is remembered
-# Parts of the table that sources which are known, or under a penalty, may fill.
-MAX_KNOWN_PART, MAX_LIMITED_PART = 0.5, 0.25
+HALF_LIFE_SECONDS = 20.0  # of the access counts that decide which source is removed
+# Fractions of the table that known sources and sources under a penalty may fill.
+MAX_KNOWN_FRACTION, MAX_LIMITED_FRACTION = 0.5, 0.25
 
 
 class SourceTable:
-    """At most `max_sources` addresses, or as many as have slots where those are more.
+    """A table of at most `max_sources` sources, or of all that have slots if these are more.
 
-    Three sets, each with its own bound, keep apart sources that pass by, are known, or are under a penalty:
-    a newcomer can push out only one that passes by. A source with a slot is in no set.
+    Sources without a slot are in one of three sets, each with its own bound: known sources, sources under a
+    penalty, and all others, which are transient. A new source replaces a transient source as long as there is
+    one. A source with a slot is in no set and is never removed.
     """
 
     def __init__(self, max_sources: int) -> None:
         self.max_sources = max_sources
         self._sources: dict[int, Source] = {}
-        self._passing = LrfuSet(HALF_LIFE_SECONDS)
+        self._transient = LrfuSet(HALF_LIFE_SECONDS)
         self._known = LrfuSet(HALF_LIFE_SECONDS)
         self._limited = LrfuSet(HALF_LIFE_SECONDS)
-        self.find = self._sources.get  # the record of a key, or None
+        self.find = self._sources.get  # returns the source of a key, or None
 
     def __len__(self) -> int:
         return len(self._sources)
@@ -33,28 +34,28 @@
     def __iter__(self) -> Iterator[Source]:
         return iter(self._sources.values())
 
-    def record_sighting(self, source: Source, now: float) -> None:
-        """Count that a recorded source has come again."""
-        (source.forgettable_in or self._passing).record_sighting(source, now)
+    def record_access(self, source: Source, now: float) -> None:
+        """Count a new connection of a source that is in the table."""
+        (source.lrfu_set or self._transient).record_access(source, now)
 
     def obtain(self, key: int, now: float) -> Source:
-        """The record of an address, made where there is none."""
+        """Return the source of a key, and create it if the table does not hold it."""
         source = self._sources.get(key)
         if source is not None:
             return source
-        while len(self._sources) >= self.max_sources and self._forget_one():
+        while len(self._sources) >= self.max_sources and self._remove_least():
             pass
         source = self._sources[key] = Source(key)
-        self._passing.record_sighting(source, now)
-        self._passing.add(source)
+        self._transient.record_access(source, now)
+        self._transient.add(source)
         return source
 
-    def _forget_one(self) -> bool:
-        """Forget the least source of the first set that has any.
+    def _remove_least(self) -> bool:
+        """Remove the least used source of the first set that is not empty, to make room in the table.
 
-        Guards the bound. False if all sources have slots; these are bounded with the connections.
+        Returns False if all sources have slots; their number is bounded by that of the connections.
         """
-        for sources in (self._passing, self._known, self._limited):
+        for sources in (self._transient, self._known, self._limited):
             source = sources.least()
             if source is not None:
                 sources.remove(source)
@@ -63,32 +64,35 @@
         return False
 
     def add_slot(self, source: Source) -> None:
-        """Count one slot more."""
+        """Count one more slot of a source, which cannot be removed from the table while it has any."""
         source.slot_count += 1
-        if source.forgettable_in is not None:
-            source.forgettable_in.remove(source)
+        if source.lrfu_set is not None:
+            source.lrfu_set.remove(source)
 
     def remove_slot(self, source: Source, *, known: bool, limited: bool) -> None:
-        """Count one slot less; after its last the source may be forgotten."""
+        """Count one slot less of a source; without slots it may be removed from the table."""
         source.slot_count -= 1
-        self.place(source, known=known, limited=limited)
+        self.assign_set(source, known=known, limited=limited)
 
-    def place(self, source: Source, *, known: bool, limited: bool) -> None:
-        """Put a source without a slot into the set where it belongs now."""
+    def assign_set(self, source: Source, *, known: bool, limited: bool) -> None:
+        """Move a source without slots to the set of its lane.
+
+        If that set is full, its least used source moves to the transient set.
+        """
         if source.slot_count:
             return
-        target, max_size = self._passing, self.max_sources
+        target, max_size = self._transient, self.max_sources
         if limited:
-            target, max_size = self._limited, int(self.max_sources * MAX_LIMITED_PART)
+            target, max_size = self._limited, int(self.max_sources * MAX_LIMITED_FRACTION)
         elif known:
-            target, max_size = self._known, int(self.max_sources * MAX_KNOWN_PART)
-        if source.forgettable_in is target:
+            target, max_size = self._known, int(self.max_sources * MAX_KNOWN_FRACTION)
+        if source.lrfu_set is target:
             return
-        if source.forgettable_in is not None:
-            source.forgettable_in.remove(source)
-        if target is not self._passing and target.size >= max(1, max_size):
+        if source.lrfu_set is not None:
+            source.lrfu_set.remove(source)
+        if target is not self._transient and target.size >= max(1, max_size):
             least = target.least()
             if least is not None:
                 target.remove(least)
-                self._passing.add(least)
+                self._transient.add(least)
         target.add(source)
--- a/zincladder/admission/state.py
+++ b/zincladder/admission/state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of admission by source share."""
+"""The state that is shared by the parts of admission by source."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from zincladder.admission.operator_lists import OperatorLists
 from zincladder.admission.source_table import SourceTable
 
-MAX_LIMITED_SLOTS = 4  # of one source under a penalty: it is limited, not banned
-# The lanes by themselves: a decision needs a dozen, and each look-up on the enum's class costs 0.2 µs in
-# Python 3.11.
+MAX_LIMITED_SLOTS = 4  # slots of one source under a penalty, which is limited but not banned
+# The lanes as module constants: a decision looks up a dozen of them, and each look-up in the enum class costs
+# 0.2 µs in Python 3.11.
 LISTED, KNOWN, NEW, LIMITED = PriorityLane
 
 
 class AdmissionState:
-    """What is known of sources, slots and requests at this moment."""
+    """The current state of sources, slots and requests."""
 
     __slots__ = (
         "bounds",
@@ -55,33 +55,33 @@
         self.idle_slots = IdleSlots()
         self.slots_by_lane = [0] * len(PriorityLane)
         self.open_by_lane = [0] * len(PriorityLane)
-        self.slots_by_network: dict[int, int] = {}  # by key of the network, where there are any
+        self.slots_by_network: dict[int, int] = {}  # slots by network key, without entries of 0
         self.sources_with_slots = 0
-        self.busy_sources = 0  # with a request open
+        self.busy_sources = 0  # number of sources with an open request
         self.open_requests = 0
         self.unread_bytes = 0
-        self.loop_lag = 0.0  # seconds by which the event loop ran late at the last tick
-        self.evictions: list[Eviction] = []  # to be returned by the next tick
+        self.loop_lag = 0.0  # delay of the event loop at the last tick, in seconds
+        self.evictions: list[Eviction] = []  # evictions that the next tick returns
 
     def apply_limits(self, limits: AdmissionLimits) -> None:
-        """Change the limits; what is open past a lowered cap stays until it has been answered."""
+        """Change the limits; connections and requests that exceed a lowered cap stay until answered."""
         self.limits = limits
         self.sources.max_sources = limits.max_sources
         self.read_queue.set_shares(limits.known_share, limits.new_share)
         self.lists.apply_limits(limits)
-        self.relist_sources()
+        self.refresh_listed_networks()
 
-    def relist_sources(self) -> None:
-        """Look up which network each source belongs to, after the operator's lists have changed."""
+    def refresh_listed_networks(self) -> None:
+        """Look up again in which listed network each source is, after the operator's lists have changed."""
         for source in self.sources:
-            source.listed_as = self.lists.listed.find(source.key)
+            source.listed_network = self.lists.listed_networks.find(source.key)
 
     def begin_eviction(self, slot: ConnectionSlot) -> None:
-        """Mark an idle slot as leaving: it is chosen once, and no more may be evicted."""
+        """Mark a slot as being evicted, so that it is not chosen again."""
         self.idle_slots.remove(slot)
         slot.evicting = True
 
     def evict_at_next_tick(self, slot: ConnectionSlot, reason: RejectionReason) -> None:
-        """Evict a slot that nothing waits for."""
+        """Evict an idle slot at the next tick."""
         self.begin_eviction(slot)
         self.evictions.append(Eviction(slot, reason))
