--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -1,4 +1,4 @@
-"""Every fault of a configuration, as the command `check` prints it."""
+"""The command `check` prints every error in configuration files."""
 
 from __future__ import annotations
 
@@ -14,28 +14,32 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def test_check_names_each_fault_with_its_key(tmp_path: Path) -> None:
+def test_check_names_the_key_of_each_error(tmp_path: Path) -> None:
     data: dict[str, Any] = configuration([])
-    good, bad, table = tmp_path / "good.json", tmp_path / "bad.json", tmp_path / "operator.toml"
-    good.write_text(json.dumps(data))
+    valid_file, faulty_file, operator_file = (
+        tmp_path / "good.json",
+        tmp_path / "bad.json",
+        tmp_path / "operator.toml",
+    )
+    valid_file.write_text(json.dumps(data))
     data["settings"] = json.loads(json.dumps(data["settings"]))
     data["listen"] = "nowhere"
     data["settings"]["categories"][1]["onTime"] = "soon"
     data["limits"] = {"sockets": "many"}
-    bad.write_text(json.dumps(data))
-    table.write_text(
+    faulty_file.write_text(json.dumps(data))
+    operator_file.write_text(
         '[dns]\nlisten = "127.0.0.1:0"\nzone = "a.org"\nhost = [{name = "x.a.org", class = "film"}]\n'
         '[admission]\nreserve = 3\nper_adress = 1\nnetwork = [{net = "10.0.0.1/8"}]\n[metric]\n'
     )
-    found = CliRunner().invoke(main, ["check", str(good), str(bad)])
-    assert found.exit_code == 1 and f"{good}: good" in found.output
+    result = CliRunner().invoke(main, ["check", str(valid_file), str(faulty_file)])
+    assert result.exit_code == 1 and f"{valid_file}: good" in result.output
     for key in ("'listen'", "'settings.categories[1].onTime'", "'limits.sockets'"):
-        assert key in found.output
-    found = CliRunner().invoke(main, ["check", str(table), str(good)])
-    assert found.exit_code == 1
+        assert key in result.output
+    result = CliRunner().invoke(main, ["check", str(operator_file), str(valid_file)])
+    assert result.exit_code == 1
     for key in ("'dns.host[0].class'", "'admission.reserve'", "'admission.per_adress'",
     "'metric'",
                 "'admission.network[0].net'"):  # fmt: skip
-        assert key in found.output
+        assert key in result.output
     shipped = [str(ROOT / "deploy" / name) for name in ("operator.toml", "admission.toml")]
     assert CliRunner().invoke(main, ["check", *shipped, str(ROOT / "example/config.json")]).exit_code == 0
--- a/tests/config/test_reading.py
+++ b/tests/config/test_reading.py
@@ -1,4 +1,4 @@
-"""What the readers of configuration make of each key, and the error text for each value that is wrong."""
+"""The values that each configuration key is parsed to, and the error texts for missing and invalid values."""
 
 from __future__ import annotations
 
@@ -99,12 +99,12 @@
     "lease": {"seconds": 6.0, "renew_s": 1.1, "drift": 0.02, "check_s": 3.5, "clear_s": 0.4, "least": 0.6,
               "patient_s": 16.0, "act_s": 0.3},
 }  # fmt: skip
-WRONG: tuple[Any, ...] = ([[]], {"x": 1}, "?", -1, 1e400, True, None)
-GONE = object()
+REPLACEMENT_VALUES: tuple[Any, ...] = ([[]], {"x": 1}, "?", -1, 1e400, True, None)
+MISSING = object()
 
 
 def paths(value: Any, path: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
-    """The path of each value in a document, but for those of the start's events."""
+    """Yields the path of each value in a document, except those of the events under 'known'."""
     steps = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for key, inner in steps:
         if (*path, key) != ("known",):
@@ -117,7 +117,7 @@
     at = found
     for step in path[:-1]:
         at = at[step]
-    if value is GONE:
+    if value is MISSING:
         del at[path[-1]]
     else:
         at[path[-1]] = value
@@ -125,38 +125,43 @@
     return found
 
 
-def outcome(read: Callable[[Any], Any], data: Any) -> str:
+def parse_outcome(read: Callable[[Any], Any], data: Any) -> str:
     try:
         read(data)
-    except ConfigError as fault:
-        return str(fault)
+    except ConfigError as error:
+        return str(error)
     return "taken"
 
 
-def faults(read: Callable[[Any], Any], data: dict[str, Any]) -> dict[str, list[str]]:
-    """The outcome for each value if it is missing or of another kind: the text of the fault, or "taken"."""
+def error_texts(read: Callable[[Any], Any], data: dict[str, Any]) -> dict[str, list[str]]:
+    """Returns, for each path, the outcome of removing its value and of setting it to others.
+
+    An outcome is the text of the error, or "taken" if the data was accepted.
+    """
     return {
-        ".".join(map(str, path)): [outcome(read, with_value(data, path, value)) for value in (GONE, *WRONG)]
+        ".".join(map(str, path)): [
+            parse_outcome(read, with_value(data, path, value)) for value in (MISSING, *REPLACEMENT_VALUES)
+        ]
         for path in paths(data)
     }
 
 
-def test_what_becomes_of_each_key() -> None:
+def test_each_key_is_parsed_to_its_value() -> None:
     full, bare = (
         parse_config(FULL),
         parse_config({"listen": "127.0.0.1:0", "settings": {"categories": CATEGORIES}}),
     )
-    cut = [replace(full, raw={}, known_events={}), replace(bare, raw={}, known_events={})]
+    stripped = [replace(full, raw={}, known_events={}), replace(bare, raw={}, known_events={})]
     found = {
-        "all keys": positional(cut[0]),
-        "none": positional(cut[1]),
+        "all keys": positional(stripped[0]),
+        "none": positional(stripped[1]),
         "one of three processes": positional(replace(divide_limits(full, 3), raw={}, known_events={})),
         "simulator": positional(parse_settings(json.dumps(FULL["settings"]).encode())),
         "operator's": positional(parse_operator(OPERATOR, NAMES)),
         "operator's, none": positional(parse_operator({}, NAMES)),
         "replica's": [
-            str(v) if isinstance(v, Path) else positional(_plain(v))
-            for v in _values(parse_replica_config(REPLICA))
+            str(v) if isinstance(v, Path) else positional(_values_of_struct(v))
+            for v in _values_of_fields(parse_replica_config(REPLICA))
         ],
     }
     assert full.raw == {key: value for key, value in FULL.items() if key != "known"}
@@ -164,12 +169,12 @@
     assert_matches("configuration/values.json", found)
 
 
-def _values(config: Any) -> list[Any]:
+def _values_of_fields(config: Any) -> list[Any]:
     return [getattr(config, field.name) for field in fields(config)]
 
 
-def _plain(value: Any) -> Any:
-    """A table of a file as the list of its values."""
+def _values_of_struct(value: Any) -> Any:
+    """Returns a msgspec struct as the list of its values, and any other value unchanged."""
     return (
         [getattr(value, name) for name in value.__struct_fields__]
         if hasattr(value, "__struct_fields__")
@@ -177,16 +182,16 @@
     )
 
 
-def test_texts_on_faults_of_a_configuration() -> None:
-    found = faults(parse_config, FULL)
+def test_error_texts_for_a_configuration() -> None:
+    found = error_texts(parse_config, FULL)
     documents: list[Any] = [[], None, {}, {"settings": []}]
-    found["all"] = [outcome(parse_config, data) for data in documents]
+    found["all"] = [parse_outcome(parse_config, data) for data in documents]
     assert_matches("configuration/faults.json", found)
 
 
-def test_texts_on_faults_of_an_operators_file() -> None:
-    found = faults(lambda data: parse_operator(data, NAMES), OPERATOR)
-    more: list[dict[str, Any]] = [
+def test_error_texts_for_an_operators_file() -> None:
+    found = error_texts(lambda data: parse_operator(data, NAMES), OPERATOR)
+    invalid_files: list[dict[str, Any]] = [
         {"dns": OPERATOR["dns"] | {"host": [{"name": "a.org", "class": "page"}]}},
         {"admission": {"known_share": 0.8, "new_share": 0.8}},
         {"admission": {"penalty_s": 9.0, "penalty_most_s": 1.0}},
@@ -198,17 +203,17 @@
         {"duties": {"group": "g", "keepers": {"a": "127.0.0.1:1"}, "wants": ["figures"]}},
         {"tables": {}},
     ]
-    found["more"] = [outcome(lambda data: parse_operator(data, NAMES), data) for data in more]
+    found["more"] = [parse_outcome(lambda data: parse_operator(data, NAMES), data) for data in invalid_files]
     found["all at once"] = operator_faults(
-        {key: value for data in more for key, value in data.items()}, NAMES
+        {key: value for data in invalid_files for key, value in data.items()}, NAMES
     )
     assert_matches("configuration/operator_faults.json", found)
 
 
-def test_texts_on_faults_of_a_replicas_file() -> None:
-    found = faults(parse_replica_config, REPLICA)
+def test_error_texts_for_a_replicas_file() -> None:
+    found = error_texts(parse_replica_config, REPLICA)
     members = {f"r{n}": f"127.0.0.1:{n}" for n in range(1, 5)}
-    more: list[dict[str, Any]] = [
+    invalid_files: list[dict[str, Any]] = [
         REPLICA | {"lease": {"seconds": 2.0, "renew_s": 1.0}},
         REPLICA | {"lease": {"seconds": 3.0, "renew_s": 1.0, "act_s": 2.0}},
         REPLICA | {"keeper": REPLICA["keeper"] | {"members": members}},
@@ -216,70 +221,73 @@
         REPLICA | {"keeper": REPLICA["keeper"] | {"election_ms": 60.0}},
         REPLICA | {"table": {}},
     ]
-    found["more"] = [outcome(parse_replica_config, data) for data in more]
+    found["more"] = [parse_outcome(parse_replica_config, data) for data in invalid_files]
     assert_matches("configuration/replica_faults.json", found)
 
 
-def test_what_a_reload_takes_and_what_waits() -> None:
+def test_a_reload_applies_some_changes_and_reports_those_that_need_a_restart() -> None:
     old = parse_config(FULL)
     found: dict[str, Any] = {}
     for path in paths(FULL):
         value: Any = FULL
         for step in path:
             value = value[step]
-        other: Any = GONE
+        other: Any = MISSING
         if isinstance(value, bool):
             other = not value
         elif isinstance(value, int | float):
             other = value + 1
-        for change in (GONE, other):
+        for change in (MISSING, other):
             try:
                 new = parse_config(with_value(FULL, path, change))
             except ConfigError:
                 continue
-            key = ".".join(map(str, path)) + (" gone" if change is GONE else "")
+            key = ".".join(map(str, path)) + (" gone" if change is MISSING else "")
             try:
-                config, waits = merge_reloaded(old, new)
+                config, needs_restart = merge_reloaded(old, new)
                 found[key] = [
-                    waits,
+                    needs_restart,
                     config.settings == old.settings,
                     replace(config, raw={}) == replace(old, raw={}),
                 ]
-            except ConfigError as fault:
-                found[key] = [str(fault)]
+            except ConfigError as error:
+                found[key] = [str(error)]
     found["listen, name and zone"] = [
         merge_reloaded(old, parse_config(FULL | {"listen": "127.0.0.1:1", "name": "n2"}))[1]
     ]
     assert_matches("configuration/reload.json", found)
 
 
-def test_loading_from_the_environment(tmp_path: Path) -> None:
+def test_files_and_overrides_are_read_from_environment_variables(tmp_path: Path) -> None:
     path, table = tmp_path / "config.json", tmp_path / "operator.toml"
     path.write_text(json.dumps(FULL))
     table.write_text('[control]\nsocket = "/tmp/x"\n')
-    named = {"RELAY_CONFIG": str(path)}
-    config = load(named | {"RELAY_LISTEN": "127.0.0.9:9", "RELAY_NAME": "n9", "RELAY_CONTROL": "127.0.0.9:8"})
+    environ_with_file = {"RELAY_CONFIG": str(path)}
+    config = load(
+        environ_with_file
+        | {"RELAY_LISTEN": "127.0.0.9:9", "RELAY_NAME": "n9", "RELAY_CONTROL": "127.0.0.9:8"}
+    )
     assert (config.name, config.listen, config.control) == ("n9", ("127.0.0.9", 9), ("127.0.0.9", 8))
-    assert load(named) == parse_config(FULL)
+    assert load(environ_with_file) == parse_config(FULL)
     assert load_operator(NAMES, {}) == parse_operator({}, NAMES)
     assert load_operator(NAMES, {"ZINCLADDER_OPERATOR": str(table)}).control == "/tmp/x"
     found = []
-    nothing: dict[str, str] = {}
-    for environ in (nothing, {"RELAY_CONFIG": "/nowhere"}):
-        with pytest.raises(ConfigError) as fault:
+    empty: dict[str, str] = {}
+    for environ in (empty, {"RELAY_CONFIG": "/nowhere"}):
+        with pytest.raises(ConfigError) as error:
             load(environ)
-        found.append(str(fault.value))
+        found.append(str(error.value))
     path.write_text("{")
-    with pytest.raises(ConfigError) as fault:
-        load(named)
-    found.append(re.sub(r": [A-Z].*", "", str(fault.value)))
-    with pytest.raises(ConfigError) as fault:
+    with pytest.raises(ConfigError) as error:
+        load(environ_with_file)
+    found.append(re.sub(r": [A-Z].*", "", str(error.value)))
+    with pytest.raises(ConfigError) as error:
         load_operator(NAMES, {"ZINCLADDER_OPERATOR": "/nowhere"})
-    found.append(str(fault.value))
+    found.append(str(error.value))
     assert_matches("configuration/environment.json", found)
 
 
-def test_every_fault_is_found_at_once() -> None:
+def test_all_errors_are_found_in_one_run() -> None:
     data = copy.deepcopy(FULL)
     data |= {"listen": "nowhere", "seed": 3, "limits": {"memory_mb": "x", "sockets": []}}
     data["settings"]["domain"]["detail"] = "some"
@@ -289,7 +297,7 @@
     assert_matches("configuration/check.json", [found, positional(names)])
 
 
-def test_shipped_files_are_read_to_the_same_values() -> None:
+def test_shipped_files_keep_their_parsed_values() -> None:
     example = parse_config(json.loads((ROOT / "example/config.json").read_text()))
     shipped = {
         name: positional(parse_operator(tomllib.loads((ROOT / "deploy" / name).read_text()), NAMES))
--- a/tests/config/test_reload.py
+++ b/tests/config/test_reload.py
@@ -1,4 +1,4 @@
-"""What a running front takes from files that were read again, and its limits while two processes run."""
+"""Merging of reloaded files into a running configuration, and the limits of each of two processes."""
 
 from __future__ import annotations
 
@@ -14,13 +14,15 @@
 
 def test_processes_of_one_front_share_its_limits() -> None:
     whole = parse_config(configuration([], limits={"memory_mb": 80, "sockets": 384}))
-    half = divide_limits(whole, 2)
-    assert divide_limits(whole, 1) is whole and half.sockets == 192 and half.settings.routers == 2
-    assert half.settings.routers_by_zone == (0, 2) and 2 * half.max_open_requests < whole.max_open_requests
+    divided = divide_limits(whole, 2)
+    assert divide_limits(whole, 1) is whole and divided.sockets == 192 and divided.settings.routers == 2
+    assert (
+        divided.settings.routers_by_zone == (0, 2) and 2 * divided.max_open_requests < whole.max_open_requests
+    )
     assert divide_limits(parse_config(configuration([], limits={"memory_mb": 32})), 2).max_open_requests > 20
 
 
-def changed(change: Callable[[dict[str, Any]], object]) -> dict[str, Any]:
+def configuration_with(change: Callable[[dict[str, Any]], object]) -> dict[str, Any]:
     data: dict[str, Any] = json.loads(json.dumps(configuration([], 4222)))
     change(data)
     return data
@@ -51,19 +53,22 @@
         (lambda d: d["settings"].update(domain=[]), "settings.domain"),
     ],
 )
-def test_an_incomplete_file_is_rejected_with_its_key(
+def test_a_reload_rejects_an_invalid_file_and_names_the_key(
     change: Callable[[dict[str, Any]], object], key: str
 ) -> None:
-    old = parse_config(changed(lambda d: None))
-    with pytest.raises(ConfigError) as fault:
-        merge_reloaded(old, parse_config(changed(change)))
-    assert key in str(fault.value)
+    old = parse_config(configuration_with(lambda d: None))
+    with pytest.raises(ConfigError) as error:
+        merge_reloaded(old, parse_config(configuration_with(change)))
+    assert key in str(error.value)
 
 
-def test_what_a_running_front_cannot_change_waits_for_the_next_start() -> None:
-    old = parse_config(changed(lambda d: None))
-    new, waiting = merge_reloaded(
-        old, parse_config(changed(lambda d: d.update(listen="127.0.0.1:9") or d["settings"].update(az=0)))
+def test_changes_that_need_a_restart_are_reported_and_not_applied() -> None:
+    old = parse_config(configuration_with(lambda d: None))
+    new, needs_restart = merge_reloaded(
+        old,
+        parse_config(
+            configuration_with(lambda d: d.update(listen="127.0.0.1:9") or d["settings"].update(az=0))
+        ),
     )
-    assert waiting == ["listen", "settings: zone"]
+    assert needs_restart == ["listen", "settings: zone"]
     assert new.listen == old.listen and new.settings.zone == 1
--- a/tests/config/test_reload_process.py
+++ b/tests/config/test_reload_process.py
@@ -1,4 +1,4 @@
-"""SIGHUP at a real process."""
+"""Reload at SIGHUP, in a front that runs as a process."""
 
 from __future__ import annotations
 
@@ -30,23 +30,23 @@
     }
 
 
-async def test_sighup_adds_a_class_rejects_broken_files_and_keeps_open_requests(tmp_path: Path) -> None:
-    gate = anyio.Event()
+async def test_sighup_adds_a_class_rejects_invalid_files_and_keeps_open_requests(tmp_path: Path) -> None:
+    release = anyio.Event()
 
-    async def late(_: StubCache, fetch: Fetch) -> None:
-        await gate.wait()
+    async def serve_when_released(_: StubCache, fetch: Fetch) -> None:
+        await release.wait()
         await serve(_, fetch)
 
-    caches = [StubCache("s-00000001", 0, late), StubCache("s-000000b0", 2)]
-    coordinator, moved = Coordinator(), Coordinator()
+    caches = [StubCache("s-00000001", 0, serve_when_released), StubCache("s-000000b0", 2)]
+    coordinator, new_coordinator = Coordinator(), Coordinator()
     async with anyio.create_task_group() as tasks:
         for stub in caches:
             await tasks.start(stub.run)
         await tasks.start(coordinator.run)
-        await tasks.start(moved.run)
+        await tasks.start(new_coordinator.run)
         listen = f"127.0.0.1:{free_port()}"
-        plain = configuration([c.endpoint() for c in caches], coordinator.port) | {"listen": listen}
-        front = FrontProcess(tmp_path, plain)
+        front_config = configuration([c.endpoint() for c in caches], coordinator.port) | {"listen": listen}
+        front = FrontProcess(tmp_path, front_config)
         try:
             await front.until(front.ready)
             host, _, port = listen.partition(":")
@@ -59,29 +59,31 @@
                     await coordinator.followed.wait()
                 await coordinator.tell(4, struct.pack(">HQ", 3, 5))
                 stamp = {"name": "stamp", "onTime": 0.8, "deadline": 3.0, "effect": "at_most_once"}
-                plain["coordinator"] = f"127.0.0.1:{moved.port}"
-                good = plain | {"settings": with_classes(stamp, attemptsCap=2)}
-                good["settings"]["domain"] = SETTINGS["domain"] | {"neverKept": [False, False, True, True]}
-                broken = (
+                front_config["coordinator"] = f"127.0.0.1:{new_coordinator.port}"
+                valid = front_config | {"settings": with_classes(stamp, attemptsCap=2)}
+                valid["settings"]["domain"] = SETTINGS["domain"] | {"neverKept": [False, False, True, True]}
+                invalid = (
                     "",
                     "[" * 100_000,
-                    json.dumps(good)[:-9],
-                    json.dumps(plain | {"settings": with_classes(attemptsCap=0)}),
+                    json.dumps(valid)[:-9],
+                    json.dumps(front_config | {"settings": with_classes(attemptsCap=0)}),
                 )
-                for i, text in enumerate((*broken, json.dumps(good))):
-                    assert not moved.after  # no broken file's coordinator is followed
+                for i, text in enumerate((*invalid, json.dumps(valid))):
+                    # The coordinator that an invalid file names is not followed.
+                    assert not new_coordinator.after
                     front.path.write_text(text)
                     front.process.send_signal(signal.SIGHUP)
-                    name = b"applied=1\n" if i == len(broken) else b"rejected=%d\n" % (i + 1)
+                    name = b"applied=1\n" if i == len(invalid) else b"rejected=%d\n" % (i + 1)
                     await front.until(lambda name=name: name in front.ask(b"STATS\n"))  # type: ignore[misc]
                 with anyio.fail_after(5):
-                    while not moved.after:
-                        await moved.followed.wait()
-                assert moved.after == [2]  # from the last event on
+                    while not new_coordinator.after:
+                        await new_coordinator.followed.wait()
+                # The new coordinator is asked for the events after the last one received.
+                assert new_coordinator.after == [2]
                 assert b"app.succeeded.stamp=0\n" in front.ask(b"STATS\n")
                 new = await c.ask(route="stamp")
                 assert (await c.reply()).seq == new and len(caches[1].fetches) == 1
-                gate.set()
+                release.set()
                 assert (await c.reply()).seq == open_one
             front.process.send_signal(signal.SIGTERM)
             assert await front.ended() == 0
--- a/tests/control/test_commands.py
+++ b/tests/control/test_commands.py
@@ -1,4 +1,4 @@
-"""What operators ask of a running front over its control socket, and the command line that asks it."""
+"""The commands of the control socket, and the command line that sends them."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 pytestmark = pytest.mark.anyio
 
 
-async def command(*words: str) -> Result:
+async def run_command(*words: str) -> Result:
     return await anyio.to_thread.run_sync(partial(CliRunner().invoke, main, list(words)))
 
 
 async def test_operators_list_sources_and_block_and_trust_networks(tmp_path: Path) -> None:
     path = str(tmp_path / "control")
     operator = {"admission": {}, "control": {"socket": path}}
-    admission = partial(command, "admission", "--socket", path)
+    admission = partial(run_command, "admission", "--socket", path)
     async with world(serve, operator=operator) as w, client(w) as c:
         assert stat.S_IMODE(Path(path).stat().st_mode) == 0o600
         await c.ask()
         assert (await c.reply()).kind == "served"
-        shown = json.loads((await admission("top", "--json")).output)
-        (row,) = shown["sources"]
+        report = json.loads((await admission("top", "--json")).output)
+        (row,) = report["sources"]
         assert (row["source"], row["lane"], row["connections"], row["served"]) == ("127.0.0.1", "new", 1, 1)
-        assert shown["descriptors"]["clients"] == 1
+        assert report["descriptors"]["clients"] == 1
         assert "127.0.0.1" in (await admission("top")).output
-        one = json.loads((await admission("show", "127.0.0.1")).output)
-        assert (one["network"], one["network_connections"]) == ("127.0.0.0/24", 1)
+        source = json.loads((await admission("show", "127.0.0.1")).output)
+        assert (source["network"], source["network_connections"]) == ("127.0.0.0/24", 1)
         assert (await admission("block", "127.0.0.0/8", "--for", "10m")).output.endswith(
             "1 idle connections ended\n"
         )
@@ -48,9 +48,9 @@
             await c.stream.receive()
         assert (await admission("unblock", "127.0.0.0/8")).exit_code == 0
         assert (await admission("trust", "127.0.0.1")).exit_code == 0
-        async with client(w) as again:
-            await again.ask()
-            assert (await again.reply()).kind == "served"
+        async with client(w) as second:
+            await second.ask()
+            assert (await second.reply()).kind == "served"
             assert json.loads((await admission("show", "127.0.0.1")).output)["lane"] == "listed"
         for words, text in (
             (("unblock", "10.0.0.0/8"), "was not blocked"),
@@ -67,12 +67,12 @@
 @pytest.mark.parametrize(
     "line", [b"", b"[]", b"{}", b"nonsense", b'{"do": 3}', b'{"do": "x"}', b"[" * 60_000, b"\xff\xfe"]
 )
-def test_every_line_gets_an_answer(line: bytes) -> None:
+def test_every_invalid_line_gets_an_error_as_answer(line: bytes) -> None:
     found = json.loads(answer({}, line, 0.0))
     assert found["error"] and list(found) == ["error"]
 
 
-def test_the_socket_of_a_dead_front_is_replaced_and_nothing_else_is(tmp_path: Path) -> None:
+def test_bind_replaces_only_the_socket_of_a_dead_front(tmp_path: Path) -> None:
     path = tmp_path / "control"
     first = bind(str(path))
     with pytest.raises(ConfigError, match="another front"):
@@ -81,6 +81,6 @@
     bind(str(path)).close()
     path.unlink()
     path.write_text("kept")
-    with pytest.raises(ConfigError, match="no socket"):
+    with pytest.raises(ConfigError, match="not a socket"):
         bind(str(path))
     assert path.read_text() == "kept"
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -1,4 +1,4 @@
-"""The calls READY and STATS, and the address at which operators make them."""
+"""The status calls READY and STATS, and the TCP server that answers them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 pytestmark = pytest.mark.anyio
 
 
-def test_ready_says_what_is_missing_and_stats_ends_with_eot() -> None:
+def test_ready_answers_the_unmet_condition_and_stats_ends_with_eot() -> None:
     missing = ""
     calls = StatusCalls(lambda: missing, lambda: [("succeeded.page", 812), ("outstanding", 14)])
     assert calls.answer(b"READY\r") == b"SUCCESS\n"
@@ -31,14 +31,14 @@
 
 
 @pytest.mark.parametrize("line", [b"", b"ready", b"STATS now", b"\xff\xfe\x00", b"x" * 200])
-def test_an_unknown_call_gets_one_line_that_says_so(line: bytes) -> None:
+def test_an_unknown_call_gets_one_failure_line(line: bytes) -> None:
     answer = StatusCalls(str, list).answer(line)
     assert (
         answer.startswith(b"FAILURE ") and answer.count(b"\n") == 1 and answer.isascii() and len(answer) < 200
     )
 
 
-def test_a_line_comes_in_pieces_and_is_bounded() -> None:
+def test_a_line_may_arrive_in_pieces_and_its_length_is_limited() -> None:
     line = LineReader()
     assert [line.feed(b) for b in (b"RE", b"A", b"DY\nmore")] == [None, None, b"READY"]
     with pytest.raises(ValueError, match="over"):
@@ -64,33 +64,33 @@
     return {name: int(value) for name, _, value in (line.partition("=") for line in lines[:-1])}
 
 
-async def test_calls_are_answered_beside_silent_connections() -> None:
+async def test_silent_connections_do_not_block_calls() -> None:
     async with world(serve, control="127.0.0.1:0", limits={"sockets": 64}) as w:
         assert w.listening.operators
-        held = [socket.create_connection(w.listening.operators) for _ in range(20)]
-        for sock in held[::2]:
+        silent_connections = [socket.create_connection(w.listening.operators) for _ in range(20)]
+        for sock in silent_connections[::2]:
             sock.sendall(b"STA")
         while await ask_front(w, b"READY\n") != b"SUCCESS\n":
             await anyio.sleep(0.05)
         assert parse_statistics(await ask_front(w))["app.discovered"] == 1
-        held[-2].sendall(b"TS\n")  # the last to come still has its place
-        assert (await anyio.to_thread.run_sync(held[-2].recv, 4096)).startswith(b"app.")
-        for sock in held:
+        silent_connections[-2].sendall(b"TS\n")  # the newest with a partial line has not been closed
+        assert (await anyio.to_thread.run_sync(silent_connections[-2].recv, 4096)).startswith(b"app.")
+        for sock in silent_connections:
             sock.close()
 
 
 @pytest.mark.parametrize("data", [b"READY\n" * 200, b"x" * 2000], ids=["calls", "bytes"])
-async def test_bytes_past_a_call_do_not_lose_its_answer(data: bytes) -> None:
+async def test_bytes_after_a_call_do_not_lose_its_answer(data: bytes) -> None:
     async with world(serve, control="127.0.0.1:0") as w:
         assert w.listening.operators
         with socket.create_connection(w.listening.operators) as sock:
-            sock.sendall(data)  # more than is read at once: a close over the rest would be a reset
+            sock.sendall(data)  # more than one read: closing with unread bytes would reset the connection
             sock.setblocking(False)
             answer = await rest(sock)
         assert answer in (b"SUCCESS\n", b"FAILURE a call of over 256 bytes\n") or b"coordinator" in answer
 
 
-async def test_each_end_of_a_request_is_counted_once_under_its_class() -> None:
+async def test_each_answer_is_counted_once_under_its_class() -> None:
     async def script(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(500)
 
@@ -102,28 +102,28 @@
             await c.reply()
         after = parse_statistics(await ask_front(w))
         ends = {name: count for name, count in after.items() if count and "." in name[4:]}
-        # A class that does not exist is counted under none.
+        # A request of a class that does not exist is counted under no class.
         assert ends == {"app.succeeded.page": 2, "app.aborted.booking": 1}
         assert after["app.forwards"] == 3 and after["app.outstanding"] == 0
 
 
-def test_ready_fails_until_the_list_has_synced_and_again_while_stopping() -> None:
+def test_ready_fails_before_the_first_sync_and_while_stopping() -> None:
     state: dict[str, Any] = {"ready": 0, "now": 10.0, "stopping": False}
-    fresh = Freshness(min_grace_seconds=0.5)
-    fresh.connecting(10.0)
+    freshness = Freshness(min_grace_seconds=0.5)
+    freshness.connecting(10.0)
     readiness = Readiness(
-        lambda: state["ready"], lambda: fresh.has_synced(state["now"]), lambda: state["stopping"]
+        lambda: state["ready"], lambda: freshness.has_synced(state["now"]), lambda: state["stopping"]
     )
     assert "no member" in readiness.missing()
     state["ready"] = 1
     assert "coordinator" in readiness.missing()
     state["now"] = 10.0 + INITIAL_SYNC_SECONDS - 0.01
     assert "coordinator" in readiness.missing()
-    state["now"] = 10.0 + INITIAL_SYNC_SECONDS  # one that stalls keeps no front out of service
+    state["now"] = 10.0 + INITIAL_SYNC_SECONDS  # a coordinator that stalls must not keep the front unready
     assert not readiness.missing()
-    heard = Freshness(min_grace_seconds=0.5)
-    heard.connecting(10.0)
-    heard.frame_received(10.1)
-    assert not Readiness(lambda: 1, lambda: heard.has_synced(10.1), lambda: False).missing()
+    synced = Freshness(min_grace_seconds=0.5)
+    synced.connecting(10.0)
+    synced.frame_received(10.1)
+    assert not Readiness(lambda: 1, lambda: synced.has_synced(10.1), lambda: False).missing()
     state["stopping"] = True
     assert "ending" in readiness.missing()
--- a/tests/metrics/test_metrics.py
+++ b/tests/metrics/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: the endpoint, remote write against a receiver that is written here, and the alert rules."""
+"""The metrics endpoint, the metrics in the alert rules, and the operator's file."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def registry() -> Registry:
+def new_registry() -> Registry:
     settings = Settings((), 0, (1,), 1)
     core = Core(settings, 1, None)  # type: ignore[arg-type]
     core.counts["answers", "served"] = 3
@@ -41,7 +41,7 @@
     )
 
 
-async def test_the_endpoint_counts_what_was_answered() -> None:
+async def test_the_endpoint_serves_the_counters() -> None:
     operator = {"metrics": {"listen": "127.0.0.1:0"}}
     async with world(serve, operator=operator) as w, client(w) as c:
         await c.ask()
@@ -59,7 +59,7 @@
         assert pages[0].startswith("HTTP/1.1 200") and pages[1].startswith("HTTP/1.1 404")
         assert 'zincladder_answers_total{front="n0",kind="served"} 1\n' in pages[0]
         assert 'zincladder_members_ready{front="n0"} 3\n' in pages[0]
-        assert 'zincladder_attempts_written_total{front="n0"} 1\n' in pages[0]  # as STATS has it
+        assert 'zincladder_attempts_written_total{front="n0"} 1\n' in pages[0]  # "forwards" in STATS
         assert 'zincladder_processes{front="n0"} 1\n' in pages[0]
 
 
@@ -84,12 +84,12 @@
         ({"metrics": {}}, "'metrics.listen'"),
     ],
 )
-def test_a_fault_in_the_operators_file_is_named(data: dict[str, Any], key: str) -> None:
+def test_an_error_in_the_operators_file_names_the_key(data: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError, match=re.escape(key)):
         parse_operator(data, Names(("page",), (), ()))
 
 
-def test_the_operators_file_that_is_shipped_can_be_used() -> None:
+def test_the_shipped_operators_file_is_valid() -> None:
     import tomllib
 
     data = tomllib.loads((ROOT / "deploy/operator.toml").read_text())
@@ -98,21 +98,21 @@
     assert parse_operator({}, Names((), (), ())) == type(found)()
 
 
-async def test_a_cache_that_takes_requests_and_answers_none_is_told_by_name() -> None:
+async def test_the_metrics_name_a_cache_that_does_not_answer() -> None:
     silent = False
 
-    async def sometimes(cache: StubCache, fetch: Fetch) -> None:
+    async def serve_unless_silent(cache: StubCache, fetch: Fetch) -> None:
         if not silent:
             await serve(cache, fetch)
 
-    def figures(page: str, name: str) -> dict[str, float]:
+    def values_by_cache(page: str, name: str) -> dict[str, float]:
         lines = [line for line in page.splitlines() if line.startswith(name + "{")]
         return {re.findall(r'cache="([^"]*)"', line)[0]: float(line.rsplit(" ", 1)[1]) for line in lines}
 
     operator = {"metrics": {"listen": "127.0.0.1:0"}}
-    async with world(sometimes, serve, operator=operator) as w, client(w) as c:
+    async with world(serve_unless_silent, serve, operator=operator) as w, client(w) as c:
         assert w.listening.metrics
-        victim = w.caches[0]
+        silent_cache = w.caches[0]
 
         async def ask(count: int, patience_ms: int = 400) -> None:
             for n in range(count):
@@ -130,26 +130,29 @@
                         data += await stream.receive()
             return data.decode()
 
-        # Until a hit was timed a transfer counts as the class's objective, 0.3 s: with a patience of 0.4 s, a
-        # stall of this process for 0.1 s makes a request hopeless, and it is rejected.
+        # Until a hit has been timed, a transfer is expected to take the class's objective of 0.3 s. With a
+        # patience of 0.4 s, a stall of this process for 0.1 s would leave too little time, and the request
+        # would be rejected.
         await ask(24, patience_ms=2000)
-        calm = await page()
-        assert len(figures(calm, "zincladder_cache_silent_seconds")) == 4
-        assert max(figures(calm, "zincladder_cache_silent_seconds").values()) < 0.2
-        assert 'zincladder_class_answers_total{front="n0",class="page",kind="served"} 24' in calm
-        silent = victim.mute = True
-        seen = {victim.name: 0.0}
+        page_before = await page()
+        assert len(values_by_cache(page_before, "zincladder_cache_silent_seconds")) == 4
+        assert max(values_by_cache(page_before, "zincladder_cache_silent_seconds").values()) < 0.2
+        assert 'zincladder_class_answers_total{front="n0",class="page",kind="served"} 24' in page_before
+        silent = silent_cache.mute = True
+        seen = {silent_cache.name: 0.0}
         with anyio.fail_after(10):
-            while seen[victim.name] < 0.8:
+            while seen[silent_cache.name] < 0.8:
                 await ask(24)
-                seen = figures(await page(), "zincladder_cache_silent_seconds")
-        assert max(v for k, v in seen.items() if k != victim.name) < 0.3
-        silent = victim.mute = False
+                seen = values_by_cache(await page(), "zincladder_cache_silent_seconds")
+        assert max(v for k, v in seen.items() if k != silent_cache.name) < 0.3
+        silent = silent_cache.mute = False
         with anyio.fail_after(10):
-            while figures(await page(), "zincladder_cache_silent_seconds")[victim.name] > 0.1:
+            while values_by_cache(await page(), "zincladder_cache_silent_seconds")[silent_cache.name] > 0.1:
                 await ask(24)
-        await w.coordinator.tell(2, victim.record(2))  # and one that is gone leaves no series behind
+        await w.coordinator.tell(2, silent_cache.record(2))  # the series of a removed cache must disappear
         with anyio.fail_after(5):
-            while victim.name in figures(text := await page(), "zincladder_cache_silent_seconds"):
+            while silent_cache.name in values_by_cache(
+                text := await page(), "zincladder_cache_silent_seconds"
+            ):
                 await anyio.sleep(0.01)
-        assert victim.name not in text
+        assert silent_cache.name not in text
--- a/zincladder/config/__init__.py
+++ b/zincladder/config/__init__.py
@@ -1,7 +1,7 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Reads and validates all configuration and applies the defaults; no other package does so.
 
-A front's file (`RELAY_CONFIG`) and the simulator's start message hold the same settings. A fault is a
-ConfigError whose text names the key, written as a path from the top.
+A front's configuration file (`RELAY_CONFIG`) and the simulator's start message hold the same settings. An
+invalid configuration raises ConfigError, whose text names the faulty key by its path from the top.
 """
 
 from zincladder.config.changes import merge_reloaded
--- a/zincladder/config/check.py
+++ b/zincladder/config/check.py
@@ -1,6 +1,7 @@
-"""Every fault of a configuration at once, for operators; the daemon stops at the first.
+"""Finds all errors in configuration files, for the command `check`; the daemon stops at the first one.
 
-A faulty value is replaced, or taken out, and the file is read again, so that the next fault shows too.
+After each error the faulty value is replaced by a valid one, or removed, and the data is parsed again, which
+brings up the next error.
 """
 
 from __future__ import annotations
@@ -11,16 +12,17 @@
 
 from zincladder.config.errors import ConfigError
 from zincladder.config.model import Names
-from zincladder.config.operator import parse_operator, unknown_table
+from zincladder.config.operator import parse_operator, unknown_table_text
 from zincladder.config.operator_tables import TABLES
 from zincladder.config.platform import parse_config
 
-MAX_FAULTS = 50
-MAX_FAULTS_OF_A_TABLE = 20
-# The text of a fault: the key, and what it must be.
-FAULT = re.compile(r"'([^']+)' (?:is missing: it )?must be (.*?)(?:, not .*)?$", re.DOTALL)
-STEP = re.compile(r"[^.\[\]]+")  # of a path
-PLAUSIBLE_VALUES: tuple[tuple[str, Any], ...] = (  # by how the text on what a key must be begins
+MAX_ERRORS = 50
+MAX_ERRORS_PER_TABLE = 20
+# The text of a ConfigError: group 1 is the key, group 2 says what the value must be.
+ERROR_TEXT_PATTERN = re.compile(r"'([^']+)' (?:is missing: it )?must be (.*?)(?:, not .*)?$", re.DOTALL)
+PATH_STEP_PATTERN = re.compile(r"[^.\[\]]+")  # one key or list index of a path
+# A valid value for each prefix of the text that says what a value must be.
+VALID_VALUES: tuple[tuple[str, Any], ...] = (
     ("a number", 1),
     ("a list", []),
     ("an object", {}),
@@ -32,33 +34,34 @@
 
 
 def config_faults(data: Any) -> tuple[list[str], Names | None]:
-    """The faults of a front's configuration, each with its key.
+    """Returns the errors in a front's configuration, and the names that an operator's file may refer to.
 
-    Beside them the names that an operator's file may use, where the file has them.
+    The names are None if the configuration could not be parsed to the end.
     """
     data = copy.deepcopy(data)
-    faults: list[str] = []
-    for _ in range(MAX_FAULTS):
+    errors: list[str] = []
+    for _ in range(MAX_ERRORS):
         try:
-            return faults, parse_config(data).names
+            return errors, parse_config(data).names
         except ConfigError as error:
-            faults.append(str(error))
-            fault = FAULT.match(str(error))
-            if not fault or not _replace(data, fault[1], _plausible_value(fault[2])):
+            errors.append(str(error))
+            match = ERROR_TEXT_PATTERN.match(str(error))
+            if not match or not _set_value(data, match[1], _valid_value(match[2])):
                 break
-    return faults, None
+    return errors, None
 
 
-def _plausible_value(expected: str) -> Any:
-    for start, value in PLAUSIBLE_VALUES:
-        if expected.startswith(start):
+def _valid_value(expected: str) -> Any:
+    """Returns a value that fits the text of an error; a text that lists the allowed words gives the first."""
+    for prefix, value in VALID_VALUES:
+        if expected.startswith(prefix):
             return copy.copy(value)
     return expected.split(" or ")[0]
 
 
-def _replace(data: Any, path: str, value: Any) -> bool:
-    """Put a value at a path; False where there is no place for it."""
-    parent, steps = data, STEP.findall(path)
+def _set_value(data: Any, path: str, value: Any) -> bool:
+    """Sets the value at a path; returns False if the path cannot be followed."""
+    parent, steps = data, PATH_STEP_PATTERN.findall(path)
     for step in steps[:-1]:
         try:
             parent = parent[int(step)] if isinstance(parent, list) else parent.setdefault(step, {})
@@ -71,32 +74,32 @@
 
 
 def operator_faults(data: dict[str, Any], names: Names | None) -> list[str]:
-    """The faults of an operator's file: each table is looked at whatever the others hold."""
-    faults = [unknown_table(name) for name in data if name not in TABLES]
+    """Returns the errors in an operator's file; each table is checked independently of the others."""
+    errors = [unknown_table_text(name) for name in data if name not in TABLES]
     for name in TABLES:
         if name in data:
-            faults += _table_faults({name: data[name]}, names)
-    return faults
+            errors += _table_errors({name: data[name]}, names)
+    return errors
 
 
-def _table_faults(data: dict[str, Any], names: Names | None) -> list[str]:
-    faults: list[str] = []
-    for _ in range(MAX_FAULTS_OF_A_TABLE):
+def _table_errors(data: dict[str, Any], names: Names | None) -> list[str]:
+    errors: list[str] = []
+    for _ in range(MAX_ERRORS_PER_TABLE):
         try:
             parse_operator(data, names)
             break
         except ConfigError as error:
-            faults.append(str(error))
+            errors.append(str(error))
             key = str(error).split("'")[1]
-            if not _remove(data, key):
+            if not _remove_value(data, key):
                 break
-    return faults
+    return errors
 
 
-def _remove(data: dict[str, Any], path: str) -> bool:
-    """Take the value at a path out; False where there is none."""
+def _remove_value(data: dict[str, Any], path: str) -> bool:
+    """Removes the value at a path; returns False if there is none."""
     parent: Any = data
-    steps = STEP.findall(path)
+    steps = PATH_STEP_PATTERN.findall(path)
     for step in steps[:-1]:
         try:
             parent = parent[int(step)] if isinstance(parent, list) else parent[step]
--- a/zincladder/config/environment.py
+++ b/zincladder/config/environment.py
@@ -1,4 +1,4 @@
-"""Loads the files that the environment names."""
+"""Loads the configuration files that environment variables name."""
 
 from __future__ import annotations
 
@@ -15,12 +15,15 @@
 
 CONFIG_VARIABLE = "RELAY_CONFIG"
 OPERATOR_VARIABLE = "ZINCLADDER_OPERATOR"
-# Variables that go before a key of the file.
+# Environment variables that override a key of the file.
 OVERRIDES = {"RELAY_LISTEN": "listen", "RELAY_NAME": "name", "RELAY_CONTROL": "control"}
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the file named by RELAY_CONFIG, under the variables of OVERRIDES. Raises ConfigError."""
+    """Reads the file named by RELAY_CONFIG and applies the variables of OVERRIDES to it.
+
+    Raises ConfigError if the variable is not set, or the file cannot be read or is invalid.
+    """
     path = environ.get(CONFIG_VARIABLE)
     if not path:
         raise ConfigError("'RELAY_CONFIG' is not set: it must name the configuration file")
@@ -35,21 +38,21 @@
 
 
 def load_operator(names: Names, environ: Mapping[str, str] = os.environ) -> Operator:
-    """Read the file named by ZINCLADDER_OPERATOR; without it all that it sets up is off.
+    """Reads the file named by ZINCLADDER_OPERATOR; if it is not set, all optional features are off.
 
-    Raises ConfigError.
+    Raises ConfigError if the file cannot be read or is invalid.
     """
     path = environ.get(OPERATOR_VARIABLE)
     if not path:
         return Operator()
-    # Imported here: a front without such a file starts sooner after a restart, and holds a megabyte less.
+    # Imported here, so that a front without such a file starts faster and uses one megabyte less memory.
     from zincladder.config.operator import parse_operator
 
     return parse_operator(read_operator(path), names)
 
 
 def read_operator(path: str | Path) -> dict[str, Any]:
-    """The operator's file as parsed TOML; ConfigError where it cannot be read."""
+    """Returns an operator's file as parsed TOML; raises ConfigError if it cannot be read or is not TOML."""
     try:
         return tomllib.loads(Path(path).read_text())
     except (OSError, ValueError) as error:
--- a/zincladder/config/errors.py
+++ b/zincladder/config/errors.py
@@ -1,7 +1,7 @@
-"""The error that all readers of configuration raise."""
+"""The exception that all readers of configuration raise."""
 
 from __future__ import annotations
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text names the faulty key as a path from the top."""
+    """The configuration is invalid; the text names the faulty key by its path from the top of the file."""
--- a/zincladder/config/limits.py
+++ b/zincladder/config/limits.py
@@ -1,4 +1,4 @@
-"""What a front's memory and descriptors allow, and what of it one of several processes may use."""
+"""Derives limits from a front's memory and descriptors, and divides them among the front's processes."""
 
 from __future__ import annotations
 
@@ -7,27 +7,28 @@
 from zincladder.config.model import Config
 from zincladder.routing import interface as api
 
-DEFAULT_MEMORY_MB = 192  # the least that the platform promises, as for the sockets
+DEFAULT_MEMORY_MB = 192  # the least that the platform guarantees; so is DEFAULT_SOCKETS
 DEFAULT_SOCKETS = 1024
-PROCESS_MB = 22  # what a process itself takes under load; the rest holds requests
-SPARE_MB = 6  # kept free, however many processes there are
-MIN_REQUESTS_MB = 4  # for requests, however little there is
-OPEN_REQUEST_KB = 100  # most open requests wait and hold no body yet
-UNREAD_SHARE = 2  # one part in so many of the requests' memory may hold unread answers
+PROCESS_BASE_MB = 22  # of one process under load, without its requests
+RESERVED_MB = 6  # kept free, whatever the number of processes
+MIN_REQUESTS_MB = 4  # for the requests of one process, even if the memory is too small
+OPEN_REQUEST_KB = 100  # assumed for an open request; most of them wait and hold no body yet
+UNREAD_ANSWERS_DIVISOR = 2  # the memory for requests divided by this may hold unread answers
 
 
 def request_limits(memory_mb: int, processes: int) -> tuple[int, int]:
-    """The requests that each process may have open, and the bytes that its clients may leave unread."""
-    per_process_mb = (memory_mb - SPARE_MB - processes * PROCESS_MB) // processes
+    """Returns, for each process, the maximum number of open requests and of bytes of answers left unread."""
+    per_process_mb = (memory_mb - RESERVED_MB - processes * PROCESS_BASE_MB) // processes
     request_bytes = max(MIN_REQUESTS_MB, per_process_mb) << 20
-    return request_bytes // (OPEN_REQUEST_KB << 10), request_bytes // UNREAD_SHARE
+    return request_bytes // (OPEN_REQUEST_KB << 10), request_bytes // UNREAD_ANSWERS_DIVISOR
 
 
 def divide_limits(config: Config, processes: int) -> Config:
-    """The configuration of each process while several of one front run, as at an upgrade: an even part.
+    """Returns the configuration of each of the front's processes, of which several run during an upgrade.
 
-    Guards memory and descriptors, which are counted together, and endpoints that warm up: the processes of
-    one front are as many routers, each of which would send a front's whole share.
+    Each process gets an equal part of the memory and the descriptors. Each process also is a router of its
+    own, so the number of routers grows with the processes; otherwise each process would send a whole front's
+    share to endpoints that are warming up.
     """
     if processes <= 1:
         return config
@@ -38,13 +39,13 @@
         sockets=config.sockets // processes,
         max_open_requests=min(max_open, config.max_open_requests),
         max_unread_bytes=max_unread_bytes,
-        settings=_with_more_routers(config.settings, processes - 1),
+        settings=_add_routers(config.settings, processes - 1),
     )
 
 
-def _with_more_routers(settings: api.Settings, more: int) -> api.Settings:
+def _add_routers(settings: api.Settings, added: int) -> api.Settings:
     routers_by_zone = tuple(
-        routers + (more if zone == settings.zone else 0)
+        routers + (added if zone == settings.zone else 0)
         for zone, routers in enumerate(settings.routers_by_zone)
     )
-    return replace(settings, routers=settings.routers + more, routers_by_zone=routers_by_zone)
+    return replace(settings, routers=settings.routers + added, routers_by_zone=routers_by_zone)
--- a/zincladder/config/model.py
+++ b/zincladder/config/model.py
@@ -1,4 +1,4 @@
-"""The types of all configuration. Spans are in seconds, sizes in bytes where a name says nothing else."""
+"""The types of the configuration. Durations are in seconds, sizes in bytes, unless a name says otherwise."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 Address = tuple[str, int]  # host and port
 
-MAX_BODY_BYTES = 240_000  # of one part of an object
+MAX_BODY_BYTES = 240_000  # of one answer of a cache, which holds one part of an object
 
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """The names in the settings, by their numbers: a place in the list is the number in the file."""
+    """The names in the settings; the file refers to a name by its number, which is its index in the list."""
 
     classes: tuple[str, ...]
     zones: tuple[str, ...]
@@ -24,28 +24,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration of one front."""
+    """The configuration of one front, as its file has it."""
 
     name: str
     listen: Address
     coordinator: Address | None
-    control: Address | None  # where operators ask for its status
+    control: Address | None  # the TCP address that answers READY and STATS
     seed: int
     memory_mb: int
     sockets: int
     settings: api.Settings
     names: Names
-    idle_close_seconds: float  # after which an idle connection to a cache is closed
-    max_streams: int  # requests that may be open on one connection to a cache
+    idle_close_seconds: float  # an idle connection to a cache is closed after this time
+    max_streams: int  # maximum number of open requests on one connection to a cache
     max_open_requests: int
-    max_unread_bytes: int  # of answers, that all clients together may leave unread
-    known_events: dict[str, Any]  # the coordinator's events up to the start
+    max_unread_bytes: int  # maximum of answer bytes that all clients together leave unread
+    known_events: dict[str, Any]  # the coordinator's events up to the start of the front
     raw: dict[str, Any] = field(default_factory=dict, repr=False, compare=False)  # the file without 'known'
 
 
 @dataclass(frozen=True, slots=True)
 class DnsHost:
-    """A host name of the DNS front, and the request that it stands for."""
+    """A host name of the DNS front, and the request by which its address is chosen."""
 
     name: str
     request_class: int
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DnsConfig:
-    """The DNS front; a query older than its timeout is answered with SERVFAIL."""
+    """The configuration of the DNS front; a query that exceeds the timeout is answered with SERVFAIL."""
 
     listen: Address
     zone: str
@@ -65,25 +65,25 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoteWriteConfig:
-    """One receiver of samples, and what is stored for it while it does not take them."""
+    """One remote-write receiver of samples, and the limits of what is stored while it is unavailable."""
 
     host: str
     port: int
     path: str
-    interval_seconds: float = 15.0  # between two batches
+    interval_seconds: float = 15.0  # between two batches of samples
     max_memory_bytes: int = 1 << 20
-    spool_folder: str | None = None  # None: batches wait in memory only
+    spool_folder: str | None = None  # None: batches are queued in memory only
     max_spool_bytes: int = 64 << 20
-    version: int = 2  # of the protocol, to begin with
+    version: int = 2  # of the remote-write protocol with which the sender starts
     replay_bytes_per_s: float = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyConfig:
-    """Where a front learns the policy of its fleet, and whether it serves on without it once cut off."""
+    """The replicas that hold the fleet's policy, and whether the front serves while cut off from them."""
 
     group: str
-    replicas: dict[str, str]  # their addresses by their names
+    replicas: dict[str, str]  # addresses by name of the replica
     serves_when_cut_off: bool = False
 
 
@@ -92,14 +92,14 @@
     """The replicas that lease singleton tasks, and the tasks that this front offers to run."""
 
     group: str
-    replicas: dict[str, str]  # their addresses by their names
+    replicas: dict[str, str]  # addresses by name of the replica
     offered: tuple[str, ...]
-    metrics_receiver: RemoteWriteConfig | None = None  # of the fleet's sums, for the task that pushes them
+    metrics_receiver: RemoteWriteConfig | None = None  # for the task that pushes the fleet's summed metrics
 
 
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """The operator's file: all that is off without it."""
+    """The operator's file, which enables the optional features; a missing table leaves its feature off."""
 
     dns: DnsConfig | None = None
     metrics: Address | None = None
--- a/zincladder/config/node.py
+++ b/zincladder/config/node.py
@@ -1,4 +1,4 @@
-"""Reads values out of parsed JSON, and names the faulty key by its path where one cannot be used."""
+"""Reads typed values from parsed JSON; an error names the faulty key by its path from the top."""
 
 from __future__ import annotations
 
@@ -12,31 +12,32 @@
 
 T = TypeVar("T")
 
-MAX_SPAN_SECONDS = 86_400.0  # a day
-MAX_SHOWN_LENGTH = 40  # characters of a faulty value
+MAX_DURATION_SECONDS = 86_400.0  # one day
+MAX_SHOWN_LENGTH = 40  # characters of a faulty value in an error text
 MAX_PORT = 65_535
 
 
 class Node:
-    """One object of the configuration and the path that leads to it.
+    """One JSON object of the configuration, with its path from the top.
 
-    A method that reads a key raises ConfigError where the value is of another kind, or where the key is
-    missing and there is no default. A key that is null counts as missing.
+    The methods that read a key raise ConfigError if the value has the wrong type, or if the key is missing
+    and has no default. A key whose value is null counts as missing.
     """
 
     def __init__(self, data: Any, path: str) -> None:
         if not isinstance(data, dict):
-            raise ConfigError(f"'{path}' must be an object, not {_shown(data)}")
+            raise ConfigError(f"'{path}' must be an object, not {_shortened(data)}")
         self.data, self.path = data, path
 
     def path_of(self, key: str) -> str:
-        """The path of a key of this object, from the top."""
+        """Returns the path of a key of this object from the top."""
         return f"{self.path}.{key}" if self.path else key
 
     def read(self, key: str, convert: Callable[[Any], T], expected: str, default: T | None) -> T:
-        """The value of a key, as `convert` gives it; `expected` says what it must be, for the error's text.
+        """Returns the value of a key, converted by `convert`.
 
-        `convert` raises ValueError, TypeError or KeyError for a value that cannot be used.
+        `convert` raises ValueError, TypeError or KeyError for an invalid value. `expected` says what the
+        value must be, for the text of the ConfigError.
         """
         value = self.data.get(key)
         if value is None:
@@ -46,28 +47,28 @@
         try:
             return convert(value)
         except (ValueError, TypeError, KeyError):
-            raise ConfigError(f"'{self.path_of(key)}' must be {expected}, not {_shown(value)}") from None
+            raise ConfigError(f"'{self.path_of(key)}' must be {expected}, not {_shortened(value)}") from None
 
     def number(self, key: str, default: float | None = None) -> float:
-        """A finite number."""
+        """Returns a finite number."""
         return self.read(key, number, "a number", default)
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """A number without its fraction."""
+        """Returns a number, truncated to an integer."""
         return int(self.number(key, default))
 
     def flag(self, key: str) -> bool:
-        """True or false; false if it is missing."""
+        """Returns a boolean; False if the key is missing."""
         return self.read(key, flag, "true or false", False)
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A text."""
+        """Returns a string."""
         return self.read(key, text, "a text", default)
 
     def list_of(
         self, key: str, convert: Callable[[Any], T], expected: str, default: list[T] | None = None
     ) -> tuple[T, ...]:
-        """A list, each item of which `convert` reads."""
+        """Returns a list whose items are converted by `convert`; `expected` names the items in an error."""
 
         def convert_all(value: Any) -> list[T]:
             return [convert(item) for item in as_list(value)]
@@ -75,92 +76,92 @@
         return tuple(self.read(key, convert_all, f"a list of {expected}", default))
 
     def numbers(self, key: str) -> tuple[float, ...]:
-        """A list of finite numbers; an empty one if it is missing."""
+        """Returns a list of finite numbers; an empty one if the key is missing."""
         return self.list_of(key, number, "numbers", [])
 
     def choice(self, key: str, choices: Mapping[str, T], default: T | None = None) -> T:
-        """What one of the words stands for."""
+        """Returns the value in `choices` of the word that the key holds."""
         return self.read(key, choices.__getitem__, " or ".join(choices), default)
 
     def child(self, key: str) -> Node:
-        """The object under a key; an empty one if it is missing."""
+        """Returns the object under a key; an empty one if the key is missing."""
         return Node(self.data.get(key) or {}, self.path_of(key))
 
 
-def _shown(value: Any) -> str:
+def _shortened(value: Any) -> str:
     return json.dumps(value)[:MAX_SHOWN_LENGTH]
 
 
 def parse_json(data: bytes, name: str) -> Any:
-    """The value of a JSON text, or ConfigError with the name of what holds it."""
+    """Returns the value of a JSON text; raises ConfigError, with `name` for the text, if it is not JSON."""
     try:
         return json.loads(data)
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"{name} is not JSON: {error}") from None
 
 
-# Converters: each returns its value, or raises ValueError ------------------------------------------
+# Converters: each returns the converted value, or raises ValueError -------------------------------
 
 
 def number(value: Any) -> float:
-    """A finite number."""
+    """Returns a finite number."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise ValueError
     try:
         result = float(value)
-    except OverflowError:  # an integer of hundreds of digits
+    except OverflowError:  # an integer with hundreds of digits
         raise ValueError from None
     if not math.isfinite(result):
         raise ValueError
     return result
 
 
-def span_seconds(value: Any) -> float:
-    """A number of seconds above 0, a day at most."""
-    if not 0 < number(value) <= MAX_SPAN_SECONDS:
+def duration_seconds(value: Any) -> float:
+    """Returns a number of seconds above 0 and of at most one day."""
+    if not 0 < number(value) <= MAX_DURATION_SECONDS:
         raise ValueError
     return float(value)
 
 
 def at_least_one(value: Any) -> float:
-    """A number of 1 or more."""
+    """Returns a number of at least 1."""
     if number(value) < 1:
         raise ValueError
     return float(value)
 
 
 def flag(value: Any) -> bool:
-    """True or false."""
+    """Returns a boolean."""
     if not isinstance(value, bool):
         raise ValueError
     return value
 
 
 def text(value: Any) -> str:
-    """A text."""
+    """Returns a string."""
     if not isinstance(value, str):
         raise ValueError
     return value
 
 
 def as_list(value: Any) -> list[Any]:
-    """A list."""
+    """Returns a list."""
     if not isinstance(value, list):
         raise ValueError
     return value
 
 
 def hex_number(value: Any) -> int:
-    """A number written in hex digits."""
+    """Returns the integer that a string of hexadecimal digits holds."""
     return int(text(value), 16)
 
 
 def parse_address(value: Any) -> Address:
-    """An address in the form 'HOST:PORT', with an IPv6 host in brackets."""
+    """Returns the host and port of a text 'HOST:PORT', in which an IPv6 host stands in brackets."""
     host, colon, port = text(value).rpartition(":")
     if not colon or not host or not 0 <= int(port) <= MAX_PORT:
         raise ValueError
-    if host.startswith("[") and host.endswith("]"):  # RFC 3986, 3.2.2: an IPv6 literal
+    if host.startswith("[") and host.endswith("]"):  # an IPv6 literal, RFC 3986, section 3.2.2
         host = host[1:-1]
     elif ":" in host:
         raise ValueError
--- a/zincladder/config/operator.py
+++ b/zincladder/config/operator.py
@@ -1,6 +1,7 @@
-"""The operator's file. Imported only where such a file is named.
+"""Validates the operator's file and converts it to an Operator.
 
-A fault is a ConfigError whose text names the key as a path from the top.
+Imported only if such a file is named (`environment.load_operator` says why). An invalid file raises
+ConfigError, whose text names the faulty key by its path from the top of the file.
 """
 
 from __future__ import annotations
@@ -36,19 +37,19 @@
 )
 
 DEFAULT_HTTP_PORT = 80
-MAX_SHARES = 0.99  # of known and new sources together: the rest is for sources under a penalty
-MAX_SHOWN_LENGTH = 40  # characters of a faulty value
+MAX_COMBINED_SHARE = 0.99  # of known and new sources together; the rest is left for sources under a penalty
+MAX_SHOWN_LENGTH = 40  # characters of a faulty value in an error text
 
 
 def parse_operator(data: dict[str, Any], names: Names | None) -> Operator:
-    """The operator's configuration from its parsed TOML.
+    """Returns the operator's configuration, given its parsed TOML.
 
-    `names` are those of the front's settings; without them every class is taken. Raises ConfigError for the
-    first key that cannot be used.
+    `names` are the names in the front's settings; if they are None, every class name is accepted. Raises
+    ConfigError for the first faulty key.
     """
     for name in data:
         if name not in TABLES:
-            raise ConfigError(unknown_table(name))
+            raise ConfigError(unknown_table_text(name))
     dns = read_table(data, "dns", DnsTable)
     metrics = read_table(data, "metrics", MetricsTable)
     remote_write = _read_receivers(data)
@@ -57,22 +58,22 @@
     policy = read_table(data, "policy", PolicyTable)
     duties = read_table(data, "duties", DutiesTable)
     return Operator(
-        dns=_dns(dns, names) if dns else None,
-        metrics=_address(metrics.listen, "metrics.listen") if metrics else None,
+        dns=_dns_config(dns, names) if dns else None,
+        metrics=_parse_address(metrics.listen, "metrics.listen") if metrics else None,
         remote_write=remote_write,
-        admission=_limits(admission) if admission and admission.enabled else None,
+        admission=_admission_limits(admission) if admission and admission.enabled else None,
         control=control.socket if control else None,
-        policy=_policy(policy) if policy else None,
-        tasks=_tasks(duties) if duties else None,
+        policy=_policy_config(policy) if policy else None,
+        tasks=_tasks_config(duties) if duties else None,
     )
 
 
-def unknown_table(name: str) -> str:
-    """The text of the fault for a table that there is not."""
+def unknown_table_text(name: str) -> str:
+    """Returns the error text for a table that does not exist."""
     return f"'{name}': there is no such table, only {', '.join(TABLES)}"
 
 
-def _address(text: str, key: str) -> Address:
+def _parse_address(text: str, key: str) -> Address:
     try:
         return parse_address(text)
     except ValueError:
@@ -83,11 +84,11 @@
 # DNS ----------------------------------------------------------------------------------------------
 
 
-def _dns(table: DnsTable, names: Names | None) -> DnsConfig:
-    zone = _domain(table.zone)
-    listen = _address(table.listen, "dns.listen")
-    known = names.classes if names else dict.fromkeys(host.request_class for host in table.host)
-    classes = {name: number for number, name in enumerate(known)}
+def _dns_config(table: DnsTable, names: Names | None) -> DnsConfig:
+    zone = _normalized_domain(table.zone)
+    listen = _parse_address(table.listen, "dns.listen")
+    class_names = names.classes if names else dict.fromkeys(host.request_class for host in table.host)
+    classes = {name: number for number, name in enumerate(class_names)}
     hosts = tuple(
         _dns_host(host, f"dns.host[{index}]", zone, classes) for index, host in enumerate(table.host)
     )
@@ -95,7 +96,7 @@
 
 
 def _dns_host(host: HostTable, key: str, zone: str, classes: dict[str, int]) -> DnsHost:
-    name = _domain(host.name)
+    name = _normalized_domain(host.name)
     if not name.endswith("." + zone):
         raise ConfigError(f"'{key}.name' must end in '.{zone}', not be {name!r}")
     if host.request_class not in classes:
@@ -109,7 +110,8 @@
     return DnsHost(name, classes[host.request_class], object_id, host.group)
 
 
-def _domain(name: str) -> str:
+def _normalized_domain(name: str) -> str:
+    """Returns a domain name in lower case and without the final dot."""
     return name.rstrip(".").lower()
 
 
@@ -117,10 +119,10 @@
 
 
 def _read_receivers(data: dict[str, Any]) -> tuple[RemoteWriteConfig, ...]:
-    """The receivers of one table or of a list of them; guards a spool against two senders."""
+    """Returns the receivers of one table or a list of tables; two receivers must not share a spool."""
     if not isinstance(data.get("remote_write"), list):
         table = read_table(data, "remote_write", RemoteWriteTable)
-        return (_remote_write(table, "remote_write"),) if table else ()
+        return (_remote_write_config(table, "remote_write"),) if table else ()
     receivers = tuple(_read_receiver(raw, index) for index, raw in enumerate(data["remote_write"]))
     spools = [receiver.spool_folder for receiver in receivers if receiver.spool_folder]
     if len(spools) != len(set(spools)):
@@ -132,10 +134,10 @@
     key = f"remote_write[{index}]"
     table = read_table({key: raw}, key, RemoteWriteTable)
     assert table is not None
-    return _remote_write(table, key)
+    return _remote_write_config(table, key)
 
 
-def _remote_write(table: RemoteWriteTable, key: str) -> RemoteWriteConfig:
+def _remote_write_config(table: RemoteWriteTable, key: str) -> RemoteWriteConfig:
     url, port = _http_url(table.url, key)
     return RemoteWriteConfig(
         host=str(url.hostname),
@@ -151,7 +153,7 @@
 
 
 def _http_url(text: str, key: str) -> tuple[SplitResult, int]:
-    """The parts of a URL, and its port."""
+    """Returns the parts of an http URL and its port; raises ConfigError for any other text."""
     try:
         url = urlsplit(text)
         port = url.port or DEFAULT_HTTP_PORT
@@ -166,8 +168,8 @@
 # Admission ----------------------------------------------------------------------------------------
 
 
-def _limits(table: AdmissionTable) -> AdmissionLimits:
-    # A table with a line for each field: longer than other functions.
+def _admission_limits(table: AdmissionTable) -> AdmissionLimits:
+    # One line for each field, which makes this function longer than most.
     _check_admission(table)
     return AdmissionLimits(
         max_per_address=table.per_address,
@@ -197,37 +199,37 @@
 
 
 def _check_admission(table: AdmissionTable) -> None:
-    if table.known_share + table.new_share > MAX_SHARES:
+    if table.known_share + table.new_share > MAX_COMBINED_SHARE:
         raise ConfigError(
             "'admission.new_share' and 'known_share' must leave 0.01 for sources under a penalty"
         )
     if table.penalty_most_s < table.penalty_s:
         raise ConfigError("'admission.penalty_most_s' must be at least 'penalty_s'")
-    networks: NetworkMap[None] = NetworkMap()
-    keys = [(f"admission.network[{index}].net", network.net) for index, network in enumerate(table.network)]
-    keys += [(f"admission.blocked[{index}]", network) for index, network in enumerate(table.blocked)]
-    for key, network in keys:
+    valid_networks: NetworkMap[None] = NetworkMap()
+    listed = [(f"admission.network[{index}].net", network.net) for index, network in enumerate(table.network)]
+    listed += [(f"admission.blocked[{index}]", network) for index, network in enumerate(table.blocked)]
+    for key, network in listed:
         try:
-            networks.put(network, None)
+            valid_networks.put(network, None)
         except ValueError as error:
             raise ConfigError(f"'{key}' must be a network like 10.0.0.0/8: {error}") from None
 
 
-# The fleet ----------------------------------------------------------------------------------------
+# Fleet policy and singleton tasks ----------------------------------------------------------------
 
 
-def _policy(table: PolicyTable) -> PolicyConfig:
+def _policy_config(table: PolicyTable) -> PolicyConfig:
     _check_replicas(table.keepers, "policy.keepers")
     return PolicyConfig(table.group, table.keepers, table.cut_off == "go_on")
 
 
-def _tasks(table: DutiesTable) -> TasksConfig:
+def _tasks_config(table: DutiesTable) -> TasksConfig:
     _check_replicas(table.keepers, "duties.keepers")
     receiver = None
     if table.figures is not None:
         figures = table.figures
         remote_write = RemoteWriteTable(figures.url, figures.every_s, version=figures.version)
-        receiver = _remote_write(remote_write, "duties.figures")
+        receiver = _remote_write_config(remote_write, "duties.figures")
     if "figures" in table.wants and receiver is None:
         raise ConfigError("'duties.figures' must say where the figures go, or 'wants' must not name them")
     return TasksConfig(table.group, table.keepers, tuple(table.wants), receiver)
@@ -237,4 +239,4 @@
     if not addresses:
         raise ConfigError(f"'{key}' must name the keepers of the group")
     for name, address in addresses.items():
-        _address(address, f"{key}.{name}")
+        _parse_address(address, f"{key}.{name}")
--- a/zincladder/config/operator_tables.py
+++ b/zincladder/config/operator_tables.py
@@ -1,4 +1,4 @@
-"""The tables of the operator's file as msgspec structs, and the key that a fault in one is about."""
+"""The tables of the operator's file as msgspec structs, and the faulty key of a validation error."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from zincladder.config.errors import ConfigError
 
 T = TypeVar("T")
-Whole = Annotated[int, Meta(ge=0)]
+NonNegativeInteger = Annotated[int, Meta(ge=0)]
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
-Positive = Annotated[float, Meta(gt=0)]
+PositiveNumber = Annotated[float, Meta(gt=0)]
 Share = Annotated[float, Meta(ge=0, le=0.9)]
 
 
 class HostTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[[dns.host]]: one host name of the DNS front, and the request that it stands for."""
+    """[[dns.host]]: a host name of the DNS front, and the request by which its address is chosen."""
 
     name: str
     request_class: str = msgspec.field(name="class")
@@ -33,35 +33,35 @@
     listen: str
     zone: str
     host: list[HostTable]
-    deadline_ms: Positive = 250.0
+    deadline_ms: PositiveNumber = 250.0
 
 
 class MetricsTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[metrics]: the HTTP endpoint of the metrics."""
+    """[metrics]: the HTTP endpoint that serves the metrics."""
 
     listen: str
 
 
 class RemoteWriteTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[remote_write], or [[remote_write]] for several: receivers of samples."""
+    """[remote_write], or [[remote_write]] for several: remote-write receivers of samples."""
 
     url: str
-    every_s: Positive = 15.0
+    every_s: PositiveNumber = 15.0
     queue_kb: Annotated[int, Meta(ge=16, le=1 << 20)] = 1024
     spool: Annotated[str, Meta(min_length=1)] | None = None
     spool_mb: Annotated[int, Meta(ge=1, le=1 << 16)] = 64
     version: Annotated[int, Meta(ge=1, le=2)] = 2
-    replay_kb_per_s: Positive = 1000.0
+    replay_kb_per_s: PositiveNumber = 1000.0
 
 
 class ControlTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[control]: the control socket."""
+    """[control]: the unix socket for operators' commands."""
 
-    socket: Annotated[str, Meta(min_length=1, max_length=100)]  # sockaddr_un holds 108 bytes
+    socket: Annotated[str, Meta(min_length=1, max_length=100)]  # sockaddr_un holds at most 108 bytes
 
 
 class PolicyTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[policy]: the fleet's policy."""
+    """[policy]: the replicas that hold the fleet's policy."""
 
     group: Annotated[str, Meta(min_length=1, max_length=64)]
     keepers: dict[str, str]
@@ -69,7 +69,7 @@
 
 
 class FiguresTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[duties.figures]: the receiver of the fleet's sums."""
+    """[duties.figures]: the remote-write receiver of the fleet's summed metrics."""
 
     url: str
     every_s: Annotated[float, Meta(ge=0.2, le=3600)] = 15.0
@@ -77,7 +77,7 @@
 
 
 class DutiesTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[duties]: the fleet's singleton tasks."""
+    """[duties]: the singleton tasks of the fleet that this front offers to run."""
 
     group: Annotated[str, Meta(min_length=1, max_length=64)]
     keepers: dict[str, str]
@@ -86,33 +86,33 @@
 
 
 class NetworkTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[[admission.network]]: a network with limits of its own."""
+    """[[admission.network]]: a network that has limits of its own."""
 
     net: str
-    connections: Whole = 0
+    connections: NonNegativeInteger = 0
     rate: Annotated[float, Meta(ge=0)] = 0.0
 
 
 class AdmissionTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[admission]: admission by source; the defaults are those of Limits."""
+    """[admission]: admission control by source; the defaults are those of AdmissionLimits."""
 
     enabled: bool = True
     per_address: Count = AdmissionLimits.max_per_address
     per_network: Count = AdmissionLimits.max_per_network
-    dns_rate: Positive = AdmissionLimits.dns_rate
+    dns_rate: PositiveNumber = AdmissionLimits.dns_rate
     dns_burst: Count = AdmissionLimits.dns_burst
     dns_per_address: Count = AdmissionLimits.max_dns_per_address
     known_per_address: Count = AdmissionLimits.max_known_per_address
-    rate: Positive = AdmissionLimits.rate
+    rate: PositiveNumber = AdmissionLimits.rate
     burst: Count = AdmissionLimits.burst
-    network_rate: Positive = AdmissionLimits.network_rate
+    network_rate: PositiveNumber = AdmissionLimits.network_rate
     network_burst: Count = AdmissionLimits.network_burst
     reserve: Share = AdmissionLimits.reserve
     sources: Annotated[int, Meta(ge=256, le=1_000_000)] = AdmissionLimits.max_sources
     known_after_s: Annotated[float, Meta(ge=1, le=60)] = AdmissionLimits.known_after_seconds
-    known_for_s: Positive = AdmissionLimits.known_half_life_seconds
-    penalty_s: Positive = AdmissionLimits.penalty_seconds
-    penalty_most_s: Positive = AdmissionLimits.max_penalty_seconds
+    known_for_s: PositiveNumber = AdmissionLimits.known_half_life_seconds
+    penalty_s: PositiveNumber = AdmissionLimits.penalty_seconds
+    penalty_most_s: PositiveNumber = AdmissionLimits.max_penalty_seconds
     known_share: Share = AdmissionLimits.known_share
     new_share: Share = AdmissionLimits.new_share
     lobby: Annotated[int, Meta(ge=0, le=64)] = AdmissionLimits.max_pending
@@ -129,29 +129,29 @@
     "policy": PolicyTable,
     "duties": DutiesTable,
 }
-# What msgspec says of a fault: its place behind the text, and the field where one is missing or unknown.
-PLACE = re.compile(r" - at `\$(.*)`$")
-FIELD = re.compile(r"Object (?:missing required|contains unknown) field `([^`]*)`")
+# Parts of the texts of msgspec's errors: the path at the end, and the name of a missing or unknown field.
+ERROR_PATH_PATTERN = re.compile(r" - at `\$(.*)`$")
+ERROR_FIELD_PATTERN = re.compile(r"Object (?:missing required|contains unknown) field `([^`]*)`")
 
 
-def read_table(data: dict[str, Any], name: str, kind: type[T]) -> T | None:
-    """The table `name` of a file, or None where there is none. Raises ConfigError with the faulty key."""
+def read_table(data: dict[str, Any], name: str, table_type: type[T]) -> T | None:
+    """Returns the table `name` of a file; None if there is none. Raises ConfigError with the faulty key."""
     if name not in data:
         return None
     try:
-        return msgspec.convert(data[name], kind)
+        return msgspec.convert(data[name], table_type)
     except msgspec.ValidationError as error:
         key, reason = faulty_key(error, name)
         raise ConfigError(f"'{key}': {reason}") from None
 
 
 def faulty_key(error: msgspec.ValidationError, table: str) -> tuple[str, str]:
-    """The path of the faulty key of a table, and what is wrong with it."""
+    """Returns the path of the faulty key of a table, and the reason why it is faulty."""
     message = str(error)
-    place = PLACE.search(message)
-    path = table + (place.group(1) if place else "")
-    reason = message[: place.start()] if place else message
-    if field := FIELD.match(reason):
-        path = f"{path}.{field.group(1)}"
+    path_match = ERROR_PATH_PATTERN.search(message)
+    path = table + (path_match.group(1) if path_match else "")
+    reason = message[: path_match.start()] if path_match else message
+    if field_match := ERROR_FIELD_PATTERN.match(reason):
+        path = f"{path}.{field_match.group(1)}"
         reason = "it is missing" if "missing" in reason else "there is no such key"
     return path, reason
--- a/zincladder/config/platform.py
+++ b/zincladder/config/platform.py
@@ -1,4 +1,4 @@
-"""Reads a front's configuration, the JSON that the platform writes."""
+"""Parses a front's configuration file, which is JSON written by the platform."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 DEFAULT_NAME = "front"
 DEFAULT_IDLE_CLOSE_SECONDS = 30.0
-DEFAULT_STREAMS = 100
+DEFAULT_MAX_STREAMS = 100
 
 
 def parse_config(data: Any) -> Config:
-    """The configuration from its parsed JSON. Raises ConfigError for the first key that cannot be used."""
+    """Returns the configuration, given its parsed JSON. Raises ConfigError for the first faulty key."""
     top = Node(data, "")
     settings, limits = Node(top.data.get("settings"), "settings"), top.child("limits")
     ceilings = settings.child("ceilings")
@@ -34,7 +34,7 @@
         settings=read_settings(settings),
         names=names,
         idle_close_seconds=ceilings.number("idleClose", DEFAULT_IDLE_CLOSE_SECONDS),
-        max_streams=ceilings.integer("streamsPerConn", DEFAULT_STREAMS),
+        max_streams=ceilings.integer("streamsPerConn", DEFAULT_MAX_STREAMS),
         max_open_requests=min(max_open, ceilings.integer("maxOpen", max_open)),
         max_unread_bytes=max_unread_bytes,
         known_events=top.child("known").data,
@@ -43,7 +43,7 @@
 
 
 def _read_names(settings: Node) -> Names:
-    """The names in the settings; guards against classes that share a name, or none."""
+    """Returns the names in the settings. Raises ConfigError if there is no class, or two share a name."""
     names = Names(
         tuple(category.text("name") for category in categories(settings)),
         settings.list_of("zones", text, "texts", []),
@@ -55,5 +55,5 @@
 
 
 def _optional_address(top: Node, key: str, expected: str) -> Address | None:
-    """An address, or None if the key is not there; one that is null is a fault."""
+    """Returns an address, or None if the key is absent; a null value raises ConfigError."""
     return top.read(key, parse_address, expected, None) if key in top.data else None
--- a/zincladder/config/reload.py
+++ b/zincladder/config/reload.py
@@ -1,4 +1,4 @@
-"""The configuration in force: as last read, under the fleet's policy if there is one, for all parts alike."""
+"""The configuration in force: the files as last read, overridden by the fleet's policy if there is one."""
 
 from __future__ import annotations
 
@@ -15,32 +15,33 @@
 from zincladder.config.limits import divide_limits
 from zincladder.config.model import Config, Operator
 
-# Counts by group and label, as the metrics and STATS publish them.
+# Keys of the counters, by group and label, which the metrics and STATS publish.
 RELOADS_APPLIED = ("reloads", "applied")
-RELOADS_REJECTED = ("reloads", "rejected")  # the configuration before stays in force
+RELOADS_REJECTED = ("reloads", "rejected")  # the previous configuration stays in force
 
 log = structlog.get_logger()
 
 
 class Overlay(Protocol):
-    """The fleet's policy, which goes before what a front's own files say."""
+    """Overrides the front's own files with the fleet's policy."""
 
     def over(self, config: Config, operator: Operator) -> tuple[Config, Operator]:
-        """The configuration in force for the front's own files as given. Raises ConfigError."""
+        """Returns the front's own configuration with the policy applied to it. Raises ConfigError."""
 
     def read_again(self) -> None:
-        """Read the front's own files again. Raises ConfigError for a changed key that the policy sets."""
+        """Rereads the front's own files. Raises ConfigError if a key changed that the policy sets."""
 
 
 class Reload:
-    """Holds one configuration at a time, shared with the other processes of this front.
+    """Holds the configuration in force and passes each new one to the parts of the front.
 
-    A call reads the files again. Subscribers are called with each new configuration, in their order.
+    Calling the instance rereads the files. The subscribers are called in order with each new configuration,
+    in which the limits are divided among the processes of this front.
     """
 
     def __init__(self, config: Config) -> None:
-        self._own = self._in_force = config
-        self.processes = 1  # of this front, that run now
+        self._own_config = self._effective = config
+        self.processes = 1  # number of running processes of this front
         self.subscribers: list[Callable[[Config], None]] = []
         self.limits: Callable[[AdmissionLimits], None] | None = None
         self.counts: Counter[tuple[str, str]] = Counter()
@@ -52,65 +53,68 @@
         counts: Counter[tuple[str, str]],
         limits: Callable[[AdmissionLimits], None] | None,
     ) -> None:
-        """Connect the parts of a front.
+        """Connects the parts of a front.
 
-        Parameters: `subscribers` take each new configuration, `counts` are the core's counters, and `limits`
-        takes those of admission by source, where it is on.
+        Args:
+            subscribers: Called with each new configuration.
+            counts: The core's counters, in which reloads are counted.
+            limits: Called with new limits of admission by source; None if that is off.
         """
         self.subscribers += subscribers
         self.counts, self.limits = counts, limits
 
     @property
     def own(self) -> Config:
-        """The configuration as this front's own file has it."""
-        return self._own
+        """The configuration in this front's own file, without the fleet's policy."""
+        return self._own_config
 
     def __call__(self) -> None:
-        """Read the files again; guards a running front against a file that cannot be used.
+        """Rereads the files and applies them.
 
-        It goes on with the configuration that it has, all of it, and logs the faulty key.
+        If a file is invalid, the whole previous configuration stays in force, and the faulty key is logged.
         """
         try:
-            config, pending = self._read_files()
+            config, needs_restart = self._read_files()
         except ConfigError as error:
             self.counts[RELOADS_REJECTED] += 1
             log.error("configuration rejected, the old one is kept", reason=str(error))
             return
-        if pending:
-            log.warning("keys that take effect at the next start only", keys=pending)
+        if needs_restart:
+            log.warning("changed keys take effect only after a restart", keys=needs_restart)
         self.counts[RELOADS_APPLIED] += 1
         log.info("configuration reloaded", coordinator=config.coordinator, classes=config.names.classes)
 
     def _read_files(self) -> tuple[Config, list[str]]:
-        """Take what the files say now, and give the keys that wait for the next start."""
+        """Rereads and applies the files; returns the configuration and the keys that need a restart."""
         if self.overlay:
             self.overlay.read_again()
-        config, pending = merge_reloaded(self._own, load())
+        config, needs_restart = merge_reloaded(self._own_config, load())
         operator = load_operator(config.names)
         if bool(self.limits) != bool(operator.admission):
-            pending.append("admission")
+            needs_restart.append("admission")
         self.take(config, operator)
-        return config, pending
+        return config, needs_restart
 
     def take(self, own: Config, operator: Operator) -> None:
-        """Put in force what the files say, under the policy if there is one.
+        """Applies the contents of the front's files, overridden by the policy if there is one.
 
-        Raises ConfigError, and nothing changes then.
+        Raises ConfigError if the result is invalid; nothing has changed then.
         """
         config = own
         if self.overlay:
             config, operator = self.overlay.over(own, operator)
-        self._own, self._in_force = own, config
+        self._own_config, self._effective = own, config
         self._apply()
         if self.limits and operator.admission:
             self.limits(operator.admission)
 
     def share(self, processes: int) -> None:
-        """So many processes of this front run from now on, and share its limits."""
+        """Sets the number of processes of this front, among which its limits are divided."""
         self.processes = processes
         self._apply()
 
     def _apply(self) -> None:
-        config = divide_limits(self._in_force, self.processes)
+        """Passes this process's part of the configuration in force to the subscribers."""
+        config = divide_limits(self._effective, self.processes)
         for subscriber in self.subscribers:
             subscriber(config)
--- a/zincladder/config/replica.py
+++ b/zincladder/config/replica.py
@@ -1,4 +1,4 @@
-"""A replica's configuration file: its checks and defaults. Imported by the commands only."""
+"""Reads and validates a replica's configuration file. Only the commands import this module."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 MS_PER_SECOND = 1000
 MIN_RENEWALS_PER_LEASE = 3
-MIN_RENEWALS_BEFORE_ACTION = 2  # that fit in a lease, less its drift and the time to act
+MIN_RENEWALS_BEFORE_ACTION = 2  # in the part of a lease that is left after clock drift and 'act_s'
 MIN_HEARTBEATS_PER_ELECTION = 4
-FOUNDER_COUNTS = (0, 1, 3, 5, 7)  # an even number of voters bears no more failures than one less
+FOUNDER_COUNTS = (0, 1, 3, 5, 7)  # an even number of voters tolerates no more failures than one voter less
 T = TypeVar("T")
-Name = Annotated[str, Meta(pattern=r"^[0-9A-Za-z_.-]{1,64}$")]
-Place = Annotated[str, Meta(min_length=3)]
+Identifier = Annotated[str, Meta(pattern=r"^[0-9A-Za-z_.-]{1,64}$")]
+AddressText = Annotated[str, Meta(min_length=3)]
 
 
 class LeaseTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[lease]: the times of leases, in seconds."""
+    """[lease]: the timing of leases, in seconds."""
 
     seconds: Annotated[float, Meta(ge=0.5, le=3600)] = 5.0
     renew_s: Annotated[float, Meta(ge=0.05, le=600)] = 1.0
@@ -38,12 +38,12 @@
 class ReplicaTable(msgspec.Struct, forbid_unknown_fields=True):
     """[keeper]: one replica of a group."""
 
-    group: Name
-    name: Name
-    listen: Place
+    group: Identifier
+    name: Identifier
+    listen: AddressText
     directory: Annotated[str, Meta(min_length=1)]
-    members: dict[Name, Place] = {}
-    via: dict[Name, Place] = {}
+    members: dict[Identifier, AddressText] = {}
+    via: dict[Identifier, AddressText] = {}
     heartbeat_ms: Annotated[float, Meta(ge=5, le=10_000)] = 100.0
     election_ms: Annotated[float, Meta(ge=50, le=60_000)] = 1000.0
     metrics: str = ""
@@ -53,9 +53,9 @@
 class ReplicaConfig:
     """The configuration of one replica of a group.
 
-    `founders` are the members, with their addresses, that the group begins with; none for a replica that
-    will be added to a running group. `address_overrides` are addresses by which this process reaches others
-    in place of those that the group has.
+    `founders` are the addresses, by name, of the members with which the group is founded; empty for a replica
+    that joins a running group. `address_overrides` are addresses, by name, that this process uses for other
+    replicas instead of the ones in the group's membership.
     """
 
     group: str
@@ -67,26 +67,26 @@
     heartbeat_seconds: float
     election_timeout_seconds: float
     lease: LeaseTable
-    metrics: Address | None  # where they are served; None: nowhere
+    metrics: Address | None  # where the metrics are served; None: they are not served
 
 
-def _parse_address(text: str, key: str) -> Address:
+def _parse_address(address: str, key: str) -> Address:
     try:
-        return parse_address(text)
+        return parse_address(address)
     except ValueError:
-        raise ConfigError(f"'{key}' must be an address like 127.0.0.1:7300, not {text[:40]!r}") from None
+        raise ConfigError(f"'{key}' must be an address like 127.0.0.1:7300, not {address[:40]!r}") from None
 
 
-def _read(data: dict[str, Any], name: str, kind: type[T]) -> T:
+def _read_table(data: dict[str, Any], name: str, table_type: type[T]) -> T:
     try:
-        return msgspec.convert(data.get(name, {}), kind)
+        return msgspec.convert(data.get(name, {}), table_type)
     except msgspec.ValidationError as error:
         path, reason = faulty_key(error, name)
         raise ConfigError(f"'{path}': {reason}") from None
 
 
 def _check_lease(lease: LeaseTable) -> None:
-    """Guards against leases that run out between two renewals."""
+    """Raises ConfigError for times with which a lease could expire between two renewals."""
     if lease.seconds < MIN_RENEWALS_PER_LEASE * lease.renew_s:
         raise ConfigError("'lease.seconds' must be at least three times 'renew_s'")
     if lease.seconds * (1 - lease.drift) - lease.act_s < MIN_RENEWALS_BEFORE_ACTION * lease.renew_s:
@@ -95,8 +95,8 @@
 
 def _check_replica(table: ReplicaTable) -> None:
     for key, addresses in (("members", table.members), ("via", table.via)):
-        for name, text in addresses.items():
-            _parse_address(text, f"keeper.{key}.{name}")
+        for name, address in addresses.items():
+            _parse_address(address, f"keeper.{key}.{name}")
     if table.members and table.name not in table.members:
         raise ConfigError(f"'keeper.members' must name this keeper too, {table.name!r}")
     if len(table.members) not in FOUNDER_COUNTS:
@@ -106,12 +106,12 @@
 
 
 def parse_replica_config(data: dict[str, Any]) -> ReplicaConfig:
-    """The configuration from its parsed TOML; ConfigError names the first key that cannot be used."""
+    """Returns the configuration, given its parsed TOML. Raises ConfigError for the first faulty key."""
     for name in data:
         if name not in ("keeper", "lease"):
             raise ConfigError(f"'{name}': there is no such table, only keeper and lease")
-    table = _read(data, "keeper", ReplicaTable)
-    lease = _read(data, "lease", LeaseTable)
+    table = _read_table(data, "keeper", ReplicaTable)
+    lease = _read_table(data, "lease", LeaseTable)
     _check_lease(lease)
     _check_replica(table)
     return ReplicaConfig(
--- a/zincladder/config/settings.py
+++ b/zincladder/config/settings.py
@@ -1,11 +1,11 @@
-"""Reads the settings of the decisions, which a front's file and the simulator's start message both hold."""
+"""Parses the router's settings, which a front's file and the simulator's start message both hold."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from typing import TypeVar
 
-from zincladder.config.node import Node, as_list, at_least_one, flag, parse_json, span_seconds, text
+from zincladder.config.node import Node, as_list, at_least_one, duration_seconds, flag, parse_json, text
 from zincladder.routing import interface as api
 
 T = TypeVar("T")
@@ -17,21 +17,21 @@
 }
 SCOPE_WORDS = {scope.value: scope for scope in api.Scope}
 PEER_FILL_WORDS = {fill.value: fill for fill in api.PeerFill}
-FILL_FAULTS_REPORTED = {"all": True, "hit": False, "off": False}  # by the word of 'detail'
-KNOWN_WEIGHTS = ("nominal", "rough")  # words of 'weightSource'
-# The router's names of what a load report holds, by the names on the wires; others keep their own.
+FILL_FAULTS_REPORTED = {"all": True, "hit": False, "off": False}  # by the value of 'detail'
+KNOWN_WEIGHT_SOURCES = ("nominal", "rough")  # values of 'weightSource' that mean that weights are known
+# The router's names for the fields of a load report, by their names on the wire; other names stay unchanged.
 LOAD_REPORT_NAMES = {"rif": "held", "inflight": "held", "q": "queued", "queue": "queued", "x0": "hits",
                      "x1": "link", "util": "busy"}  # fmt: skip
 
 
 def parse_settings(data: bytes) -> api.Settings:
-    """The settings in the simulator's start message. Raises ConfigError."""
+    """Returns the settings in the simulator's start message. Raises ConfigError for the first faulty key."""
     return read_settings(Node(parse_json(data, "settings"), "settings"))
 
 
 def read_settings(settings: Node) -> api.Settings:
-    """The settings of a Router; unknown keys are skipped. Raises ConfigError."""
-    # A table with a line for each field: longer than other functions.
+    """Returns the settings of a Router; ignores unknown keys. Raises ConfigError for the first faulty key."""
+    # One line for each field, which makes this function longer than most.
     domain, ceilings = settings.child("domain"), settings.child("ceilings")
     invariants, report = settings.child("invariants"), settings.child("report")
     overload_seconds = invariants.number("overloadFor", 1.0)
@@ -75,7 +75,7 @@
         peer_fill=domain.choice("peersFill", PEER_FILL_WORDS, api.PeerFill.OFF),
         origin_overload_factor=domain.number("originStopsAt", 0.0),
         origin_overload_seconds=domain.number("rootFall", 0.0),
-        weights_known=settings.text("weightSource", "off") in KNOWN_WEIGHTS,
+        weights_known=settings.text("weightSource", "off") in KNOWN_WEIGHT_SOURCES,
         must_subscribe=settings.text("registryMode", "automatic") == "subscribe",
         subscribe_within=invariants.number("mustAskIn", 0.0),
         report_names=_read_report_names(report),
@@ -90,7 +90,7 @@
 
 
 def _read_classes(settings: Node, domain: Node) -> tuple[api.RequestClass, ...]:
-    """The request classes: most of a class stands in its own object, some in lists of 'domain'."""
+    """Returns the request classes; some values of a class stand in lists of 'domain', at its number."""
     fresh, usable = domain.numbers("freshFor"), domain.numbers("usableAfter")
     stale_weights = domain.numbers("classStaleWorth")
     uncacheable = domain.list_of("neverKept", flag, "flags", [])
@@ -98,7 +98,7 @@
     return tuple(
         api.RequestClass(
             latency_objective=category.number("onTime"),
-            timeout=category.read("deadline", span_seconds, "a number above 0, a day at most", None),
+            timeout=category.read("deadline", duration_seconds, "a number above 0, a day at most", None),
             idempotency=category.choice("effect", IDEMPOTENCY_WORDS),
             objective_per_transfer=category.number("aimStretch", 0.0),
             priority_weight=category.number("value", 1.0),
@@ -106,22 +106,22 @@
             scope=category.choice("keyScope", SCOPE_WORDS, api.Scope.ALL),
             deduplication_window=category.number("window", 0.0),
             streamed=category.flag("stream"),
-            fresh_seconds=_item(fresh, index, 0.0),
-            stale_if_error_seconds=_item(usable, index, 0.0),
-            stale_weight=_item(stale_weights, index, 0.0),
-            uncacheable=_item(uncacheable, index, False),
-            partitioned=_item(partitioned, index, False),
+            fresh_seconds=_item_or_default(fresh, index, 0.0),
+            stale_if_error_seconds=_item_or_default(usable, index, 0.0),
+            stale_weight=_item_or_default(stale_weights, index, 0.0),
+            uncacheable=_item_or_default(uncacheable, index, False),
+            partitioned=_item_or_default(partitioned, index, False),
         )
         for index, category in enumerate(categories(settings))
     )
 
 
 def categories(settings: Node) -> Iterator[Node]:
-    """The objects of the request classes, in the order of their numbers."""
+    """Yields the objects of the request classes, in the order of the classes' numbers."""
     path = settings.path_of("categories")
     for index, item in enumerate(settings.read("categories", as_list, "a list", None)):
         yield Node(item, f"{path}[{index}]")
 
 
-def _item(values: tuple[T, ...], index: int, default: T) -> T:
+def _item_or_default(values: tuple[T, ...], index: int, default: T) -> T:
     return values[index] if index < len(values) else default
--- a/zincladder/control/__init__.py
+++ b/zincladder/control/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of a running front: its status over TCP, commands over a unix socket."""
+"""Operators' access to a running front: status calls over TCP, commands over a unix socket."""
--- a/zincladder/control/accept_loop.py
+++ b/zincladder/control/accept_loop.py
@@ -1,4 +1,4 @@
-"""Accepting connections of operators, of which few come and none may be kept waiting."""
+"""Accepts operators' connections, which are few and must not wait."""
 
 from __future__ import annotations
 
@@ -9,29 +9,30 @@
 import anyio
 import anyio.lowlevel
 
-RETRY_SECONDS = 0.05  # after a fault: the system is out of descriptors, and may have one soon
+# The delay after a failed accept: the system is out of descriptors, and one may be freed soon.
+ACCEPT_RETRY_SECONDS = 0.05
 
 
-class Warn(Protocol):
-    """A function that logs a warning, at a rate that a peer cannot drive."""
+class LogWarning(Protocol):
+    """A function that logs a warning, with a rate limit, so that a peer cannot flood the log."""
 
     def __call__(self, event: str, *, reason: str) -> None:
-        """Log one line."""
+        """Logs one warning."""
 
 
 async def accept_connections(
-    listening: socket.socket, handle: Callable[[socket.socket], None], warn: Warn
+    listener: socket.socket, handle: Callable[[socket.socket], None], warn: LogWarning
 ) -> None:
-    """Call `handle` with each connection, until cancelled. A fault of the system is logged and retried."""
+    """Calls `handle` with each new connection until cancelled; logs a failed accept and retries it."""
     while True:
-        await anyio.wait_readable(listening)
+        await anyio.wait_readable(listener)
         try:
-            sock, _ = listening.accept()
+            sock, _ = listener.accept()
         except (BlockingIOError, InterruptedError):
             continue
         except OSError as error:
-            warn("operator connection not accepted", reason=str(error))
-            await anyio.sleep(RETRY_SECONDS)
+            warn("failed to accept an operator connection", reason=str(error))
+            await anyio.sleep(ACCEPT_RETRY_SECONDS)
             continue
         handle(sock)
         await anyio.lowlevel.checkpoint()
--- a/zincladder/control/command_server.py
+++ b/zincladder/control/command_server.py
@@ -1,4 +1,4 @@
-"""The control socket: a unix socket that only the front's own user may open."""
+"""The control socket: a unix socket for commands, which only the front's own user can open."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from zincladder.control.accept_loop import accept_connections
 from zincladder.control.commands import MAX_LINE_BYTES, Command, answer
 
-TEMPORARY_SUFFIX = ".n"  # beside the path, which may have 100 of the 108 bytes
+TEMPORARY_SUFFIX = ".n"  # short, since the path may take 100 of the 108 bytes of sockaddr_un
 IDLE_TIMEOUT_SECONDS = 10.0
 BACKLOG = 8
-OWNER_ONLY = 0o177  # umask
+OWNER_ONLY_UMASK = 0o177
 READ_BYTES = 4096
 log = structlog.get_logger()
 
 
 class ControlSocketError(ConfigError):
-    """The socket cannot be made; the text says why."""
+    """The control socket cannot be created; the text says why."""
 
 
 def bind(path: str, replaces: bool = False) -> socket.socket:
-    """A listening socket at a path. One that a dead front left is replaced, anything else is left alone.
+    """Returns a socket that listens at a path, and replaces a socket file that a dead front left there.
 
-    With `replaces`, at an upgrade, the path is taken from the old process in one step. Raises
-    ControlSocketError.
+    With `replaces`, at an upgrade, the socket of the old process is replaced atomically. Raises
+    ControlSocketError if another file or the socket of a running front is at the path, or on a system error.
     """
-    _check_path(path, replaces)
+    _remove_stale_socket(path, replaces)
     sock = socket.socket(socket.AF_UNIX)
-    previous_umask = os.umask(OWNER_ONLY)
+    previous_umask = os.umask(OWNER_ONLY_UMASK)
     try:
         _bind_and_listen(sock, path, replaces)
     except OSError as error:
@@ -48,32 +48,35 @@
     return sock
 
 
-def _check_path(path: str, replaces: bool) -> None:
-    """Guards a file that is no socket, and the socket of another front that runs."""
+def _remove_stale_socket(path: str, replaces: bool) -> None:
+    """Removes the socket file of a dead front.
+
+    Raises ControlSocketError for a file that is not a socket, and for the socket of another running front.
+    """
     try:
         mode = os.lstat(path).st_mode
     except FileNotFoundError:
         return
     if not stat.S_ISSOCK(mode):
-        raise ControlSocketError(f"'control.socket': {path} is there and is no socket")
+        raise ControlSocketError(f"'control.socket': {path} exists and is not a socket")
     if replaces:
         return
-    with socket.socket(socket.AF_UNIX) as probe:
+    with socket.socket(socket.AF_UNIX) as connection:
         try:
-            probe.connect(path)
+            connection.connect(path)
         except ConnectionRefusedError:
             os.unlink(path)
         except OSError as error:
             raise ControlSocketError(f"'control.socket': {path}: {error.strerror}") from None
         else:
-            raise ControlSocketError(f"'control.socket': another front listens at {path}")
+            raise ControlSocketError(f"'control.socket': another front is listening at {path}")
 
 
 def _bind_and_listen(sock: socket.socket, path: str, replaces: bool) -> None:
     name = path + TEMPORARY_SUFFIX if replaces else path
     if replaces:
         with contextlib.suppress(FileNotFoundError):
-            os.unlink(name)  # of a process that was killed here
+            os.unlink(name)  # left by a process that was killed before the rename below
     sock.bind(name)
     sock.listen(BACKLOG)
     if replaces:
@@ -82,17 +85,17 @@
 
 
 class CommandServer:
-    """Answers operators' commands until it is cancelled."""
+    """Answers operators' commands at the control socket."""
 
     def __init__(
         self, path: str, table: Mapping[str, Command], descriptors: DescriptorBudget, replaces: bool = False
     ) -> None:
         self._path, self._table, self._descriptors = path, table, descriptors
-        self._listening = bind(path, replaces)
+        self._listener = bind(path, replaces)
         self._inode = os.stat(path).st_ino
 
     async def run(self) -> None:
-        """Answer commands until cancelled."""
+        """Answers commands until cancelled, then closes the socket and removes its file."""
         try:
             async with anyio.create_task_group() as tasks:
 
@@ -102,13 +105,13 @@
                     else:
                         sock.close()
 
-                await accept_connections(self._listening, handle, log.warning)
+                await accept_connections(self._listener, handle, log.warning)
         finally:
-            self._listening.close()
+            self._listener.close()
             self._unlink_path()
 
     def _unlink_path(self) -> None:
-        """Guards the socket of a front that has taken the path over."""
+        """Removes the socket file, unless another front has replaced it with its own."""
         with contextlib.suppress(OSError):
             if os.stat(self._path).st_ino == self._inode:
                 os.unlink(self._path)
@@ -119,14 +122,14 @@
             await self._answer_commands(sock)
         except (OSError, TimeoutError):
             pass
-        except Exception:  # guards the front: a fault in a command ends its connection only
-            log.exception("control command failed")
+        except Exception:  # an error in a command must end its connection only, not the front
+            log.exception("failed to execute a control command")
         finally:
             sock.close()
             self._descriptors.release(DescriptorUse.CONTROL)
 
     async def _answer_commands(self, sock: socket.socket) -> None:
-        """Answer each line until the peer ends or sends one that is too long."""
+        """Answers each line until the peer closes the connection or sends a line that is too long."""
         data = bytearray()
         while True:
             while b"\n" not in data:
--- a/zincladder/control/commands.py
+++ b/zincladder/control/commands.py
@@ -1,7 +1,7 @@
-"""The commands of the control socket: a request and a time in, an answer out. No I/O.
+"""The commands of the control socket: parses a request, executes it and returns the answer. No I/O.
 
-A request is a JSON object on one line with the command under 'do'; the answer is one line, {"ok": ...} or
-{"error": "..."}.
+A request is one line with a JSON object that names the command under 'do'. The answer is one line too:
+{"ok": ...} or {"error": "..."}.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 from zincladder.control.model import AdmissionReport, BlockResult
 
 MAX_LINE_BYTES = 65_536
-MAX_ROWS = 1000
-DEFAULT_ROWS = 20
+MAX_ROWS_LIMIT = 1000
+DEFAULT_MAX_ROWS = 20
 MAX_ERROR_LENGTH = 500  # characters
-MAX_SHOWN_LENGTH = 40  # characters of an unknown command
-FOREVER = float("inf")
+MAX_SHOWN_NAME_LENGTH = 40  # characters of an unknown command's name in the error
+FOREVER_SECONDS = float("inf")
 
 
 class CommandError(Exception):
-    """A command that cannot be carried out; the text says why."""
+    """A command cannot be executed; the text is sent to the operator and says why."""
 
 
 class CommandRequest:
-    """The fields of one request; a field of the wrong kind raises CommandError with its name."""
+    """The fields of one request; a field of the wrong type raises CommandError with its name."""
 
     def __init__(self, fields: Mapping[str, Any]) -> None:
         self._fields = fields
 
     def text(self, name: str) -> str:
-        """A text that is not empty."""
+        """Returns a string that is not empty."""
         value = self._fields.get(name)
         if not isinstance(value, str) or not value:
             raise CommandError(f"'{name}' must be a text")
         return value
 
     def number(self, name: str, default: float) -> float:
-        """A number above 0."""
+        """Returns a number above 0."""
         value = self._fields.get(name, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
             raise CommandError(f"'{name}' must be a number above 0")
@@ -51,7 +51,7 @@
 
 
 class AdmissionCommands:
-    """The commands on admission by source. Each takes a request and the time on the monotonic clock."""
+    """The commands for admission by source. Each takes a request and the time of the monotonic clock."""
 
     def __init__(self, admission: Admission) -> None:
         self._admission = admission
@@ -70,9 +70,9 @@
         return self._admission
 
     def top(self, request: CommandRequest, now: float) -> AdmissionReport:
-        """The sources that use most, and the totals."""
+        """Returns the sources with the highest usage, and the totals of the front."""
         admission = self._by_source
-        max_rows = min(MAX_ROWS, int(request.number("most", DEFAULT_ROWS)))
+        max_rows = min(MAX_ROWS_LIMIT, int(request.number("most", DEFAULT_MAX_ROWS)))
         return {
             "sources": admission.top(now, max_rows),
             "recorded": len(admission.sources),
@@ -87,7 +87,7 @@
         }
 
     def show(self, request: CommandRequest, now: float) -> dict[str, object]:
-        """All that is recorded of one address."""
+        """Returns everything that is recorded about one address."""
         address = request.text("address")
         recorded = self._by_source.show(address, now)
         if recorded is None:
@@ -95,25 +95,25 @@
         return recorded
 
     def block(self, request: CommandRequest, now: float) -> BlockResult:
-        """Reject a network's connections, for a time if one is given, and end those that are idle."""
-        network, seconds = request.text("network"), request.number("seconds", FOREVER)
+        """Rejects a network's new connections, for a time if one is given, and closes its idle ones."""
+        network, seconds = request.text("network"), request.number("seconds", FOREVER_SECONDS)
         return {"ended": self._by_source.block(network, now + seconds, now)}
 
     def unblock(self, request: CommandRequest, now: float) -> dict[str, object]:
-        """Take an operator's block back."""
+        """Lifts a block that an operator set."""
         network = request.text("network")
         if not self._by_source.unblock(network):
             raise CommandError(f"{network} was not blocked by an operator while this front ran")
         return {}
 
     def trust(self, request: CommandRequest, now: float) -> dict[str, object]:
-        """Treat a network as known until the front ends."""
+        """Treats a network as known until the front stops."""
         self._by_source.trust(request.text("network"))
         return {}
 
 
 def answer(table: Mapping[str, Command], line: bytes, now: float) -> bytes:
-    """The answer to one line; there is one whatever the line holds."""
+    """Returns the answer to one line; an invalid line gets an answer with an error."""
     try:
         reply: dict[str, Any] = {"ok": _execute(table, line, now)}
     except (CommandError, ValueError, RecursionError) as error:
@@ -129,5 +129,5 @@
     name = request.text("do")
     command = table.get(name)
     if command is None:
-        raise CommandError(f"no command {name[:MAX_SHOWN_LENGTH]!r}, only {', '.join(sorted(table))}")
+        raise CommandError(f"no command {name[:MAX_SHOWN_NAME_LENGTH]!r}, only {', '.join(sorted(table))}")
     return command(request, now)
--- a/zincladder/control/model.py
+++ b/zincladder/control/model.py
@@ -1,4 +1,4 @@
-"""What the commands of the control socket answer, as the front and the command line both name it."""
+"""The answers of the control socket's commands, as types for the front and the command line."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 class AdmissionReport(TypedDict):
     """The answer to 'admission.top'."""
 
-    sources: list[dict[str, object]]  # those that use most, first
-    recorded: int  # sources on record
-    rate: float  # loop seconds a second that are admitted at most
-    pace: float
-    waiting: int  # messages that wait for their turn
-    descriptors: dict[str, int]  # held, by their use
-    limit: int  # of descriptors
-    turned_away: dict[str, int]  # connections rejected, by reason
-    refused: dict[str, int]  # requests rejected, by reason
+    sources: list[dict[str, object]]  # sorted by usage, the highest first
+    recorded: int  # number of sources that are tracked
+    rate: float  # maximum of event loop seconds that are admitted per second
+    pace: float  # measured cost divided by modelled cost
+    waiting: int  # messages that wait to be read
+    descriptors: dict[str, int]  # descriptors in use, by purpose
+    limit: int  # maximum number of descriptors
+    turned_away: dict[str, int]  # rejected connections, by reason
+    refused: dict[str, int]  # rejected requests, by reason
     penalties: int
 
 
 class BlockResult(TypedDict):
     """The answer to 'admission.block'."""
 
-    ended: int  # idle connections of the network
+    ended: int  # number of idle connections of the network that were closed
--- a/zincladder/control/readiness.py
+++ b/zincladder/control/readiness.py
@@ -1,4 +1,4 @@
-"""Whether a process is ready to serve; the one place that decides it. No I/O."""
+"""Decides whether a process is ready to serve requests; no other module decides it. No I/O."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 
 
 class Readiness:
-    """Asks the parts of a front.
+    """Determines readiness from the state of the parts of a front.
 
-    Parameters: `ready_endpoints` counts those that can serve, `has_synced` is whether the list could be
-    relied on at some moment since the start, `stopping` whether the process is draining, and
-    `policy_missing` what the fleet's policy lacks, or "".
+    Args:
+        ready_endpoints: Returns the number of endpoints that can serve.
+        has_synced: Returns whether the endpoint list has been usable at some moment since the start.
+        stopping: Returns whether the process is draining.
+        policy_missing: Returns what the fleet's policy lacks for the front to serve; "" if it lacks nothing.
     """
 
     def __init__(
@@ -24,7 +26,7 @@
         self._stopping, self._policy_missing = stopping, policy_missing
 
     def missing(self) -> str:
-        """The first thing that is missing, as READY answers it; "" when the process is ready."""
+        """Returns the first unmet condition, as READY answers it; "" if the process is ready."""
         if self._stopping():
             return "this process is ending"
         if not self._ready_endpoints():
--- a/zincladder/control/status_calls.py
+++ b/zincladder/control/status_calls.py
@@ -1,11 +1,11 @@
-"""The calls at the operators' address, READY and STATS: one line in, one answer out. No I/O."""
+"""The status calls READY and STATS: takes a line and returns its answer. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 
 MAX_LINE_BYTES = 256
-MAX_SHOWN_BYTES = 20  # of an unknown call, in the answer
+MAX_SHOWN_BYTES = 20  # of an unknown call that the answer repeats
 READY, STATS = b"READY", b"STATS"
 
 Statistics = Iterable[tuple[str, int]]
@@ -14,15 +14,16 @@
 class StatusCalls:
     """Answers the calls.
 
-    Parameters: `missing` gives what this process lacks to be ready, or "" if it is ready, and `statistics`
-    the names and values that STATS lists.
+    Args:
+        missing: Returns why this process is not ready; "" if it is ready.
+        statistics: Returns the names and values that STATS lists.
     """
 
     def __init__(self, missing: Callable[[], str], statistics: Callable[[], Statistics]) -> None:
         self._missing, self._statistics = missing, statistics
 
     def answer(self, line: bytes) -> bytes:
-        """The answer to one line without its end; there is one whatever the line holds."""
+        """Returns the answer to one line, given without its line end; an unknown call gets FAILURE."""
         call = line.strip()
         if call == READY:
             return self._answer_ready()
@@ -41,15 +42,15 @@
 
 
 class LineReader:
-    """Collects bytes until the first line is whole."""
+    """Collects received bytes until the first line is complete."""
 
     def __init__(self) -> None:
         self._data = bytearray()
 
     def feed(self, data: bytes) -> bytes | None:
-        """The line without its end once it is whole, else None.
+        """Adds received bytes; returns the line without its line end once it is complete, None until then.
 
-        Raises ValueError for a line of more than MAX_LINE_BYTES.
+        Raises ValueError for a line of more than MAX_LINE_BYTES; its text is sent to the operator.
         """
         searched = len(self._data)
         self._data += data
--- a/zincladder/control/status_server.py
+++ b/zincladder/control/status_server.py
@@ -1,4 +1,4 @@
-"""The TCP address at which operators ask for a front's status: one line in, one answer out."""
+"""The TCP server for operators' status calls; a connection sends one line and gets one answer."""
 
 from __future__ import annotations
 
@@ -9,51 +9,53 @@
 
 from zincladder.admission.descriptor_budget import DescriptorBudget, DescriptorUse
 from zincladder.config import Address
-from zincladder.control.accept_loop import Warn, accept_connections
+from zincladder.control.accept_loop import LogWarning, accept_connections
 from zincladder.control.status_calls import LineReader, StatusCalls
 from zincladder.support.lingering_close import LINGER_SECONDS, lingering_close
 
-CONNECTION_TIMEOUT_SECONDS = 10.0  # for the line to arrive and its answer to be read
-MIN_CONNECTIONS = 4  # at once, however few descriptors there are
+CONNECTION_TIMEOUT_SECONDS = 10.0  # for receiving the line and sending the answer
+MIN_CONNECTIONS = 4  # accepted at once, even if no descriptors are available
 READ_BYTES = 512
 log = structlog.get_logger()
 
 
 class StatusServer:
-    """Answers the calls of operators.
+    """Answers operators' status calls.
 
-    Guards them against each other: at its limit the connection that has waited longest without a whole line
-    is closed for a new one.
+    At the limit of connections, a new one replaces the oldest one that has not sent a complete line, so that
+    silent connections cannot lock operators out.
     """
 
     def __init__(
-        self, listening: socket.socket, calls: StatusCalls, descriptors: DescriptorBudget, warn: Warn
+        self, listening: socket.socket, calls: StatusCalls, descriptors: DescriptorBudget, warn: LogWarning
     ) -> None:
-        self._listening, self._calls, self._descriptors, self._warn = listening, calls, descriptors, warn
-        self._incomplete: dict[socket.socket, anyio.CancelScope] = {}  # without a whole line, oldest first
+        self._listener, self._calls, self._descriptors, self._warn = listening, calls, descriptors, warn
+        # The connections that have not sent a complete line, oldest first.
+        self._incomplete: dict[socket.socket, anyio.CancelScope] = {}
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
-        host, port, *_ = self._listening.getsockname()
+        """The address at which the server listens."""
+        host, port, *_ = self._listener.getsockname()
         return host, port
 
     async def run(self) -> None:
-        """Answer calls until cancelled."""
+        """Answers calls until cancelled."""
         try:
             async with anyio.create_task_group() as tasks:
 
                 def handle(sock: socket.socket) -> None:
-                    self._make_room()
+                    self._close_oldest_at_limit()
                     self._descriptors.force_acquire(DescriptorUse.CONTROL)
                     scope = self._incomplete[sock] = anyio.CancelScope()
                     tasks.start_soon(self._serve_connection, sock, scope)
 
-                await accept_connections(self._listening, handle, self._warn)
+                await accept_connections(self._listener, handle, self._warn)
         finally:
-            self._listening.close()
+            self._listener.close()
 
-    def _make_room(self) -> None:
+    def _close_oldest_at_limit(self) -> None:
+        """Closes the oldest connection without a complete line, if the limit of connections is reached."""
         if (
             self._descriptors.available(DescriptorUse.CONTROL) <= 0
             and len(self._incomplete) >= MIN_CONNECTIONS
@@ -68,8 +70,8 @@
                 await self._answer_call(sock)
         except (OSError, TimeoutError):
             pass
-        except Exception:  # guards the front: a fault in an answer ends its connection only
-            log.exception("status call failed")
+        except Exception:  # an error in a call must end its connection only, not the front
+            log.exception("failed to answer a status call")
         finally:
             self._incomplete.pop(sock, None)
             sock.close()
@@ -84,13 +86,16 @@
             return
         if call is None:
             return
-        self._incomplete.pop(sock, None)  # its line is whole: it is no longer closed for another
+        self._incomplete.pop(sock, None)  # its line is complete, so a new connection no longer replaces it
         await _send_all(sock, self._calls.answer(call))
         await lingering_close(sock, LINGER_SECONDS)
 
     async def _read_call(self, sock: socket.socket) -> bytes | None:
-        """The line of one call, or None if the peer ended first; ValueError if it is too long."""
-        line = LineReader()
+        """Returns the line of a call; None if the peer closed the connection first.
+
+        Raises ValueError if the line is too long.
+        """
+        reader = LineReader()
         while True:
             try:
                 data = sock.recv(READ_BYTES)
@@ -99,7 +104,7 @@
                 continue
             if not data:
                 return None
-            call = line.feed(data)
+            call = reader.feed(data)
             if call is not None:
                 return call
 
--- a/zincladder/metrics/exporter.py
+++ b/zincladder/metrics/exporter.py
@@ -1,4 +1,4 @@
-"""GET /metrics over HTTP/1.1."""
+"""Serves GET /metrics over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -14,36 +14,39 @@
 from zincladder.admission.model import RejectionReason
 from zincladder.config import Address
 
-EXCHANGE_TIMEOUT_SECONDS = 10.0  # from the start of a connection to the end of its response
-PATH = b"/metrics"
+EXCHANGE_TIMEOUT_SECONDS = 10.0  # from accepting a connection to sending its whole response
+METRICS_PATH = b"/metrics"
 log = structlog.get_logger()
 
 
 class MetricsText(Protocol):
-    """A registry of metrics."""
+    """A registry that can render its metrics as text."""
 
     def text(self) -> str:
-        """The samples of this moment in the text format of Prometheus."""
+        """Returns the current samples in the Prometheus text format."""
 
 
 class ConnectionLimiter(Protocol):
-    """Decides which connections may stay."""
+    """Decides whether a new connection is accepted, and tracks the accepted ones."""
 
     def open_connection(self, use: DescriptorUse, host: str, now: float) -> RejectionReason:
-        """Count a connection: NONE if it may stay, else the reason for which the caller closes it."""
+        """Registers a connection; returns NONE if it is accepted, else why the caller must close it."""
 
     def close_connection(self, use: DescriptorUse, host: str) -> None:
-        """Count the end of a connection that stayed."""
+        """Registers the end of an accepted connection."""
 
 
 class MetricsExporter:
-    """Serves a registry's text, one request a connection, until it is cancelled."""
+    """Serves a registry's metrics over HTTP, one request per connection."""
 
     def __init__(self, listen: Address, registry: MetricsText, admission: ConnectionLimiter) -> None:
         self._listen, self._registry, self._admission = listen, registry, admission
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[Address] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Listen, report the address as started, and serve. Raises OSError if the address is taken."""
+        """Listens and serves until cancelled; passes the address to `task_status.started`.
+
+        Raises OSError if the address is in use.
+        """
         host, port = self._listen
         listener = await anyio.create_tcp_listener(local_host=host, local_port=port, reuse_port=True)
         async with listener:
@@ -60,7 +63,7 @@
                 with anyio.fail_after(EXCHANGE_TIMEOUT_SECONDS):
                     await self._serve_request(stream)
             except (h11.ProtocolError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError) as error:
-                log.info("metrics connection ended", reason=str(error) or type(error).__name__)
+                log.info("metrics connection failed", reason=str(error) or type(error).__name__)
             finally:
                 self._admission.close_connection(DescriptorUse.METRICS, host)
 
@@ -79,7 +82,7 @@
     async def _respond(
         self, connection: h11.Connection, request: h11.Request, stream: anyio.abc.SocketStream
     ) -> None:
-        status = _status_of(request)
+        status = _status_code(request)
         body = self._registry.text().encode() if status == 200 else b""
         headers = [
             ("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),
@@ -93,7 +96,7 @@
         await stream.send(b"".join(connection.send(event) or b"" for event in events))
 
 
-def _status_of(request: h11.Request) -> int:
-    if request.target.split(b"?")[0] != PATH:
+def _status_code(request: h11.Request) -> int:
+    if request.target.split(b"?")[0] != METRICS_PATH:
         return 404
     return 200 if request.method in (b"GET", b"HEAD") else 405
--- a/zincladder/metrics/exposition.py
+++ b/zincladder/metrics/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics, their samples, and the text format of Prometheus. No I/O."""
+"""Metrics, their samples, and the Prometheus text format. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MetricType(StrEnum):
-    """The types of metrics, as Prometheus names them."""
+    """The metric types, under their Prometheus names."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One value of one series."""
+    """One value of one time series."""
 
     name: str
     labels: tuple[tuple[str, str], ...]
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """A metric: its name, type and help line, and the label that tells its series apart, if it has one."""
+    """A metric: its name, type and help text, and the label that distinguishes its series, if it has one."""
 
     name: str
     type: MetricType
@@ -34,34 +34,34 @@
     label: str = ""
 
     def sample(self, value: float, *labels: tuple[str, str]) -> Sample:
-        """A sample of the series with these labels."""
+        """Returns a sample of the series with these labels."""
         return Sample(self.name, labels, float(value))
 
 
 def counter(name: str, help_line: str, label: str = "") -> Metric:
-    """A metric that only rises."""
+    """Returns a counter, whose value only rises."""
     return Metric(name, MetricType.COUNTER, help_line, label)
 
 
 def gauge(name: str, help_line: str, label: str = "") -> Metric:
-    """A metric that rises and falls."""
+    """Returns a gauge, whose value can rise and fall."""
     return Metric(name, MetricType.GAUGE, help_line, label)
 
 
 def exposition(samples: Iterable[Sample], metrics: Iterable[Metric]) -> str:
-    """The text format of Prometheus.
+    """Returns samples in the Prometheus text format, with the help and type of their metrics.
 
     Args:
-        samples: What is shown, in any order.
-        metrics: Every metric of which there may be a sample.
+        samples: The samples, in any order.
+        metrics: At least the metrics of all samples.
     """
     metrics_by_name = {metric.name: metric for metric in metrics}
     lines: list[str] = []
-    described: set[str] = set()
-    # The text format wants all lines of one name together.
+    described_names: set[str] = set()
+    # The text format requires that all lines of one metric are consecutive.
     for sample in sorted(samples, key=attrgetter("name")):
-        if sample.name not in described:
-            described.add(sample.name)
+        if sample.name not in described_names:
+            described_names.add(sample.name)
             metric = metrics_by_name[sample.name]
             lines.append(f"# HELP {metric.name} {metric.help}")
             lines.append(f"# TYPE {metric.name} {metric.type}")
--- a/zincladder/metrics/front_metrics.py
+++ b/zincladder/metrics/front_metrics.py
@@ -1,7 +1,7 @@
 """The metrics of a front.
 
-Names, labels and help lines keep their spelling, which dashboards and alert rules of running installations
-hold. The keys of a table are those of the part that its values are read off.
+Dashboards and alert rules of running installations depend on the names, labels and help texts, so these must
+not change. The keys of a table are the keys under which the registry reads its values.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from zincladder.metrics.exposition import Metric, counter, gauge
 
-# Of the core's counts, by their group.
+# The counters of the core, by the group of the count.
 COUNTERS: Final[Mapping[str, Metric]] = {
     "answers": counter(
         "zincladder_answers_total", "Answers: served, refused, failed, withdrawn, unusable.", "kind"
@@ -40,7 +40,7 @@
         "zincladder_remote_write_total", "Batches: sent, retried, refused or overflowed.", "outcome"
     ),
 }
-# Of the front as a whole.
+# The gauges of the front as a whole.
 GAUGES: Final[Mapping[str, Metric]] = {
     "open": gauge("zincladder_requests_open", "Requests that are owed their answer."),
     "members": gauge("zincladder_members", "Members on the list."),
@@ -49,7 +49,7 @@
     "processes": gauge("zincladder_processes", "Processes of this front: 2 at an upgrade."),
     "feed": gauge("zincladder_coordinator_connected", "1 while the coordinator is followed."),
 }
-# Of admission's counters.
+# The counters of admission.
 ADMISSION_COUNTERS: Final[Mapping[str, Metric]] = {
     "admitted": counter("zincladder_admission_admitted_total", "Client connections that got a seat.", "lane"),
     "evicted": counter("zincladder_admission_evicted_total", "Seats that made room for others.", "lane"),
@@ -59,7 +59,7 @@
     "turned": counter("zincladder_admission_turned_away_total", "Client connections turned away.", "why"),
     "refused": counter("zincladder_admission_refused_total", "Requests refused by admission.", "why"),
 }
-# Of admission's state.
+# The gauges of admission, descriptors and the event loop.
 ADMISSION_GAUGES: Final[Mapping[str, Metric]] = {
     "descriptors": gauge("zincladder_descriptors", "Descriptors held, by what for.", "use"),
     "limit": gauge("zincladder_descriptors_limit", "Descriptors that the front may hold."),
@@ -71,7 +71,7 @@
     "rate": gauge("zincladder_admission_rate", "Loop seconds a second that are let in at most."),
     "behind": gauge("zincladder_loop_behind_seconds", "How late the event loop was at its last two looks."),
 }
-# Of each cache, with a label `cache` that is the endpoint's id.
+# The metrics of each cache; the label `cache` is the endpoint's id.
 CACHE_METRICS: Final[Mapping[str, Metric]] = {
     "attempts": counter("zincladder_cache_attempts_total", "Attempts at a cache by how they ended.", "end"),
     "probes": counter("zincladder_cache_probes_total", "Load probes of a cache by how they ended.", "end"),
@@ -82,12 +82,12 @@
     ),
     "report_age": gauge("zincladder_cache_report_age_seconds", "Age of a cache's last load report."),
 }
-# Of each request class, with a label `class`.
+# The metrics of each request class, which is the label `class`.
 CLASS_METRICS: Final[Mapping[str, Metric]] = {
     "answers": counter("zincladder_class_answers_total", "Answers by class.", "kind"),
     "attempts": counter("zincladder_class_attempts_total", "Attempts by class."),
 }
-# Of the fleet's policy, where the front takes part in one.
+# The metrics of the fleet's policy, if the front takes part in one.
 POLICY_METRICS: Final[Mapping[str, Metric]] = {
     "version": gauge(
         "zincladder_policy_version", "Version of the fleet's policy served under; 0 while there is none."
@@ -96,7 +96,7 @@
     "linked": gauge("zincladder_policy_linked", "1 while there is a link to the leading keeper."),
     "refused": counter("zincladder_policy_refused_total", "Requests refused for want of a lease."),
 }
-# Of the fleet's singleton tasks, where the front takes part in them.
+# The metrics of the fleet's singleton tasks, if the front offers to run any.
 TASK_METRICS: Final[Mapping[str, Metric]] = {
     "owned": gauge("zincladder_duties_owned", "Duties that this front owns now."),
     "lease": gauge("zincladder_duty_lease_seconds", "Time left of the shortest lease on what it owns."),
--- a/zincladder/metrics/replica.py
+++ b/zincladder/metrics/replica.py
@@ -1,4 +1,4 @@
-"""The metrics of a replica: its group as it sees it, and the open change of the fleet's policy."""
+"""The metrics of a replica: the state of its group, and on the leader of the fleet's policy and tasks."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from zincladder.tasks.host import TaskLeaderService
 
 MAX_CONNECTIONS = 16
-# Of every replica, by the key of the value.
+# The metrics of every replica, by the key of their value.
 REPLICA_METRICS: Final[Mapping[str, Metric]] = {
     "leads": gauge("zincladder_keeper_leads", "1 while this keeper leads its group."),
     "led": gauge("zincladder_keeper_led", "1 while this keeper leads or knows who does."),
@@ -23,7 +23,7 @@
     "bytes": gauge("zincladder_keeper_journal_bytes", "Size of the journal's file."),
     "registers": gauge("zincladder_keeper_registers", "Registers held."),
 }
-# Of the leader only.
+# The metrics that only the leader has.
 LEADER_METRICS: Final[Mapping[str, Metric]] = {
     "silent": gauge("zincladder_keeper_members_silent", "Members that have not answered lately."),
     "older": gauge("zincladder_keeper_members_older", "Members that came back with an older directory."),
@@ -44,7 +44,7 @@
 
 
 class ReplicaRegistry:
-    """All samples of one replica."""
+    """Provides all samples of one replica."""
 
     def __init__(
         self, replica: ReplicaServer, policy_service: PolicyLeaderService, task_service: TaskLeaderService
@@ -52,7 +52,7 @@
         self._replica, self._policy_service, self._task_service = replica, policy_service, task_service
 
     def samples(self) -> Iterator[Sample]:
-        """The samples of this moment; those of LEADER_METRICS only while this replica leads."""
+        """Yields the current samples; those of LEADER_METRICS only while this replica is the leader."""
         config = self._replica.config
         labels = (("group", config.group), ("keeper", config.name))
         status = self._replica.status()
@@ -80,23 +80,23 @@
             yield LEADER_METRICS[key].sample(leader_value, *labels)
 
     def text(self) -> str:
-        """The samples of this moment in the text format of Prometheus."""
+        """Returns the current samples in the Prometheus text format."""
         return exposition(self.samples(), METRICS)
 
 
 class ConnectionLimit:
-    """Bounds the connections to a replica's metrics, which has no admission control of its own."""
+    """Limits the connections to a replica's metrics, since a replica has no admission control."""
 
     def __init__(self, max_connections: int = MAX_CONNECTIONS) -> None:
-        self._max_connections, self._open = max_connections, 0
+        self._max_connections, self._open_connections = max_connections, 0
 
     def open_connection(self, use: DescriptorUse, host: str, now: float) -> RejectionReason:
-        """Count a connection: NONE if it may stay, else the reason for which the caller closes it."""
-        if self._open >= self._max_connections:
+        """Registers a connection; returns NONE if it is accepted, else why the caller must close it."""
+        if self._open_connections >= self._max_connections:
             return RejectionReason.NO_CAPACITY
-        self._open += 1
+        self._open_connections += 1
         return RejectionReason.NONE
 
     def close_connection(self, use: DescriptorUse, host: str) -> None:
-        """Count the end of a connection that stayed."""
-        self._open -= 1
+        """Registers the end of an accepted connection."""
+        self._open_connections -= 1
