--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -1,4 +1,4 @@
-"""Raft: simulated groups with faults by seed, rules broken on purpose, and single nodes step by step."""
+"""Tests of Raft: simulated groups with seeded faults, rules broken on purpose, and single nodes."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 from zincladder.consensus.raft_state import RaftState, Role
 from zincladder.consensus.read_index import ReadIndex
 
-FOUNDERS = Membership({"a": "127.0.0.1:1", "b": "127.0.0.1:2", "c": "127.0.0.1:3"})
+INITIAL_MEMBERS = Membership({"a": "127.0.0.1:1", "b": "127.0.0.1:2", "c": "127.0.0.1:3"})
 
 
 def entries_of(*terms: int) -> tuple[Entry, ...]:
     return tuple(Entry(term, EntryKind.DATA, b"entry %d" % i) for i, term in enumerate(terms))
 
 
-def play(seed: int) -> SimulatedGroup:
-    """Three or five members, some with spare ones that come and go; some with crashes at any step."""
-    world = SimulatedGroup(seed, 3 + 2 * (seed % 2), spare=seed % 3)
-    world.crash_probability = (0.0, 0.002, 0.004, 0.03)[seed % 4]
-    world.play(20)
-    return world
+def run_simulation(seed: int) -> SimulatedGroup:
+    """Runs a group of three or five members. By seed, members come and go, and crash at any step."""
+    group = SimulatedGroup(seed, 3 + 2 * (seed % 2), spare=seed % 3)
+    group.crash_probability = (0.0, 0.002, 0.004, 0.03)[seed % 4]
+    group.play(20)
+    return group
 
 
 # In simulation ------------------------------------------------------------------------------------
@@ -49,46 +49,47 @@
 def test_no_acknowledged_entry_is_lost_and_no_term_has_two_leaders_under_faults(block: int) -> None:
     figures = {"acknowledged": 0, "reads": 0, "crashes": 0, "changes": 0, "snapshots": 0}
     for seed in range(block * 60, block * 60 + 60):
-        for name, count in play(seed).figures.items():
+        for name, count in run_simulation(seed).figures.items():
             figures[name] += count
-    # the runs are worth something: entries, reads and every kind of trouble took place
+    # The test is meaningful only if entries, reads and every kind of fault occurred.
     assert figures["acknowledged"] > 300 and figures["reads"] > 100 and figures["crashes"] > 100
     assert figures["changes"] > 10 and figures["snapshots"] > 50
 
 
 def test_a_replica_that_missed_two_snapshots_receives_the_later_after_the_earlier() -> None:
-    # seen with real processes: the earlier one was sent again for ever, its reader never came further
-    world = SimulatedGroup(3)
-    world.run(20)
-    leader = world.leader()
+    # Guards against a fault seen with real processes: the leader resent the earlier snapshot for ever, so
+    # the replica never caught up.
+    group = SimulatedGroup(3)
+    group.run(20)
+    leader = group.leader()
     assert leader is not None and leader.node is not None
-    late = next(p for p in world.processes.values() if p is not leader)
-    world.crash(late)
+    lagging = next(p for p in group.processes.values() if p is not leader)
+    group.crash(lagging)
     for _ in range(2):
         for n in range(6):
             leader.node.propose(b"%d of %d" % (n, leader.index))
-            world.settle(leader)
-            world.run(world.now + 1)
-        leader.node.compact(leader.index, world.dump(leader))
-        world.settle(leader)
-        world.run(world.now + 3)
-    world.heal_and_check()
-    assert late.state == leader.state and len(late.state) >= 12
+            group.settle(leader)
+            group.run(group.now + 1)
+        leader.node.compact(leader.index, group.dump(leader))
+        group.settle(leader)
+        group.run(group.now + 3)
+    group.heal_and_check()
+    assert lagging.state == leader.state and len(lagging.state) >= 12
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(1000, 10**9))
 def test_any_seed_keeps_the_invariants(seed: int) -> None:
-    play(seed)
+    run_simulation(seed)
 
 
 def acknowledge_before_writing(monkeypatch: pytest.MonkeyPatch) -> None:
     write = SimulatedDisk.write
 
     def mutated(self: SimulatedDisk, output: Output) -> None:
-        kept = list(self.entries)
+        entries_before = list(self.entries)
         write(self, output)
-        if len(self.entries) > len(kept) and not output.snapshot:
+        if len(self.entries) > len(entries_before) and not output.snapshot:
             self.entries = self.entries[:-1]
 
     monkeypatch.setattr(SimulatedDisk, "write", mutated)
@@ -133,11 +134,11 @@
     breaks(monkeypatch)
     with pytest.raises((InvariantError, AssertionError)):
         for seed in range(400):
-            play(seed)
+            run_simulation(seed)
 
 
 class VoteLosingDisk(SimulatedDisk):
-    """A disk that loses the vote."""
+    """A disk that stores the term but loses the vote."""
 
     def write(self, output: Output) -> None:
         super().write(output)
@@ -145,18 +146,22 @@
 
 
 def count_leaders(disk: SimulatedDisk) -> int:
-    """Two candidates of one term ask the same voter, which is killed and starts again between them."""
+    """Two candidates of one term request the vote of one voter, which restarts after each request.
+
+    Returns how many of the candidates are elected.
+    """
     others = {
-        n: RaftNode(n, SimulatedDisk(HardState(), Snapshot(0, 0, FOUNDERS)).stored, 0.0, ord(n)) for n in "ac"
+        n: RaftNode(n, SimulatedDisk(HardState(), Snapshot(0, 0, INITIAL_MEMBERS)).stored, 0.0, ord(n))
+        for n in "ac"
     }
     voter = RaftNode("b", disk.stored, 0.0, 1)
     for pre in (True, False):
-        asks = {}
+        requests = {}
         for name, member in others.items():
             if pre:
                 member.tick(10.0)
-            asks[name] = [m for to, m in member.take_output().messages if to == "b"]
-        for name, messages in asks.items():
+            requests[name] = [m for to, m in member.take_output().messages if to == "b"]
+        for name, messages in requests.items():
             for message in messages:
                 assert isinstance(message, RequestVote) and message.pre_vote is pre
                 voter.receive(name, message, 10.0)
@@ -171,12 +176,12 @@
 
 
 def test_a_stored_vote_survives_a_kill_and_a_lost_one_elects_two_leaders() -> None:
-    assert count_leaders(SimulatedDisk(HardState(), Snapshot(0, 0, FOUNDERS))) == 1
-    assert count_leaders(VoteLosingDisk(HardState(), Snapshot(0, 0, FOUNDERS))) == 2
+    assert count_leaders(SimulatedDisk(HardState(), Snapshot(0, 0, INITIAL_MEMBERS))) == 1
+    assert count_leaders(VoteLosingDisk(HardState(), Snapshot(0, 0, INITIAL_MEMBERS))) == 2
 
 
 def test_entries_of_an_old_leader_are_rejected_with_the_new_term() -> None:
-    disk = SimulatedDisk(HardState(3, "c"), Snapshot(0, 0, FOUNDERS), list(entries_of(3, 3)))
+    disk = SimulatedDisk(HardState(3, "c"), Snapshot(0, 0, INITIAL_MEMBERS), list(entries_of(3, 3)))
     member = RaftNode("b", disk.stored, 0.0, 1)
     member.receive("a", AppendEntries(2, 1, 1, 3, 2, entries_of(2, 2)), 0.0)
     output = member.take_output()
@@ -186,8 +191,8 @@
 
 
 def test_an_entry_of_an_older_term_is_committed_only_by_one_of_the_present_term() -> None:
-    # guards what figure 8 of the paper shows: a majority has it, and a later leader takes it back
-    disk = SimulatedDisk(HardState(2, "b"), Snapshot(0, 0, FOUNDERS), list(entries_of(1, 2)))
+    # Figure 8 of the Raft paper: a majority stores the older entry, and a later leader still overwrites it.
+    disk = SimulatedDisk(HardState(2, "b"), Snapshot(0, 0, INITIAL_MEMBERS), list(entries_of(1, 2)))
     member = RaftNode("b", disk.stored, 0.0, 1)
     for answers in ({"pre_vote": True}, {"pre_vote": False}):
         if answers["pre_vote"]:
@@ -203,7 +208,7 @@
 
 def leader_with_committed_entry() -> RaftNode:
     """A leader of three whose first entry is committed."""
-    member = RaftNode("b", SimulatedDisk(HardState(), Snapshot(0, 0, FOUNDERS)).stored, 0.0, 1)
+    member = RaftNode("b", SimulatedDisk(HardState(), Snapshot(0, 0, INITIAL_MEMBERS)).stored, 0.0, 1)
     member.tick(10.0)
     for pre in (True, False):
         member.receive("a", RequestVoteResponse(1, True, pre), 10.0)
@@ -216,19 +221,20 @@
 
 def test_a_leader_that_removes_itself_fails_its_pending_reads() -> None:
     member = leader_with_committed_entry()
-    member.change_membership(Membership({n: w for n, w in FOUNDERS.voters.items() if n != "b"}))
-    member.request_read(7)  # asked before its removal is decided
+    member.change_membership(Membership({n: w for n, w in INITIAL_MEMBERS.voters.items() if n != "b"}))
+    member.request_read(7)  # before the removal is committed
     member.take_output()
-    for name in "ac":  # an answer to what was sent before the reading was asked for
+    for name in "ac":  # responses to messages that were sent before the read was requested
         member.receive(name, AppendEntriesResponse(1, 1, True, 2), 10.1)
     assert member.role is Role.FOLLOWER and member.take_output().failed_reads == (7,)
 
 
 def test_a_response_to_an_earlier_term_marks_no_peer_as_stale() -> None:
-    # seen on a busy machine: a replica that was only late counted as stale until it was added anew
+    # Guards against a fault seen on a busy machine: a replica that responded late was marked as stale and
+    # had to be removed and added again.
     member = leader_with_committed_entry()
-    member.receive("c", AppendEntriesResponse(1, 1, False, 0), 10.1)  # to what b sent when it led before
+    member.receive("c", AppendEntriesResponse(1, 1, False, 0), 10.1)  # to a message of an earlier term of b
     assert member.stale_peers == []
     member.receive("c", AppendEntriesResponse(1, 2, True, 1), 10.2)
-    member.receive("c", AppendEntriesResponse(1, 3, False, 1), 10.3)  # it had stored that
+    member.receive("c", AppendEntriesResponse(1, 3, False, 1), 10.3)  # c confirmed this entry before
     assert member.stale_peers == ["c"]
--- a/tests/consensus/test_replica_processes.py
+++ b/tests/consensus/test_replica_processes.py
@@ -1,4 +1,4 @@
-"""A group of replicas as real processes, which are killed, paused and partitioned."""
+"""Tests with replicas that run as real processes and are killed, paused and partitioned."""
 
 from __future__ import annotations
 
@@ -60,7 +60,8 @@
 
 
 async def test_a_replica_accepts_no_record_that_it_cannot_decode(tmp_path: Path) -> None:
-    # seen: one such write ended every replica that came to lead, one after the other
+    # Guards against a fault that was seen: one such write ended each replica that became the leader, one
+    # after the other.
     async with rig(tmp_path) as r:
         await r.replicas(1)
         for key, reason in (("policy", "no record"), ("terms", "own"), ("document/1", "by its content")):
@@ -78,13 +79,13 @@
         new = await r.leader(old)
         await r.write("a", b"after", *(r.ports.keys() - {old}))
         r.processes[old].go_on()
-        # asked before it can have heard anything of the other's term
-        place = {old: f"127.0.0.1:{r.ports[old]}"}
+        # The old leader is asked before it can have received a message of the new term.
+        addresses = {old: f"127.0.0.1:{r.ports[old]}"}
         try:
-            found = await Client("test", place, "late").get("a", 2.0)
+            found = await Client("test", addresses, "late").get("a", 2.0)
             assert found["a"].data == b"after"
-        except RequestFailedError as fault:
-            assert new in str(fault) or "knows no leader" in str(fault)
+        except RequestFailedError as error:
+            assert new in str(error) or "knows no leader" in str(error)
 
 
 async def test_a_minority_commits_nothing_and_reports_it(tmp_path: Path) -> None:
@@ -107,7 +108,7 @@
 async def test_a_partitioned_leader_is_replaced_and_its_open_write_is_done_or_not(
     tmp_path: Path, heard: bool, hears: bool
 ) -> None:
-    # cut off both ways, or one way: it hears and isn't heard, or is heard and hears nothing
+    # The old leader is cut off in both directions, or only its sent or only its received messages are lost.
     async with rig(tmp_path) as r:
         names = await r.replicas(3)
         old = await r.leader()
@@ -115,17 +116,17 @@
         r.cut(old, heard=heard, hears=hears)
         try:
             result = await r.client(old).compare_and_swap("a", first, b"2", 3.0)
-            taken = isinstance(result, Swapped)
+            acknowledged = isinstance(result, Swapped)
         except (OutcomeUnknownError, RequestFailedError):
-            taken = False
-        if heard:  # its word gets through to nobody: the others elect
+            acknowledged = False
+        if heard:  # the others receive no heartbeats, so they elect a new leader
             new = await r.leader(old)
             assert new != old
         await r.write("b", b"1", *(n for n in names if n != old))
         r.heal()
         found = await r.client().get("")
         assert found["b"].data == b"1"
-        assert found["a"].data == b"2" or not taken
+        assert found["a"].data == b"2" or not acknowledged
         await r.until("all three agree", lambda: have_same_commit_index(r, names))
 
 
@@ -153,10 +154,10 @@
         assert [v.data for v in found.values()] == [b"%d" % n for n in range(12)]
 
 
-async def test_a_replica_with_an_empty_directory_is_rejected_until_it_is_added_anew(
+async def test_a_replica_with_an_empty_directory_is_rejected_until_it_is_added_again(
     tmp_path: Path,
 ) -> None:
-    # guards votes: one that forgot its own could elect a leader that lacks what was answered
+    # A replica that has lost its vote could elect a leader that lacks acknowledged writes.
     async with rig(tmp_path) as r:
         names = await r.replicas(3)
         leader = await r.leader()
@@ -165,8 +166,10 @@
         r.processes[lost].kill()
         shutil.rmtree(r.processes[lost].folder / "kept")
         await r.start(lost)
-        await r.until("it logs the reason", lambda: r.processes[lost].events("rejected by another replica"))
-        reason = r.processes[lost].events("rejected by another replica")[0]["reason"]
+        await r.until(
+            "it logs the reason", lambda: r.processes[lost].events("connection to another replica rejected")
+        )
+        reason = r.processes[lost].events("connection to another replica rejected")[0]["reason"]
         assert "directory is not the one" in reason
         found = await r.status(lost)
         assert found is not None and found.last_index == 0
@@ -174,7 +177,7 @@
         assert await client.request(rpc.ChangeMembership(remove=lost)) == rpc.Done()
         r.processes[lost].kill()
         shutil.rmtree(r.processes[lost].folder / "kept")
-        file = r.processes[lost].folder / "keeper.toml"  # it is no founder any more: it is added
+        file = r.processes[lost].folder / "keeper.toml"  # without initial members, since it will be added
         text = file.read_text()
         before, _, after = text.partition("[keeper.members]")
         file.write_text(before + "[keeper.via]" + after.partition("[keeper.via]")[2])
@@ -187,7 +190,7 @@
 
         await r.until("it votes again", votes)
         other = next(n for n in names if n not in (leader, lost))
-        r.processes[other].kill()  # now its vote is needed
+        r.processes[other].kill()  # now a majority needs the replica that was added
         await r.write("a", b"2", leader, lost)
 
 
@@ -197,44 +200,44 @@
     async with rig(tmp_path) as r:
         names = await r.replicas(3)
         leader = await r.leader()
-        late = next(n for n in names if n != leader)
-        process = r.processes[late]
-        kept = process.folder / "kept"
+        stale = next(n for n in names if n != leader)
+        process = r.processes[stale]
+        directory = process.folder / "kept"
         await r.write("a", b"1")
         process.kill()
-        shutil.copytree(kept, tmp_path / "older")
-        await r.start(late)
+        shutil.copytree(directory, tmp_path / "older")
+        await r.start(stale)
         for n in range(5):
             await r.write(f"b/{n}", b"2")
 
-        async def stored() -> bool:
+        async def has_all_entries() -> bool:
             leader = await r.leader()
-            if leader == late:  # elected on a busy machine; what it has stored only another leader can tell
+            if leader == stale:  # elected on a busy machine; only another leader knows what it has stored
                 await r.client().request(rpc.TransferLeadership())
                 return False
             found = await r.status(leader)
-            return found is not None and found.match_indexes.get(late) == found.last_index
+            return found is not None and found.match_indexes.get(stale) == found.last_index
 
-        await r.until("it has all", stored)
+        await r.until("the replica has stored all entries", has_all_entries)
         process.kill()
-        shutil.rmtree(kept)
-        shutil.copytree(tmp_path / "older", kept)
-        await r.start(late)
+        shutil.rmtree(directory)
+        shutil.copytree(tmp_path / "older", directory)
+        await r.start(stale)
 
-        async def named() -> bool:
-            found = await r.status(await r.leader(late))
-            return found is not None and found.stale_peers == [late]
+        async def is_reported() -> bool:
+            found = await r.status(await r.leader(stale))
+            return found is not None and found.stale_peers == [stale]
 
-        await r.until("the leader names it", named)
-        leader = await r.leader(late)
-        other = next(n for n in names if n not in (leader, late))
-        r.processes[other].stop()  # two of three run, but what this one says is not counted
+        await r.until("the leader reports the stale replica", is_reported)
+        leader = await r.leader(stale)
+        other = next(n for n in names if n not in (leader, stale))
+        r.processes[other].stop()  # two of three run, but the stale one does not count for the quorum
 
-        async def leads_no_more() -> bool:
+        async def stepped_down() -> bool:
             found = await r.status(leader)
             return found is not None and found.role != "leader"
 
-        await r.until("it knows no majority", leads_no_more)
+        await r.until("the leader has stepped down", stepped_down)
         r.processes[other].go_on()
         await r.leader()
         await r.write("c", b"4")
@@ -247,7 +250,7 @@
     async with rig(tmp_path) as r:
         await r.replicas(3)
         full = r.processes[await r.leader()]
-        await r.write("big", bytes(50_000))  # its journal is larger than its log then
+        await r.write("big", bytes(50_000))  # so that the journal is larger than the log file of the process
         size = max(path.stat().st_size for path in (full.folder / "kept").iterdir())
         assert full.popen is not None
         resource.prlimit(full.popen.pid, resource.RLIMIT_FSIZE, (size + 300, size + 300))
@@ -256,7 +259,7 @@
         assert await full.ended() == 1
         (event,) = full.events("replica failed")
         assert "File too large" in event["reason"]
-        await r.start(full.name)  # with room again
+        await r.start(full.name)  # without the limit on file sizes
         found = await r.client().get("x/")
         assert [v.data for v in found.values()] == [b"%d" % n * 100 for n in range(12)]
 
@@ -266,7 +269,7 @@
         await r.replicas(1)
         for n in range(6):
             await r.write(f"big/{n}", bytes(200_000))
-        with pytest.raises(RequestFailedError, match="ask for less"):
+        with pytest.raises(RequestFailedError, match="request a longer prefix"):
             await r.client().get("big/")
         assert len(await r.client().get("big/1")) == 1
 
@@ -274,11 +277,11 @@
 async def test_a_replica_of_another_group_or_name_is_rejected_with_the_reason(tmp_path: Path) -> None:
     async with rig(tmp_path) as r:
         await r.replicas(1)
-        where = f"127.0.0.1:{r.ports['k1']}"
+        address = f"127.0.0.1:{r.ports['k1']}"
         with pytest.raises(RequestFailedError, match="group 'other', not 'test'"):
-            await Client("other", {"k1": where}, "x").get("a", 0.5)
-        with pytest.raises(RequestFailedError, match="'stranger' is no member"):
-            await Client("test", {"k1": where}, "stranger", "keeper").get("a", 0.5)
+            await Client("other", {"k1": address}, "x").get("a", 0.5)
+        with pytest.raises(RequestFailedError, match="'stranger' is not a member of the group"):
+            await Client("test", {"k1": address}, "stranger", "keeper").get("a", 0.5)
 
 
 async def test_a_torn_tail_is_truncated_and_corruption_before_it_is_reported(tmp_path: Path) -> None:
@@ -301,7 +304,7 @@
         process.start()
         assert await process.ended() == 1
         (event,) = process.events("replica failed")
-        assert path.name in event["reason"] and "whole records behind it" in event["reason"]
+        assert path.name in event["reason"] and "followed by intact records" in event["reason"]
 
 
 async def test_two_processes_never_share_a_directory(tmp_path: Path) -> None:
@@ -313,7 +316,7 @@
         r.processes["twin"] = twin
         twin.start()
         assert await twin.ended() == 1
-        assert "another process uses it" in twin.events("replica failed")[0]["reason"]
+        assert "another process is using this folder" in twin.events("replica failed")[0]["reason"]
 
 
 async def test_a_leader_transfers_leadership_before_a_graceful_shutdown(tmp_path: Path) -> None:
@@ -324,7 +327,7 @@
         r.processes[old].send(signal.SIGTERM)
         assert await r.processes[old].ended() == 0
         (event,) = r.processes[old].events("replica stopped")
-        assert event["was_leader"] is False  # another replica led before it ended
+        assert event["was_leader"] is False  # another replica led before this one stopped
         await r.until("another leads", lambda: [n for n in names if n != old and has_led(r, n)])
 
 
@@ -336,10 +339,10 @@
     async with rig(tmp_path) as r:
         names = await r.replicas(3)
         leader = await r.leader()
-        late = next(n for n in names if n != leader)
-        r.processes[late].kill()
+        lagging = next(n for n in names if n != leader)
+        r.processes[lagging].kill()
         client = r.client()
-        for n in range(12):  # each write takes 200 KB of journal, and a snapshot is due after 1 MB
+        for n in range(12):  # each write adds 200 KB to the journal, which is compacted above 1 MB
             version = getattr(client, "_seen", 0)
             result = await client.compare_and_swap("big", version, b"%02d" % n + bytes(200_000))
             assert isinstance(result, Swapped)
@@ -350,18 +353,18 @@
             return found is not None and found.snapshot_index > 5
 
         await r.until("the leader has compacted its log", compacted)
-        await r.start(late)
+        await r.start(lagging)
 
         async def caught_up() -> bool:
-            found, lead = await r.status(late), await r.status(leader)
+            found, lead = await r.status(lagging), await r.status(leader)
             return bool(
                 found and lead and found.commit_index == lead.commit_index and found.snapshot_index > 0
             )
 
         await r.until("it has caught up", caught_up)
-        other = next(n for n in names if n not in (leader, late))
+        other = next(n for n in names if n not in (leader, lagging))
         r.processes[other].kill()
-        assert (await r.client(leader, late).get("big"))["big"].data[:2] == b"11"
+        assert (await r.client(leader, lagging).get("big"))["big"].data[:2] == b"11"
 
 
 async def test_a_replicas_metrics_show_the_leader_and_silent_replicas(tmp_path: Path) -> None:
--- a/tests/consensus/test_store.py
+++ b/tests/consensus/test_store.py
@@ -1,4 +1,4 @@
-"""The store of a replica: what it returns after a restart, torn files, and disks that fail."""
+"""Tests of a replica's store: what it reads after a restart, truncated files and failing disks."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from zincladder.durable.errors import JournalError
 from zincladder.durable.files import FileSystem
 
-FOUNDERS = Membership({"a": "127.0.0.1:1", "b": "127.0.0.1:2", "c": "127.0.0.1:3"})
+INITIAL_MEMBERS = Membership({"a": "127.0.0.1:1", "b": "127.0.0.1:2", "c": "127.0.0.1:3"})
 
 
 def entries_of(*terms: int) -> tuple[Entry, ...]:
@@ -31,30 +31,32 @@
 
 def reopen(store: ReplicaStore, folder: Path) -> ReplicaStore:
     store.close()
-    return ReplicaStore(folder, "g", "a", FOUNDERS)
+    return ReplicaStore(folder, "g", "a", INITIAL_MEMBERS)
 
 
 def test_a_store_returns_what_was_written_and_later_entries_replace_earlier_ones(
     tmp_path: Path,
 ) -> None:
-    store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
-    assert store.stored == StoredState(HardState(), Snapshot(0, 0, FOUNDERS))
+    store = ReplicaStore(tmp_path / "s", "g", "a", INITIAL_MEMBERS)
+    assert store.stored == StoredState(HardState(), Snapshot(0, 0, INITIAL_MEMBERS))
     store.write(Output(hard_state=HardState(1, "b"), first_index=1, entries=entries_of(1, 1, 1)))
     store.write(Output(first_index=2, entries=entries_of(2)))
     store = reopen(store, tmp_path / "s")
     assert store.stored.hard_state == HardState(1, "b")
     assert [e.term for e in store.stored.entries] == [1, 2]
     assert store.remember_peer("b", "first") and not store.remember_peer("b", "second")
-    store.write(Output(snapshot=Snapshot(2, 2, FOUNDERS, b"state"), first_index=3, entries=entries_of(2)))
+    store.write(
+        Output(snapshot=Snapshot(2, 2, INITIAL_MEMBERS, b"state"), first_index=3, entries=entries_of(2))
+    )
     store = reopen(store, tmp_path / "s")
-    assert store.stored.snapshot == Snapshot(2, 2, FOUNDERS, b"state")
+    assert store.stored.snapshot == Snapshot(2, 2, INITIAL_MEMBERS, b"state")
     assert [e.term for e in store.stored.entries] == [2] and store.stored.hard_state == HardState(1, "b")
     assert not store.remember_peer("b", "second")
     assert len(list((tmp_path / "s").glob("*.log"))) == 1
 
 
 def test_a_store_truncated_at_any_byte_has_all_batches_before_the_last(tmp_path: Path) -> None:
-    store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
+    store = ReplicaStore(tmp_path / "s", "g", "a", INITIAL_MEMBERS)
     store.write(Output(hard_state=HardState(3, "b"), first_index=1, entries=entries_of(1, 1)))
     before = store.size_bytes
     store.write(Output(hard_state=HardState(4, "c"), first_index=3, entries=entries_of(4, 4, 4)))
@@ -63,34 +65,37 @@
     whole = path.read_bytes()
     for cut in range(before, len(whole)):
         path.write_bytes(whole[:cut])
-        again = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
-        found = again.stored
-        again.close()
+        reopened = ReplicaStore(tmp_path / "s", "g", "a", INITIAL_MEMBERS)
+        found = reopened.stored
+        reopened.close()
         assert found.hard_state in (HardState(3, "b"), HardState(4, "c"))
         assert [e.term for e in found.entries] == [1, 1, 4, 4, 4][: len(found.entries)]
         assert len(found.entries) >= 2
 
 
 class FailingFileSystem(FileSystem):
-    """A disk that fails at its nth call, and works again after it."""
+    """A file system whose call number `failing_call` fails; the calls after it succeed.
 
-    def __init__(self, at: int, half: bool = False) -> None:
-        self.left, self.half = at, half
+    With `half`, an append that fails writes half of its data first.
+    """
+
+    def __init__(self, failing_call: int, half: bool = False) -> None:
+        self.calls_left, self.half = failing_call, half
 
     def _call(self) -> None:
-        self.left -= 1
-        if self.left == 0:
+        self.calls_left -= 1
+        if self.calls_left == 0:
             raise OSError(errno.EIO, "input/output error")
 
-    def append(self, file: int, data: bytes) -> None:
-        if self.half and self.left == 1:
-            os.write(file, data[: len(data) // 2])
+    def append(self, descriptor: int, data: bytes) -> None:
+        if self.half and self.calls_left == 1:
+            os.write(descriptor, data[: len(data) // 2])
         self._call()
-        super().append(file, data)
+        super().append(descriptor, data)
 
-    def sync(self, file: int) -> None:
+    def sync(self, descriptor: int) -> None:
         self._call()
-        super().sync(file)
+        super().sync(descriptor)
 
     def rename(self, old: Path, new: Path) -> None:
         self._call()
@@ -102,20 +107,21 @@
 def test_after_a_failed_call_a_store_accepts_no_write_and_loses_none(
     tmp_path: Path, call: int, half: bool
 ) -> None:
-    # a failed sync is a lost vote, not a retry: the kernel may have dropped what it could not write
-    store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
+    # A failed sync must not be retried: the kernel may have dropped the data, and with it a vote, although a
+    # second sync succeeds.
+    store = ReplicaStore(tmp_path / "s", "g", "a", INITIAL_MEMBERS)
     store.write(Output(hard_state=HardState(1, "b"), first_index=1, entries=entries_of(1)))
     store.close()
-    store = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS, FailingFileSystem(call, half))
+    store = ReplicaStore(tmp_path / "s", "g", "a", INITIAL_MEMBERS, FailingFileSystem(call, half))
     written = [HardState(1, "b")]
     with pytest.raises(JournalError, match=r"input/output error"):
         for n in range(2, 9):
-            snapshot = Snapshot(1, 1, FOUNDERS, b"state") if n % 3 == 0 else None
+            snapshot = Snapshot(1, 1, INITIAL_MEMBERS, b"state") if n % 3 == 0 else None
             store.write(Output(hard_state=HardState(n, "c"), snapshot=snapshot, first_index=2))
             written.append(HardState(n, "c"))
     with pytest.raises(JournalError):
         store.write(Output(hard_state=HardState(99, "c")))
-    found = ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
+    found = ReplicaStore(tmp_path / "s", "g", "a", INITIAL_MEMBERS)
     assert found.stored.hard_state in (written[-1], HardState(written[-1].term + 1, "c"))
     found.close()
 
@@ -124,10 +130,10 @@
     "prepare, reason",
     [
         (
-            lambda folder: ReplicaStore(folder, "other", "a", FOUNDERS).close(),
+            lambda folder: ReplicaStore(folder, "other", "a", INITIAL_MEMBERS).close(),
             "'a''s of 'other'|'a'.s of 'other'",
         ),
-        (lambda folder: ReplicaStore(folder, "g", "b", FOUNDERS).close(), "'b'.s of 'g', not 'a'.s"),
+        (lambda folder: ReplicaStore(folder, "g", "b", INITIAL_MEMBERS).close(), "'b'.s of 'g', not 'a'.s"),
         (lambda folder: write_file(folder, f"{1:020d}.log", b"ZCSPOOL1" + bytes(8)), "no journal"),
         (lambda folder: write_file(folder, "notes.txt", b"mine"), "none of a journal's files"),
     ],
@@ -137,7 +143,7 @@
 ) -> None:
     prepare(tmp_path / "s")
     with pytest.raises(JournalError, match=reason):
-        ReplicaStore(tmp_path / "s", "g", "a", FOUNDERS)
+        ReplicaStore(tmp_path / "s", "g", "a", INITIAL_MEMBERS)
 
 
 def write_file(folder: Path, name: str, data: bytes) -> None:
--- a/tests/consensus/test_stored_and_sent_bytes.py
+++ b/tests/consensus/test_stored_and_sent_bytes.py
@@ -1,7 +1,7 @@
-"""Bytes that other processes and older programs rely on: messages, records on disk, a replica's directory.
+"""Tests that messages, records on disk and a replica's directory keep their bytes between versions.
 
-The fixtures were written by the program before its names were changed. A class or a field may be renamed;
-a tag, the order of fields or a type may not. Each line of a fixture is a name and the bytes in hexadecimal.
+The fixtures were written by an earlier version of the program. Classes and fields may be renamed; tags, types
+and the order of fields must stay. Each line of a fixture holds a name and the bytes in hexadecimal.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 from zincladder.consensus.store import RecordKind, ReplicaIdentity, ReplicaStore
 from zincladder.durable import records
 from zincladder.durable.journal import Item, Journal
-from zincladder.links.frames import FrameDecoder, Greeting, Hello, Rejected, Welcome, encode_frame
+from zincladder.links.frames import FrameDecoder, HandshakeResponse, Hello, Rejected, Welcome, encode_frame
 
 DATA = Path(__file__).resolve().parent.parent / "data"
 VOTERS = {"k1": "127.0.0.1:7301", "k2": "127.0.0.1:7302", "k3": "10.0.0.3:7300"}
@@ -56,7 +56,7 @@
     Entry(4, EntryKind.MEMBERS, msgspec.msgpack.encode(MEMBERS)),
 )
 
-RAFT: dict[str, Any] = {
+RAFT_MESSAGES: dict[str, Any] = {
     "vote requested": RequestVote(4, 17, 3),
     "vote requested before an election": RequestVote(5, 17, 3, True),
     "vote requested at a transfer": RequestVote(5, 17, 3, False, True),
@@ -70,7 +70,7 @@
     "part of a snapshot stored": InstallSnapshotResponse(4, 11, 500, 131078),
     "election at once": TimeoutNow(70000),
 }
-CALLS: dict[str, Any] = {
+REQUESTS: dict[str, Any] = {
     "status": rpc.RpcRequest(1, rpc.GetStatus()),
     "get": rpc.RpcRequest(2, rpc.GetByPrefix("policy/")),
     "swap": rpc.RpcRequest(3, CompareAndSwap("policy/a", 17, b"\x00\xffvalue")),
@@ -84,7 +84,7 @@
     "progress": rpc.RpcRequest(9, rpc.GetProgress()),
     "collect": rpc.RpcRequest(2**40, rpc.CollectCounters()),
 }
-ANSWERS: dict[str, Any] = {
+RESPONSES: dict[str, Any] = {
     "status": rpc.RpcResponse(
         1,
         rpc.ReplicaStatus(
@@ -110,7 +110,7 @@
     "unknown": rpc.RpcResponse(12, rpc.OutcomeUnknown("no majority has answered yet")),
     "done": rpc.RpcResponse(13, rpc.Done()),
 }
-GREETINGS: dict[str, Any] = {
+HANDSHAKES: dict[str, Any] = {
     "replica": Hello(1, "fleet", "keeper", "k1", "00112233aabbccdd"),
     "operator without a birth": Hello(1, "fleet", "operator", "me"),
     "front": Hello(1, "fleet", "front", "front-1", "ffeeddcc00112233"),
@@ -118,7 +118,7 @@
     "welcome": Welcome("k1", "00112233aabbccdd"),
     "refused": Rejected("group 'other', not 'fleet'"),
 }
-STATE: dict[str, Any] = {
+RECORDS: dict[str, Any] = {
     "identity": ReplicaIdentity(1, "fleet", "k1", "00112233aabbccdd"),
     "vote": HardState(4, "k2"),
     "no vote": HardState(),
@@ -132,7 +132,8 @@
 }
 
 
-# The order of fields, which is that of the arrays: two fields of one type could change places unnoticed.
+# The fields in the order in which they are encoded. The fixtures alone may not show that two fields of the
+# same type were swapped.
 FIELDS: dict[type[msgspec.Struct], str] = {
     RequestVote: "term last_index last_term pre_vote leadership_transfer",
     RequestVoteResponse: "term granted pre_vote",
@@ -177,8 +178,8 @@
 }
 
 
-def lines(name: str) -> dict[str, bytes]:
-    """A fixture file: what stands in each of its lines, by its name."""
+def read_fixture(name: str) -> dict[str, bytes]:
+    """The bytes in the lines of a fixture file, by name."""
     rows = (line.rsplit(" ", 1) for line in (DATA / name).read_text().splitlines())
     return {key: bytes.fromhex(data) for key, data in rows}
 
@@ -186,67 +187,69 @@
 @pytest.mark.parametrize(
     "file, messages, kind",
     [
-        ("raft_messages.hex", RAFT, Message),
-        ("replica_calls.hex", CALLS, rpc.RpcRequest),
-        ("replica_answers.hex", ANSWERS, rpc.RpcResponse),
+        ("raft_messages.hex", RAFT_MESSAGES, Message),
+        ("replica_calls.hex", REQUESTS, rpc.RpcRequest),
+        ("replica_answers.hex", RESPONSES, rpc.RpcResponse),
     ],
 )
 def test_messages_between_processes_keep_their_bytes(file: str, messages: dict[str, Any], kind: Any) -> None:
-    stored = lines(file)
+    stored = read_fixture(file)
     assert stored.keys() == messages.keys()
     for name, data in stored.items():
         assert msgspec.msgpack.encode(messages[name]) == data, name
         assert msgspec.msgpack.decode(data, type=kind) == messages[name], name
 
 
-def test_greetings_and_their_frames_keep_their_bytes() -> None:
-    stored = lines("link_frames.hex")
-    assert stored.keys() == GREETINGS.keys()
+def test_handshake_messages_and_their_frames_keep_their_bytes() -> None:
+    stored = read_fixture("link_frames.hex")
+    assert stored.keys() == HANDSHAKES.keys()
     for name, data in stored.items():
-        message = GREETINGS[name]
+        message = HANDSHAKES[name]
         assert encode_frame(msgspec.msgpack.encode(message)) == data, name
         (body,) = FrameDecoder().feed(data)
-        kind: Any = Hello if isinstance(message, Hello) else Greeting
+        kind: Any = Hello if isinstance(message, Hello) else HandshakeResponse
         assert msgspec.msgpack.decode(body, type=kind) == message, name
 
 
-def test_what_a_replica_stores_keeps_its_bytes() -> None:
-    stored = lines("replica_records.hex")
-    assert stored.keys() == STATE.keys()
+def test_records_of_a_replica_keep_their_bytes() -> None:
+    stored = read_fixture("replica_records.hex")
+    assert stored.keys() == RECORDS.keys()
     for name, data in stored.items():
-        assert msgspec.msgpack.encode(STATE[name]) == data, name
-        assert msgspec.msgpack.decode(data, type=type(STATE[name])) == STATE[name], name
+        assert msgspec.msgpack.encode(RECORDS[name]) == data, name
+        assert msgspec.msgpack.decode(data, type=type(RECORDS[name])) == RECORDS[name], name
 
 
 @pytest.mark.parametrize("message, names", FIELDS.items(), ids=lambda value: getattr(value, "__name__", ""))
-def test_fields_keep_their_places(message: type[msgspec.Struct], names: str) -> None:
+def test_fields_keep_their_order(message: type[msgspec.Struct], names: str) -> None:
     assert message.__struct_fields__ == tuple(names.split())
 
 
-def test_the_numbers_of_the_kinds_of_records_and_entries_stay() -> None:
-    assert [int(kind) for kind in RecordKind] == [0, 1, 2, 3, 4]  # identity, vote, snapshot, entry, births
-    assert [int(kind) for kind in EntryKind] == [0, 1, 2]  # empty, data, members
+def test_record_kinds_and_entry_kinds_keep_their_numbers() -> None:
+    # identity, hard state, snapshot, entry, peer instances
+    assert [int(kind) for kind in RecordKind] == [0, 1, 2, 3, 4]
+    # empty, data, members
+    assert [int(kind) for kind in EntryKind] == [0, 1, 2]
 
 
-def test_registers_are_dumped_to_the_same_bytes() -> None:
+def test_the_key_value_state_is_dumped_to_the_same_bytes() -> None:
     state = KeyValueState()
     state.apply(5, msgspec.msgpack.encode(CompareAndSwap("b", 0, b"second key")))
     state.apply(6, msgspec.msgpack.encode(CompareAndSwap("a", 0, b"\x00\xff")))
     state.apply(7, msgspec.msgpack.encode(CompareAndSwap("progress/x", 0, b"p", VersionGuard("a", 6))))
-    (data,) = lines("key_value_state.hex").values()
+    (data,) = read_fixture("key_value_state.hex").values()
     assert state.dump() == data and KeyValueState(data).dump() == data
 
 
 def test_records_of_segments_and_cursors_keep_their_bytes() -> None:
-    stored = lines("segments.hex")
-    segment = records.segment_header(records.JOURNAL, 1)
+    stored = read_fixture("segments.hex")
+    segment = records.segment_header(records.JOURNAL_MAGIC, 1)
     segment += (
         records.pack(1, 257, b"first") + records.pack(2, 386, b"") + records.pack(3, 2**40, b"\xff" * 9)
     )
     spool = records.segment_header(records.SPOOL, 70000) + records.pack(70000, 1_700_000_000_000, b"batch")
     cursor = records.pack_cursor(3, 70000) + records.pack_cursor(4, 70007)
     assert stored == {"journal": segment, "spool": spool, "cursor": cursor}
-    found = [(r.number, r.stamp, r.payload) for r in records.scan(stored["journal"], records.JOURNAL)]
+    found = [(r.number, r.stamp, r.payload) for r in records.scan(stored["journal"], records.JOURNAL_MAGIC)]
     assert found == [(1, 257, b"first"), (2, 386, b""), (3, 2**40, b"\xff" * 9)]
     assert records.read_cursor(stored["cursor"]) == (4, 70007)
 
@@ -259,7 +262,7 @@
     journal.close()
     (path,) = (tmp_path / "j").glob("*.log")
     assert path.name == "00000000000000000001.log"
-    assert path.read_bytes() == lines("journal.hex")["journal"]
+    assert path.read_bytes() == read_fixture("journal.hex")["journal"]
 
 
 def test_a_store_is_written_to_the_same_bytes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -272,10 +275,10 @@
     store.forget_peer("k2")
     store.close()
     second = (tmp_path / "s" / "00000000000000000002.log").read_bytes()
-    assert lines("replica_journal.hex") == {"first": first, "after a snapshot": second}
+    assert read_fixture("replica_journal.hex") == {"first": first, "after a snapshot": second}
 
 
-def test_the_directory_of_a_replica_of_the_earlier_program_is_read_and_goes_on(tmp_path: Path) -> None:
+def test_a_replica_directory_of_an_earlier_version_is_read_and_written_to(tmp_path: Path) -> None:
     folder = tmp_path / "replica"
     shutil.copytree(DATA / "replica", folder)
     store = ReplicaStore(folder, "test", "k2", Membership({}))
@@ -304,6 +307,6 @@
     store.write(Output(HardState(2, "k2"), None, False, 219, (Entry(2, EntryKind.EMPTY),)))
     store.close()
     store = ReplicaStore(folder, "test", "k2", Membership({}))
-    again = msgspec.structs.astuple(store.stored)
-    assert again[0] == HardState(2, "k2") and again[2] == (*entries, Entry(2, EntryKind.EMPTY))
+    reopened = msgspec.structs.astuple(store.stored)
+    assert reopened[0] == HardState(2, "k2") and reopened[2] == (*entries, Entry(2, EntryKind.EMPTY))
     store.close()
--- a/tests/durable/test_journal.py
+++ b/tests/durable/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: what it detects when its file is damaged."""
+"""Tests that the journal detects damage to its file."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 def test_a_corrupt_byte_before_the_last_batch_is_reported_with_the_file(tmp_path: Path) -> None:
-    # guards promises: what is cut off at a corrupt place may hold a vote
+    # The journal must not silently truncate its file at a corrupt byte: the rest may hold a vote.
     journal = Journal(tmp_path / "j")
     journal.rewrite([Item(1, b"first"), Item(2, b"second")])
     for n in range(3):
         journal.append([Item(1, b"%d" % n), Item(2, b"more")])
     journal.close()
     (path,) = (tmp_path / "j").glob("*.log")
-    whole = path.read_bytes()
-    last = whole.rindex(b"2", 0, whole.rindex(b"more")) - 24  # where the last batch begins
-    for at in range(16, len(whole)):
-        corrupt = bytearray(whole)
-        corrupt[at] ^= 0x40
+    intact = path.read_bytes()
+    last_batch = intact.rindex(b"2", 0, intact.rindex(b"more")) - 24  # offset of the last batch
+    for offset in range(16, len(intact)):
+        corrupt = bytearray(intact)
+        corrupt[offset] ^= 0x40
         path.write_bytes(corrupt)
-        if at < last:
-            with pytest.raises(JournalError, match=r"spoilt at byte \d+, with whole records behind it"):
+        if offset < last_batch:
+            with pytest.raises(JournalError, match=r"corrupt at byte \d+, followed by intact records"):
                 Journal(tmp_path / "j")
         else:
-            found = Journal(tmp_path / "j")
-            assert found.items[:6] == [(1, b"first"), (2, b"second"), (1, b"0"), (2, b"more"), (1, b"1"),
+            reopened = Journal(tmp_path / "j")
+            assert reopened.items[:6] == [(1, b"first"), (2, b"second"), (1, b"0"), (2, b"more"), (1, b"1"),
                                        (2, b"more")]  # fmt: skip
-            found.close()
+            reopened.close()
--- a/tests/leases/test_renewals.py
+++ b/tests/leases/test_renewals.py
@@ -1,4 +1,4 @@
-"""Renewals of one process's leases."""
+"""Tests of the schedule on which a process renews its leases."""
 
 from __future__ import annotations
 
--- a/tests/links/test_frames.py
+++ b/tests/links/test_frames.py
@@ -1,4 +1,4 @@
-"""The frames of links: any split of the bytes, and damage."""
+"""Tests of link frames: streams split at any byte, and corrupt frames."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 @given(st.lists(st.binary(max_size=200), max_size=8), st.integers(1, 40))
 def test_frames_are_decoded_however_the_bytes_are_split(bodies: list[bytes], step: int) -> None:
     data = b"".join(map(encode_frame, bodies))
-    frames = FrameDecoder()
-    found = [body for at in range(0, len(data), step) for body in frames.feed(data[at : at + step])]
+    decoder = FrameDecoder()
+    found = [body for at in range(0, len(data), step) for body in decoder.feed(data[at : at + step])]
     assert found == bodies
 
 
@@ -24,4 +24,5 @@
     corrupt = bytearray(encode_frame(body))
     corrupt[data.draw(st.integers(0, len(corrupt) - 1))] ^= data.draw(st.integers(1, 255))
     with contextlib.suppress(FrameError):
-        assert FrameDecoder().feed(bytes(corrupt)) == []  # it waits for more, by a length that grew
+        # A corrupt length can be larger than the frame; the decoder then waits for more bytes.
+        assert FrameDecoder().feed(bytes(corrupt)) == []
--- a/zincladder/consensus/__init__.py
+++ b/zincladder/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""A log and a state that a group of processes keeps as one, whichever minority of them fails."""
+"""A replicated log and key-value state, which stay available while a majority of the replicas runs."""
--- a/zincladder/consensus/client.py
+++ b/zincladder/consensus/client.py
@@ -1,4 +1,4 @@
-"""A caller of a group: finds the leader, and tells whether a request was done, was not, or may have been."""
+"""A client of a group: finds the leader and reports whether a request was done, not done, or may be done."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from zincladder.links.errors import HandshakeRejectedError
 from zincladder.links.frames import VERSION, Hello
 
-# Requests that change nothing: after a lost link they can be sent again.
+# These change nothing, so they are safe to send again after the connection was lost.
 READ_ONLY_REQUESTS = (rpc.GetByPrefix, rpc.GetStatus, rpc.GetProgress, rpc.CollectCounters)
-RETRY_SECONDS = 0.1  # before the replicas are asked once more who leads
+RETRY_SECONDS = 0.1  # delay before all replicas are tried again
 REQUEST_TIMEOUT_SECONDS = 8.0
 INSTANCE_ID_BYTES = 8
 
 
 class Client:
-    """One caller. Not for two tasks at once."""
+    """Sends requests to a group, one at a time: it must not be shared by concurrent tasks."""
 
     def __init__(self, group: str, addresses: Mapping[str, str], name: str, role: str = "operator") -> None:
         self._addresses = dict(addresses)
@@ -31,10 +31,13 @@
         self._last_number = 0
 
     async def request_from(
-        self, place: str, body: rpc.RequestBody, timeout_seconds: float = REQUEST_TIMEOUT_SECONDS
+        self, address: str, body: rpc.RequestBody, timeout_seconds: float = REQUEST_TIMEOUT_SECONDS
     ) -> rpc.ResponseBody:
-        """One request to the replica at an address, whatever its role. One of LINK_ERRORS if that fails."""
-        link, _ = await connect(parse_address(place), self._hello)
+        """Sends one request to the replica at `address`, leader or not, and returns its response.
+
+        Raises one of LINK_ERRORS if the replica can't be reached or does not respond within the timeout.
+        """
+        link, _ = await connect(parse_address(address), self._hello)
         try:
             with anyio.fail_after(timeout_seconds):
                 return await self._exchange(link, body)
@@ -52,56 +55,63 @@
     async def request(
         self, body: rpc.RequestBody, timeout_seconds: float = REQUEST_TIMEOUT_SECONDS
     ) -> rpc.ResponseBody:
-        """One request to the leader. RequestFailedError or OutcomeUnknownError without an answer in time."""
-        attempt = _Attempt(self._addresses)
+        """Sends one request to the leader and returns its response.
+
+        Raises RequestFailedError if no leader responds within the timeout and nothing was done, and
+        OutcomeUnknownError if the request may have been done.
+        """
+        state = _RequestState(self._addresses)
         with anyio.move_on_after(timeout_seconds):
             while True:
-                attempt.remaining = dict(self._addresses)
-                while attempt.remaining:
-                    response = await self._try_next(attempt, body)
+                state.untried = dict(self._addresses)
+                while state.untried:
+                    response = await self._try_next_replica(state, body)
                     if response is not None:
                         return response
                 await anyio.sleep(RETRY_SECONDS)
-        if attempt.may_be_done:
-            raise OutcomeUnknownError("no answer in time")
-        raise RequestFailedError(attempt.reasons())
+        if state.outcome_unknown:
+            raise OutcomeUnknownError("no response before the timeout")
+        raise RequestFailedError(state.failure_summary())
 
-    async def _try_next(self, attempt: _Attempt, body: rpc.RequestBody) -> rpc.ResponseBody | None:
-        """Sends the request to one replica; None where that one does not lead, or can't be reached."""
-        name, place = attempt.remaining.popitem()
+    async def _try_next_replica(self, state: _RequestState, body: rpc.RequestBody) -> rpc.ResponseBody | None:
+        """Sends the request to one replica; returns None if it does not lead or can't be reached."""
+        name, address = state.untried.popitem()
         try:
-            link, _ = await connect(parse_address(place), self._hello)
+            link, _ = await connect(parse_address(address), self._hello)
         except HandshakeRejectedError as error:
-            attempt.failures[name] = str(error)
+            state.failures[name] = str(error)
             return None
         except LINK_ERRORS as error:
-            attempt.failures[name] = str(error) or "no answer"
+            state.failures[name] = str(error) or "no response"
             return None
-        attempt.may_be_done = not isinstance(body, READ_ONLY_REQUESTS)
+        state.outcome_unknown = not isinstance(body, READ_ONLY_REQUESTS)
         try:
             response = await self._exchange_once(link, body)
         finally:
             await link.close()
-        attempt.may_be_done = False
+        state.outcome_unknown = False
         if not isinstance(response, rpc.NotLeader):
             return response
-        attempt.redirected(name, response.leader)
+        state.follow_redirect(name, response.leader)
         return None
 
     async def _exchange_once(self, link: Link, body: rpc.RequestBody) -> rpc.ResponseBody:
-        """Guards against doing twice: a change is not sent again once its outcome is unknown."""
+        """Sends the request once. If the link fails, only a read-only request may go to another replica.
+
+        A change is not sent again once its outcome is unknown, because it could then be done twice.
+        """
         try:
             return await self._exchange(link, body)
         except LINK_ERRORS as error:
             if isinstance(body, READ_ONLY_REQUESTS):
                 return rpc.NotLeader("", "")
             reason = str(error) or type(error).__name__
-            raise OutcomeUnknownError(f"the link was lost: {reason}") from None
+            raise OutcomeUnknownError(f"the connection was lost before the response: {reason}") from None
 
     async def get(
         self, prefix: str, timeout_seconds: float = REQUEST_TIMEOUT_SECONDS
     ) -> dict[str, VersionedValue]:
-        """The values whose keys begin so, no older than this call. Raises as `request`."""
+        """Returns the values whose keys begin with `prefix`, no older than this call. Raises as `request`."""
         response = await self.request(rpc.GetByPrefix(prefix), timeout_seconds)
         if isinstance(response, rpc.ValuesByPrefix):
             return response.values
@@ -110,7 +120,10 @@
     async def compare_and_swap(
         self, key: str, expected: int, data: bytes | None, timeout_seconds: float = REQUEST_TIMEOUT_SECONDS
     ) -> CompareAndSwapResult:
-        """Sets a value whose version is `expected`. Raises as `request`."""
+        """Sets the value of `key` if its version is `expected`, 0 if it must not exist. None removes it.
+
+        Raises as `request`.
+        """
         response = await self.request(CompareAndSwap(key, expected, data), timeout_seconds)
         if isinstance(response, rpc.OutcomeUnknown):
             raise OutcomeUnknownError(response.reason)
@@ -120,20 +133,20 @@
         return response
 
 
-class _Attempt:
-    """What one request has come to so far, over all replicas."""
+class _RequestState:
+    """The progress of one request over all replicas that were tried."""
 
     def __init__(self, addresses: Mapping[str, str]) -> None:
-        self.remaining = dict(addresses)  # replicas of this round; the last one is asked next
-        self.failures: dict[str, str] = {}
-        self.may_be_done = False  # a change was sent, and no answer has come
+        self.untried = dict(addresses)  # replicas left to try in this round; the last one is next
+        self.failures: dict[str, str] = {}  # why each replica did not handle the request
+        self.outcome_unknown = False  # a change was sent and no response has arrived
 
-    def redirected(self, name: str, leader: str) -> None:
-        """A replica does not lead; the one that it names is asked next."""
-        self.failures[name] = f"led by {leader}" if leader else "knows no leader"
-        if leader in self.remaining:
-            self.remaining[leader] = self.remaining.pop(leader)
+    def follow_redirect(self, name: str, leader: str) -> None:
+        """Records that a replica does not lead, and makes the leader that it names the next to try."""
+        self.failures[name] = f"not the leader, which is {leader}" if leader else "knows no leader"
+        if leader in self.untried:
+            self.untried[leader] = self.untried.pop(leader)
 
-    def reasons(self) -> str:
+    def failure_summary(self) -> str:
         failures = (f"{name}: {reason}" for name, reason in sorted(self.failures.items()))
-        return "; ".join(failures) or "no replica is named"
+        return "; ".join(failures) or "no replica addresses are given"
--- a/zincladder/consensus/disk_writer.py
+++ b/zincladder/consensus/disk_writer.py
@@ -1,4 +1,4 @@
-"""Writes of a replica's store, one at a time, in worker threads: the event loop never waits for a disk."""
+"""Runs the writes of a replica's store one at a time in worker threads, so the event loop does not block."""
 
 from __future__ import annotations
 
@@ -12,22 +12,23 @@
 
 
 class DiskWriter:
-    """Each method returns once the disk has what it wrote. JournalError: the replica has to end."""
+    """Each method returns once its data is synced to disk. After a JournalError the replica has to stop."""
 
     def __init__(self, store: ReplicaStore) -> None:
         self._store = store
         self._lock = anyio.Lock()
 
     async def write(self, output: Output) -> None:
-        """Stores what a node wants to be stored."""
+        """Writes the records of a node's output."""
         if output.has_writes:
             async with self._lock:
                 await anyio.to_thread.run_sync(self._store.write, output)
 
     async def remember_peer(self, name: str, instance_id: str) -> bool:
-        """Whether the member's directory is the one that is known under its name; the first one counts.
+        """Returns whether `instance_id` identifies the directory known for this member.
 
-        Guards votes: a replica that lost its directory has forgotten whom it voted for, and what it stored.
+        The first directory seen under a name is remembered. A replica that lost its directory has lost its
+        vote and its entries, so it must not go on under the same name.
         """
         if self._store.peer_instances.get(name) == instance_id:
             return True
@@ -35,7 +36,7 @@
             return await anyio.to_thread.run_sync(self._store.remember_peer, name, instance_id)
 
     async def forget_all_but(self, members: Collection[str]) -> None:
-        """Forgets the directories of replicas that were removed from the group."""
+        """Forgets the directories of replicas that are not in `members`, as they were removed."""
         removed = self._store.peer_instances.keys() - members
         async with self._lock:
             for name in removed:
--- a/zincladder/consensus/election.py
+++ b/zincladder/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: timeouts, pre-votes, votes. No I/O."""
+"""Leader election: election timeouts, pre-votes and votes. No I/O."""
 
 from __future__ import annotations
 
@@ -10,39 +10,40 @@
 
 
 class Election:
-    """One node's part in elections. `won` is called with the time when a majority has voted for it."""
+    """The elections of one node. `on_elected` is called with the current time once it has won one."""
 
-    def __init__(self, state: RaftState, seed: int, won: Callable[[float], None]) -> None:
-        self._state, self._won = state, won
+    def __init__(self, state: RaftState, seed: int, on_elected: Callable[[float], None]) -> None:
+        self._state, self._on_elected = state, on_elected
         self._random = random.Random(seed)
         self._votes: set[str] = set()
-        self._leader_heard_at = -float("inf")
-        self.timeout_at = 0.0  # when this node, unless it leads, is to seek election
+        self._leader_contact_at = -float("inf")
+        self.timeout_at = 0.0  # when this node starts an election, unless it leads
 
     def restart_timeout(self, now: float) -> None:
-        """Draws a new timeout, so that candidates seldom collide."""
-        spread = 1 + self._random.random()
-        self.timeout_at = now + self._state.timing.election_timeout_seconds * spread
+        """Restarts the election timeout with a new random length, so that candidates seldom collide."""
+        factor = 1 + self._random.random()
+        self.timeout_at = now + self._state.timing.election_timeout_seconds * factor
 
-    def leader_heard(self, now: float) -> None:
-        """A message of the term's leader has come."""
-        self._leader_heard_at = now
+    def record_leader_contact(self, now: float) -> None:
+        """Records a message from the leader of the current term."""
+        self._leader_contact_at = now
         self.restart_timeout(now)
 
     def has_leader(self, now: float) -> bool:
-        """Whether this node leads, or has heard its leader within the election timeout."""
+        """Whether this node leads, or has received a message from its leader within the election timeout."""
         if self._state.is_leader:
             return True
-        return now - self._leader_heard_at < self._state.timing.election_timeout_seconds
+        return now - self._leader_contact_at < self._state.timing.election_timeout_seconds
 
     def clear_votes(self) -> None:
-        """Forgets the votes of an election that is over."""
+        """Discards the votes of an election that is over."""
         self._votes = set()
 
     def start(self, now: float, pre_vote: bool, leadership_transfer: bool = False) -> None:
-        """Asks the other voters for their votes.
+        """Requests votes or pre-votes from the other voters.
 
-        Without a pre-vote, a node that was cut off would return with a term that ends a good leader's.
+        Without pre-votes, a node that was partitioned would return with a higher term and depose a working
+        leader.
         """
         state = self._state
         self.restart_timeout(now)
@@ -59,18 +60,18 @@
         for name in state.membership.voters:
             if name != state.name:
                 state.send(name, request)
-        self._count(now)
+        self._check_quorum(now)
 
-    def _count(self, now: float) -> None:
+    def _check_quorum(self, now: float) -> None:
         if not self._state.is_quorum(self._votes):
             return
         if self._state.role is Role.PRE_CANDIDATE:
             self.start(now, pre_vote=False)
         elif self._state.role is Role.CANDIDATE:
-            self._won(now)
+            self._on_elected(now)
 
-    def vote_requested(self, message: RequestVote, sender: str, now: float) -> None:
-        """Answers a request of the present term, or a pre-vote."""
+    def handle_vote_request(self, message: RequestVote, sender: str, now: float) -> None:
+        """Answers a vote request of the current term, or a pre-vote request."""
         if message.pre_vote:
             self._answer_pre_vote(message, sender)
             return
@@ -88,16 +89,19 @@
         term = message.term if granted else state.term
         state.send(sender, RequestVoteResponse(term, granted, True))
 
-    def vote_answered(self, message: RequestVoteResponse, sender: str, now: float) -> None:
-        """Counts a vote of the election or pre-vote that is under way."""
+    def handle_vote_response(self, message: RequestVoteResponse, sender: str, now: float) -> None:
+        """Counts a vote if it belongs to the election or pre-vote in progress."""
         state = self._state
         role = Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE
         term = state.term + 1 if message.pre_vote else state.term
         if message.granted and state.role is role and message.term == term:
             self._votes.add(sender)
-            self._count(now)
+            self._check_quorum(now)
 
     def _is_up_to_date(self, message: RequestVote) -> bool:
-        """Guards what a majority has stored: only a node that has all of it may lead."""
+        """Whether the candidate's log is at least as recent as this node's.
+
+        A leader elected under this rule has every committed entry.
+        """
         log = self._state.log
         return (message.last_term, message.last_index) >= (log.last_term, log.last_index)
--- a/zincladder/consensus/errors.py
+++ b/zincladder/consensus/errors.py
@@ -1,23 +1,23 @@
-"""Errors of the replicated log and its callers."""
+"""Errors that replicas and their clients raise."""
 
 from __future__ import annotations
 
 
 class NotLeaderError(Exception):
-    """Only the leader can do this, and nothing was done; the text is the leader's name, if it is known."""
+    """Raised by a replica that is not the leader; nothing was done. The text names the leader if known."""
 
 
 class BusyError(Exception):
-    """Nothing was done, as it can't be done at this moment; the text says what stands in the way."""
+    """Raised by a replica that can't do the request at the moment; nothing was done. The text says why."""
 
 
 class CommitUnknownError(Exception):
-    """An entry was appended and may be committed or lost; the text says what is known. For a replica."""
+    """Raised by a replica after it appended an entry that may be committed or lost; the text says why."""
 
 
 class RequestFailedError(Exception):
-    """Nothing was done; the text says why, by each replica that was asked. For a caller."""
+    """Raised by a client: nothing was done. The text gives the reason of each replica that was tried."""
 
 
 class OutcomeUnknownError(Exception):
-    """The link or the leader was lost after the request: it may have been done. For a caller."""
+    """Raised by a client that lost the connection or the leader after a request, which may have been done."""
--- a/zincladder/consensus/key_value_state.py
+++ b/zincladder/consensus/key_value_state.py
@@ -1,7 +1,7 @@
-"""The state that a group replicates: values by key, changed only from a version that the writer has seen.
+"""The replicated state: a key-value store that is changed only by compare-and-swap. No I/O.
 
-No I/O. A value's version is the index of the entry that wrote it, so it rises with each write of any value
-and is never given twice, not even after the value was removed: a version serves as a fencing token.
+The version of a value is the index of the log entry that wrote it. Versions therefore rise with each write to
+any key and are never reused, not even after a value is removed, so that a version can be a fencing token.
 """
 
 from __future__ import annotations
@@ -11,25 +11,28 @@
 MAX_KEYS = 4096
 MAX_KEY_BYTES = 200
 MAX_VALUE_BYTES = 256 << 10
-MAX_TOTAL_BYTES = 7 << 20  # a snapshot has to fit a record and a replica's memory
+MAX_TOTAL_BYTES = 7 << 20  # keys and values; a snapshot of them has to fit a record and a replica's memory
 
 
 class VersionedValue(msgspec.Struct, frozen=True, array_like=True):
-    """A value, and the version that a compare-and-swap of it has to name."""
+    """A value, and the version that a compare-and-swap has to expect in order to change it."""
 
     version: int
     data: bytes
 
 
 class VersionGuard(msgspec.Struct, frozen=True, array_like=True):
-    """Another key, and the version that it must have when the entry is applied: a fence in the log."""
+    """The version that another key must have for a swap to be applied: a fencing token check in the log."""
 
     key: str
     version: int
 
 
 class CompareAndSwap(msgspec.Struct, frozen=True, array_like=True, tag="swap"):
-    """Sets a value if it has the expected version, 0 where there is none. None as data removes it."""
+    """Sets the value of a key if its version is `expected`; 0 means that the key must not exist yet.
+
+    None as `data` removes the key.
+    """
 
     key: str
     expected: int
@@ -38,25 +41,25 @@
 
 
 class Swapped(msgspec.Struct, frozen=True, array_like=True, tag="swapped"):
-    """It was done; the version that the value has now."""
+    """The swap was applied; `version` is the value's new version."""
 
     version: int
 
 
 class VersionMismatch(msgspec.Struct, frozen=True, array_like=True, tag="missed"):
-    """Nothing was done: the value has another version, which is given."""
+    """Nothing was done: the value's version is not the expected one but `version`."""
 
     version: int
 
 
 class CapacityExceeded(msgspec.Struct, frozen=True, array_like=True, tag="full"):
-    """Nothing was done: a bound would be exceeded, or the entry cannot be read; the text says which."""
+    """Nothing was done: a limit would be exceeded or the entry cannot be decoded. `reason` says which."""
 
     reason: str
 
 
 class FencingTokenRejected(msgspec.Struct, frozen=True, array_like=True, tag="fenced"):
-    """Nothing was done: the guard has another version, which is given."""
+    """Nothing was done: the version of the guard's key is not the required one but `version`."""
 
     version: int
 
@@ -65,7 +68,7 @@
 
 
 class KeyValueState:
-    """The same at each replica that has applied the same entries."""
+    """Values by key. Replicas that have applied the same entries hold the same state."""
 
     def __init__(self, state: bytes = b"") -> None:
         self._values: dict[str, VersionedValue] = {}
@@ -77,19 +80,19 @@
         return len(self._values)
 
     def get(self, key: str) -> VersionedValue | None:
-        """The value of a key; None where there is none."""
+        """The value of a key; None if the key does not exist."""
         return self._values.get(key)
 
     def with_prefix(self, prefix: str) -> dict[str, VersionedValue]:
-        """All values whose keys begin so, in order of their keys."""
+        """All values whose keys begin with `prefix`, in order of their keys."""
         return {key: value for key, value in sorted(self._values.items()) if key.startswith(prefix)}
 
     def apply(self, index: int, data: bytes) -> CompareAndSwapResult:
-        """One entry. Whatever it holds, each replica comes to the same result."""
+        """Applies the data of the entry at `index`. Each replica gets the same result, whatever it holds."""
         try:
             swap: CompareAndSwap = msgspec.msgpack.decode(data, type=CompareAndSwap)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return CapacityExceeded(f"no swap: {error}")
+            return CapacityExceeded(f"the entry is not a compare-and-swap: {error}")
         if swap.guard is not None and self._version(swap.guard.key) != swap.guard.version:
             return FencingTokenRejected(self._version(swap.guard.key))
         if swap.expected != self._version(swap.key):
@@ -103,7 +106,7 @@
         return value.version if value else 0
 
     def _weight(self, key: str) -> int:
-        """Bytes that a key and its value count; 0 where there is none."""
+        """The size of a key and its value; 0 if the key does not exist."""
         value = self._values.get(key)
         return len(key) + len(value.data) if value else 0
 
@@ -113,17 +116,19 @@
         return Swapped(index)
 
     def _set(self, index: int, key: str, data: bytes) -> CompareAndSwapResult:
-        """Guards snapshots, which have to fit a record, and a replica's memory."""
+        """Sets a value within the limits, which keep a snapshot small enough for a record and for memory."""
         if len(key) > MAX_KEY_BYTES or len(data) > MAX_VALUE_BYTES:
-            return CapacityExceeded(f"a key has {MAX_KEY_BYTES} bytes and a value {MAX_VALUE_BYTES} at most")
+            return CapacityExceeded(
+                f"a key is limited to {MAX_KEY_BYTES} bytes and a value to {MAX_VALUE_BYTES} bytes"
+            )
         if key not in self._values and len(self._values) >= MAX_KEYS:
             return CapacityExceeded(f"{MAX_KEYS} registers at most")
         size = self.size - self._weight(key) + len(key) + len(data)
         if size > MAX_TOTAL_BYTES:
-            return CapacityExceeded(f"{MAX_TOTAL_BYTES} bytes at most in all registers")
+            return CapacityExceeded(f"{MAX_TOTAL_BYTES} bytes at most in all keys and values together")
         self._values[key], self.size = VersionedValue(index, data), size
         return Swapped(index)
 
     def dump(self) -> bytes:
-        """The state for a snapshot, the same bytes at each replica."""
+        """Encodes the state for a snapshot. Replicas with the same state produce the same bytes."""
         return msgspec.msgpack.encode(dict(sorted(self._values.items())))
--- a/zincladder/consensus/leader_services.py
+++ b/zincladder/consensus/leader_services.py
@@ -1,8 +1,8 @@
-"""Services that a replica runs for the fleet while it leads: the state of one term, and the links to it.
+"""The base of the services that a replica runs for the fleet while it leads. Uses anyio.
 
-On anyio. The term's state decides without I/O. It is made once a majority has confirmed that this replica
-leads, and dropped with all links when it leads no more. Messages are handed in only after such a
-confirmation.
+The decisions of a service are made by a term state, without I/O. It is created once a majority has confirmed
+that this replica leads, and is dropped with all links when the replica no longer leads. A message from a link
+reaches it only after another such confirmation.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 from zincladder.links.frames import Hello
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-MAX_QUEUED_MESSAGES = 64  # to one link; one that is dropped is asked for again
-RETRY_SECONDS = 0.1  # after a write that failed
+MAX_QUEUED_MESSAGES = 64  # per link; processes repeat a request whose reply was dropped
+RETRY_SECONDS = 0.1  # delay after a failed write
 MIN_WAIT_SECONDS = 0.005
 COMMIT_ERRORS = (NotLeaderError, BusyError, CommitUnknownError)
 log = structlog.get_logger()
 
 
 class TermState(Protocol):
-    """The decisions of one leader's term, without I/O."""
+    """Makes the decisions of a service in one leader's term, without I/O. Links are known by number."""
 
     term: int
 
@@ -45,33 +45,33 @@
         """When `tick` is due."""
 
     def tick(self, now: float) -> None:
-        """Does what is due."""
+        """Makes the decisions that are due at this time."""
 
-    def link_opened(self, number: int, name: str, process: str, now: float) -> str:
-        """A process has linked; why it can't take part, empty if it can."""
+    def link_opened(self, number: int, name: str, instance_id: str, now: float) -> str:
+        """Handles a new link of a process; returns why the process is rejected, or "" if it is accepted."""
 
     def link_closed(self, number: int, now: float) -> None:
-        """Its link is closed."""
+        """Handles the end of a link."""
 
     def message_received(self, number: int, message: Any, now: float) -> None:
-        """One of its messages."""
+        """Handles a message from a link."""
 
 
-P = TypeVar("P", bound=TermState)
+TermStateT = TypeVar("TermStateT", bound=TermState)
 
 
 @dataclass(frozen=True, slots=True)
 class LinkedProcess:
-    """A process that takes part: the queue of messages to it, and the scope of its link."""
+    """A connected process: the queue of messages to it, and the scope that ends its link."""
 
     queue: SendQueue
     scope: anyio.CancelScope
 
 
-class LeaderService(ABC, Generic[P]):
-    """One service of the leader, and the links of the processes that take part."""
+class LeaderService(ABC, Generic[TermStateT]):
+    """One service of the leader, and the links of the processes that use it."""
 
-    role: str  # in the greetings of the processes
+    role: str  # the role in the Hello of these processes
     messages: Any  # the type of their messages
 
     def __init__(
@@ -79,61 +79,63 @@
     ) -> None:
         self.replica, self.lease_timing, self.clock = replica, lease_timing, clock
         self._configured_timing = lease_timing
-        self.term_state: P | None = None
+        self.term_state: TermStateT | None = None
         self.links: dict[int, LinkedProcess] = {}
         self._last_number = 0
-        self.read_at = (
-            -1
-        )  # index up to which the term's state knows the log; -1: it has to read everything anew
-        self._wake_event = anyio.Event()
+        # The applied index at the latest `state_changed`; -1 makes the next `refresh` call it again.
+        self.read_at = -1
+        self._wakeup = anyio.Event()
         self._warning = RateLimitedLog().warning
         replica.state_listeners.append(self.wake)
         replica.link_handlers[self.role] = self.serve
-        replica.progress.append(self.progress)
+        replica.progress_reporters.append(self.progress)
 
-    # What each service defines ----------------------------------------------------------------------
+    # Defined by each service ------------------------------------------------------------------------
 
     @abstractmethod
-    def begin_term(self, since: float, term: int) -> P:
-        """The state of this term under `self.lease_timing`. A predecessor granted leases before `since`."""
+    def begin_term(self, since: float, term: int) -> TermStateT:
+        """Creates the state of a term with `self.lease_timing`.
+
+        Leaders of earlier terms granted no leases after `since`.
+        """
 
     @abstractmethod
-    def state_changed(self, term_state: P) -> None:
-        """Tells the term's state what the group has committed."""
+    def state_changed(self, term_state: TermStateT) -> None:
+        """Passes the committed state of the group to the term state."""
 
     @abstractmethod
-    def execute(self, term_state: P, tasks: anyio.abc.TaskGroup) -> None:
-        """Does what the term's state has decided."""
+    def execute(self, term_state: TermStateT, tasks: anyio.abc.TaskGroup) -> None:
+        """Carries out what the term state has decided."""
 
     @abstractmethod
     def not_leader_message(self, leader: str) -> Any:
-        """The message to a process that links to a replica which does not lead."""
+        """The message to a process that connects to a replica which does not lead."""
 
     @abstractmethod
     def progress(self) -> dict[str, object]:
-        """How the leader sees the service; empty where this replica doesn't lead."""
+        """The leader's view of the service; empty if this replica doesn't lead."""
 
     def message_received(self, number: int, message: Any) -> None:
-        """A message, before it is handed to the term's state."""
+        """Called with each message before the term state handles it."""
 
     def link_closed(self, number: int) -> None:
-        """A link is closed."""
+        """Called when a link is closed."""
 
     # Leading --------------------------------------------------------------------------------------
 
     def wake(self) -> None:
-        """The role, the state or a link has changed: looks again at once."""
-        self._wake_event.set()
+        """Makes `run` continue at once, since the role, the state or a link has changed."""
+        self._wakeup.set()
 
     async def run(self) -> None:
-        """Until it is cancelled."""
+        """Runs the service whenever this replica leads, until it is cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                self._wake_event = due = anyio.Event()
+                self._wakeup = wakeup = anyio.Event()
                 try:
-                    await self._lead()
+                    await self._ensure_term_state()
                 except COMMIT_ERRORS:
-                    self._drop()
+                    self._drop_term_state()
                     await anyio.sleep(RETRY_SECONDS)
                     continue
                 wait = math.inf
@@ -143,28 +145,34 @@
                     self.execute(self.term_state, tasks)
                     wait = max(MIN_WAIT_SECONDS, self.term_state.next_at - self.clock())
                 with anyio.move_on_after(wait):
-                    await due.wait()
+                    await wakeup.wait()
+
+    async def _ensure_term_state(self) -> None:
+        """Creates the state of the current term if this replica leads, or drops it if it doesn't.
 
-    async def _lead(self) -> None:
-        """A state for this term, once the group has confirmed that this replica leads; else none."""
+        It is created once a majority has confirmed the leadership. Raises COMMIT_ERRORS if that fails.
+        """
         node = self.replica.node
         if node.role is not Role.LEADER:
-            self._drop()
+            self._drop_term_state()
             return
         if self.term_state is not None and self.term_state.term == node.term:
             return
-        self._drop()
+        self._drop_term_state()
         since, term = self.clock(), node.term
         await self.replica.confirm_leadership()
-        # A predecessor may have granted leases until it was replaced; that was before `since`.
-        self.lease_timing = await self._agreed()
+        # A predecessor may have granted leases until it was replaced, which happened before `since`.
+        self.lease_timing = await self._agree_on_lease_timing()
         term_state = self.begin_term(since, term)
         if self.replica.node.term != term:
             raise NotLeaderError
         self.term_state, self.read_at = term_state, -1
 
-    async def _agreed(self) -> LeaseTiming:
-        """The group's lease timing: that of its first leader, whatever this replica's file says."""
+    async def _agree_on_lease_timing(self) -> LeaseTiming:
+        """Returns the group's lease timing.
+
+        The first leader of the group stores the timing of its file; every later leader uses the stored one.
+        """
         if self.replica.state.get(LEASE_TIMING_KEY) is None:
             await self.replica.compare_and_swap(
                 CompareAndSwap(LEASE_TIMING_KEY, 0, msgspec.msgpack.encode(self._configured_timing))
@@ -174,30 +182,31 @@
         lease_timing: LeaseTiming = msgspec.msgpack.decode(stored.data, type=LeaseTiming)
         if lease_timing != self._configured_timing:
             log.warning(
-                "lease timing of the group overrides this replica's file", lease_timing=str(lease_timing)
+                "lease timing in this replica's file differs from the group's and is ignored",
+                lease_timing=str(lease_timing),
             )
         return lease_timing
 
-    def _drop(self) -> None:
+    def _drop_term_state(self) -> None:
         if self.term_state is not None:
             self.term_state = None
             for process in self.links.values():
                 process.scope.cancel()
             self.links.clear()
 
-    def refresh(self, term_state: P) -> None:
-        """Applies to the term's state what the group has committed since the last time."""
+    def refresh(self, term_state: TermStateT) -> None:
+        """Passes the committed state to the term state if it has changed since the last call."""
         if self.replica.applied_index != self.read_at:
             self.read_at = self.replica.applied_index
             self.state_changed(term_state)
 
     def send(self, number: int, message: Any) -> None:
-        """Queues a message to a process; dropped where its link is closed."""
+        """Queues a message to a process; drops it if the link is closed."""
         if number in self.links:
             self.links[number].queue.put(message)
 
     async def try_compare_and_swap(self, swap: CompareAndSwap) -> None:
-        """A swap that is tried again on the next occasion if it fails."""
+        """Tries a swap once and ignores a failure, because the service repeats the swap later."""
         try:
             await self.replica.compare_and_swap(swap)
         except COMMIT_ERRORS:
@@ -206,7 +215,7 @@
     # Links ----------------------------------------------------------------------------------------
 
     async def serve(self, link: Link, hello: Hello) -> None:
-        """One process's link, until it fails or this replica leads no more."""
+        """Serves the link of one process until it fails or this replica no longer leads."""
         term_state = self.term_state
         if term_state is None or self.replica.node.role is not Role.LEADER:
             await link.send(self.not_leader_message(self.replica.node.leader))
@@ -217,7 +226,9 @@
             self.links[number] = LinkedProcess(queue, scope)
             try:
                 if reason := term_state.link_opened(number, hello.name, hello.instance_id, self.clock()):
-                    self._warning("process rejected", role=self.role, name=hello.name, reason=reason)
+                    self._warning(
+                        "process rejected by the leader", role=self.role, name=hello.name, reason=reason
+                    )
                     return
                 self.wake()
                 async with anyio.create_task_group() as tasks:
@@ -232,10 +243,11 @@
                 self.link_closed(number)
                 self.wake()
 
-    async def _receive(self, link: Link, number: int, term_state: P) -> None:
+    async def _receive(self, link: Link, number: int, term_state: TermStateT) -> None:
         while True:
             message = await link.receive(self.messages)
-            # Guards leases: nothing is granted on a message that a successor's wait would not cover.
+            # A leader that was replaced must grant no lease: its successor waits only for the leases that
+            # were granted before its own term.
             await self.replica.confirm_leadership()
             if self.term_state is not term_state:
                 return
--- a/zincladder/consensus/leadership_transfer.py
+++ b/zincladder/consensus/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Leadership transfer: the leader lets a voter that has the whole log be elected at once. No I/O."""
+"""Leadership transfer: the leader has a voter with the whole log start an election at once. No I/O."""
 
 from __future__ import annotations
 
@@ -7,20 +7,23 @@
 
 
 class LeadershipTransfer:
-    """While `active`, the leader accepts no entries: else no voter might ever have the whole log."""
+    """A transfer of the leadership to another voter.
+
+    While it is `active` the leader rejects new entries; otherwise no voter might ever have the whole log.
+    """
 
     def __init__(self, state: RaftState) -> None:
         self._state = state
         self.active = False
 
     def start(self) -> None:
-        """Begins, if this node leads."""
+        """Begins a transfer if this node leads."""
         if self._state.is_leader:
             self.active = True
             self.proceed()
 
     def proceed(self) -> None:
-        """Tells the voter heard last, of those that have the whole log, to stand for election."""
+        """Asks the most recently heard of the voters that have the whole log to start an election."""
         state = self._state
         if not self.active or not state.is_leader:
             return
@@ -31,5 +34,5 @@
             if name in state.peers and state.peers[name].match_index == last_index
         ]
         if candidates:
-            successor = max(candidates, key=lambda name: state.peers[name].heard_at)
+            successor = max(candidates, key=lambda name: state.peers[name].last_contact_at)
             state.send(successor, TimeoutNow(state.term))
--- a/zincladder/consensus/lease_timing.py
+++ b/zincladder/consensus/lease_timing.py
@@ -1,44 +1,48 @@
-"""The timing of a group's leases. Types only."""
+"""The timing of the leases that a group grants."""
 
 from __future__ import annotations
 
 import msgspec
 
-LEASE_TIMING_KEY = "terms"  # of the value that holds it, in the group's state
+LEASE_TIMING_KEY = "terms"  # the key of the LeaseTiming in the replicated state
 
 
 class LeaseTiming(msgspec.Struct, frozen=True, array_like=True):
-    """The timing that all replicas of a group share, so that a lease means one thing. The state holds it.
+    """The lease timing that all replicas of a group share. It is part of the replicated state.
 
-    `clock_drift` bounds by how much a clock errs in a second. A holder trusts `lease * (1 - drift)`, from its
-    request and by its own clock; a replica waits `lease * (1 + drift)`, from the grant and by its own clock.
+    `clock_drift` is the largest error of a clock per second. A lease holder relies on a lease for
+    `lease_seconds * (1 - clock_drift)` from its request, measured by its own clock. A replica treats it as
+    valid for `lease_seconds * (1 + clock_drift)` from the grant, measured by the replica's clock.
     """
 
     lease_seconds: float = 5.0
     renew_seconds: float = 1.0  # time between two renewals
     clock_drift: float = 0.01
-    # Time that fronts have to validate a policy.
+    # How long fronts may take to validate a policy.
     check_timeout_seconds: float = 3.0
-    # Time that fronts have to release their leases; after it all go on under the old version for now.
+    # How long fronts may take to release their leases. After that all of them keep the old version for now.
     release_timeout_seconds: float = 0.3
-    # Share of the known fronts; more than this share has to agree.
+    # More than this share of the known fronts has to accept a change.
     min_agreeing_share: float = 0.5
-    # Time that a decided change waits for a moment in which no front is missing.
+    # How long a decided change may wait for a time at which no front is absent.
     max_deferral_seconds: float = 15.0
-    # Time that a lease holder may be paused between its look at the clock and its effect.
+    # How long the holder of a task's lease may be paused between its check of the clock and its action.
     max_action_seconds: float = 0.2
 
     @property
     def trusted_seconds(self) -> float:
-        """How long a front relies on a lease."""
+        """How long a front relies on a lease, from its request."""
         return self.lease_seconds * (1 - self.clock_drift)
 
     @property
     def holder_seconds(self) -> float:
-        """How long the holder of a task's lease relies on it: it acts some time after it looked."""
+        """How long the holder of a task's lease relies on it, from its request.
+
+        It is shorter than `trusted_seconds`, because an action takes effect some time after the clock check.
+        """
         return self.trusted_seconds - self.max_action_seconds
 
     @property
     def expiry_seconds(self) -> float:
-        """How long a replica waits for a lease that nobody releases."""
+        """How long a replica waits, from the grant, until a lease that was not released has expired."""
         return self.lease_seconds * (1 + self.clock_drift)
--- a/zincladder/consensus/log.py
+++ b/zincladder/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log of a node, in memory: a snapshot and the entries after it. No I/O."""
+"""The in-memory log of a node: a snapshot and the entries after it. No I/O."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _MembershipAt:
-    """Members, and the index of the entry that they come from."""
+class _IndexedMembership:
+    """A membership, and the index of the log entry or snapshot that set it."""
 
     index: int
     membership: Membership
 
 
 class Log:
-    """A snapshot and the entries after it. The members in force are those of the latest entry on them."""
+    """A snapshot and the entries after it. The latest membership entry defines the current members."""
 
     def __init__(self, stored: StoredState) -> None:
         self.snapshot = stored.snapshot
         self._entries: list[Entry] = []
-        self._memberships = [_MembershipAt(self.snapshot_index, stored.snapshot.membership)]
-        self.stored_index = self.snapshot_index  # of the last entry that is on disk
+        self._memberships = [_IndexedMembership(self.snapshot_index, stored.snapshot.membership)]
+        self.stored_index = self.snapshot_index  # index of the last entry that is on disk
         for entry in stored.entries:
             self.append(entry)
         self.stored_index = self.last_index
@@ -47,16 +47,16 @@
 
     @property
     def membership(self) -> Membership:
-        """The members in force."""
+        """The current members."""
         return self._memberships[-1].membership
 
     @property
     def membership_index(self) -> int:
-        """The index of the entry that the members in force come from."""
+        """The index of the entry that set the current members."""
         return self._memberships[-1].index
 
     def term_at(self, index: int) -> int:
-        """The term of the entry at an index; -1 if it isn't known (not there, or compacted away)."""
+        """The term of the entry at `index`; -1 if the log does not hold it (not yet, or no longer)."""
         if index == self.snapshot_index:
             return self.snapshot.term
         if self.snapshot_index < index <= self.last_index:
@@ -69,7 +69,7 @@
     def entries_from(
         self, first_index: int, max_entries: int | None = None, max_bytes: int | None = None
     ) -> tuple[Entry, ...]:
-        """Entries from `first_index` on, up to these bounds; the first one whatever its size."""
+        """The entries from `first_index` on, within both limits; the first one may exceed `max_bytes`."""
         start = self._position(first_index)
         entries = self._entries[start : None if max_entries is None else start + max_entries]
         if max_bytes is not None:
@@ -81,22 +81,26 @@
         return tuple(entries)
 
     def first_index_of_term(self, index: int) -> int:
-        """The first index of the entries of one term that the entry at `index` is among."""
+        """The index of the first entry with the same term as the entry at `index`, after the snapshot."""
         term = self.term_at(index)
         while index - 1 > self.snapshot_index and self.term_at(index - 1) == term:
             index -= 1
         return index
 
     def append(self, entry: Entry) -> int:
-        """Appends an entry; its index."""
+        """Appends an entry and returns its index."""
         self._entries.append(entry)
         if entry.kind is EntryKind.MEMBERS:
             membership: Membership = msgspec.msgpack.decode(entry.data, type=Membership)
-            self._memberships.append(_MembershipAt(self.last_index, membership))
+            self._memberships.append(_IndexedMembership(self.last_index, membership))
         return self.last_index
 
     def replace_from(self, first_index: int, entries: Iterable[Entry]) -> None:
-        """Makes the log hold these from `first_index` on. It is cut only where an entry differs."""
+        """Makes the log hold `entries` from `first_index` on.
+
+        The log is truncated only at an entry that differs: entries after matching ones are kept, since this
+        may be a delayed message.
+        """
         for index, entry in enumerate(entries, first_index):
             if index <= self.last_index and self.term_at(index) != entry.term:
                 self._truncate(index)
@@ -110,26 +114,26 @@
         self.stored_index = min(self.stored_index, index - 1)
 
     def compact(self, index: int, state: bytes) -> None:
-        """A snapshot replaces all entries up to `index`, which have been applied."""
-        membership = next(known.membership for known in reversed(self._memberships) if known.index <= index)
+        """Replaces all entries up to `index`, which must be applied, by a snapshot of `state`."""
+        membership = next(item.membership for item in reversed(self._memberships) if item.index <= index)
         snapshot = Snapshot(index, self.term_at(index), membership, state)
         del self._entries[: index - self.snapshot_index]
-        later = [known for known in self._memberships if known.index > index]
-        self._memberships = [_MembershipAt(index, membership), *later]
+        later = [item for item in self._memberships if item.index > index]
+        self._memberships = [_IndexedMembership(index, membership), *later]
         self.snapshot = snapshot
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """A leader's snapshot replaces the log, but for entries that are known to follow it."""
+        """Replaces the log by a leader's snapshot, but keeps the entries that are known to follow it."""
         matches = self.term_at(snapshot.index) == snapshot.term
         following = self.entries_from(snapshot.index + 1) if matches else ()
         self.snapshot, self._entries = snapshot, []
-        self._memberships = [_MembershipAt(snapshot.index, snapshot.membership)]
+        self._memberships = [_IndexedMembership(snapshot.index, snapshot.membership)]
         for entry in following:
             self.append(entry)
         self.stored_index = snapshot.index
 
     def take_unstored(self) -> tuple[int, tuple[Entry, ...]]:
-        """The entries that were not on disk at the last call, and the index of the first."""
+        """Returns the entries that were not on disk at the last call, and the index of the first one."""
         first_index = max(self.stored_index, self.snapshot_index) + 1
         self.stored_index = self.last_index
         return first_index, self.entries_from(first_index)
--- a/zincladder/consensus/log_replication.py
+++ b/zincladder/consensus/log_replication.py
@@ -1,4 +1,4 @@
-"""Log replication: the leader's entries to its peers, their answers, and what they commit. No I/O."""
+"""Log replication: sends the leader's entries to its peers and commits what a majority has stored. No I/O."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 from zincladder.consensus.snapshot_transfer import send_chunk
 
 MAX_ENTRIES_PER_MESSAGE = 256
-MAX_ENTRIES_BYTES = 256 << 10  # in a message; one entry goes whatever its size
+MAX_ENTRIES_BYTES = 256 << 10  # per message; a single larger entry is still sent
 
 
-def follow(state: RaftState, message: AppendEntries, sender: str) -> None:
-    """A follower takes the entries that fit its log, and answers."""
+def handle_append_entries(state: RaftState, message: AppendEntries, sender: str) -> None:
+    """Stores the leader's entries if they follow this node's log, and sends the response."""
     prev_index, entries = message.prev_index, message.entries
     snapshot_index = state.log.snapshot_index
-    if prev_index < snapshot_index:  # all that the snapshot covers is committed, and so the same there
+    if prev_index < snapshot_index:
+        # The snapshot covers only committed entries, and those are the same at the leader.
         entries = entries[snapshot_index - prev_index :]
         prev_index = min(snapshot_index, prev_index + len(message.entries))
     elif state.log.term_at(prev_index) != message.prev_term:
@@ -36,31 +37,34 @@
 
 
 def _next_index_hint(state: RaftState, prev_index: int) -> int:
-    """Skips a whole term of entries that differ, so that a log far off needs few rounds."""
+    """The index that the leader tries next.
+
+    It skips all entries of the differing term at once, so that logs that differ much match after few rounds.
+    """
     if prev_index > state.log.last_index:
         return state.log.last_index
     return state.log.first_index_of_term(prev_index) - 1
 
 
 class LogReplication:
-    """The leader's side. `removed` is called when the entry that removes this node is committed."""
+    """Replication by the leader. `on_removed` is called once the removal of this node is committed."""
 
-    def __init__(self, state: RaftState, reads: ReadIndex, removed: Callable[[], None]) -> None:
-        self._state, self._reads, self._removed = state, reads, removed
+    def __init__(self, state: RaftState, reads: ReadIndex, on_removed: Callable[[], None]) -> None:
+        self._state, self._reads, self._on_removed = state, reads, on_removed
 
     def broadcast(self) -> None:
-        """A message to each peer: entries where it lacks some, else a heartbeat."""
+        """Sends each peer the entries that it lacks, or a heartbeat."""
         for name, peer in self._state.peers.items():
             self.send_next(name, peer)
 
     def heartbeat(self) -> None:
-        """As `broadcast`, and what was not answered since the last one is sent again."""
+        """Does the same as `broadcast`, and resends what was not answered since the last heartbeat."""
         for peer in self._state.peers.values():
             peer.awaiting_response = False
         self.broadcast()
 
     def send_next(self, name: str, peer: PeerProgress) -> None:
-        """The next entries, or the next chunk of a snapshot; a heartbeat where an answer is awaited."""
+        """Sends a peer its next entries or snapshot chunk, or a heartbeat while a response is awaited."""
         state = self._state
         state.message_serial += 1
         if peer.next_index <= state.log.snapshot_index:
@@ -80,7 +84,7 @@
         state.send(name, message)
 
     def append(self, entry: Entry) -> int:
-        """Appends to the leader's log and sends it on; its index."""
+        """Appends an entry to the leader's log, sends it to the peers and returns its index."""
         index = self._state.log.append(entry)
         for name, peer in self._state.peers.items():
             if not peer.awaiting_response:
@@ -88,8 +92,8 @@
         self._advance_commit_index()
         return index
 
-    def entries_answered(self, message: AppendEntriesResponse, sender: str, now: float) -> None:
-        """A peer has stored entries, or its log differs from what was sent."""
+    def handle_append_response(self, message: AppendEntriesResponse, sender: str, now: float) -> None:
+        """Handles the response of a peer that has stored entries, or whose log does not match."""
         peer = self._acknowledge(sender, message.serial, now)
         if peer is None:
             return
@@ -100,8 +104,9 @@
             peer.awaiting_response = False
             self._advance_commit_index()
         elif message.index <= peer.match_index:
-            # Stored and gone again in one term: it runs on an older directory, unless the answer came late.
-            # 0 answers a message of an earlier term of this leader, and tells nothing of what is stored.
+            # The peer no longer has an entry that it confirmed in this term, so its directory is an older
+            # copy, unless the response was delayed (its serial shows that). Index 0 responds to a message
+            # of an earlier term of this leader and says nothing about what the peer stores.
             peer.stale |= message.index > 0 and message.serial > peer.match_serial
             return
         elif message.index == peer.next_index - 1:
@@ -111,8 +116,8 @@
         if not peer.awaiting_response and (lacks_entries or not message.success):
             self.send_next(sender, peer)
 
-    def chunk_answered(self, message: InstallSnapshotResponse, sender: str, now: float) -> None:
-        """A peer names the chunk of a snapshot that it wants next."""
+    def handle_snapshot_response(self, message: InstallSnapshotResponse, sender: str, now: float) -> None:
+        """Handles the response of a peer that asks for the next chunk of a snapshot."""
         peer = self._acknowledge(sender, message.serial, now)
         if peer is not None and peer.snapshot and peer.snapshot.index == message.index:
             peer.offset = min(message.offset, len(peer.snapshot.state))
@@ -120,40 +125,43 @@
             self.send_next(sender, peer)
 
     def _acknowledge(self, sender: str, serial: int, now: float) -> PeerProgress | None:
-        """Guards quorums: whoever is no member, or runs on an older directory, is not counted."""
+        """Records that a peer has answered; returns its progress, or None if the response doesn't count.
+
+        Non-members and members with an older copy of their directory must not count for a quorum.
+        """
         peer = self._state.peers.get(sender)
         if not self._state.is_leader or peer is None or peer.stale:
             return None
-        peer.heard_at = now
+        peer.last_contact_at = now
         peer.acknowledged_serial = max(peer.acknowledged_serial, serial)
         self._reads.confirm()
         return peer
 
     def _advance_commit_index(self) -> None:
-        """Commits what a majority has stored.
+        """Commits the entries that a majority has stored.
 
-        Only entries of the present term are counted: an older one that a majority stores can still be lost
-        (figure 8 of the paper).
+        Only an entry of the current term is committed by counting: a majority may store an entry of an
+        earlier term and a later leader may still replace it (figure 8 of the Raft paper).
         """
         state = self._state
         index = self._index_stored_by_majority()
         if index <= state.commit_index or state.log.term_at(index) != state.term:
             return
         state.commit_index = index
-        self._reads.committed()
-        self.broadcast()  # peers learn of the commit now rather than at the next heartbeat
+        self._reads.on_commit()
+        self.broadcast()  # so that peers learn the commit index before the next heartbeat
         if not state.is_voter and not state.membership_change_is_open():
-            self._removed()
+            self._on_removed()
 
     def _index_stored_by_majority(self) -> int:
         stored = sorted(self._stored_index(name) for name in self._state.membership.voters)
         return stored[(len(stored) - 1) // 2] if stored else 0
 
     def _stored_index(self, name: str) -> int:
-        """The last index that a voter stores.
+        """The index of the last entry that a voter is known to store.
 
-        The leader's own entries count before they are on disk: the host writes them before it sends or
-        applies anything.
+        The leader's own entries count before they are on disk, because the host writes them before it sends
+        or applies anything.
         """
         if name == self._state.name:
             return self._state.log.last_index
--- a/zincladder/consensus/membership_change.py
+++ b/zincladder/consensus/membership_change.py
@@ -1,8 +1,8 @@
-"""Changes of the group's members, one voter at a time. No I/O.
+"""Membership changes of the group, one voter at a time. No I/O.
 
-Majorities before and after such a change have a member in common, so that no two leaders can be elected in
-one term. A new member is a learner first, and becomes a voter once it has nearly the whole log: else it would
-count for the quorum before it can confirm anything.
+Any majority before such a change and any majority after it have a member in common, so two leaders cannot be
+elected in one term. A new member starts as a learner and becomes a voter once it has nearly the whole log;
+otherwise it would raise the quorum while it cannot confirm any entry yet.
 """
 
 from __future__ import annotations
@@ -14,27 +14,30 @@
 from zincladder.consensus.model import Entry, EntryKind, Membership
 from zincladder.consensus.raft_state import PeerProgress, RaftState
 
-PROMOTION_LAG_ENTRIES = 64  # a learner that lacks no more becomes a voter
+PROMOTION_LAG_ENTRIES = 64  # a learner that lacks at most this many entries becomes a voter
 
 
 class MembershipChange:
-    """The leader's side of such changes."""
+    """Appends membership changes to the log of the leader."""
 
     def __init__(self, state: RaftState, replication: LogReplication) -> None:
         self._state, self._replication = state, replication
 
     def request(self, membership: Membership) -> int:
-        """Appends the entry; its index. BusyError while another change is open, or for several voters."""
+        """Appends the new membership and returns the index of its entry.
+
+        Raises BusyError while another change is not committed, and for a change of more than one voter.
+        """
         state = self._state
         old, new = state.membership.voters, membership.voters
         if state.membership_change_is_open() or not state.has_committed_in_term():
-            raise BusyError("another change of the members is not decided yet")
+            raise BusyError("an earlier membership change is not committed yet")
         if len(old.keys() ^ new.keys()) > 1 or not new:
             raise BusyError("one voter at a time")
         return self._append(membership)
 
     def promote_learner(self) -> None:
-        """Makes the first learner that has nearly the whole log a voter."""
+        """Makes the first learner that has nearly the whole log a voter, unless a change is open."""
         state = self._state
         if not state.has_committed_in_term() or state.membership_change_is_open():
             return
@@ -42,7 +45,11 @@
         for name, address in membership.learners.items():
             match_index = state.peers[name].match_index
             if match_index and match_index + PROMOTION_LAG_ENTRIES >= state.log.last_index:
-                learners = {other: at for other, at in membership.learners.items() if other != name}
+                learners = {
+                    other: other_address
+                    for other, other_address in membership.learners.items()
+                    if other != name
+                }
                 self._append(Membership(membership.voters | {name: address}, learners))
                 return
 
--- a/zincladder/consensus/model.py
+++ b/zincladder/consensus/model.py
@@ -1,7 +1,8 @@
-"""Messages between the members of a group, and their records on disk. Types only.
+"""Types of the Raft messages between the members of a group and of the records a member stores. No logic.
 
-All are msgspec structs written as arrays. Indexes count the log's entries from 1; terms count elections.
-Names, terms and rules are those of the Raft paper (Ongaro and Ousterhout, 2014) and its dissertation.
+Messages and stored records are msgspec structs encoded as arrays. Indexes number the log's entries from 1;
+terms number the elections. Names and rules follow the Raft paper (Ongaro and Ousterhout, 2014) and Ongaro's
+dissertation.
 """
 
 from __future__ import annotations
@@ -13,15 +14,15 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What an entry of the log holds."""
+    """The kinds of log entries."""
 
-    EMPTY = 0  # a new leader's first, by which what came before is committed
+    EMPTY = 0  # the first entry of each term; committing it commits the entries of earlier terms too
     DATA = 1
     MEMBERS = 2
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log, and the term of the leader that took it."""
+    """One entry of the log, with the term of the leader that appended it."""
 
     term: int
     kind: EntryKind
@@ -29,7 +30,7 @@
 
 
 class Membership(msgspec.Struct, frozen=True, array_like=True):
-    """Who belongs to the group, with the address of each; learners get the log and have no vote yet."""
+    """The members of the group by name, with their addresses. Learners receive the log but do not vote."""
 
     voters: dict[str, str]
     learners: dict[str, str] = {}
@@ -41,14 +42,17 @@
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True):
-    """What a member may never forget: the latest term it knows, and whom it gave its vote in it."""
+    """The latest term that a member knows and the candidate it voted for in that term; "" for none.
+
+    It has to survive restarts: a member that forgot its vote could vote twice in one term.
+    """
 
     term: int = 0
     voted_for: str = ""
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The state that all entries up to `index` lead to, in their place."""
+    """The state after all entries up to `index` are applied. It replaces these entries."""
 
     index: int
     term: int
@@ -57,7 +61,7 @@
 
 
 class StoredState(msgspec.Struct, frozen=True):
-    """All that a member finds in its directory when it starts."""
+    """What a member reads from its directory when it starts."""
 
     hard_state: HardState
     snapshot: Snapshot
@@ -68,17 +72,20 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """A candidate asks for a vote; with `pre_vote`, whether it would get one in a term not begun yet."""
+    """A candidate requests a vote.
+
+    With `pre_vote` it asks whether it would get the vote in `term`, which has not begun yet.
+    """
 
     term: int
     last_index: int
     last_term: int
     pre_vote: bool = False
-    leadership_transfer: bool = False  # at the leader's own request
+    leadership_transfer: bool = False  # the leader asked the candidate to start this election
 
 
 class RequestVoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
-    """The answer; `term` is that of the election if it is granted, else the voter's."""
+    """The response to RequestVote. `term` is the election's if the vote is granted, else the voter's own."""
 
     term: int
     granted: bool
@@ -86,7 +93,10 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="append"):
-    """Entries that follow `prev_index`; a heartbeat without any. `serial` rises with each message."""
+    """The entries that follow `prev_index`. Without entries it is a heartbeat.
+
+    `serial` numbers the messages that a leader sends in one term, so that a response names its message.
+    """
 
     term: int
     serial: int
@@ -97,9 +107,10 @@
 
 
 class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
-    """The answer: all up to `index` is stored as the leader has it, or the entry at `index` differs.
+    """The response to AppendEntries, and to a snapshot that is installed or not needed.
 
-    `next_index_hint` is where to try next.
+    With `success` the member's log matches the leader's up to `index`. Otherwise its entry at `index` is
+    missing or differs, and `next_index_hint` is the index that the leader tries next.
     """
 
     term: int
@@ -110,7 +121,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="install"):
-    """A chunk of a snapshot, at `offset` of `total_bytes`."""
+    """One chunk of a snapshot, which begins at byte `offset` of `total_bytes`."""
 
     term: int
     serial: int
@@ -123,7 +134,7 @@
 
 
 class InstallSnapshotResponse(msgspec.Struct, frozen=True, array_like=True, tag="installing"):
-    """The answer: the offset of the chunk that is wanted next."""
+    """The response to InstallSnapshot: the offset of the next chunk that the member needs."""
 
     term: int
     serial: int
@@ -132,7 +143,7 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag="now"):
-    """The leader tells its successor to stand for election at once."""
+    """The leader asks a voter to start an election at once, without waiting for its election timeout."""
 
     term: int
 
@@ -149,18 +160,19 @@
 
 
 class OutgoingMessage(NamedTuple):
-    """A message and the name of the member that it goes to."""
+    """A message and the name of the member that receives it."""
 
     to: str
     message: Message
 
 
 class Output(msgspec.Struct, frozen=True):
-    """What a node wants done, in this order: written and synced to disk; then sent; then applied.
+    """What the host has to do for a node, in this order: write and sync to disk, send, apply.
 
-    `entries` begin at `first_index` and replace all stored entries from there on. A `snapshot` goes before
-    them and replaces all up to its index; with `restore_state` the state is to be read from it. `committed`
-    entries are to be applied from index `applied_index` + 1 on.
+    `entries` begin at `first_index` and replace all stored entries from that index on. A `snapshot` is
+    written before them and replaces all entries up to its index; with `restore_state` the host also replaces
+    its applied state by the snapshot's. The first of the `committed` entries to apply has the index
+    `applied_index` + 1.
     """
 
     hard_state: HardState | None = None
@@ -171,10 +183,10 @@
     messages: tuple[OutgoingMessage, ...] = ()
     applied_index: int = 0
     committed: tuple[Entry, ...] = ()
-    ready_reads: tuple[int, ...] = ()  # tickets: the state may be read once all of `committed` is applied
-    failed_reads: tuple[int, ...] = ()  # tickets that this node can't answer any more
+    ready_reads: tuple[int, ...] = ()  # tickets of reads to answer once all of `committed` is applied
+    failed_reads: tuple[int, ...] = ()  # tickets of reads that this node can no longer answer
 
     @property
     def has_writes(self) -> bool:
-        """Whether anything has to be written before the messages are sent."""
+        """Whether something has to be written to disk before the messages are sent."""
         return self.hard_state is not None or self.snapshot is not None or bool(self.entries)
--- a/zincladder/consensus/pending.py
+++ b/zincladder/consensus/pending.py
@@ -1,4 +1,4 @@
-"""Outcomes that callers wait for: of an entry, or of a confirmation of the leadership. On anyio."""
+"""Outcomes that requests wait for: of a log entry, or of a leadership confirmation. Uses anyio."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 class Pending(Generic[T]):
     """An outcome that is not known yet."""
 
-    def __init__(self, unresolved: T) -> None:
-        self._outcome = unresolved
+    def __init__(self, initial: T) -> None:
+        self._outcome = initial
         self._resolved = anyio.Event()
 
     def resolve(self, outcome: T) -> None:
-        """The outcome is known."""
+        """Sets the outcome and wakes the waiting task."""
         self._outcome = outcome
         self._resolved.set()
 
     async def wait(self) -> T:
-        """The outcome. CommitUnknownError where no majority answers in time."""
+        """Waits for the outcome and returns it. Raises CommitUnknownError after COMMIT_TIMEOUT_SECONDS."""
         with anyio.move_on_after(COMMIT_TIMEOUT_SECONDS):
             await self._resolved.wait()
         if not self._resolved.is_set():
@@ -35,7 +35,10 @@
 
 
 class PendingEntry(Pending[CompareAndSwapResult | None]):
-    """An entry of a term. Its result; None where it has none, or another entry stands in its place."""
+    """The result of an entry appended in `term`.
+
+    It is None if the entry has no result, another entry has its index, or a snapshot covers that index.
+    """
 
     def __init__(self, term: int) -> None:
         super().__init__(None)
--- a/zincladder/consensus/raft.py
+++ b/zincladder/consensus/raft.py
@@ -1,9 +1,9 @@
-"""One node of a group that replicates a log: Raft, without I/O.
+"""One node of a group that replicates a log with the Raft algorithm. No I/O.
 
-Messages and the time go in, an Output comes out at `take_output`. The host writes what is to be written
-before it sends anything: what was promised then outlives a kill at any instruction. Messages may be lost,
-duplicated and reordered. Time is any monotonic clock of the process; safety doesn't rest on it, only how
-soon a leader is missed.
+The host passes in messages and the time, and collects an Output with `take_output`. It writes the Output's
+records to disk before it sends the messages, so that no vote or acknowledgement is lost if the process is
+killed at any instruction. Messages may be lost, duplicated and reordered. The time is that of any monotonic
+clock of the process: it decides only how soon a failed leader is noticed; safety does not depend on it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from zincladder.consensus.errors import BusyError, NotLeaderError
 from zincladder.consensus.leadership_transfer import LeadershipTransfer
 from zincladder.consensus.log import Log
-from zincladder.consensus.log_replication import LogReplication, follow
+from zincladder.consensus.log_replication import LogReplication, handle_append_entries
 from zincladder.consensus.membership_change import MembershipChange
 from zincladder.consensus.model import (
     AppendEntries,
@@ -41,7 +41,7 @@
 
 
 class RaftNode:
-    """One member's part: it hands messages and the time to the rules, and gathers what they want done."""
+    """One member of the group. Passes messages and the time to the parts of Raft, collects their output."""
 
     def __init__(
         self, name: str, stored: StoredState, now: float, seed: int, timing: RaftTiming | None = None
@@ -59,7 +59,7 @@
         self._restore_state = False
         self._election.restart_timeout(now)
 
-    # Questions ------------------------------------------------------------------------------------
+    # State ----------------------------------------------------------------------------------------
 
     @property
     def name(self) -> str:
@@ -73,17 +73,17 @@
 
     @property
     def role(self) -> Role:
-        """What this node is in that term."""
+        """The role of this node in that term."""
         return self._state.role
 
     @property
     def leader(self) -> str:
-        """The leader's name; empty while none is known."""
+        """The leader's name; empty while no leader is known."""
         return self._state.leader
 
     @property
     def log(self) -> Log:
-        """The log, in memory."""
+        """The log as held in memory."""
         return self._state.log
 
     @property
@@ -93,17 +93,17 @@
 
     @property
     def peers(self) -> dict[str, PeerProgress]:
-        """The other members' progress, while this node leads."""
+        """The replication progress of the other members while this node leads; empty otherwise."""
         return self._state.peers
 
     @property
     def membership(self) -> Membership:
-        """The members in force, committed or not."""
+        """The current members, whether their log entry is committed or not."""
         return self._state.membership
 
     @property
     def stale_peers(self) -> list[str]:
-        """Members that came back with less than they had stored: their directories are older copies."""
+        """Names of the members that lost entries they had confirmed: their directories are older copies."""
         return sorted(name for name, peer in self._state.peers.items() if peer.stale)
 
     @property
@@ -114,26 +114,26 @@
     # Time -----------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Does what is due at this time: heartbeats of a leader, else the election timeout."""
+        """Sends the heartbeats that are due if this node leads, else handles an election timeout."""
         if now < self.next_at:
             return
         if self._state.is_leader:
-            self._lead(now)
+            self._tick_leader(now)
         elif self._state.is_voter:
             self._election.start(now, pre_vote=True)
         else:
             self._election.restart_timeout(now)
 
-    def _lead(self, now: float) -> None:
+    def _tick_leader(self, now: float) -> None:
         timing = self._state.timing
-        heard = {
+        reachable = {
             name
             for name, peer in self._state.peers.items()
-            if now - peer.heard_at < timing.election_timeout_seconds
+            if now - peer.last_contact_at < timing.election_timeout_seconds
         }
-        if not self._state.is_quorum(heard | {self.name}):
-            # Guards callers of a leader that is cut off while the others have long elected another.
-            self._follow(self.term, "", now)
+        if not self._state.is_quorum(reachable | {self.name}):
+            # The others may have elected a new leader meanwhile. Callers must not wait on this one.
+            self._become_follower(self.term, "", now)
             return
         self._state.next_heartbeat_at = now + timing.heartbeat_seconds
         self._replication.heartbeat()
@@ -143,7 +143,7 @@
 
     # Changes of role ------------------------------------------------------------------------------
 
-    def _follow(self, term: int, leader: str, now: float) -> None:
+    def _become_follower(self, term: int, leader: str, now: float) -> None:
         state = self._state
         if term > state.term:
             state.term, state.voted_for = term, ""
@@ -174,22 +174,22 @@
     # Messages -------------------------------------------------------------------------------------
 
     def receive(self, sender: str, message: Message, now: float) -> None:
-        """One message from another member."""
+        """Handles one message from another member."""
         if message.term < self.term:
             self._reject_old_term(message, sender)
             return
         if message.term > self.term:
             if isinstance(message, RequestVote):
                 if not message.leadership_transfer and self._election.has_leader(now):
-                    return  # guards a good leader from those who can't hear it
+                    return  # a member that is cut off from the leader must not depose it
                 if not message.pre_vote:
-                    self._follow(message.term, "", now)
+                    self._become_follower(message.term, "", now)
             elif not (isinstance(message, RequestVoteResponse) and message.granted):
-                self._follow(message.term, "", now)
+                self._become_follower(message.term, "", now)
         self._handle(message, sender, now)
 
     def _reject_old_term(self, message: Message, sender: str) -> None:
-        """An old leader or candidate learns that its term is over; answers of an old term are dropped."""
+        """Tells the sender of an old term's request the current term. Drops responses of old terms."""
         if isinstance(message, RequestVote):
             self._state.send(sender, RequestVoteResponse(self.term, False, message.pre_vote))
         elif isinstance(message, AppendEntries | InstallSnapshot):
@@ -201,11 +201,11 @@
 
     @_handle.register
     def _(self, message: RequestVote, sender: str, now: float) -> None:
-        self._election.vote_requested(message, sender, now)
+        self._election.handle_vote_request(message, sender, now)
 
     @_handle.register
     def _(self, message: RequestVoteResponse, sender: str, now: float) -> None:
-        self._election.vote_answered(message, sender, now)
+        self._election.handle_vote_response(message, sender, now)
 
     @_handle.register
     def _(self, message: TimeoutNow, sender: str, now: float) -> None:
@@ -214,16 +214,16 @@
 
     @_handle.register
     def _(self, message: AppendEntries, sender: str, now: float) -> None:
-        self._leader_heard(sender, now)
-        follow(self._state, message, sender)
+        self._recognize_leader(sender, now)
+        handle_append_entries(self._state, message, sender)
 
     @_handle.register
     def _(self, message: AppendEntriesResponse, sender: str, now: float) -> None:
-        self._replication.entries_answered(message, sender, now)
+        self._replication.handle_append_response(message, sender, now)
 
     @_handle.register
     def _(self, message: InstallSnapshot, sender: str, now: float) -> None:
-        self._leader_heard(sender, now)
+        self._recognize_leader(sender, now)
         snapshot = self._snapshots.receive(message, sender)
         if snapshot is not None:
             self._applied_index = snapshot.index
@@ -231,45 +231,51 @@
 
     @_handle.register
     def _(self, message: InstallSnapshotResponse, sender: str, now: float) -> None:
-        self._replication.chunk_answered(message, sender, now)
+        self._replication.handle_snapshot_response(message, sender, now)
 
-    def _leader_heard(self, sender: str, now: float) -> None:
+    def _recognize_leader(self, sender: str, now: float) -> None:
         if self.role is not Role.FOLLOWER or self.leader != sender:
-            self._follow(self.term, sender, now)
-        self._election.leader_heard(now)
+            self._become_follower(self.term, sender, now)
+        self._election.record_leader_contact(now)
 
-    # What a leader is asked for -------------------------------------------------------------------
+    # Requests to the leader -----------------------------------------------------------------------
 
     def _check_accepts(self) -> None:
         if not self._state.is_leader:
             raise NotLeaderError(self.leader)
         if self._transfer.active:
-            raise BusyError("the leader hands over")
+            raise BusyError("the leader is transferring its leadership to another replica")
 
     def propose(self, data: bytes) -> tuple[int, int]:
-        """Appends an entry; its index and term: it was committed if the entry applied there has that term.
+        """Appends an entry and returns its index and term.
 
-        NotLeaderError or BusyError where it isn't appended. Once it is, only the log can tell its outcome.
+        The entry was committed if the entry that is applied at this index has this term. Raises
+        NotLeaderError or BusyError if it is not appended. Once appended, only the log shows its outcome.
         """
         self._check_accepts()
         if self.log.last_index - self.commit_index >= MAX_UNCOMMITTED_ENTRIES:
-            raise BusyError(f"{MAX_UNCOMMITTED_ENTRIES} entries wait for a majority")
+            raise BusyError(f"{MAX_UNCOMMITTED_ENTRIES} entries are not yet stored by a majority")
         return self._replication.append(Entry(self.term, EntryKind.DATA, data)), self.term
 
     def change_membership(self, membership: Membership) -> tuple[int, int]:
-        """Appends other members, one voter more or less than now; returns and raises as `propose`."""
+        """Appends a membership entry that adds or removes one voter at most, or changes learners.
+
+        Returns and raises as `propose`.
+        """
         self._check_accepts()
         index = self._changes.request(membership)
         return index, self.term
 
     def transfer_leadership(self) -> None:
-        """Lets another voter lead once one has the whole log; nothing is accepted meanwhile."""
+        """Makes another voter the leader as soon as one has the whole log; until then rejects requests."""
         self._transfer.start()
 
     def request_read(self, ticket: int) -> None:
-        """Comes back in `ready_reads` once the state applied then is no older than this moment.
+        """Starts a linearizable read; `ticket` is a number that the caller chooses.
 
-        In `failed_reads` if this node leads no more. NotLeaderError or BusyError where it isn't taken.
+        The ticket appears in `ready_reads` of an Output once the applied state is no older than this call,
+        or in `failed_reads` if this node stops leading. Raises NotLeaderError or BusyError if the read is
+        not accepted.
         """
         self._check_accepts()
         self._reads.request(ticket)
@@ -277,18 +283,19 @@
     # Output ---------------------------------------------------------------------------------------
 
     def compact(self, index: int, state: bytes) -> None:
-        """A snapshot takes the place of all entries up to `index`; `state` is what they lead to.
+        """Replaces all entries up to `index` by a snapshot of `state`, the state after they are applied.
 
-        Ignored where they are not all applied, or are compacted already.
+        Does nothing if not all of them are applied, or if they are compacted already.
         """
         if self.log.snapshot_index < index <= self._applied_index:
             self.log.compact(index, state)
             self._snapshot_to_store = self.log.snapshot
-            self.log.stored_index = index  # what follows is written with it, in one new file
+            # The entries after the snapshot are written again, because it begins a new file.
+            self.log.stored_index = index
 
     def take_output(self) -> Output:
-        """All that is to be done since the last time."""
-        if self._reads.take_round() and self._state.is_leader:
+        """Returns what the host has to do since the last call."""
+        if self._reads.take_broadcast_request() and self._state.is_leader:
             self._replication.broadcast()
             self._reads.confirm()
         hard_state = HardState(self.term, self._state.voted_for)
--- a/zincladder/consensus/raft_state.py
+++ b/zincladder/consensus/raft_state.py
@@ -1,4 +1,4 @@
-"""The state of one Raft node that its rules share: term, vote, log, role, peers, messages. No I/O."""
+"""The state that the parts of a Raft node share: term, vote, log, role, peers, outgoing messages. No I/O."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Role(enum.Enum):
-    """What a node is in the present term. The values are shown to operators."""
+    """The role of a node in the current term. The values are shown to operators."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "asking"  # collects pre-votes before it begins a term
+    PRE_CANDIDATE = "asking"  # collects pre-votes before it begins a new term
     CANDIDATE = "candidate"
     LEADER = "leader"
 
@@ -23,8 +23,8 @@
 class RaftTiming:
     """Timing of heartbeats and elections.
 
-    A follower that hears no leader becomes a candidate after `election_timeout_seconds` to twice that, drawn
-    anew each time.
+    A voter that receives nothing from a leader starts a pre-vote after a random time between
+    `election_timeout_seconds` and twice that; the time is drawn again for each election.
     """
 
     heartbeat_seconds: float = 0.1
@@ -36,18 +36,18 @@
     """What a leader knows of another member."""
 
     next_index: int
-    heard_at: float
+    last_contact_at: float  # when the latest response arrived
     match_index: int = 0
-    match_serial: int = 0  # of the message by whose answer `match_index` was learned
-    acknowledged_serial: int = 0  # the latest of this leader's messages that was answered
-    awaiting_response: bool = False  # to entries, or to a chunk of a snapshot
-    snapshot: Snapshot | None = None  # being transferred
-    offset: int = 0  # of the next chunk of it
-    stale: bool = False  # it lacks entries that it had confirmed: it runs on an older directory
+    match_serial: int = 0  # serial of the message whose response set `match_index`
+    acknowledged_serial: int = 0  # highest serial that the member has answered
+    awaiting_response: bool = False  # entries or a snapshot chunk were sent and are not answered yet
+    snapshot: Snapshot | None = None  # the snapshot being transferred
+    offset: int = 0  # byte offset of its next chunk
+    stale: bool = False  # it lost entries that it had confirmed: its directory is an older copy
 
 
 class RaftState:
-    """One node's state. `name` is among the stored members, or will be once it has been added."""
+    """The state of one node. `name` may be missing from the stored members until the node is added."""
 
     def __init__(self, name: str, stored: StoredState, timing: RaftTiming) -> None:
         self.name, self.timing = name, timing
@@ -59,35 +59,35 @@
         self.leader = ""
         self.peers: dict[str, PeerProgress] = {}
         self.next_heartbeat_at = 0.0
-        self.message_serial = 0  # of the latest message of this leader's term
+        self.message_serial = 0  # serial of the latest message sent in this leader's term
         self.outgoing: list[OutgoingMessage] = []
 
     @property
     def membership(self) -> Membership:
-        """The members in force: those of the log's latest entry on them, committed or not."""
+        """The current members: those of the latest membership entry in the log, committed or not."""
         return self.log.membership
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads, as far as it knows."""
+        """Whether this node believes that it leads; another node may have been elected since."""
         return self.role is Role.LEADER
 
     @property
     def is_voter(self) -> bool:
-        """Whether this node has a vote."""
+        """Whether this node is a voter."""
         return self.name in self.membership.voters
 
     def is_quorum(self, names: Iterable[str]) -> bool:
-        """Whether these include a majority of the voters."""
+        """Whether `names` include a majority of the voters."""
         voters = self.membership.voters
         return 2 * len(voters.keys() & set(names)) > len(voters)
 
     def has_committed_in_term(self) -> bool:
-        """Whether an entry of the present term is committed, and so all entries before it."""
+        """Whether an entry of the current term is committed, and with it all entries before it."""
         return self.log.term_at(self.commit_index) == self.term
 
     def membership_change_is_open(self) -> bool:
-        """Whether the latest entry on the members is not committed yet."""
+        """Whether the latest membership entry is not committed yet."""
         return self.log.membership_index > self.commit_index
 
     def send(self, to: str, message: Message) -> None:
--- a/zincladder/consensus/rpc.py
+++ b/zincladder/consensus/rpc.py
@@ -1,4 +1,4 @@
-"""Requests of fronts, workers and operators to a replica, and its responses. Types only."""
+"""The requests that clients send to a replica, and its responses. Types only."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 
 
 class GetStatus(msgspec.Struct, frozen=True, array_like=True, tag="status"):
-    """How the replica that is asked sees the group, whether it leads or not."""
+    """Asks a replica for its own view of the group, whether it leads or not."""
 
 
 class GetByPrefix(msgspec.Struct, frozen=True, array_like=True, tag="get"):
-    """All values whose keys begin so, no older than the request."""
+    """Asks for all values whose keys begin with `prefix`, no older than the request."""
 
     prefix: str
 
 
 class ChangeMembership(msgspec.Struct, frozen=True, array_like=True, tag="change"):
-    """Adds one member, by its name and address, or removes one."""
+    """Adds a member, given by its name and address, or removes the named one."""
 
     add: dict[str, str] = {}
     remove: str = ""
 
 
 class TransferLeadership(msgspec.Struct, frozen=True, array_like=True, tag="hand_over"):
-    """The leader is to let another replica lead."""
+    """Asks the leader to transfer its leadership to another replica."""
 
 
 class GetProgress(msgspec.Struct, frozen=True, array_like=True, tag="progress"):
-    """How the leader's services for the fleet are getting on."""
+    """Asks for the progress of the services that the leader runs."""
 
 
 class CollectCounters(msgspec.Struct, frozen=True, array_like=True, tag="collect"):
-    """The sums of the counters that processes have reported to the leader."""
+    """Asks for the sums of the counters that processes have reported to the leader."""
 
 
 RequestBody = (
@@ -48,7 +48,7 @@
 
 
 class RpcRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A request; its number comes back with the response."""
+    """A request. Its response carries the same number."""
 
     number: int
     body: RequestBody
@@ -57,8 +57,9 @@
 class ReplicaStatus(msgspec.Struct, frozen=True, array_like=True, tag="standing"):
     """The status of a replica.
 
-    Only a leader fills in `match_indexes` (the last index that each other replica has stored), `silent_peers`
-    (those not heard within an election timeout) and `stale_peers` (those on an older directory).
+    Three fields are filled in by a leader only: `match_indexes` (the last index that each other replica is
+    known to store), `silent_peers` (replicas that have not responded within the election timeout) and
+    `stale_peers` (replicas that run on an older copy of their directory).
     """
 
     name: str
@@ -78,45 +79,45 @@
 
 
 class ValuesByPrefix(msgspec.Struct, frozen=True, array_like=True, tag="found"):
-    """The answer to GetByPrefix."""
+    """The response to GetByPrefix."""
 
     values: dict[str, VersionedValue]
 
 
 class NotLeader(msgspec.Struct, frozen=True, array_like=True, tag="moved"):
-    """Nothing was done: another replica leads, or none that is known."""
+    """Nothing was done: another replica leads. Its name and address are empty if no leader is known."""
 
     leader: str
     address: str
 
 
 class RequestFailed(msgspec.Struct, frozen=True, array_like=True, tag="failed"):
-    """Nothing was done."""
+    """Nothing was done, for the given reason."""
 
     reason: str
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True, array_like=True, tag="unknown"):
-    """It may have been done, or may still be: read again to know."""
+    """The request may have been done, or may still be done. The client has to read the state to find out."""
 
     reason: str
 
 
 class ProgressReport(msgspec.Struct, frozen=True, array_like=True, tag="told"):
-    """The answer to GetProgress, as JSON."""
+    """The response to GetProgress, as JSON."""
 
     data: bytes
 
 
 class CollectedCounters(msgspec.Struct, frozen=True, array_like=True, tag="collected"):
-    """The answer to CollectCounters: sums since the epoch began, which is one leader's term."""
+    """The response to CollectCounters: the sums since the epoch began. An epoch is one leader's term."""
 
     epoch: str
     totals: dict[str, float]
 
 
 class Done(msgspec.Struct, frozen=True, array_like=True, tag="done"):
-    """It was done."""
+    """The request was done."""
 
 
 ResponseBody = (
--- a/zincladder/consensus/rpc_service.py
+++ b/zincladder/consensus/rpc_service.py
@@ -1,4 +1,4 @@
-"""Answers the requests of a group's callers: fronts, workers and operators' commands. On anyio."""
+"""Answers the requests of a group's clients: fronts, workers and operators' commands. Uses anyio."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from zincladder.consensus.raft import RaftNode
 from zincladder.links.connection import Link
 
-MAX_VALUES_BYTES = 900_000  # in one answer, which has to fit a frame
+MAX_VALUES_BYTES = 900_000  # per response, which has to fit a frame
 
 
 class Replica(Protocol):
-    """What the service needs of its replica."""
+    """The interface of a replica that the service uses."""
 
     node: RaftNode
     state: KeyValueState
     swap_validators: list[Callable[[CompareAndSwap], str]]
-    progress: list[Callable[[], dict[str, object]]]
+    progress_reporters: list[Callable[[], dict[str, object]]]
     collect_counters: Callable[[], rpc.CollectedCounters]
 
     @property
@@ -30,36 +30,36 @@
         """Whether the replica believes that it leads."""
 
     def status(self) -> rpc.ReplicaStatus:
-        """How it sees the group."""
+        """Returns the replica's view of the group."""
 
     async def confirm_leadership(self) -> None:
-        """Returns once the state is no older than this call."""
+        """Returns once the applied state is no older than this call."""
 
     async def compare_and_swap(self, swap: CompareAndSwap) -> CompareAndSwapResult:
-        """Appends the swap, and returns its result once it is committed and applied."""
+        """Appends the swap and returns its result once it is committed and applied."""
 
     async def change_membership(self, change: rpc.ChangeMembership) -> None:
-        """Returns once the change is committed."""
+        """Appends the membership change and returns once it is committed."""
 
     def start_leadership_transfer(self) -> None:
-        """Returns at once."""
+        """Starts a leadership transfer and returns at once."""
 
 
 class RpcService:
-    """The requests that one replica answers."""
+    """Answers the requests that reach one replica."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
 
     async def serve(self, link: Link) -> None:
-        """Answers one caller's requests in order, until its link fails."""
+        """Answers the requests of one client in order until its link fails."""
         while True:
             request: rpc.RpcRequest = await link.receive(rpc.RpcRequest)
             response = await self.respond(request.body)
             await link.send(rpc.RpcResponse(request.number, response))
 
     async def respond(self, body: rpc.RequestBody) -> rpc.ResponseBody:
-        """The answer to one request, whatever becomes of it."""
+        """Handles one request. Errors of the replica become responses."""
         try:
             return await self._respond(body)
         except NotLeaderError:
@@ -91,7 +91,7 @@
         values = self._replica.state.with_prefix(body.prefix)
         if sum(len(key) + len(value.data) for key, value in values.items()) > MAX_VALUES_BYTES:
             return rpc.RequestFailed(
-                f"over {MAX_VALUES_BYTES} bytes under {body.prefix[:40]!r}: ask for less"
+                f"more than {MAX_VALUES_BYTES} bytes under {body.prefix[:40]!r}: request a longer prefix"
             )
         return rpc.ValuesByPrefix(values)
 
@@ -99,8 +99,8 @@
     async def _(self, body: rpc.GetProgress) -> rpc.ResponseBody:
         await self._replica.confirm_leadership()
         progress: dict[str, object] = {}
-        for source in self._replica.progress:
-            progress |= source()
+        for reporter in self._replica.progress_reporters:
+            progress |= reporter()
         return rpc.ProgressReport(json.dumps(progress).encode())
 
     @_respond.register
--- a/zincladder/consensus/server.py
+++ b/zincladder/consensus/server.py
@@ -1,4 +1,4 @@
-"""A replica: one member of a group, with its sockets and its disk. On anyio."""
+"""A replica: one member of a group, with its connections and its disk. Uses anyio."""
 
 from __future__ import annotations
 
@@ -29,15 +29,16 @@
 from zincladder.links.frames import Hello, Welcome, handshake_error
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-MAX_LINKS = 4096  # each of 2,048 fronts holds one, and another while it is upgraded
-OPERATOR_ROLE = "operator"  # in a greeting
+MAX_LINKS = 4096  # up to 2,048 fronts with one link each, and a second one during an upgrade
+OPERATOR_ROLE = "operator"  # the role in the Hello of an operator's command
 log = structlog.get_logger()
 
 
 class ReplicaServer:
-    """One replica. `run` ends with a JournalError where its directory fails: its vote ends with it.
+    """Runs one replica.
 
-    The services that run on the group register themselves in the lists below.
+    `run` raises JournalError once the directory can't be written: without durable storage the replica may not
+    vote. Services that run on the group register their callbacks in the public lists.
     """
 
     def __init__(
@@ -51,10 +52,10 @@
         self.node = RaftNode(config.name, stored, clock(), generator.getrandbits(32), timing)
         self.state, self.applied_index = KeyValueState(stored.snapshot.state), stored.snapshot.index
         self._disk = DiskWriter(store)
-        self._peers = PeerLinks(config, store, self._disk, self._received, generator.random)
+        self._peers = PeerLinks(config, store, self._disk, self._handle_peer_message, generator.random)
         self._rpc = RpcService(self)
         self._welcome = Welcome(config.name, instance_id)
-        self._work_due = anyio.Event()
+        self._wakeup = anyio.Event()
         self._pending_entries: dict[int, PendingEntry] = {}  # by index
         self._pending_confirmations: dict[int, PendingConfirmation] = {}  # by ticket
         self._last_ticket = 0
@@ -63,23 +64,23 @@
         self._warning = RateLimitedLog().warning
         # Called whenever the role or the state may have changed.
         self.state_listeners: list[Callable[[], None]] = []
-        # Why a caller's swap can't be accepted; empty if it can.
+        # Each returns the reason to reject a client's swap, or "" to accept it.
         self.swap_validators: list[Callable[[CompareAndSwap], str]] = []
-        # Parts of the answer to GetProgress.
-        self.progress: list[Callable[[], dict[str, object]]] = []
-        # Who serves the links of a role.
+        # Each returns a part of the response to GetProgress.
+        self.progress_reporters: list[Callable[[], dict[str, object]]] = []
+        # The handler of the links of each role.
         self.link_handlers: dict[str, Callable[[Link, Hello], Awaitable[None]]] = {}
         self.collect_counters: Callable[[], rpc.CollectedCounters] = lambda: rpc.CollectedCounters("", {})
 
     # Running --------------------------------------------------------------------------------------
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[int] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Serves until it is cancelled. Reports the port once it listens."""
+        """Serves until it is cancelled. Reports the port to `task_status` once it listens."""
         host, port = self.config.listen
         listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         async with listener, anyio.create_task_group() as tasks:
-            tasks.start_soon(listener.serve, self._accepted)
+            tasks.start_soon(listener.serve, self._handle_connection)
             self._peers.dial(self.node.membership, tasks)
             log.info(
                 "replica started",
@@ -93,17 +94,20 @@
             )
             task_status.started(port)
             while True:
-                await self._work(tasks)
+                await self._run_once(tasks)
 
-    async def _work(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Writes, then sends, then applies: what this replica says is on its disk."""
-        self._work_due = work_due = anyio.Event()
+    async def _run_once(self, tasks: anyio.abc.TaskGroup) -> None:
+        """Writes, sends and applies one output of the node, then waits until there is more to do.
+
+        The order ensures that everything this replica tells others is on its disk.
+        """
+        self._wakeup = wakeup = anyio.Event()
         self.node.tick(self._clock())
         output = self.node.take_output()
         await self._disk.write(output)
         for to, message in output.messages:
             self._peers.send(to, message)
-        self._peers.dial(self.node.membership, tasks)  # in force from the entry on, committed or not
+        self._peers.dial(self.node.membership, tasks)  # a membership entry counts before it is committed
         await self._apply(output)
         self._log_role()
         for listener in self.state_listeners:
@@ -112,10 +116,10 @@
             self.node.compact(self.applied_index, self.state.dump())
             return
         with anyio.move_on_after(max(0.0, self.node.next_at - self._clock())):
-            await work_due.wait()
+            await wakeup.wait()
 
     def _wake(self) -> None:
-        self._work_due.set()
+        self._wakeup.set()
 
     async def _apply(self, output: Output) -> None:
         if output.restore_state and output.snapshot:
@@ -156,37 +160,39 @@
 
     # Links ----------------------------------------------------------------------------------------
 
-    def _received(self, sender: str, message: Message) -> None:
+    def _handle_peer_message(self, sender: str, message: Message) -> None:
         self.node.receive(sender, message, self._clock())
         self._wake()
 
-    def _rejection(self, hello: Hello) -> str:
-        """Why a link can't be accepted; empty if it can."""
+    def _rejection_reason(self, hello: Hello) -> str:
+        """The reason to reject a connection with this Hello; empty if it is accepted."""
         roles = (REPLICA_ROLE, OPERATOR_ROLE, *self.link_handlers)
         if reason := handshake_error(hello, self.config.group, roles):
             return reason
         if self._open_links > MAX_LINKS:
-            return "too many links"
+            return "too many connections"
         if hello.role != REPLICA_ROLE:
             return ""
-        return self._peers.rejection(hello, self.node.membership)
+        return self._peers.rejection_reason(hello, self.node.membership)
 
-    async def _accepted(self, stream: anyio.abc.ByteStream) -> None:
+    async def _handle_connection(self, stream: anyio.abc.ByteStream) -> None:
         link, hello = Link(stream), None
         self._open_links += 1
         try:
-            hello = await accept_handshake(link, self._welcome, self._rejection)
+            hello = await accept_handshake(link, self._welcome, self._rejection_reason)
             await self._serve(link, hello)
         except HandshakeRejectedError as error:
-            self._warning("link rejected", reason=str(error))
+            self._warning("connection rejected", reason=str(error))
         except LINK_ERRORS as error:
             if hello is None or isinstance(error, FrameError):
                 reason = str(error) or type(error).__name__
                 self._warning(
-                    "link failed in a message", reason=reason, peer=hello.name[:40] if hello else ""
+                    "connection closed after a failed handshake or an invalid message",
+                    reason=reason,
+                    peer=hello.name[:40] if hello else "",
                 )
-        except Exception:  # guards the group: a fault in one link must not cost a vote
-            log.exception("link handler failed")
+        except Exception:  # an error in one connection must not stop the replica, which has a vote
+            log.exception("connection handler failed")
         finally:
             self._open_links -= 1
             await link.close()
@@ -199,18 +205,21 @@
         else:
             await self._rpc.serve(link)
 
-    # What callers and services ask for ------------------------------------------------------------
+    # Requests of clients and services -------------------------------------------------------------
 
     async def compare_and_swap(self, swap: CompareAndSwap) -> CompareAndSwapResult:
-        """NotLeaderError or BusyError: nothing was done. CommitUnknownError: it may be done."""
+        """Appends the swap and returns its result once it is committed and applied.
+
+        Raises NotLeaderError or BusyError if nothing was done, CommitUnknownError if it may be done.
+        """
         index, term = self.node.propose(msgspec.msgpack.encode(swap))
-        result = await self._committed(index, term)
+        result = await self._await_commit(index, term)
         if result is None:
-            raise CommitUnknownError("the leader has changed meanwhile")
+            raise CommitUnknownError("the leader changed before the outcome was known")
         return result
 
-    async def _committed(self, index: int, term: int) -> CompareAndSwapResult | None:
-        """Waits for the outcome of an entry that was appended."""
+    async def _await_commit(self, index: int, term: int) -> CompareAndSwapResult | None:
+        """Waits until the appended entry is applied and returns its result, as PendingEntry describes it."""
         pending = self._pending_entries[index] = PendingEntry(term)
         self._wake()
         try:
@@ -220,9 +229,9 @@
                 del self._pending_entries[index]
 
     async def confirm_leadership(self) -> None:
-        """Returns once the state is no older than this call.
+        """Returns once the applied state is no older than this call.
 
-        Else NotLeaderError, BusyError or CommitUnknownError.
+        Raises NotLeaderError, BusyError or CommitUnknownError if that can't be confirmed.
         """
         self._last_ticket += 1
         ticket, pending = self._last_ticket, PendingConfirmation()
@@ -234,24 +243,24 @@
 
     async def change_membership(self, change: rpc.ChangeMembership) -> None:
         """Adds learners or removes a member. Raises as `compare_and_swap`."""
-        await self.confirm_leadership()  # one just elected changes no members before its first entry
+        await self.confirm_leadership()  # a new leader rejects membership changes until its first commit
         members = self.node.membership
-        for name, place in change.add.items():
+        for name, address in change.add.items():
             try:
-                parse_address(place)
+                parse_address(address)
             except ValueError:
-                raise BusyError(f"{place[:40]!r} is no address like 127.0.0.1:7300") from None
+                raise BusyError(f"{address[:40]!r} is not an address such as 127.0.0.1:7300") from None
             if name in members.addresses:
-                raise BusyError(f"{name!r} is a member already")
+                raise BusyError(f"{name!r} is already a member of the group")
         if change.remove and change.remove not in members.addresses:
-            raise BusyError(f"{change.remove!r} is no member")
-        voters = {name: place for name, place in members.voters.items() if name != change.remove}
-        learners = {name: place for name, place in members.learners.items() if name != change.remove}
+            raise BusyError(f"{change.remove!r} is not a member of the group")
+        voters = {name: address for name, address in members.voters.items() if name != change.remove}
+        learners = {name: address for name, address in members.learners.items() if name != change.remove}
         index, term = self.node.change_membership(Membership(voters, learners | change.add))
-        await self._committed(index, term)
+        await self._await_commit(index, term)
 
     def status(self) -> rpc.ReplicaStatus:
-        """How this replica sees the group, without asking the others."""
+        """Returns this replica's view of the group without asking the others."""
         node, now = self.node, self._clock()
         timeout_seconds = self.config.election_timeout_seconds
         peers = node.peers.items()
@@ -266,7 +275,7 @@
             voters=node.membership.voters,
             learners=node.membership.learners,
             match_indexes={name: peer.match_index for name, peer in peers},
-            silent_peers=sorted(name for name, peer in peers if now - peer.heard_at > timeout_seconds),
+            silent_peers=sorted(name for name, peer in peers if now - peer.last_contact_at > timeout_seconds),
             stale_peers=node.stale_peers,
             key_count=len(self.state),
             journal_bytes=self._store.size_bytes,
@@ -274,16 +283,19 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads, as far as it knows."""
+        """Whether this replica believes that it leads; another one may have been elected since."""
         return self.node.role is Role.LEADER
 
     def start_leadership_transfer(self) -> None:
-        """Lets another replica lead, and returns at once."""
+        """Starts to transfer the leadership to another replica and returns at once."""
         self.node.transfer_leadership()
         self._wake()
 
     async def transfer_leadership(self, timeout_seconds: float) -> None:
-        """Before a graceful shutdown: lets another replica lead, if there is one that can."""
+        """Transfers the leadership before a graceful shutdown.
+
+        Returns once this replica no longer leads, or after `timeout_seconds` if no other one can take over.
+        """
         if not self.is_leader:
             return
         self.start_leadership_transfer()
--- a/zincladder/consensus/snapshot_transfer.py
+++ b/zincladder/consensus/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Snapshots from the leader to members whose next entries it has compacted away, chunk by chunk. No I/O."""
+"""Sends snapshots in chunks to members whose next entries the leader has compacted away. No I/O."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from zincladder.consensus.raft_state import PeerProgress, RaftState
 
 SNAPSHOT_CHUNK_BYTES = 128 << 10
-MAX_SNAPSHOT_BYTES = 8 << 20  # held in memory before it is complete; a record on disk holds 16 MB
+MAX_SNAPSHOT_BYTES = 8 << 20  # kept in memory while incomplete; a record on disk holds up to 16 MiB
 
 
 def send_chunk(state: RaftState, name: str, peer: PeerProgress) -> None:
-    """Sends the peer its next chunk; an empty one, as a heartbeat, while an answer is awaited."""
+    """Sends the peer the next chunk, or an empty chunk as a heartbeat while a response is awaited."""
     if peer.snapshot is None or peer.snapshot.index < peer.next_index:
         peer.snapshot, peer.offset = state.log.snapshot, 0
     snapshot = peer.snapshot
@@ -42,10 +42,13 @@
     def __init__(self, state: RaftState) -> None:
         self._state = state
         self._data = bytearray()
-        self._assembling = (0, 0)  # index and term of the snapshot that the chunks belong to
+        self._assembling = (0, 0)  # index and term of the snapshot whose chunks are being collected
 
     def receive(self, message: InstallSnapshot, sender: str) -> Snapshot | None:
-        """Takes a chunk and answers it. The snapshot once it is complete, by then in the log's place."""
+        """Handles a chunk and sends the response.
+
+        Returns the snapshot once it is complete, after it has replaced the log; None before that.
+        """
         state = self._state
         if message.index <= state.commit_index:
             state.send(sender, AppendEntriesResponse(state.term, message.serial, True, message.index))
@@ -62,7 +65,7 @@
         return snapshot
 
     def _add(self, message: InstallSnapshot) -> bool:
-        """Whether the snapshot is complete with this chunk; one out of order or too long is dropped."""
+        """Adds a chunk unless it is out of order or too long; returns whether the snapshot is complete."""
         if self._assembling != (message.index, message.snapshot_term):
             self._assembling, self._data = (message.index, message.snapshot_term), bytearray()
         end = message.offset + len(message.chunk)
--- a/zincladder/consensus/store.py
+++ b/zincladder/consensus/store.py
@@ -1,6 +1,6 @@
-"""What a replica stores: its identity, vote, snapshot and log, in one journal.
+"""The durable state of a replica: its identity, vote, snapshot and log, in one journal.
 
-All calls block; the host makes them in a worker thread, one at a time.
+All calls block. The host runs them in a worker thread, one at a time.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 VERSION = 1
 INSTANCE_ID_BYTES = 8
 MIN_COMPACTION_BYTES = 1 << 20
-COMPACTION_FACTOR = 4  # a journal this many times as long as the snapshot's state is rewritten
+COMPACTION_FACTOR = 4  # a journal more than this many times the size of the snapshot's state is rewritten
 
 
 class RecordKind(enum.IntEnum):
-    """The kinds of records, as numbered on disk."""
+    """The kinds of records. The numbers are stored on disk."""
 
     IDENTITY = 0
     HARD_STATE = 1
@@ -33,7 +33,7 @@
 
 
 class ReplicaIdentity(msgspec.Struct, frozen=True, array_like=True):
-    """Whose directory this is. `instance_id` is drawn when it is made: no other directory has the same."""
+    """The replica that a directory belongs to. `instance_id` is a random number that is unique to it."""
 
     version: int
     group: str
@@ -50,49 +50,61 @@
 
 
 class ReplicaStore:
-    """The directory of one replica. JournalError where it is another's, corrupt, or can't be written."""
+    """The directory of one replica.
+
+    Raises JournalError if it belongs to another replica, is corrupt or can't be written.
+    """
 
     def __init__(
-        self, folder: Path, group: str, name: str, founders: Membership, files: FileSystem | None = None
+        self,
+        folder: Path,
+        group: str,
+        name: str,
+        initial_membership: Membership,
+        file_system: FileSystem | None = None,
     ) -> None:
         self.folder = folder
-        self.peer_instances: dict[str, str] = {}  # the other replicas' directories, as first met
-        self._journal = Journal(folder, files)
+        self.peer_instances: dict[str, str] = {}  # the instance ids of the other replicas' directories
+        self._journal = Journal(folder, file_system)
         self.torn_bytes = self._journal.torn_bytes
-        self._hard_state, self._snapshot = HardState(), Snapshot(0, 0, founders)
+        self._hard_state, self._snapshot = HardState(), Snapshot(0, 0, initial_membership)
         self._entries: list[Entry] = []
-        self.existed = bool(self._journal.items)
+        self.existed = bool(self._journal.items)  # False if the directory was created just now
         try:
             self.identity = self._read_identity(group, name)
             self._replay()
         except (msgspec.DecodeError, ValueError) as error:
             self._journal.close()
-            raise JournalError(f"{folder}: a record that cannot be read: {error}") from None
+            raise JournalError(f"{folder}: cannot decode a record: {error}") from None
         except JournalError:
             self._journal.close()
             raise
 
     @property
     def stored(self) -> StoredState:
-        """What a node starts from."""
+        """The stored state that a node starts from."""
         return StoredState(self._hard_state, self._snapshot, tuple(self._entries))
 
     def _read_identity(self, group: str, name: str) -> ReplicaIdentity:
-        """Guards votes: a directory of another replica holds promises that this one did not make."""
+        """Returns the identity of the directory, and creates it in a new directory.
+
+        Raises JournalError for the directory of another replica, whose votes and entries are not this one's.
+        """
         if not self.existed:
             identity = ReplicaIdentity(VERSION, group, name, os.urandom(INSTANCE_ID_BYTES).hex())
             self._journal.rewrite([Item(RecordKind.IDENTITY, encode(identity)), *self._state_items()])
             return identity
         kind, data = self._journal.items[0]
         if kind != RecordKind.IDENTITY:
-            raise JournalError(f"{self.folder}: it does not say whose it is")
+            raise JournalError(f"{self.folder}: the first record does not identify the replica")
         version = msgspec.msgpack.decode(data)[0]
         if version != VERSION:
-            raise JournalError(f"{self.folder}: of version {version}, not {VERSION}")
+            raise JournalError(f"{self.folder}: unsupported format version {version}, expected {VERSION}")
         stored: ReplicaIdentity = msgspec.msgpack.decode(data, type=ReplicaIdentity)
         if (stored.group, stored.name) != (group, name):
             raise JournalError(
-                f"{self.folder}: it is {stored.name!r}'s of {stored.group!r}, not {name!r}'s of {group!r}"
+                f"{self.folder}: the directory belongs to another replica:"
+                f" it is {stored.name!r}'s of {stored.group!r}, not {name!r}'s of {group!r}"
             )
         return stored
 
@@ -109,17 +121,19 @@
             elif kind == RecordKind.PEER_INSTANCES:
                 self.peer_instances = decode(data, type=dict[str, str])
             else:
-                raise ValueError(f"kind {kind}")
+                raise ValueError(f"unknown record kind {kind}")
         self._journal.items.clear()
 
     def _replace_from(self, first_index: int, entries: tuple[Entry, ...]) -> None:
         position = first_index - self._snapshot.index - 1
         if not 0 <= position <= len(self._entries):
-            raise ValueError(f"entry {first_index} after {self._snapshot.index + len(self._entries)}")
+            raise ValueError(
+                f"entry {first_index} does not follow entry {self._snapshot.index + len(self._entries)}"
+            )
         self._entries[position:] = entries
 
     def _state_items(self) -> list[Item]:
-        """All records but the identity."""
+        """All records except the identity."""
         return [
             Item(RecordKind.PEER_INSTANCES, encode(self.peer_instances)),
             Item(RecordKind.SNAPSHOT, encode(self._snapshot)),
@@ -135,7 +149,10 @@
         ]
 
     def write(self, output: Output) -> None:
-        """Synced to disk when this returns. JournalError: nothing may be sent or applied any more."""
+        """Writes the records of an output and returns once they are synced to disk.
+
+        After a JournalError the replica must not send or apply anything.
+        """
         if not output.has_writes:
             return
         if output.hard_state:
@@ -156,7 +173,7 @@
         self._journal.rewrite([Item(RecordKind.IDENTITY, encode(self.identity)), *self._state_items()])
 
     def remember_peer(self, name: str, instance_id: str) -> bool:
-        """Whether that member's directory is the one it always had; the first one met is remembered."""
+        """Returns whether `instance_id` is the one known for this member; remembers it if none is known."""
         known = self.peer_instances.get(name)
         if known is None:
             self.peer_instances[name] = instance_id
@@ -165,7 +182,7 @@
         return known == instance_id
 
     def forget_peer(self, name: str) -> None:
-        """A member was removed from the group: another directory may come under its name."""
+        """Forgets the directory of a removed member, so that its name can be used with another directory."""
         if self.peer_instances.pop(name, None) is not None:
             self._append_peer_instances()
 
@@ -174,14 +191,14 @@
 
     @property
     def size_bytes(self) -> int:
-        """The size of the journal's file."""
+        """The size of the journal's file in bytes."""
         return self._journal.size_bytes
 
     @property
     def needs_compaction(self) -> bool:
-        """Whether the journal is so much longer than the state that a snapshot is due."""
+        """Whether the journal is so much larger than the snapshot's state that it has to be compacted."""
         return self.size_bytes > max(MIN_COMPACTION_BYTES, COMPACTION_FACTOR * len(self._snapshot.state))
 
     def close(self) -> None:
-        """Another process may open the directory."""
+        """Closes the journal. Another process may then open the directory."""
         self._journal.close()
--- a/zincladder/durable/errors.py
+++ b/zincladder/durable/errors.py
@@ -1,7 +1,7 @@
-"""Errors of what is kept on disk."""
+"""Errors of durable storage."""
 
 from __future__ import annotations
 
 
 class JournalError(Exception):
-    """The folder can't be used, or can't be relied on any more; the text names the file and the reason."""
+    """A journal's folder can't be used, or its data can't be trusted. The text gives path and reason."""
--- a/zincladder/durable/files.py
+++ b/zincladder/durable/files.py
@@ -1,4 +1,4 @@
-"""The calls that change files, in one place, so that tests can make each of them fail. All block."""
+"""The file system calls of the journal in one class, so that tests can make each of them fail. All block."""
 
 from __future__ import annotations
 
@@ -9,52 +9,55 @@
 
 
 class FileSystem:
-    """Calls that write; each does all of it, or raises OSError."""
+    """Calls that open and change files. Each raises OSError unless it succeeds completely."""
 
     def create(self, path: Path) -> int:
-        """An empty file to append to, in place of any that is there."""
+        """Creates an empty file, or empties an existing one, and returns a descriptor for appending."""
         return os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
 
-    def reopen(self, path: Path) -> int:
-        """A file that is there, to append to."""
+    def open_for_append(self, path: Path) -> int:
+        """Opens an existing file and returns a descriptor for reading and appending."""
         return os.open(path, os.O_RDWR | os.O_APPEND | os.O_CLOEXEC)
 
-    def append(self, file: int, data: bytes) -> None:
-        """All of `data`, in as many writes as it takes."""
+    def append(self, descriptor: int, data: bytes) -> None:
+        """Appends all of `data`, in as many writes as needed."""
         remaining = memoryview(data)
         while remaining:
-            written = os.write(file, remaining)
+            written = os.write(descriptor, remaining)
             if not written:
                 raise OSError(errno.ENOSPC, "no space left on device")
             remaining = remaining[written:]
 
-    def sync(self, file: int) -> None:
-        """Once this has returned, what was appended survives a loss of power."""
-        os.fdatasync(file)
+    def sync(self, descriptor: int) -> None:
+        """Syncs the file's data: once this returns, it survives a power loss."""
+        os.fdatasync(descriptor)
 
-    def truncate(self, file: int, size: int) -> None:
-        """Cuts the file off at a size in bytes."""
-        os.ftruncate(file, size)
+    def truncate(self, descriptor: int, size: int) -> None:
+        """Truncates the file to `size` bytes."""
+        os.ftruncate(descriptor, size)
 
     def rename(self, old: Path, new: Path) -> None:
-        """Atomic and durable: the folder is synced too."""
+        """Renames a file atomically, and syncs the folder so that the rename survives a power loss."""
         os.rename(old, new)
         self.sync_folder(new.parent)
 
     def sync_folder(self, folder: Path) -> None:
-        """Once this has returned, names of files in the folder survive a loss of power."""
-        file = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        """Syncs the folder: once this returns, the names of its files survive a power loss."""
+        descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            os.fsync(file)
+            os.fsync(descriptor)
         finally:
-            os.close(file)
+            os.close(descriptor)
 
     def lock(self, path: Path) -> int:
-        """Locked until it is closed or the process ends. BlockingIOError if another process has the lock."""
-        file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        """Locks a file until the returned descriptor is closed or the process ends.
+
+        Raises BlockingIOError if another process holds the lock.
+        """
+        descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(file)
+            os.close(descriptor)
             raise
-        return file
+        return descriptor
--- a/zincladder/durable/journal.py
+++ b/zincladder/durable/journal.py
@@ -1,14 +1,15 @@
-"""A journal: records of several kinds in order, each batch synced to disk before `append` returns.
+"""A journal: an ordered list of records of several kinds, written and synced to disk in batches.
 
-One file at a time holds all that counts, `00000000000000000001.log` and so on. `rewrite` begins the next one
-with what still counts, under another name until it is complete and synced; with the rename it becomes the
-journal. A process that is killed at any instruction leaves one of the two, never a mixture.
+The journal is a single file: `00000000000000000001.log`, then the next number after each rewrite. `rewrite`
+writes the records that are still needed to a file with a temporary name, syncs it and renames it to the next
+number. If the process is killed at any instruction, either the old or the new file is complete.
 
-Order of one batch: written, synced, returned. Of a rewrite: written, synced, renamed, folder synced, the
-older file removed, returned.
+Steps of `append`: write, sync, return. Steps of `rewrite`: write, sync, rename, sync the folder, remove the
+older file, return.
 
-After any failed write or sync the journal is closed for good: the kernel may have dropped what it could not
-write, and a second sync would report success. A process whose promises rest on it has to end.
+After a failed write or sync the journal is closed and stays closed: the kernel may have dropped the data that
+it could not write, and a second sync would still report success. A process that relies on the journal has to
+stop then.
 """
 
 from __future__ import annotations
@@ -25,35 +26,36 @@
 from zincladder.durable.files import FileSystem
 
 FILE_NAME = re.compile(r"(\d{20})\.log")
-RECORD_KINDS = 128  # a stamp is (batch * 2 + whether the record is its batch's last) * RECORD_KINDS + kind
+# A record's stamp is (batch number * 2 + (1 if it is the last record of the batch)) * RECORD_KINDS + kind.
+RECORD_KINDS = 128
 
 
 class Item(NamedTuple):
-    """A record's kind, below RECORD_KINDS, and its payload."""
+    """The kind of a record, below RECORD_KINDS, and its payload."""
 
     kind: int
     payload: bytes
 
 
-def _batch(record: records.Record) -> int:
+def _batch_number(record: records.Record) -> int:
     return record.stamp // RECORD_KINDS // 2
 
 
 def _ends_batch(record: records.Record) -> bool:
-    """Whether it is its batch's last."""
+    """Whether the record is the last one of its batch."""
     return bool(record.stamp // RECORD_KINDS % 2)
 
 
 class Journal:
-    """The records of a folder, which no other process can open. JournalError if it can't be used."""
-
-    def __init__(self, folder: Path, files: FileSystem | None = None) -> None:
-        self._folder, self._files = folder, files or FileSystem()
-        self._lock = self._file = -1
-        self._generation = self._batch = self._number = 0
-        self.size_bytes = 0  # of the file
-        self.torn_bytes = 0  # cut off at the end: what was being written when the process was killed
-        self.items: list[Item] = []  # as read; to be cleared by the caller that has used them
+    """The journal in a folder, which it locks. Raises JournalError if the journal can't be opened."""
+
+    def __init__(self, folder: Path, file_system: FileSystem | None = None) -> None:
+        self._folder, self._file_system = folder, file_system or FileSystem()
+        self._lock_descriptor = self._descriptor = -1
+        self._generation = self._last_batch = self._last_record = 0
+        self.size_bytes = 0  # size of the current file
+        self.torn_bytes = 0  # bytes cut off when opening: a batch that was being written when a process died
+        self.items: list[Item] = []  # the records read when opening; the caller clears the list after use
         try:
             self._open()
         except OSError as error:
@@ -68,17 +70,17 @@
     def _open(self) -> None:
         self._folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         try:
-            self._lock = self._files.lock(self._folder / "lock")
+            self._lock_descriptor = self._file_system.lock(self._folder / "lock")
         except BlockingIOError:
-            raise JournalError(f"{self._folder}: another process uses it") from None
+            raise JournalError(f"{self._folder}: another process is using this folder") from None
         generations: list[int] = []
         for path in self._folder.iterdir():
             if name := FILE_NAME.fullmatch(path.name):
                 generations.append(int(name[1]))
             elif path.suffix == ".new":
-                path.unlink()  # a rewrite that was not finished
+                path.unlink()  # the file of an unfinished rewrite
             elif path.name != "lock":
-                raise JournalError(f"{path}: it is none of a journal's files")
+                raise JournalError(f"{path}: unexpected file: it is none of a journal's files")
         if not generations:
             return
         self._generation = max(generations)
@@ -89,31 +91,37 @@
                 self._path(older).unlink()
 
     def _read(self, path: Path, data: bytes) -> None:
-        if records.first_of(data, records.JOURNAL) != 1:
-            raise JournalError(f"{path}: it is no journal, or one of another version")
+        if records.first_of(data, records.JOURNAL_MAGIC) != 1:
+            raise JournalError(f"{path}: the file is no journal of a supported format version")
         valid_bytes, batch_ended = records.HEADER.size, True
-        for record in records.scan(data, records.JOURNAL):
-            self._number, self._batch = record.number, _batch(record)
+        for record in records.scan(data, records.JOURNAL_MAGIC):
+            self._last_record, self._last_batch = record.number, _batch_number(record)
             valid_bytes, batch_ended = record.offset + record.size, _ends_batch(record)
             self.items.append(Item(record.stamp % RECORD_KINDS, record.payload))
         if valid_bytes < len(data):
-            self._check_tail(path, data, valid_bytes, self._batch + batch_ended)
+            self._check_tail(path, data, valid_bytes, self._last_batch + batch_ended)
             self.torn_bytes = len(data) - valid_bytes
-        self._file = self._files.reopen(path)
+        self._descriptor = self._file_system.open_for_append(path)
         if self.torn_bytes:
-            self._files.truncate(self._file, valid_bytes)
-            self._files.sync(self._file)
+            self._file_system.truncate(self._descriptor, valid_bytes)
+            self._file_system.sync(self._descriptor)
         self.size_bytes = valid_bytes
 
     def _check_tail(self, path: Path, data: bytes, valid_bytes: int, torn_batch: int) -> None:
-        """Guards promises: only the last batch can be torn, since each was synced before the next.
+        """Raises JournalError if the bytes after the last valid record are not just an unfinished batch.
 
-        A complete record of a batch later than the torn one shows that the disk has lost data: JournalError.
+        Only the last batch can be incomplete after a crash, because each batch is synced before the next is
+        written. An intact record of a later batch therefore shows that the disk has lost synced data, such as
+        a vote.
         """
-        for offset in range(valid_bytes + 1, len(data) - records.HEAD.size + 1):
+        for offset in range(valid_bytes + 1, len(data) - records.RECORD_HEADER.size + 1):
             record = records.record_at(data, offset)
-            if record is not None and record.number > self._number and _batch(record) > torn_batch:
-                raise JournalError(f"{path}: spoilt at byte {valid_bytes}, with whole records behind it")
+            if (
+                record is not None
+                and record.number > self._last_record
+                and _batch_number(record) > torn_batch
+            ):
+                raise JournalError(f"{path}: corrupt at byte {valid_bytes}, followed by intact records")
 
     def _path(self, generation: int) -> Path:
         return self._folder / f"{generation:020d}.log"
@@ -121,46 +129,50 @@
     # Writing --------------------------------------------------------------------------------------
 
     def append(self, items: Iterable[Item]) -> None:
-        """One batch, synced to disk when this returns. JournalError if it isn't, and from then on."""
+        """Appends the records as one batch and returns once it is synced to disk.
+
+        Raises JournalError if that fails, and from then on for each call.
+        """
         with self._closing_on_failure():
-            data = self._packed(items)
-            if self._file < 0:
-                raise JournalError(f"{self._folder}: closed, or not begun")
-            self._files.append(self._file, data)
-            self._files.sync(self._file)
+            data = self._pack_batch(items)
+            if self._descriptor < 0:
+                raise JournalError(f"{self._folder}: the journal is closed or has no file yet")
+            self._file_system.append(self._descriptor, data)
+            self._file_system.sync(self._descriptor)
             self.size_bytes += len(data)
 
     def rewrite(self, items: Iterable[Item]) -> None:
-        """These replace all that was written before, atomically."""
+        """Replaces all records written before by these, atomically."""
         with self._closing_on_failure():
-            if self._lock < 0:
-                raise JournalError(f"{self._folder}: closed")
-            self._number = 0
-            data = records.segment_header(records.JOURNAL, 1) + self._packed(items)
+            if self._lock_descriptor < 0:
+                raise JournalError(f"{self._folder}: the journal is closed")
+            self._last_record = 0
+            data = records.segment_header(records.JOURNAL_MAGIC, 1) + self._pack_batch(items)
             new_path, path = self._folder / "next.new", self._path(self._generation + 1)
-            file = self._files.create(new_path)
+            descriptor = self._file_system.create(new_path)
             try:
-                self._files.append(file, data)
-                self._files.sync(file)
-                self._files.rename(new_path, path)
+                self._file_system.append(descriptor, data)
+                self._file_system.sync(descriptor)
+                self._file_system.rename(new_path, path)
             except BaseException:
-                os.close(file)
+                os.close(descriptor)
                 raise
-            old_file, self._file = self._file, file
-            if old_file >= 0:
-                os.close(old_file)
-                with contextlib.suppress(OSError):  # the higher number counts, whatever is left beside it
+            old_descriptor, self._descriptor = self._descriptor, descriptor
+            if old_descriptor >= 0:
+                os.close(old_descriptor)
+                # A file that can't be removed does no harm: opening uses the highest number.
+                with contextlib.suppress(OSError):
                     self._path(self._generation).unlink()
             self._generation += 1
             self.size_bytes = len(data)
 
-    def _packed(self, items: Iterable[Item]) -> bytes:
-        self._batch += 1
+    def _pack_batch(self, items: Iterable[Item]) -> bytes:
+        self._last_batch += 1
         data, batch = bytearray(), list(items)
         for position, (kind, payload) in enumerate(batch, 1):
-            self._number += 1
-            stamp = (self._batch * 2 + (position == len(batch))) * RECORD_KINDS + kind
-            data += records.pack(self._number, stamp, payload)
+            self._last_record += 1
+            stamp = (self._last_batch * 2 + (position == len(batch))) * RECORD_KINDS + kind
+            data += records.pack(self._last_record, stamp, payload)
         return bytes(data)
 
     @contextlib.contextmanager
@@ -169,12 +181,12 @@
             yield
         except OSError as error:
             self.close()
-            raise JournalError(f"{self._folder}: {error.strerror or error}: nothing more is kept") from None
+            raise JournalError(f"{self._folder}: {error.strerror or error}; the journal is closed") from None
 
     def close(self) -> None:
-        """Nothing more can be written; another process may open the folder."""
-        for file in (self._file, self._lock):
-            if file >= 0:
+        """Closes the journal. Nothing more can be written, and another process may open the folder."""
+        for descriptor in (self._descriptor, self._lock_descriptor):
+            if descriptor >= 0:
                 with contextlib.suppress(OSError):
-                    os.close(file)
-        self._file = self._lock = -1
+                    os.close(descriptor)
+        self._descriptor = self._lock_descriptor = -1
--- a/zincladder/leases/__init__.py
+++ b/zincladder/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases that a group's leader grants to processes: what the policy and the singleton tasks share."""
+"""Leases that the leader of a group grants to processes: the code shared by policy and singleton tasks."""
--- a/zincladder/leases/client.py
+++ b/zincladder/leases/client.py
@@ -1,4 +1,4 @@
-"""A process's side of leases: its link to the leader, and renewals in time. On anyio."""
+"""The client side of leases: the link of a process to the leader, and its renewals. Uses anyio."""
 
 from __future__ import annotations
 
@@ -18,41 +18,41 @@
 
 
 class LeaseParticipant(Protocol):
-    """What decides for the process, without I/O."""
+    """Makes the decisions of the process about its leases, without I/O."""
 
     @property
     def renewal_interval_seconds(self) -> float:
-        """Between two renewals."""
+        """Seconds between two renewals."""
 
     @property
     def next_at(self) -> float:
         """When `tick` is due."""
 
     def tick(self, now: float) -> None:
-        """Does what is due."""
+        """Makes the decisions that are due at this time."""
 
     def link_changed(self, up: bool, now: float) -> None:
-        """The link to the leader is up, or is down with all messages under way on it."""
+        """Called when the link is established, and when it is lost with all messages in transit."""
 
     def message_received(self, message: Any, now: float) -> None:
-        """Takes a message of the leader."""
+        """Handles a message of the leader."""
 
     def leave(self) -> None:
-        """An orderly end: releases every lease."""
+        """Releases every lease, because the process is shutting down."""
 
 
-P = TypeVar("P", bound=LeaseParticipant)
+ParticipantT = TypeVar("ParticipantT", bound=LeaseParticipant)
 
 
-class LeaseClient(ABC, Generic[P]):
-    """Connects one participant to whoever leads its group, and drives it by messages and by the clock."""
+class LeaseClient(ABC, Generic[ParticipantT]):
+    """Connects a participant to the leader of its group, and passes it the messages and the time."""
 
-    role: str  # in the greeting
+    role: str  # the role in the Hello of this process
     messages: Any  # the type of the leader's messages
 
     def __init__(
         self,
-        participant: P,
+        participant: ParticipantT,
         group: str,
         replicas: Mapping[str, str],
         name: str,
@@ -66,24 +66,24 @@
 
     @abstractmethod
     def carry_out(self) -> None:
-        """Does what the participant has decided."""
+        """Carries out what the participant has decided."""
 
     def wake(self) -> None:
-        """Makes the renewal loop look again at when the next renewal is due."""
+        """Makes `renew_when_due` check again when the next renewal is due."""
         self._wakeup.set()
 
-    # Of the link ----------------------------------------------------------------------------------
+    # Called by LeaderLink -------------------------------------------------------------------------
 
     def link_changed(self, up: bool) -> None:
-        """The link is up, or is down with all messages under way on it."""
+        """Called when the link is established, and when it is lost with all messages in transit."""
         self.participant.link_changed(up, self.clock())
         self.carry_out()
         self.wake()
 
     def message_received(self, message: Any) -> str | None:
-        """Takes a message.
+        """Handles a message of the replica.
 
-        Returns None, or the leader's name ("" if it is unknown) where this replica does not lead.
+        Returns None if the replica leads, else the leader's name, or "" if it is unknown.
         """
         if isinstance(message, NotLeaderReply):
             return message.leader
@@ -99,7 +99,7 @@
     # Running --------------------------------------------------------------------------------------
 
     async def renew_when_due(self) -> None:
-        """Drives the participant by the clock, until it is cancelled."""
+        """Calls the participant's `tick` whenever it is due, until this is cancelled."""
         while True:
             self._wakeup = wakeup = anyio.Event()
             self.participant.tick(self.clock())
@@ -108,7 +108,10 @@
                 await wakeup.wait()
 
     async def end(self, timeout_seconds: float) -> None:
-        """Releases every lease, and waits until that is on its way, as the process may end right after."""
+        """Releases every lease, and waits up to `timeout_seconds` until the sending task has the messages.
+
+        The process may exit right after this.
+        """
         self.participant.leave()
         self.carry_out()
         await self.leader.flush(timeout_seconds)
--- a/zincladder/leases/model.py
+++ b/zincladder/leases/model.py
@@ -1,4 +1,4 @@
-"""The reply that every kind of lease shares. Types only."""
+"""The reply that all kinds of leases have in common. Types only."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 class NotLeaderReply(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
-    """This replica does not lead its group; `leader` names the one that does, if it is known."""
+    """The replica does not lead its group. `leader` is the name of the leader; empty if it is unknown."""
 
     leader: str
--- a/zincladder/leases/service.py
+++ b/zincladder/leases/service.py
@@ -1,4 +1,4 @@
-"""The leader's side of leases: what its decisions send and write. On anyio."""
+"""The server side of leases: sends and writes what the leader has decided. Uses anyio."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 
 
 class LeaseActions(Protocol):
-    """What a leader has decided on, beside its writes."""
+    """What a leader has decided to do. Each kind of lease adds its writes."""
 
-    messages: list[tuple[int, Any]]  # with the number of the link
+    messages: list[tuple[int, Any]]  # number of the link, message
 
 
 class LeaseGranter(TermState, Protocol):
-    """What decides for the leader in one term, without I/O."""
+    """Decides about leases in one leader's term, without I/O."""
 
     def take_actions(self) -> Any:
-        """What is to be done since the last time."""
+        """Returns the actions decided since the last call."""
 
 
-G = TypeVar("G", bound=LeaseGranter)
-A = TypeVar("A", bound=LeaseActions)
+GranterT = TypeVar("GranterT", bound=LeaseGranter)
+ActionsT = TypeVar("ActionsT", bound=LeaseActions)
 
 
-class LeaseService(LeaderService[G], Generic[G, A]):
-    """Grants leases of one kind while its replica leads the group."""
+class LeaseService(LeaderService[GranterT], Generic[GranterT, ActionsT]):
+    """Grants leases of one kind while the replica leads the group."""
 
     def not_leader_message(self, leader: str) -> NotLeaderReply:
-        """The reply to whoever connects to a replica that does not lead."""
+        """The reply to a process that connects to a replica which does not lead."""
         return NotLeaderReply(leader)
 
-    def execute(self, term_state: G, tasks: anyio.abc.TaskGroup) -> None:
-        """Sends the messages that were decided on, and begins the writes."""
-        actions: A = term_state.take_actions()
+    def execute(self, term_state: GranterT, tasks: anyio.abc.TaskGroup) -> None:
+        """Sends the messages of the latest actions and starts their writes."""
+        actions: ActionsT = term_state.take_actions()
         for number, message in actions.messages:
             self.send(number, message)
         self.begin_writes(actions, term_state, tasks)
 
     @abstractmethod
-    def begin_writes(self, actions: A, term_state: G, tasks: anyio.abc.TaskGroup) -> None:
-        """Begins the writes among the actions."""
+    def begin_writes(self, actions: ActionsT, term_state: GranterT, tasks: anyio.abc.TaskGroup) -> None:
+        """Starts the writes of the actions as tasks."""
--- a/zincladder/links/__init__.py
+++ b/zincladder/links/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between the processes of one installation."""
+"""Connections for messages between the processes of one installation."""
--- a/zincladder/links/clocks.py
+++ b/zincladder/links/clocks.py
@@ -1,4 +1,4 @@
-"""The clock that leases are counted on. Importing it loads no parts of fronts or replicas."""
+"""The clock that leases are measured with. Importing this module loads no code of fronts or replicas."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def boottime() -> float:
-    """Seconds of a clock that goes on while the machine is suspended, and that nobody sets."""
+    """Seconds since boot. The clock also runs while the machine is suspended, and can't be set."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
