--- a/zincladder/links/connection.py
+++ b/zincladder/links/connection.py
@@ -1,4 +1,4 @@
-"""A link on a TCP connection: greets, sends and receives messages. On anyio."""
+"""Links: TCP connections that begin with a handshake and carry messages. Uses anyio."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from zincladder.links.errors import FrameError, HandshakeRejectedError
 from zincladder.links.frames import (
     MAX_BODY_BYTES,
-    MAX_GREETING_BYTES,
+    MAX_HANDSHAKE_BYTES,
     FrameDecoder,
-    Greeting,
+    HandshakeResponse,
     Hello,
     Rejected,
     Welcome,
     encode_frame,
 )
 
-IO_TIMEOUT_SECONDS = 2.0  # for a connection with its greeting, and for a write that makes no progress
+IO_TIMEOUT_SECONDS = 2.0  # for connecting with the handshake, and for sending one message
 READ_BYTES = 64 << 10
 MAX_REASON_LENGTH = 300
 MIN_BACKOFF_SECONDS = 0.05
@@ -43,49 +43,49 @@
 
 
 class Link:
-    """One connection to another process, before the greeting or after it."""
+    """A connection to another process, before or after the handshake."""
 
     def __init__(self, stream: anyio.abc.ByteStream) -> None:
-        self._stream, self._decoder = stream, FrameDecoder(MAX_GREETING_BYTES)
+        self._stream, self._decoder = stream, FrameDecoder(MAX_HANDSHAKE_BYTES)
         self._bodies: deque[bytes] = deque()
         self._send_lock = anyio.Lock()
 
     async def send(self, message: Any) -> None:
-        """One message. TimeoutError where the other side does not take it."""
+        """Sends one message. Raises TimeoutError if the peer does not read it in time."""
         data = encode_frame(msgspec.msgpack.encode(message))
         async with self._send_lock:
             with anyio.fail_after(IO_TIMEOUT_SECONDS):
                 await self._stream.send(data)
 
-    async def receive(self, kind: type[T] | Any) -> T | Any:
-        """The next message, of that type. FrameError for anything else."""
+    async def receive(self, message_type: type[T] | Any) -> T | Any:
+        """Waits for the next message, which has to be of `message_type`. Raises FrameError if it isn't."""
         while not self._bodies:
             self._bodies.extend(self._decoder.feed(await self._stream.receive(READ_BYTES)))
         try:
-            return msgspec.msgpack.decode(self._bodies.popleft(), type=kind)
+            return msgspec.msgpack.decode(self._bodies.popleft(), type=message_type)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            raise FrameError(f"a message that cannot be read: {error}") from None
+            raise FrameError(f"cannot decode a message: {error}") from None
 
     def handshake_done(self) -> None:
-        """The other side was accepted, and may send messages of full size."""
+        """Allows messages of full size, now that the peer is accepted."""
         self._decoder.max_body_bytes = MAX_BODY_BYTES
 
     async def close(self) -> None:
-        """Ends the connection at once, whatever was not sent."""
+        """Closes the connection at once and discards what was not sent."""
         with anyio.CancelScope(shield=True), contextlib.suppress(*CONNECTION_ERRORS):
             await anyio.aclose_forcefully(self._stream)
 
 
 async def connect(address: Address, hello: Hello) -> tuple[Link, Welcome]:
-    """A link to whoever listens at an address, and its greeting.
+    """Connects to a replica, and returns the link and the replica's Welcome.
 
-    HandshakeRejectedError where it rejects this one, else one of CONNECTION_ERRORS or FrameError.
+    Raises HandshakeRejectedError if the replica rejects the connection, else CONNECTION_ERRORS or FrameError.
     """
     with anyio.fail_after(IO_TIMEOUT_SECONDS):
         link = Link(await anyio.connect_tcp(*address))
         try:
             await link.send(hello)
-            answer = await link.receive(Greeting)
+            answer = await link.receive(HandshakeResponse)
         except BaseException:
             await link.close()
             raise
@@ -96,14 +96,14 @@
     return link, answer
 
 
-async def accept_handshake(link: Link, welcome: Welcome, rejection: Callable[[Hello], str]) -> Hello:
-    """The greeting of the side that has connected.
+async def accept_handshake(link: Link, welcome: Welcome, rejection_reason: Callable[[Hello], str]) -> Hello:
+    """Performs the handshake with a process that has connected, and returns its Hello.
 
-    Where `rejection` gives a reason, it is sent, and HandshakeRejectedError is raised.
+    If `rejection_reason` returns a reason, sends it to the process and raises HandshakeRejectedError.
     """
     with anyio.fail_after(IO_TIMEOUT_SECONDS):
         hello: Hello = await link.receive(Hello)
-        if reason := rejection(hello):
+        if reason := rejection_reason(hello):
             await link.send(Rejected(reason))
             raise HandshakeRejectedError(f"{hello.role[:20]} {hello.name[:40]!r}: {reason}")
         await link.send(welcome)
@@ -112,16 +112,16 @@
 
 
 class SendQueue:
-    """Messages that wait for a link, bounded; where there are too many, the oldest are dropped."""
+    """A bounded queue of messages to send over a link. If it is full, the oldest message is dropped."""
 
     def __init__(self, max_messages: int) -> None:
         self._messages: deque[Any] = deque(maxlen=max_messages)
-        self._message_came = anyio.Event()
+        self._message_added = anyio.Event()
 
     def put(self, message: Any) -> None:
-        """Adds a message."""
+        """Adds a message and wakes the sending task."""
         self._messages.append(message)
-        self._message_came.set()
+        self._message_added.set()
 
     def clear(self) -> None:
         """Drops all messages."""
@@ -129,31 +129,34 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether all messages are on their way."""
+        """Whether the sending task has taken all messages."""
         return not self._messages
 
     async def send_to(self, link: Link) -> None:
-        """Sends all messages as they come, until the link fails."""
+        """Sends messages as they are added, until the link fails."""
         while True:
             while self._messages:
                 await link.send(self._messages.popleft())
-            self._message_came = anyio.Event()
-            await self._message_came.wait()
+            self._message_added = anyio.Event()
+            await self._message_added.wait()
 
 
 class ReconnectBackoff:
-    """Waits between attempts to connect: doubled each time up to a bound, each spread by half either way."""
+    """Delays between connection attempts: doubled after each one up to a limit, with a jitter of ±50%.
 
-    def __init__(self, draw: Callable[[], float]) -> None:
-        self._draw, self._attempts = draw, 0
+    `random_fraction` returns a random number between 0 and 1.
+    """
+
+    def __init__(self, random_fraction: Callable[[], float]) -> None:
+        self._random_fraction, self._attempts = random_fraction, 0
 
     def reset(self) -> None:
-        """The link has worked."""
+        """Starts over with the shortest delay, because a connection has worked."""
         self._attempts = 0
 
     def next_seconds(self) -> float:
-        """How long to wait before the next attempt."""
+        """Returns the delay before the next attempt."""
         doublings = min(self._attempts, MAX_BACKOFF_DOUBLINGS)
         self._attempts += 1
         seconds = min(MAX_BACKOFF_SECONDS, math.ldexp(MIN_BACKOFF_SECONDS, doublings))
-        return seconds * (0.5 + self._draw())
+        return seconds * (0.5 + self._random_fraction())
--- a/zincladder/links/errors.py
+++ b/zincladder/links/errors.py
@@ -4,8 +4,8 @@
 
 
 class FrameError(Exception):
-    """The other side sent bytes that are no frame, or a body that is no message; the link ends."""
+    """The peer sent an invalid frame, or a body that is not a valid message. The link has to be closed."""
 
 
 class HandshakeRejectedError(Exception):
-    """One side did not accept the other's greeting; the text says why."""
+    """One side rejected the other's handshake; the text gives the reason."""
--- a/zincladder/links/frames.py
+++ b/zincladder/links/frames.py
@@ -1,9 +1,10 @@
-"""The format of a link: frames, and the greetings that come first. No I/O.
+"""The wire format of a link: frames, and the messages of the handshake. No I/O.
 
     frame = length:4 crc:4 body                     crc: CRC-32C of the body; both big-endian
 
-The first body each way is a greeting: `Hello` from the side that connects, `Welcome` or `Rejected` from the
-other. What follows is up to the two. Bodies are msgspec's msgpack.
+Bodies are messages in msgpack, as msgspec encodes them. The first body in each direction belongs to the
+handshake: `Hello` from the side that connects, `Welcome` or `Rejected` from the other. The messages after the
+handshake depend on the role in the Hello.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 VERSION = 1
 FRAME_HEADER = struct.Struct(">II")
 MAX_BODY_BYTES = 1 << 20
-MAX_GREETING_BYTES = 2048  # of a body before the other side is known
+MAX_HANDSHAKE_BYTES = 2048  # limit of a body before the peer is accepted
 MAX_NAME_LENGTH = 100
-MAX_SHOWN_LENGTH = 40  # of what a peer has sent, in a message about it
+MAX_SHOWN_LENGTH = 40  # characters of a peer's text that an error text quotes
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """Who connects: a replica of a group, a front, a worker, or an operator's command.
+    """The first message of the side that connects: a replica, a front, a worker or an operator's command.
 
-    `instance_id` tells one directory or process from another of the same name.
+    `instance_id` distinguishes directories or processes with the same name.
     """
 
     version: int
@@ -37,50 +38,50 @@
 
 
 class Welcome(msgspec.Struct, frozen=True, array_like=True, tag="welcome"):
-    """Who answers."""
+    """Accepts the connection and names the replica that answers."""
 
     name: str
     instance_id: str
 
 
 class Rejected(msgspec.Struct, frozen=True, array_like=True, tag="refused"):
-    """The greeting is not accepted; the link ends."""
+    """Rejects the connection, which is then closed."""
 
     reason: str
 
 
-Greeting = Welcome | Rejected
+HandshakeResponse = Welcome | Rejected
 
 
 def encode_frame(body: bytes) -> bytes:
-    """A body as a frame. ValueError for one that no reader takes."""
+    """Encodes a body as a frame. Raises ValueError if it exceeds MAX_BODY_BYTES."""
     if len(body) > MAX_BODY_BYTES:
-        raise ValueError(f"a message of {len(body)} bytes, {MAX_BODY_BYTES} at most")
+        raise ValueError(f"message of {len(body)} bytes exceeds {MAX_BODY_BYTES} bytes")
     return FRAME_HEADER.pack(len(body), crc32c(body)) + body
 
 
 class FrameDecoder:
-    """Bytes in, bodies out. Holds at most one frame of `max_body_bytes` and one read."""
+    """Decodes a byte stream into bodies. Buffers at most one frame of `max_body_bytes` and one read."""
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self._data, self.max_body_bytes = bytearray(), max_body_bytes
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The bodies that are complete now. FrameError where the bytes are no frame."""
+        """Adds bytes and returns the bodies that are complete now. Raises FrameError for an invalid frame."""
         self._data += data
         bodies: list[bytes] = []
         offset = 0
         while offset + FRAME_HEADER.size <= len(self._data):
             length, checksum = FRAME_HEADER.unpack_from(self._data, offset)
             if length > self.max_body_bytes:
-                raise FrameError(f"a message of {length} bytes, {self.max_body_bytes} at most")
+                raise FrameError(f"message of {length} bytes exceeds {self.max_body_bytes} bytes")
             start = offset + FRAME_HEADER.size
             end = start + length
             if end > len(self._data):
                 break
             body = bytes(self._data[start:end])
             if crc32c(body) != checksum:
-                raise FrameError("a message that was changed on its way")
+                raise FrameError("message checksum does not match")
             bodies.append(body)
             offset = end
         del self._data[:offset]
@@ -88,13 +89,13 @@
 
 
 def handshake_error(hello: Hello, group: str, roles: tuple[str, ...]) -> str:
-    """Why a member of the group can't accept this greeting; empty if it can."""
+    """The reason for a member of `group` to reject this Hello; empty if it is acceptable."""
     if hello.version != VERSION:
-        return f"links of version {hello.version}, not {VERSION}"
+        return f"unsupported link version {hello.version}, expected {VERSION}"
     if hello.group != group:
         return f"group {hello.group[:MAX_SHOWN_LENGTH]!r}, not {group!r}"
     if hello.role not in roles:
-        return f"role {hello.role[:MAX_SHOWN_LENGTH]!r}, only {', '.join(roles)}"
+        return f"unknown role {hello.role[:MAX_SHOWN_LENGTH]!r}, expected one of {', '.join(roles)}"
     if not hello.name or len(hello.name) > MAX_NAME_LENGTH:
-        return f"no name, or one of more than {MAX_NAME_LENGTH} letters"
+        return f"the name is empty or longer than {MAX_NAME_LENGTH} characters"
     return ""
--- a/zincladder/links/leader_link.py
+++ b/zincladder/links/leader_link.py
@@ -1,4 +1,4 @@
-"""A process's link to the leader of a group: found, kept, and sought anew. On anyio."""
+"""The link of a process to the leader of a group: finds the leader, and reconnects. Uses anyio."""
 
 from __future__ import annotations
 
@@ -20,20 +20,23 @@
 
 
 class LeaderLinkHandler(Protocol):
-    """Who talks over the link."""
+    """Receives what happens on the link."""
 
     def link_changed(self, up: bool) -> None:
-        """The link is up, or down and all that was sent on it is lost."""
+        """Called when the link is established, and when it is lost with all messages in transit."""
 
     def message_received(self, message: Any) -> str | None:
-        """A message of the replica. None: the link goes on. Else it ends: the leader's name, if known."""
+        """Handles a message of the replica.
+
+        Returns None to keep the link. Any string ends it: the name of the leader, or "" if it is unknown.
+        """
 
     def silence_timeout_seconds(self) -> float:
         """Seconds without a message after which another replica is tried."""
 
 
 class LeaderLink:
-    """One link at a time, to the replica that leads if there is one."""
+    """Keeps one link at a time, and looks for the replica that leads."""
 
     def __init__(
         self,
@@ -45,40 +48,44 @@
     ) -> None:
         self._addresses, self._hello, self._messages = addresses, hello, messages
         self._handler, self._random = handler, generator
-        self._logged_reason = ""
+        self._logged_rejection = ""
         self.send_queue = SendQueue(MAX_QUEUED_MESSAGES)
 
     async def flush(self, timeout_seconds: float) -> None:
-        """Waits until all queued messages are on their way, for so many seconds at most."""
+        """Waits until the sending task has taken all queued messages, for at most `timeout_seconds`."""
         with anyio.move_on_after(timeout_seconds):
             while not self.send_queue.is_empty:
                 await anyio.sleep(FLUSH_POLL_SECONDS)
 
     async def run(self) -> None:
-        """Until it is cancelled."""
+        """Connects and reconnects until it is cancelled."""
         backoff = ReconnectBackoff(self._random.random)
         names = list(self._addresses)
         self._random.shuffle(names)
         redirected = False
         while True:
             name = names[0]
-            names.append(names.pop(0))  # the next one, if this one does not lead
-            leader = await self._try(name, backoff)
+            names.append(names.pop(0))  # the next replica is tried if this one does not lead
+            leader = await self._try_replica(name, backoff)
             if leader in names:
                 names.remove(leader)
                 names.insert(0, leader)
-            # A redirect is followed at once, but not twice running: two replicas may name each other a while.
+            # A redirect is followed at once, but not twice in a row: for a while, two replicas may each name
+            # the other as the leader.
             redirected = leader not in ("", name) and not redirected
             if not redirected:
                 await anyio.sleep(backoff.next_seconds())
 
-    async def _try(self, name: str, backoff: ReconnectBackoff) -> str:
-        """One link to a replica, until it ends; the leader's name if that is another one."""
+    async def _try_replica(self, name: str, backoff: ReconnectBackoff) -> str:
+        """Connects to a replica and serves the link until it ends.
+
+        Returns the name of the leader if the replica has named another one, else "".
+        """
         leader = ""
         try:
             link, _ = await connect(parse_address(self._addresses[name]), self._hello)
             try:
-                leader = await self._exchange(link, backoff)
+                leader = await self._run_link(link, backoff)
             finally:
                 await link.close()
         except* HandshakeRejectedError as errors:
@@ -88,12 +95,12 @@
         return leader
 
     def _log_rejection(self, reason: str) -> None:
-        if reason != self._logged_reason:  # once for each reason, however often it is tried
-            self._logged_reason = reason
+        if reason != self._logged_rejection:  # logs a repeated reason only once
+            self._logged_rejection = reason
             if reason:
-                log.error("rejected by a replica", reason=reason, role=self._hello.role)
+                log.error("connection rejected by a replica", reason=reason, role=self._hello.role)
 
-    async def _exchange(self, link: Link, backoff: ReconnectBackoff) -> str:
+    async def _run_link(self, link: Link, backoff: ReconnectBackoff) -> str:
         self.send_queue.clear()
         self._handler.link_changed(True)
         try:
@@ -101,7 +108,7 @@
                 tasks.start_soon(self.send_queue.send_to, link)
                 leader = None
                 while leader is None:
-                    # Guards against a paused leader and a network that loses all: the link stays up.
+                    # A paused leader or a network that drops all packets does not close the connection.
                     with anyio.fail_after(self._handler.silence_timeout_seconds()):
                         message = await link.receive(self._messages)
                     leader = self._handler.message_received(message)
