--- a/tests/policy/test_document.py
+++ b/tests/policy/test_document.py
@@ -1,4 +1,4 @@
-"""Documents: what can be part of a policy, and how it is laid over a front's own files."""
+"""Documents: what a policy can contain, and how it overrides a front's own files."""
 
 from __future__ import annotations
 
@@ -32,37 +32,37 @@
         ({"settings": {"ceilings": {"attemptsCap": 0}}}, "attemptsCap"),
         ({"settings": {"az": 0}}, "'settings: zone' takes effect at a front's next start only"),
         ({"settings": {"categories": [{"name": "page"}]}}, "settings.categories[0]"),
-        ({"limits": {"memory_mb": 1}}, "'limits': there is no such part, only settings, operator"),
+        ({"limits": {"memory_mb": 1}}, "'limits' can't be part of a policy, only settings, operator"),
         ({"operator": {"metrics": {"listen": "x"}}}, "'operator.metrics' can't be part of a policy"),
         ({"operator": {"admission": {"rate": -1}}}, "'admission.rate'"),
         ({}, "must be an object that is not empty"),
         ([], "must be an object that is not empty"),
     ],
 )
-def test_a_policy_that_a_front_cannot_apply_is_rejected_by_its_key(policy: Any, reason: str) -> None:
+def test_a_policy_that_a_front_cannot_apply_is_rejected_and_its_key_named(policy: Any, reason: str) -> None:
     (given,) = reasons_against(policy)
     assert reason in given
 
 
-def test_admission_can_be_part_of_a_policy_only_where_it_is_on() -> None:
+def test_a_policy_can_contain_admission_only_if_the_front_has_it_enabled() -> None:
     policy = {"operator": {"admission": {"rate": 7.0}}}
     assert reasons_against(policy) == ()
     assert "off at this front until its next start" in reasons_against(policy, has_admission=False)[0]
 
 
 def test_a_document_that_is_not_json_is_rejected() -> None:
-    with pytest.raises(ConfigError, match="no JSON"):
+    with pytest.raises(ConfigError, match="'policy' is not valid JSON"):
         parse_policy(b"{" * 5000)
 
 
-def test_a_policy_goes_before_a_fronts_files_key_by_key() -> None:
+def test_a_policy_overrides_a_fronts_files_key_by_key() -> None:
     settings = merged(SETTINGS, {"ceilings": {"attemptsCap": 3}, "categories": [1]})
     assert settings["ceilings"] == SETTINGS["ceilings"] | {"attemptsCap": 3}
     assert settings["categories"] == [1] and settings["domain"] == SETTINGS["domain"]
     assert SETTINGS["ceilings"]["attemptsCap"] == 8
 
 
-def test_a_key_of_the_policy_that_was_changed_in_a_file_is_named() -> None:
+def test_keys_that_the_policy_sets_and_a_file_has_changed_are_named() -> None:
     policy = {"settings": {"ceilings": {"attemptsCap": 3}}, "operator": {"admission": {"rate": 9.0}}}
     changed = merged(OWN.raw, {"settings": {"ceilings": {"attemptsCap": 5, "mayCancel": False}}})
     assert overridden_keys(FILES, FrontFiles(changed, FILES.operator), policy) == [
@@ -74,7 +74,7 @@
     assert overridden_keys(FILES, FILES, policy) == []
 
 
-def test_a_difference_names_each_path_with_both_values() -> None:
+def test_a_difference_lists_each_path_with_both_values() -> None:
     assert difference({"a": {"b": 1, "c": 2}}, {"a": {"b": 3}, "d": [1]}) == [
         ("a.b", 1, 3),
         ("a.c", 2, None),
--- a/tests/policy/test_fleet_simulation.py
+++ b/tests/policy/test_fleet_simulation.py
@@ -1,4 +1,4 @@
-"""Simulated fleets with faults by seed, and mutations of the rules that the judge has to notice."""
+"""Simulated fleets with random faults, and mutations of the code that have to break an invariant."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from zincladder.policy.participant import ChangeParticipant
 
 
-def play(seed: int) -> FleetWorld:
-    """Three or five replicas with four fronts; in some histories replicas are killed at any step."""
+def run_simulation(seed: int) -> FleetWorld:
+    """Simulates three or five replicas and four fronts; with two of three seeds replicas crash at random."""
     world = FleetWorld(seed, 3 + 2 * (seed // 2 % 2), 4)
     world.crash_probability = 0.0005 * (seed % 3)
     world.play(40)
@@ -30,7 +30,7 @@
 def test_a_change_is_activated_everywhere_or_nowhere_whatever_fails(block: int) -> None:
     total: Counter[str] = Counter()
     for seed in range(block * 25, block * 25 + 25):
-        total.update(play(seed).figures)
+        total.update(run_simulation(seed).figures)
     assert (
         total["activated"] > 30
         and total["withdrawn"] > 3
@@ -41,8 +41,8 @@
 
 @settings(max_examples=25, deadline=None)
 @given(st.integers(1000, 10**9))
-def test_any_seed_keeps_the_rules(seed: int) -> None:
-    play(seed)
+def test_any_seed_keeps_the_invariants(seed: int) -> None:
+    run_simulation(seed)
 
 
 def ignores_the_clock(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -92,16 +92,16 @@
 
 
 @pytest.mark.parametrize("mutate", MUTATIONS, ids=lambda mutation: mutation.__name__)
-def test_the_judge_notices_each_mutation(
+def test_each_mutation_breaks_an_invariant(
     mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutate(monkeypatch)
     with pytest.raises(InvariantError):
         for seed in range(400):
-            play(seed)
+            run_simulation(seed)
 
 
-def test_a_front_relies_on_a_lease_for_less_time_than_the_leader_waits() -> None:
+def test_a_front_relies_on_a_lease_for_no_longer_than_the_leader_waits() -> None:
     assert TERMS.trusted_seconds * (1 + TERMS.clock_drift) <= TERMS.expiry_seconds
     assert (
         TERMS.trusted_seconds / (1 - TERMS.clock_drift)
--- a/tests/policy/test_golden_bytes.py
+++ b/tests/policy/test_golden_bytes.py
@@ -1,4 +1,4 @@
-"""The bytes of a policy's messages and registers, which processes of other versions read and write."""
+"""The encoding of a policy's messages and stored values, which other releases read and write."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 )
 
 CHANGE = PolicyChange(8, "d8", "ana", "a note", 1733216400.25)
-HELD = ChangeLogEntry(6, "d6", "ana", "", 1733216100.5, ChangeOutcome.ACTIVATED)
+ACTIVATED = ChangeLogEntry(6, "d6", "ana", "", 1733216100.5, ChangeOutcome.ACTIVATED)
 WITHDRAWN = ChangeLogEntry(
     7, "d7", "ben", "why", 1733216200.0, ChangeOutcome.WITHDRAWN, ("f1: it can't",), ("f2", "f3")
 )
@@ -57,21 +57,21 @@
 RECORDS = {
     "none": PolicyRecord(),
     "first": PolicyRecord(1, "d1"),
-    "checking": PolicyRecord(6, "d6", CHANGE, (), (HELD, WITHDRAWN)),
+    "checking": PolicyRecord(6, "d6", CHANGE, (), (ACTIVATED, WITHDRAWN)),
     "decided": PolicyRecord(
-        6, "d6", msgspec.structs.replace(CHANGE, phase=ChangePhase.DECIDED), ("f9",), (HELD,)
+        6, "d6", msgspec.structs.replace(CHANGE, phase=ChangePhase.DECIDED), ("f9",), (ACTIVATED,)
     ),
     "clearing": PolicyRecord(
         6, "d6", msgspec.structs.replace(CHANGE, phase=ChangePhase.REVOKING), ("f9",), ()
     ),
-    "history": PolicyRecord(6, "d6", None, (), (HELD, WITHDRAWN)),
+    "history": PolicyRecord(6, "d6", None, (), (ACTIVATED, WITHDRAWN)),
 }
-SWAPS = {
+WRITES = {
     "record": change_log.write_record(12, RECORDS["history"]),
     "document": change_log.write_document(b'{"settings":{"ceilings":{"attemptsCap":3}}}'),
     "expected-front": change_log.write_expected_front("f1"),
 }
-LEASE_TERMS = {
+LEASE_TIMINGS = {
     "standard": LeaseTiming(),
     "given": LeaseTiming(2.5, 0.5, 0.1, 1.0, 0.4, 0.6, 12.0, 0.3),
 }
@@ -88,18 +88,18 @@
 
 
 @pytest.mark.parametrize("name", RECORDS)
-def test_values_of_the_policy_register(name: str) -> None:
+def test_values_of_the_policy_record(name: str) -> None:
     assert_same_bytes(fixtures("policy_records.txt")[name], RECORDS[name], PolicyRecord)
 
 
-@pytest.mark.parametrize("name", SWAPS)
-def test_writes_of_registers(name: str) -> None:
-    assert_same_bytes(fixtures("policy_swaps.txt")[name], SWAPS[name], CompareAndSwap)
+@pytest.mark.parametrize("name", WRITES)
+def test_writes_of_stored_values(name: str) -> None:
+    assert_same_bytes(fixtures("policy_swaps.txt")[name], WRITES[name], CompareAndSwap)
 
 
-@pytest.mark.parametrize("name", LEASE_TERMS)
-def test_values_of_the_terms_register(name: str) -> None:
-    assert_same_bytes(fixtures("lease_terms.txt")[name], LEASE_TERMS[name], LeaseTiming)
+@pytest.mark.parametrize("name", LEASE_TIMINGS)
+def test_values_of_the_lease_timing(name: str) -> None:
+    assert_same_bytes(fixtures("lease_terms.txt")[name], LEASE_TIMINGS[name], LeaseTiming)
 
 
 def test_each_fixture_is_checked_and_each_message_has_one() -> None:
@@ -107,8 +107,8 @@
         "policy_from_front.txt": FROM_FRONT,
         "policy_from_leader.txt": FROM_LEADER,
         "policy_records.txt": RECORDS,
-        "policy_swaps.txt": SWAPS,
-        "lease_terms.txt": LEASE_TERMS,
+        "policy_swaps.txt": WRITES,
+        "lease_terms.txt": LEASE_TIMINGS,
     }
     for file, values in checked.items():
         assert fixtures(file).keys() == values.keys()
@@ -116,7 +116,7 @@
     assert {type(message) for message in FROM_LEADER.values()} == set(FromCoordinator.__args__)
 
 
-def test_keys_of_registers_and_stored_words() -> None:
+def test_stored_keys_and_enum_values() -> None:
     assert (model.POLICY_KEY, model.DOCUMENT_PREFIX, model.EXPECTED_FRONT_PREFIX, LEASE_TIMING_KEY) == (
         "policy",
         "document/",
--- a/tests/policy/test_leader_processes.py
+++ b/tests/policy/test_leader_processes.py
@@ -20,18 +20,18 @@
     tmp_path: Path, seed: int
 ) -> None:
     draw = random.Random(seed)
-    async with policy_fleet(tmp_path) as f:
-        traffic = f.traffic()
+    async with policy_fleet(tmp_path) as fleet:
+        traffic = fleet.traffic()
         for mark in range(2, 5):
-            leader = await f.r.leader()
+            leader = await fleet.r.leader()
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(f.r.insist, mark)
+                tasks.start_soon(fleet.r.insist, mark)
                 await anyio.sleep(draw.uniform(0, 0.08))
-                f.r.processes[leader].kill()
-            await f.everywhere(traffic, mark)
-            await f.r.start(leader)
+                fleet.r.processes[leader].kill()
+            await fleet.everywhere(traffic, mark)
+            await fleet.r.start(leader)
         traffic.judge()
-        record = await f.r.record()
+        record = await fleet.r.record()
         assert record.open_change is None and [p.version for p in record.log] == sorted(
             p.version for p in record.log
         )
@@ -41,45 +41,45 @@
 async def test_without_a_majority_of_replicas_fronts_stop_or_serve_on_as_configured(
     tmp_path: Path, cut_off: str
 ) -> None:
-    async with policy_fleet(tmp_path, fronts=2, cut_off=cut_off) as f:
-        traffic = f.traffic()
-        await f.everywhere(traffic, 1)
+    async with policy_fleet(tmp_path, fronts=2, cut_off=cut_off) as fleet:
+        traffic = fleet.traffic()
+        await fleet.everywhere(traffic, 1)
         for name in ("k1", "k2"):
-            f.r.processes[name].kill()
-        cut = anyio.current_time()
+            fleet.r.processes[name].kill()
+        majority_lost_at = anyio.current_time()
 
         def late() -> list[str]:
-            return [a.kind for a in traffic.history if a.began > cut + 2.0]
+            return [a.kind for a in traffic.history if a.began > majority_lost_at + 2.0]
 
-        await f.r.until("a lease is over", lambda: len(late()) > 20)
+        await fleet.r.until("the leases have expired", lambda: len(late()) > 20)
         assert set(late()) == ({"Throttled"} if cut_off == "stop" else {"served", "booked"})
         with pytest.raises((RequestFailedError, OutcomeUnknownError)):
-            await f.r.propose(2)
-        await f.r.start("k1")
-        await f.r.insist(3)
-        await f.everywhere(traffic, 3)
+            await fleet.r.propose(2)
+        await fleet.r.start("k1")
+        await fleet.r.insist(3)
+        await fleet.everywhere(traffic, 3)
         traffic.judge()
 
 
-async def test_a_leader_that_was_stopped_grants_nothing_when_it_wakes(tmp_path: Path) -> None:
-    # its front reaches nobody else, and its asking lies in the old leader's buffer
-    async with policy_fleet(tmp_path) as f:
-        traffic = f.traffic()
-        await f.everywhere(traffic, 1)
-        old = await f.r.leader()
-        f.r.processes[old].stop()
-        for (front, replica), relay in f.r.relays.items():
+async def test_a_leader_that_was_suspended_grants_no_lease_when_it_resumes(tmp_path: Path) -> None:
+    # Front f0 reaches only the stopped leader, whose receive buffer holds its renewals.
+    async with policy_fleet(tmp_path) as fleet:
+        traffic = fleet.traffic()
+        await fleet.everywhere(traffic, 1)
+        old = await fleet.r.leader()
+        fleet.r.processes[old].stop()
+        for (front, replica), relay in fleet.r.relays.items():
             if front == "f0" and replica != old:
                 relay.hold("to", "back")
-        await f.r.leader(old)
-        await f.r.insist(2)
-        await f.everywhere(traffic, 2, "f1", "f2")
-        f.r.processes[old].go_on()
-        woke = anyio.current_time()
-        await f.r.until("f0 is asked", lambda: len(traffic.since("f0", woke)) > 50)
-        assert 1 not in {a.mark for a in traffic.since("f0", woke)}
-        f.r.cut_front("f0")
-        await f.everywhere(traffic, 2)
+        await fleet.r.leader(old)
+        await fleet.r.insist(2)
+        await fleet.everywhere(traffic, 2, "f1", "f2")
+        fleet.r.processes[old].go_on()
+        resumed_at = anyio.current_time()
+        await fleet.r.until("f0 has received requests", lambda: len(traffic.since("f0", resumed_at)) > 50)
+        assert 1 not in {a.mark for a in traffic.since("f0", resumed_at)}
+        fleet.r.cut_front("f0")
+        await fleet.everywhere(traffic, 2)
         traffic.judge()
 
 
@@ -87,77 +87,78 @@
 async def test_a_leader_that_is_killed_right_after_each_state_leaves_no_partial_change(
     tmp_path: Path, step: ChangePhase | ChangeOutcome
 ) -> None:
-    async with policy_fleet(tmp_path) as f:
-        traffic = f.traffic("f0", "f1")
-        await f.everywhere(traffic, 1, "f0", "f1")
-        f.r.processes["f2"].stop()  # so that it stays CHECKING, and then DECIDED, for a while
-        for (front, _), relay in f.r.relays.items():
-            relay.delay = 0.07 if front == "f0" else 0.0  # and REVOKING
-        leader = await f.r.leader()
-        version, why = await f.r.propose(2)
-        assert version == 2, why
+    async with policy_fleet(tmp_path) as fleet:
+        traffic = fleet.traffic("f0", "f1")
+        await fleet.everywhere(traffic, 1, "f0", "f1")
+        fleet.r.processes["f2"].stop()  # so that the change stays CHECKING, then DECIDED, for a while
+        for (front, _), relay in fleet.r.relays.items():
+            relay.delay = 0.07 if front == "f0" else 0.0  # so that it stays REVOKING for a while
+        leader = await fleet.r.leader()
+        version, reason = await fleet.r.propose(2)
+        assert version == 2, reason
 
         async def reached() -> bool:
-            record = await f.r.record()
-            found = record.open_change.phase if record.open_change else record.log[-1].outcome
-            return str(found) == str(step)
-
-        await f.r.until(f"it is {step}", reached)
-        f.r.processes[leader].kill()
-        f.r.processes["f2"].go_on()
-        entry = await f.r.outcome(2)
-        assert entry.outcome is ChangeOutcome.ACTIVATED or step is ChangePhase.CHECKING  # decided is decided
-        await f.everywhere(traffic, 2 if entry.outcome is ChangeOutcome.ACTIVATED else 1, "f0", "f1")
+            record = await fleet.r.record()
+            state = record.open_change.phase if record.open_change else record.log[-1].outcome
+            return str(state) == str(step)
+
+        await fleet.r.until(f"the change is {step}", reached)
+        fleet.r.processes[leader].kill()
+        fleet.r.processes["f2"].go_on()
+        entry = await fleet.r.outcome(2)
+        assert entry.outcome is ChangeOutcome.ACTIVATED or step is ChangePhase.CHECKING  # DECIDED is final
+        await fleet.everywhere(traffic, 2 if entry.outcome is ChangeOutcome.ACTIVATED else 1, "f0", "f1")
         traffic.judge()
         if entry.outcome is ChangeOutcome.ACTIVATED:
-            late = f.traffic("f2")
-            await f.everywhere(late, 2, "f2")
+            late = fleet.traffic("f2")
+            await fleet.everywhere(late, 2, "f2")
             assert 1 not in {a.mark for a in late.history}
 
 
 @pytest.mark.parametrize("drift, kept", [(0.009, True), (0.5, False)], ids=["within", "past"])
-async def test_clocks_that_jump_or_drift_break_a_rule_only_past_the_bound(
+async def test_clocks_that_jump_or_drift_break_the_invariant_only_beyond_the_bound(
     tmp_path: Path, drift: float, kept: bool
 ) -> None:
-    # the bound is 1%: fronts that count slowly and replicas that count fast are the worst that it allows
-    async with policy_fleet(tmp_path, drift=drift) as f:
-        traffic = f.traffic()
-        await f.everywhere(traffic, 1)
-        f.r.cut_front("f1", "to", "back")
-        assert (await f.r.change(2)).outcome is ChangeOutcome.ACTIVATED
-        await f.everywhere(traffic, 2, "f0", "f2")
-        cut = len(traffic.history)
+    # The bound is 1%. Slow clocks of fronts and fast clocks of replicas are the worst case.
+    async with policy_fleet(tmp_path, drift=drift) as fleet:
+        traffic = fleet.traffic()
+        await fleet.everywhere(traffic, 1)
+        fleet.r.cut_front("f1", "to", "back")
+        assert (await fleet.r.change(2)).outcome is ChangeOutcome.ACTIVATED
+        await fleet.everywhere(traffic, 2, "f0", "f2")
+        answered = len(traffic.history)
 
         def stopped() -> bool:
-            return any(a.front == "f1" and a.kind == "Throttled" for a in traffic.history[cut:])
+            return any(a.front == "f1" and a.kind == "Throttled" for a in traffic.history[answered:])
 
-        await f.r.until("f1 serves no more", stopped)
+        await fleet.r.until("f1 has stopped serving", stopped)
         if kept:
             traffic.judge()
-        else:  # so it is the condition that the promise rests on, and the judge sees where it fails
+        else:  # beyond the bound the invariant is broken, and `judge` finds it
             with pytest.raises(AssertionError, match="served under 1 after 2"):
                 traffic.judge()
 
 
 async def test_a_majority_lost_during_a_change_leaves_it_decided(tmp_path: Path) -> None:
-    async with policy_fleet(tmp_path, fronts=3) as f:
-        traffic = f.traffic("f0")
-        await f.everywhere(traffic, 1, "f0")
-        f.r.processes["f1"].stop()  # its lease is what the change waits for
-        assert (await f.r.propose(2))[0] == 2
+    async with policy_fleet(tmp_path, fronts=3) as fleet:
+        traffic = fleet.traffic("f0")
+        await fleet.everywhere(traffic, 1, "f0")
+        fleet.r.processes["f1"].stop()  # the change waits for its lease to expire
+        assert (await fleet.r.propose(2))[0] == 2
 
         async def decided() -> bool:
-            found = (await f.r.record()).open_change
-            return found is not None and found.phase is ChangePhase.DECIDED
+            change = (await fleet.r.record()).open_change
+            return change is not None and change.phase is ChangePhase.DECIDED
 
-        await f.r.until("it is decided", decided)
+        await fleet.r.until("the change is decided", decided)
         for name in ("k1", "k2"):
-            f.r.processes[name].kill()
-        cut = anyio.current_time()
-        await f.r.until(
-            "the fleet stops", lambda: {a.kind for a in traffic.since("f0", cut)[-20:]} == {"Throttled"}
+            fleet.r.processes[name].kill()
+        majority_lost_at = anyio.current_time()
+        await fleet.r.until(
+            "f0 rejects requests",
+            lambda: {a.kind for a in traffic.since("f0", majority_lost_at)[-20:]} == {"Throttled"},
         )
-        await f.r.start("k2")
-        assert (await f.r.outcome(2)).outcome is ChangeOutcome.ACTIVATED
-        await f.everywhere(traffic, 2, "f0")
+        await fleet.r.start("k2")
+        assert (await fleet.r.outcome(2)).outcome is ChangeOutcome.ACTIVATED
+        await fleet.everywhere(traffic, 2, "f0")
         traffic.judge()
--- a/tests/policy/test_participant.py
+++ b/tests/policy/test_participant.py
@@ -1,4 +1,4 @@
-"""A front's part, step by step."""
+"""A front's part in the policy: leases, revocations and documents, without I/O."""
 
 from __future__ import annotations
 
@@ -14,26 +14,27 @@
 
 
 def serving_participant(serves_when_cut_off: bool = False) -> ChangeParticipant:
-    """A front that serves under version 1 from a lease requested at 100, for 5 s."""
+    """Returns a front that serves under version 1, with a lease of 5 s that was requested at 100 s."""
     participant = ChangeParticipant(100.0, serves_when_cut_off)
     participant.link_changed(True, 100.0)
     participant.tick(100.0)
     (request,) = participant.take_actions().messages
     assert isinstance(request, RenewPolicyLease)
     participant.message_received(PolicyLeaseGranted(request.serial, 1, "d1", 5.0, 1.0), 100.4)
-    assert participant.serving_version(100.4) == 0  # the document isn't there yet
+    assert participant.serving_version(100.4) == 0  # the document has not been delivered yet
     participant.take_actions()
     participant.applied("d1")
     return participant
 
 
-def test_a_lease_counts_from_its_request() -> None:
+def test_a_lease_is_valid_from_the_time_of_its_request() -> None:
     participant = serving_participant()
     assert participant.serving_version(104.99) == 1 and participant.serving_version(105.0) == 0
 
 
 def test_the_first_lease_sets_the_renewal_interval_at_once() -> None:
-    # Seen with real processes: renewed a second later instead, the leader's silence looked like its death.
+    # Guards against a renewal that comes only a second later: a front with shorter leases heard nothing from
+    # the leader meanwhile, and took it for dead.
     participant = ChangeParticipant(100.0)
     participant.link_changed(True, 100.0)
     participant.tick(100.0)
@@ -41,18 +42,18 @@
     assert participant.next_at == pytest.approx(100.35)
 
 
-def test_a_process_that_wakes_late_serves_nothing_before_any_message() -> None:
+def test_a_process_that_resumes_after_its_lease_expired_does_not_serve() -> None:
     assert serving_participant().serving_version(3700.0) == 0
 
 
-def test_a_front_that_is_cut_off_serves_on_where_configured_unless_it_has_released() -> None:
+def test_a_front_that_is_cut_off_keeps_serving_if_configured_unless_it_has_released() -> None:
     participant = serving_participant(serves_when_cut_off=True)
     assert participant.serving_version(3700.0) == 1
     participant.message_received(RevokePolicyLease(2), 101.0)
     assert participant.serving_version(101.0) == 0 and participant.serving_version(3700.0) == 0
 
 
-def test_a_grant_under_way_is_ignored_after_release() -> None:
+def test_a_grant_that_arrives_after_the_release_is_ignored() -> None:
     participant = serving_participant()
     participant.tick(101.0)
     (request,) = participant.take_actions().messages
@@ -64,13 +65,13 @@
     assert participant.serving_version(101.2) == 0
 
 
-def test_a_policy_that_cannot_be_applied_serves_nobody_and_gives_the_reason() -> None:
+def test_a_front_that_cannot_apply_a_policy_does_not_serve_and_gives_the_reason() -> None:
     participant = serving_participant()
     participant.tick(101.0)
     (request,) = participant.take_actions().messages
     assert isinstance(request, RenewPolicyLease)
     participant.message_received(PolicyLeaseGranted(request.serial, 2, "d2", 5.0, 1.0), 101.1)
-    participant.applied("d2", "'settings.az' waits")
+    participant.applied("d2", "'settings.az' needs a restart")
     assert participant.serving_version(101.1) == 0 and participant.failed_documents == {
-        "d2": "'settings.az' waits"
+        "d2": "'settings.az' needs a restart"
     }
--- a/tests/policy/test_state_space.py
+++ b/tests/policy/test_state_space.py
@@ -1,4 +1,4 @@
-"""Orders of events at small scope: all of them for one front, many random ones for more."""
+"""Explores orders of events at small scope: all orders with one front, many random ones with more."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 from zincladder.policy.model import PolicyLeaseGranted, RevokePolicyLease
 from zincladder.policy.participant import ChangeParticipant
 
-# Many faults of all kinds, and leaders with short terms.
+# The first scope has many faults of all kinds; the second has leaders with short terms.
 WIDE_SCOPES = (
     Scope(changes=6, leaders=3, kills=3, breaks=4, until=60, noise=20),
     Scope(changes=3, leaders=12, kills=1, breaks=2, until=60, noise=20),
 )
 
 
-def play(seed: int) -> PolicyStateSpace:
+def run_simulation(seed: int) -> PolicyStateSpace:
     state = PolicyStateSpace(WIDE_SCOPES[seed % 2], 2 + seed // 2 % 2)
     walk(state, seed, 500)
     return state
 
 
-def test_no_order_of_events_breaks_a_rule_with_one_front() -> None:
+def test_no_order_of_events_breaks_an_invariant_with_one_front() -> None:
     states, activated = search(PolicyStateSpace(Scope(changes=1, until=3), 1), good=in_force)  # exhaustive
     assert states > 2000 and activated > 10
 
 
 @pytest.mark.parametrize("block", range(4))
-def test_no_long_random_history_breaks_a_rule(block: int) -> None:
-    versions = sum(play(seed).in_force for seed in range(block * 500, block * 500 + 500))
+def test_no_long_random_history_breaks_an_invariant(block: int) -> None:
+    versions = sum(run_simulation(seed).in_force for seed in range(block * 500, block * 500 + 500))
     assert versions > 1000
 
 
@@ -82,6 +82,7 @@
     patch.setattr(ChangeParticipant, "message_received", forgets)
 
 
+# The fleet simulation does not notice these mutations.
 @pytest.mark.parametrize(
     "mutate",
     [
@@ -92,10 +93,10 @@
     ],
     ids=lambda mutation: mutation.__name__,
 )
-def test_small_histories_notice_what_the_fleet_simulation_does_not(
+def test_each_mutation_breaks_an_invariant(
     mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutate(monkeypatch)
     with pytest.raises(InvariantError):
         for seed in range(3000):
-            play(seed)
+            run_simulation(seed)
--- a/tests/tasks/test_commands.py
+++ b/tests/tasks/test_commands.py
@@ -1,4 +1,4 @@
-"""The command's former name."""
+"""The former name of `zincladder tasks`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from zincladder.cli import main
 
 
-def test_the_former_name_of_the_command_works_and_is_not_listed() -> None:
+def test_the_former_command_name_works_and_is_not_listed_in_the_help() -> None:
     runner = CliRunner()
     group = ["--group=g", "--at=k1=127.0.0.1:1"]
     for name in ("tasks", "duties"):
--- a/tests/tasks/test_counter_sums.py
+++ b/tests/tasks/test_counter_sums.py
@@ -1,4 +1,4 @@
-"""Sums of many processes' counters."""
+"""The sums of the counters of many processes."""
 
 from __future__ import annotations
 
@@ -19,34 +19,36 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 50), st.sampled_from("tgl")), max_size=60))
-def test_sums_only_rise_and_count_nothing_twice_whoever_fails(steps: list[tuple[int, int, str]]) -> None:
-    sums, reported = CounterSums(), [0.0] * 4
+def test_totals_never_fall_and_count_nothing_twice_when_processes_and_leaders_change(
+    events: list[tuple[int, int, str]],
+) -> None:
+    sums, counters = CounterSums(), [0.0] * 4
     totals, epoch, last = FleetTotals(), 0, 0.0
-    for process, amount, what in steps:
-        if what == "t":
-            reported[process] += amount
-            sums.reported(f"f{process}", "p", {"s": reported[process]})
-        elif what == "g":
+    for process, amount, event in events:
+        if event == "t":
+            counters[process] += amount
+            sums.reported(f"f{process}", "p", {"s": counters[process]})
+        elif event == "g":
             sums.forget(f"f{process}", "p")
-        else:  # another leader, whose sums begin at 0
+        else:  # a new leader, whose sums start at 0
             sums, epoch = CounterSums(), epoch + 1
         totals = totals.advanced(str(epoch), sums.totals, totals.at + 1)
-        assert last <= totals.totals.get("s", 0.0) <= sum(reported)
+        assert last <= totals.totals.get("s", 0.0) <= sum(counters)
         last = totals.totals.get("s", 0.0)
 
 
-def test_a_process_is_counted_from_its_first_report_on() -> None:
+def test_a_process_is_counted_from_its_first_report() -> None:
     sums = CounterSums()
     sums.reported("x", "p", {"s": 1000.0})
     sums.reported("x", "p", {"s": 1007.0, "t": 2.0})
-    sums.reported("x", "other", {"s": 3.0})  # its next process
+    sums.reported("x", "other", {"s": 3.0})  # a new process of the same front
     sums.reported("x", "other", {"s": 5.0, "n": float("nan"), "m": -1.0})
     assert dict(sums.totals) == {"s": 9.0, "t": 2.0}
 
 
-def test_the_sums_of_a_large_fleet_fit_a_register_and_are_bounded() -> None:
+def test_the_totals_of_a_large_fleet_fit_in_a_stored_value_and_the_sums_are_bounded() -> None:
     sums = CounterSums()
-    for turn in range(2):  # 400 caches with five ends each
+    for turn in range(2):  # 400 caches with five kinds of attempt ends each
         names = [
             f"zincladder_fleet_cache_attempts_total\0s-{n:08x}\0end{e}" for n in range(400) for e in range(5)
         ]
@@ -67,9 +69,9 @@
     assert len(sums.totals) <= MAX_SERIES and sums.dropped
 
 
-def test_the_times_of_samples_are_even_and_rise_whatever_the_wall_clock_does() -> None:
+def test_sample_times_rise_in_multiples_of_the_interval_even_if_the_wall_clock_is_set_back() -> None:
     at, times = 0, []
-    for now in (100_400, 101_100, 102_900, 50_000, 50_900, 130_000):  # set back, and forward
+    for now in (100_400, 101_100, 102_900, 50_000, 50_900, 130_000):  # the clock is set back, then forward
         at = next_sample_at(at, now, 1000)
         times.append(at)
     assert times == [100_000, 101_000, 102_000, 103_000, 104_000, 130_000]
--- a/tests/tasks/test_fence.py
+++ b/tests/tasks/test_fence.py
@@ -1,4 +1,4 @@
-"""Fences: at a receiver, in the log, and against callers that write the registers."""
+"""Checks of fencing tokens: at a receiver, in the replicas' log, and for writes of clients."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from zincladder.tasks.model import TaskAssignment, task_key, write_checkpoint
 
 
-def test_a_fence_rejects_outdated_tokens_for_each_task_by_itself() -> None:
+def test_a_fence_rejects_outdated_tokens_of_each_task_separately() -> None:
     fence = Fence({"a": 5})
     assert fence.admit("a", 4) == "task 'a': token 4 is older than 5, which was admitted here"
     assert (fence.admit("a", 5), fence.admit("a", 9), fence.admit("b", 1)) == ("", "", "")
@@ -27,27 +27,35 @@
     assert len(fence.highest) == MAX_TASKS and not fence.admit("a", 10)
 
 
-def test_a_checkpoint_is_stored_only_under_the_token_that_is_valid_when_it_is_applied() -> None:
-    registers = KeyValueState()
+def test_a_checkpoint_is_stored_only_if_its_token_is_valid_when_the_write_is_applied() -> None:
+    state = KeyValueState()
 
-    def put(index: int, swap: CompareAndSwap) -> object:
-        return registers.apply(index, msgspec.msgpack.encode(swap))
+    def apply_write(index: int, swap: CompareAndSwap) -> object:
+        return state.apply(index, msgspec.msgpack.encode(swap))
 
-    put(3, CompareAndSwap(task_key("a"), 0, msgspec.msgpack.encode(TaskAssignment("x", "p"))))
-    assert put(4, write_checkpoint("a", 3, 0, b"one")) == Swapped(4)
-    put(5, CompareAndSwap(task_key("a"), 3, msgspec.msgpack.encode(TaskAssignment("y", "q"))))
-    assert put(6, write_checkpoint("a", 3, 4, b"late")) == FencingTokenRejected(5)
-    assert put(7, write_checkpoint("a", 5, 0, b"two")) == VersionMismatch(4)
-    assert put(8, write_checkpoint("a", 5, 4, b"two")) == Swapped(8)
-    value = registers.get("progress/a")
+    apply_write(3, CompareAndSwap(task_key("a"), 0, msgspec.msgpack.encode(TaskAssignment("x", "p"))))
+    assert apply_write(4, write_checkpoint("a", 3, 0, b"one")) == Swapped(4)
+    apply_write(5, CompareAndSwap(task_key("a"), 3, msgspec.msgpack.encode(TaskAssignment("y", "q"))))
+    assert apply_write(6, write_checkpoint("a", 3, 4, b"late")) == FencingTokenRejected(5)
+    assert apply_write(7, write_checkpoint("a", 5, 0, b"two")) == VersionMismatch(4)
+    assert apply_write(8, write_checkpoint("a", 5, 4, b"two")) == Swapped(8)
+    value = state.get("progress/a")
     assert value is not None and value.data == b"two"
 
 
-def test_no_caller_assigns_a_task_or_stores_a_checkpoint_without_a_token() -> None:
+def test_no_client_can_assign_a_task_or_store_a_checkpoint_without_a_token() -> None:
     mine = msgspec.msgpack.encode(TaskAssignment("me", "p"))
-    assert rejection_reason(CompareAndSwap(task_key("a"), 0, mine)) == "the leader alone names owners"
-    assert rejection_reason(CompareAndSwap(task_key("a"), 0, b"\xc1")).startswith("no duty")
-    assert rejection_reason(CompareAndSwap("progress/a", 0, b"x")) == "progress needs its duty's token"
+    assert (
+        rejection_reason(CompareAndSwap(task_key("a"), 0, mine))
+        == "only the leader can assign a task to a lease holder"
+    )
+    assert rejection_reason(CompareAndSwap(task_key("a"), 0, b"\xc1")).startswith(
+        "the value is not a task assignment: "
+    )
+    assert (
+        rejection_reason(CompareAndSwap("progress/a", 0, b"x"))
+        == "a checkpoint needs the fencing token of its task"
+    )
     assert (
         rejection_reason(write_checkpoint("b", 3, 0, b"x")) == ""
         and rejection_reason(CompareAndSwap("x", 0, b"x")) == ""
--- a/tests/tasks/test_golden_bytes.py
+++ b/tests/tasks/test_golden_bytes.py
@@ -1,4 +1,4 @@
-"""The bytes of the messages and registers of singleton tasks, as other versions read and write them."""
+"""The encoding of the messages and stored values of singleton tasks, which other releases read and write."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     write_checkpoint,
 )
 
-FROM_WORKER = {
+FROM_RUNNER = {
     "wants": Offer(("figures", "other")),
     "wants-none": Offer(()),
     "keeps": RenewLease(9, (("figures", 41), ("other", 7))),
@@ -42,7 +42,7 @@
     "stop": Revoke("figures", 41),
     "elsewhere": NotLeaderReply("k2"),
 }
-REGISTERS = {
+ASSIGNMENTS = {
     "never-taken": TaskAssignment(),
     "owned": TaskAssignment("f1", "0a1b2c3d", 1733216400.25),
     "paused": TaskAssignment(changed_at=1733216400.25, paused=True, vacancy_reason="paused"),
@@ -52,16 +52,16 @@
     "none": FleetTotals(),
     "some": FleetTotals(1733216400000, "k1/7", {"a\0x": 3.0, "b": 1.5}, {"a\0x": 10.0, "b": 2.5, "c": 1.0}),
 }
-SWAPS = {
+WRITES = {
     "checkpoint": write_checkpoint("figures", 41, 40, b"progress"),
     "checkpoint-first": write_checkpoint("figures", 3, 0, b""),
-    "owner": CompareAndSwap(model.task_key("figures"), 40, msgspec.msgpack.encode(REGISTERS["owned"])),
+    "owner": CompareAndSwap(model.task_key("figures"), 40, msgspec.msgpack.encode(ASSIGNMENTS["owned"])),
 }
 
 
-@pytest.mark.parametrize("name", FROM_WORKER)
-def test_messages_of_a_process(name: str) -> None:
-    assert_same_bytes(fixtures("task_from_process.txt")[name], FROM_WORKER[name], FromRunner)
+@pytest.mark.parametrize("name", FROM_RUNNER)
+def test_messages_of_a_runner(name: str) -> None:
+    assert_same_bytes(fixtures("task_from_process.txt")[name], FROM_RUNNER[name], FromRunner)
 
 
 @pytest.mark.parametrize("name", FROM_LEADER)
@@ -69,18 +69,18 @@
     assert_same_bytes(fixtures("task_from_leader.txt")[name], FROM_LEADER[name], FromLeaseManager)
 
 
-@pytest.mark.parametrize("name", REGISTERS)
-def test_values_of_a_tasks_register(name: str) -> None:
-    assert_same_bytes(fixtures("task_registers.txt")[name], REGISTERS[name], TaskAssignment)
+@pytest.mark.parametrize("name", ASSIGNMENTS)
+def test_values_of_a_task_assignment(name: str) -> None:
+    assert_same_bytes(fixtures("task_registers.txt")[name], ASSIGNMENTS[name], TaskAssignment)
 
 
-@pytest.mark.parametrize("name", SWAPS)
-def test_writes_of_registers(name: str) -> None:
-    assert_same_bytes(fixtures("task_swaps.txt")[name], SWAPS[name], CompareAndSwap)
+@pytest.mark.parametrize("name", WRITES)
+def test_writes_of_stored_values(name: str) -> None:
+    assert_same_bytes(fixtures("task_swaps.txt")[name], WRITES[name], CompareAndSwap)
 
 
 @pytest.mark.parametrize("name", TOTALS)
-def test_progress_of_the_fleets_figures(name: str) -> None:
+def test_checkpoints_of_the_fleets_totals(name: str) -> None:
     assert_same_bytes(fixtures("task_totals.txt")[name], TOTALS[name], FleetTotals)
     stored = fixtures("task_totals_packed.txt")[name]
     assert (
@@ -90,20 +90,20 @@
 
 def test_each_fixture_is_checked_and_each_message_has_one() -> None:
     checked: dict[str, dict[str, Any]] = {
-        "task_from_process.txt": FROM_WORKER,
+        "task_from_process.txt": FROM_RUNNER,
         "task_from_leader.txt": FROM_LEADER,
-        "task_registers.txt": REGISTERS,
-        "task_swaps.txt": SWAPS,
+        "task_registers.txt": ASSIGNMENTS,
+        "task_swaps.txt": WRITES,
         "task_totals.txt": TOTALS,
         "task_totals_packed.txt": TOTALS,
     }
     for file, values in checked.items():
         assert fixtures(file).keys() == values.keys()
-    assert {type(message) for message in FROM_WORKER.values()} == set(FromRunner.__args__)
+    assert {type(message) for message in FROM_RUNNER.values()} == set(FromRunner.__args__)
     assert {type(message) for message in FROM_LEADER.values()} == set(FromLeaseManager.__args__)
 
 
-def test_keys_of_registers_and_of_the_push() -> None:
+def test_stored_keys_and_names_of_the_push() -> None:
     assert (model.TASK_PREFIX, model.CHECKPOINT_PREFIX) == ("duty/", "progress/")
     assert (model.task_key("a"), model.checkpoint_key("a")) == ("duty/a", "progress/a")
     assert (fleet_metrics.FENCE_HEADER, fleet_metrics.HTTP_FENCED) == ("X-Zincladder-Fence", 409)
--- a/tests/tasks/test_lease_holder.py
+++ b/tests/tasks/test_lease_holder.py
@@ -1,4 +1,4 @@
-"""A process's part, step by step."""
+"""A process's part in the singleton tasks: assignments, leases and revocations, without I/O."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 
 
 def holding_process(now: float = 100.0) -> LeaseHolder:
+    """Returns a process that runs task `a` under token 7, with a lease of 5 s that was requested at `now`."""
     lease_holder = LeaseHolder(["a", "b"], now)
     lease_holder.link_changed(True, now)
     lease_holder.message_received(Assigned("a", 7), now)
@@ -18,7 +19,7 @@
     assert offer == Offer(("a", "b"))
     assert isinstance(idle, RenewLease) and not idle.assigned and isinstance(request, RenewLease)
     assert request == RenewLease(idle.serial + 1, (("a", 7),))
-    assert lease_holder.active_token("a", now) == 0  # it is assigned, and there is no lease yet
+    assert lease_holder.active_token("a", now) == 0  # assigned, but without a lease
     lease_holder.message_received(LeaseGranted(request.serial, (("a", 7),), 5.0, 1.0), now + 0.4)
     assert lease_holder.take_actions().begin == ["a"]
     return lease_holder
@@ -31,7 +32,8 @@
         and lease_holder.active_token("a", 105.0) == 0
         and lease_holder.active_token("b", 101) == 0
     )
-    assert lease_holder.active_token("a", 3700.0) == 0  # it slept, and no message has come
+    # It was suspended for an hour, and no message has arrived since.
+    assert lease_holder.active_token("a", 3700.0) == 0
 
 
 def test_the_first_lease_sets_the_renewal_interval_at_once() -> None:
@@ -44,7 +46,7 @@
     assert lease_holder.next_at == pytest.approx(100.35)
 
 
-def test_a_task_ends_with_its_lease_and_begins_anew_with_the_next() -> None:
+def test_a_task_stops_when_its_lease_expires_and_starts_again_with_the_next() -> None:
     lease_holder = holding_process()
     lease_holder.link_changed(False, 101.0)
     lease_holder.tick(106.0)
@@ -69,7 +71,7 @@
     )
 
 
-def test_a_revocation_is_answered_and_an_outdated_one_ends_nothing() -> None:
+def test_a_revocation_is_answered_and_an_outdated_one_is_ignored() -> None:
     lease_holder = holding_process()
     lease_holder.message_received(Revoke("a", 6), 100.5)
     assert lease_holder.active_token("a", 100.5) == 7
@@ -79,7 +81,7 @@
     ]
 
 
-def test_a_process_that_leaves_releases_all_and_offers_nothing() -> None:
+def test_a_process_that_shuts_down_releases_its_leases_and_offers_nothing() -> None:
     lease_holder = holding_process()
     lease_holder.leave()
     actions = lease_holder.take_actions()
@@ -88,9 +90,8 @@
     assert not lease_holder.leases
 
 
-def test_a_lease_leaves_time_to_act() -> None:
-    # Requested, relied on and acted under at the latest, by a slow clock; received and waited out by a fast
-    # one.
+def test_a_holder_stops_acting_before_the_leader_considers_its_lease_expired() -> None:
+    # The worst case that the drift bound allows: the holder's clock is slow, and the leader's is fast.
     for lease_timing in (
         TERMS,
         msgspec.structs.replace(TERMS, lease_seconds=5.0, clock_drift=0.01, max_action_seconds=0.2),
@@ -101,7 +102,7 @@
         assert slowest <= lease_timing.expiry_seconds / (1 + lease_timing.clock_drift) + 1e-9
 
 
-def test_an_outdated_assignment_changes_nothing() -> None:
+def test_an_outdated_assignment_is_ignored() -> None:
     lease_holder = holding_process()
-    lease_holder.message_received(Assigned("a", 5), 100.5)  # late
+    lease_holder.message_received(Assigned("a", 5), 100.5)  # an older token than 7
     assert lease_holder.leases["a"] == HeldLease(7, 105.0, lease_holder.leases["a"].assigned_after_serial)
--- a/tests/tasks/test_lease_manager.py
+++ b/tests/tasks/test_lease_manager.py
@@ -1,4 +1,4 @@
-"""The leader's part, step by step."""
+"""The leader's part in the singleton tasks, step by step and without I/O."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 class Leader:
-    """A lease manager whose writes succeed at once."""
+    """A lease manager with a simulated clock, whose writes succeed at once."""
 
     def __init__(self, *names: str) -> None:
         self.now, self.index = 100.0, 1
-        self.registers: dict[str, tuple[TaskAssignment, int]] = {}
+        self.stored_assignments: dict[str, tuple[TaskAssignment, int]] = {}
         self.lease_manager = LeaseManager(TERMS, self.now - 50)
-        self.lease_manager.assignments_read(self.registers, self.now)
+        self.lease_manager.assignments_read(self.stored_assignments, self.now)
         self.messages: list[tuple[int, Any]] = []
         for n, name in enumerate(names, 1):
             self.lease_manager.link_opened(n, name, "p", self.now)
-            self.hears(n, Offer(("a",)))
+            self.receive(n, Offer(("a",)))
 
-    def hears(self, number: int, message: Any) -> None:
+    def receive(self, number: int, message: Any) -> None:
         self.lease_manager.message_received(number, message, self.now)
         self.settle()
 
@@ -40,68 +40,72 @@
         while (actions := self.lease_manager.take_actions()).writes or actions.messages:
             self.messages += actions.messages
             for write in actions.writes:
-                assert write.expected_version == self.registers.get(write.task, (TaskAssignment(), 0))[1]
+                assert (
+                    write.expected_version
+                    == self.stored_assignments.get(write.task, (TaskAssignment(), 0))[1]
+                )
                 self.index += 1
-                self.registers[write.task] = (write.assignment, self.index)
+                self.stored_assignments[write.task] = (write.assignment, self.index)
             if actions.writes:
-                self.lease_manager.assignments_read(self.registers, self.now)
+                self.lease_manager.assignments_read(self.stored_assignments, self.now)
             for write in actions.writes:
                 self.lease_manager.write_ended(write.task, self.now)
 
     def holder(self) -> str:
-        return self.registers["a"][0].lease_holder
+        return self.stored_assignments["a"][0].lease_holder
 
 
-def test_a_silent_holder_with_its_link_up_loses_its_task_when_its_lease_expires() -> None:
+def test_a_connected_holder_that_sends_no_renewal_loses_its_task_when_its_lease_expires() -> None:
     leader = Leader("x", "y")
     first = leader.holder()
     leader.settle(TERMS.expiry_seconds - 0.1)
     assert leader.holder() == first
     leader.settle(0.2)
     assert leader.holder() != first and leader.holder()
-    leader.settle(TERMS.expiry_seconds + 0.1)  # the other is silent too: never to nobody
+    leader.settle(TERMS.expiry_seconds + 0.1)  # the second runner is silent too
     assert leader.holder() == first
 
 
 def test_no_lease_is_granted_while_a_reassignment_is_being_written() -> None:
-    # Guards against two holders: any other entry of the log once ended the wait for this one.
+    # Another entry of the log must not end the wait for the reassignment. When it did, the former holder got
+    # a lease, and two processes held one.
     leader = Leader("x", "y")
-    number, token = leader.lease_manager.holder_link("a"), leader.registers["a"][1]
+    number, token = leader.lease_manager.holder_link("a"), leader.stored_assignments["a"][1]
     leader.now += TERMS.expiry_seconds + 0.1
     leader.lease_manager.tick(leader.now)
     (write,) = leader.lease_manager.take_actions().writes
-    leader.lease_manager.assignments_read(leader.registers, leader.now)  # of something else
+    leader.lease_manager.assignments_read(leader.stored_assignments, leader.now)  # another entry of the log
     leader.lease_manager.message_received(number, RenewLease(1, (("a", token),)), leader.now)
     actions = leader.lease_manager.take_actions()
     assert not actions.writes
     assert [message for _, message in actions.messages] == [
         LeaseGranted(1, (), TERMS.holder_seconds, TERMS.renew_seconds)
     ]
-    leader.registers["a"] = (write.assignment, token + 1)
-    leader.lease_manager.assignments_read(leader.registers, leader.now)
+    leader.stored_assignments["a"] = (write.assignment, token + 1)
+    leader.lease_manager.assignments_read(leader.stored_assignments, leader.now)
     leader.lease_manager.write_ended("a", leader.now)
-    leader.hears(3 - number, RenewLease(1, (("a", token + 1),)))
+    leader.receive(3 - number, RenewLease(1, (("a", token + 1),)))
     assert leader.messages[-1][1] == LeaseGranted(
         1, (("a", token + 1),), TERMS.holder_seconds, TERMS.renew_seconds
     )
 
 
-def test_the_only_runner_keeps_its_task_however_long_it_is_silent() -> None:
+def test_the_only_runner_keeps_its_task_however_long_it_sends_no_renewal() -> None:
     leader = Leader("x")
-    token = leader.registers["a"][1]
+    token = leader.stored_assignments["a"][1]
     leader.settle(100.0)
-    assert (leader.holder(), leader.registers["a"][1]) == ("x", token)
-    leader.hears(1, RenewLease(1, (("a", token),)))
+    assert (leader.holder(), leader.stored_assignments["a"][1]) == ("x", token)
+    leader.receive(1, RenewLease(1, (("a", token),)))
     assert LeaseGranted(1, (("a", token),), TERMS.holder_seconds, TERMS.renew_seconds) in [
         m for _, m in leader.messages
     ]
 
 
-def test_a_lost_holder_is_waited_for_and_one_that_released_is_not() -> None:
+def test_a_task_is_reassigned_once_its_lease_has_expired_or_at_once_after_a_release() -> None:
     leader = Leader("x", "y")
     first = leader.holder()
     number = leader.lease_manager.holder_link("a")
-    leader.hears(number, RenewLease(1, (("a", leader.registers["a"][1]),)))
+    leader.receive(number, RenewLease(1, (("a", leader.stored_assignments["a"][1]),)))
     leader.lease_manager.link_closed(number, leader.now)
     leader.settle(TERMS.expiry_seconds - 0.1)
     assert leader.holder() == first
@@ -110,14 +114,15 @@
     assert second and second != first
     other = leader.lease_manager.holder_link("a")
     leader.lease_manager.link_opened(9, "z", "p", leader.now)
-    leader.hears(9, Offer(("a",)))
-    leader.hears(other, Offer(()))
-    leader.hears(other, ReleaseLease("a", leader.registers["a"][1]))
+    leader.receive(9, Offer(("a",)))
+    leader.receive(other, Offer(()))
+    leader.receive(other, ReleaseLease("a", leader.stored_assignments["a"][1]))
     assert leader.holder() == "z"
 
 
-def test_a_release_of_a_token_that_was_never_leased_frees_nothing_and_is_not_stored() -> None:
-    # Guards what a former leader may have granted; and names are a runner's own claims.
+def test_a_release_of_a_token_that_was_never_leased_is_ignored_and_not_stored() -> None:
+    # A former leader may have granted a lease on the task. And a runner may name any tasks, which must not
+    # fill the memory.
     lease_manager = LeaseManager(TERMS, 100.0)
     lease_manager.assignments_read({"a": (TaskAssignment("x", "p"), 7)}, 100.0)
     lease_manager.link_opened(1, "y", "p", 100.0)
@@ -130,42 +135,42 @@
 
 
 def test_an_assignment_is_announced_on_the_holders_latest_link() -> None:
-    # An older one may be half open: nothing sent on it arrives, and nobody notices that it is gone.
+    # An older link may be half open: messages on it are lost, and the leader has not noticed that.
     leader = Leader("x")
     leader.lease_manager.link_opened(5, "x", "p", leader.now)
     leader.messages.clear()
-    leader.hears(5, Offer(("a",)))
-    assert leader.messages == [(5, Assigned("a", leader.registers["a"][1]))]
+    leader.receive(5, Offer(("a",)))
+    assert leader.messages == [(5, Assigned("a", leader.stored_assignments["a"][1]))]
 
 
-def test_a_paused_task_is_assigned_to_nobody_and_a_preferred_runner_comes_first() -> None:
+def test_a_paused_task_is_not_assigned_and_a_preferred_runner_gets_it_first() -> None:
     leader = Leader("x", "y", "z")
     first = leader.holder()
-    number, token = leader.lease_manager.holder_link("a"), leader.registers["a"][1]
+    number, token = leader.lease_manager.holder_link("a"), leader.stored_assignments["a"][1]
     preferred = next(n for n in "xyz" if n != first)
     leader.index += 1
-    leader.registers["a"] = (TaskAssignment(paused=True, preferred_runner=preferred), leader.index)
-    leader.lease_manager.assignments_read(leader.registers, leader.now)
+    leader.stored_assignments["a"] = (TaskAssignment(paused=True, preferred_runner=preferred), leader.index)
+    leader.lease_manager.assignments_read(leader.stored_assignments, leader.now)
     leader.settle()
     assert (number, Revoke("a", token)) in leader.messages
-    leader.hears(number, ReleaseLease("a", token))
+    leader.receive(number, ReleaseLease("a", token))
     leader.settle(50.0)
     assert leader.holder() == ""
     leader.index += 1
-    leader.registers["a"] = (TaskAssignment(preferred_runner=preferred), leader.index)
-    leader.lease_manager.assignments_read(leader.registers, leader.now)
+    leader.stored_assignments["a"] = (TaskAssignment(preferred_runner=preferred), leader.index)
+    leader.lease_manager.assignments_read(leader.stored_assignments, leader.now)
     leader.settle()
     assert leader.holder() == preferred
 
 
-def test_many_tasks_are_spread_and_all_leaders_choose_alike() -> None:
+def test_tasks_are_spread_and_the_order_of_links_does_not_matter() -> None:
     def assigned(order: list[str]) -> dict[str, str]:
         leader = Leader()
         for n, name in enumerate(order, 1):
             leader.lease_manager.link_opened(n, name, "p", leader.now)
             leader.lease_manager.runners[n].offered = frozenset(f"d{i}" for i in range(12))
         leader.settle()
-        return {task: assignment.lease_holder for task, (assignment, _) in leader.registers.items()}
+        return {task: assignment.lease_holder for task, (assignment, _) in leader.stored_assignments.items()}
 
     names = ["w", "x", "y", "z"]
     one, two = assigned(names), assigned(names[::-1])
--- a/tests/tasks/test_runner.py
+++ b/tests/tasks/test_runner.py
@@ -1,4 +1,4 @@
-"""The runner of one process."""
+"""The task runner of one process."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 @pytest.mark.anyio
-async def test_an_idle_runner_does_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Measured once: it woke itself up, and a front that only waited took a whole core.
+async def test_an_idle_runner_does_not_wake_itself(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards against a runner that wakes itself in a loop: an idle front used a whole core.
     task_runner = TaskRunner(TasksConfig("g", {"k1": "127.0.0.1:1"}, ()), "f0", {}, dict)
     ticks, tick = [], task_runner.participant.tick
 
--- a/tests/tasks/test_state_space.py
+++ b/tests/tasks/test_state_space.py
@@ -1,4 +1,4 @@
-"""Orders of events at small scope: all of them for one process, many random ones for more."""
+"""Explores orders of events at small scope: all orders with one process, many random ones with more."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 from zincladder.tasks.lease_manager import LeaseManager
 from zincladder.tasks.model import LeaseGranted
 
-# Many faults of all kinds, and leaders with short terms.
+# The first scope has many faults of all kinds; the second has leaders with short terms.
 WIDE_SCOPES = (
     Scope(changes=4, leaders=3, kills=3, breaks=4, until=60, noise=20),
     Scope(changes=1, leaders=12, kills=1, breaks=2, until=60, noise=20),
 )
 
 
-def play(seed: int) -> TaskStateSpace:
+def run_simulation(seed: int) -> TaskStateSpace:
     state = TaskStateSpace(WIDE_SCOPES[seed % 2], processes=2 + seed // 2 % 2, effects=30)
     walk(state, seed, 400)
     return state
 
 
 def test_no_order_of_events_makes_two_lease_holders_or_admits_an_outdated_effect() -> None:
-    # One process and its successors, one effect: exhaustive, 7,000 states.
+    # One process and its successors, with one effect in all; the search is exhaustive, with 7,000 states.
     scope = Scope(changes=0, kills=1, until=3)
     states, count = search(TaskStateSpace(scope, processes=1, effects=1), good=taken_over)
     assert states > 2000 and count > 10
 
 
 @pytest.mark.parametrize("block", range(4))
-def test_no_long_random_history_breaks_a_rule(block: int) -> None:
-    writes = sum(play(seed).register[1] for seed in range(block * 500, block * 500 + 500))
-    assert writes > 2500  # of assignments
+def test_no_long_random_history_breaks_an_invariant(block: int) -> None:
+    writes = sum(run_simulation(seed).register[1] for seed in range(block * 500, block * 500 + 500))
+    assert writes > 2500  # writes of assignments
 
 
-# Mutations of the rules ---------------------------------------------------------------------------
+# Mutations of the code, each of which has to break an invariant --------------------------------------
 
 
 def no_fence(patch: pytest.MonkeyPatch) -> None:
@@ -90,8 +90,8 @@
 
 
 def task_is_assigned_while_it_is_leased(patch: pytest.MonkeyPatch) -> None:
-    free_at = LeaseManager.free_at
-    patch.setattr(LeaseManager, "free_at", lambda self, task: free_at(self, task) - 2)
+    reassignable_at = LeaseManager.reassignable_at
+    patch.setattr(LeaseManager, "reassignable_at", lambda self, task: reassignable_at(self, task) - 2)
 
 
 def token_is_given_twice(patch: pytest.MonkeyPatch) -> None:
@@ -116,10 +116,10 @@
 
 
 @pytest.mark.parametrize("mutate", MUTATIONS, ids=lambda mutation: mutation.__name__)
-def test_the_judge_notices_each_mutation(
+def test_each_mutation_breaks_an_invariant(
     mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutate(monkeypatch)
     with pytest.raises(InvariantError):
         for seed in range(3000):
-            play(seed)
+            run_simulation(seed)
--- a/zincladder/policy/__init__.py
+++ b/zincladder/policy/__init__.py
@@ -1,1 +1,1 @@
-"""One policy for a fleet: a change takes hold at every front or at none."""
+"""The policy that all fronts of a fleet share: a change takes effect at every front or at none."""
--- a/zincladder/policy/change_log.py
+++ b/zincladder/policy/change_log.py
@@ -1,4 +1,4 @@
-"""The policy as a group's key-value state holds it: reading them, and the writes that change them. No I/O."""
+"""Reads the policy's values from a group's key-value state, and makes the writes that change them. No I/O."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeLog:
-    """All values of the policy, as of one moment."""
+    """All stored values of the policy at one point of the log."""
 
     record: PolicyRecord
-    record_version: int  # of the record's value
+    record_version: int  # version of the value of POLICY_KEY; 0 if there is none
     expected_fronts: frozenset[str]
     documents: dict[str, VersionedValue]
 
     @property
     def contents(self) -> dict[str, bytes]:
-        """The content of each stored document, by its id."""
+        """The content of each stored document, by document id."""
         return {name: value.data for name, value in self.documents.items()}
 
 
 def read(values: Mapping[str, VersionedValue]) -> ChangeLog:
-    """The policy's part of all values."""
+    """Picks the policy's values out of all values of the state and decodes them."""
     stored = values.get(POLICY_KEY)
     record = msgspec.msgpack.decode(stored.data, type=PolicyRecord) if stored else PolicyRecord()
     expected = frozenset(
@@ -53,45 +53,50 @@
 
 
 def rejection_reason(swap: CompareAndSwap) -> str:
-    """Why a caller's write can't be accepted; empty if it can.
+    """Returns why a client's write is rejected; empty if it is accepted.
 
-    Guards the replicas: a record that cannot be decoded would end every one that comes to lead.
+    A record that can't be decoded must not be stored: it would crash each replica that becomes the leader.
     """
     if swap.key == LEASE_TIMING_KEY:
-        return f"{LEASE_TIMING_KEY!r} is the keepers' own"
+        return f"{LEASE_TIMING_KEY!r} can be written by replicas only"
     if swap.key == POLICY_KEY:
         try:
             msgspec.msgpack.decode(swap.data or b"", type=PolicyRecord)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return f"no record of a policy: {error}"
+            return f"the value is not a policy record: {error}"
     name = swap.key.removeprefix(DOCUMENT_PREFIX)
     if name != swap.key and swap.data is not None and name != document_id(swap.data):
-        return "a document is named by its content"
+        return "the key of a document has to hold the hash of its content"
     return ""
 
 
 def write_record(expected_version: int, record: PolicyRecord) -> CompareAndSwap:
-    """Replaces the record, if its key still has the expected version."""
+    """Returns the write that replaces the record if its value still has the expected version."""
     return CompareAndSwap(POLICY_KEY, expected_version, encode(record))
 
 
 def write_document(content: bytes) -> CompareAndSwap:
-    """Stores a document. A version mismatch is as good as success: the key then has the same content.
+    """Returns the write that stores a document.
 
-    Raises InvalidPolicyError for one that is too large for a value.
+    A version mismatch counts as success, because the key then holds the same content already. Raises
+    InvalidPolicyError if the document is too large for a value.
     """
     if len(content) > MAX_VALUE_BYTES:
-        raise InvalidPolicyError(f"a policy of {len(content)} bytes, {MAX_VALUE_BYTES} at most")
+        raise InvalidPolicyError(f"the policy has {len(content)} bytes; the limit is {MAX_VALUE_BYTES}")
     return CompareAndSwap(DOCUMENT_PREFIX + document_id(content), 0, content)
 
 
 def write_expected_front(front: str) -> CompareAndSwap:
-    """Expects a front to take part from now on."""
+    """Returns the write that makes a front an expected one: changes count it even if it is not connected."""
     return CompareAndSwap(EXPECTED_FRONT_PREFIX + front, 0, b"")
 
 
 def delete_unreferenced(change_log: ChangeLog) -> list[CompareAndSwap]:
-    """Removes documents that nothing but the oldest log entries names; none while a change is open."""
+    """Returns the writes that delete the documents which the record no longer needs.
+
+    Needed are the document in force and those of the latest log entries, up to MAX_RETAINED_DOCUMENT_BYTES.
+    While a change is open nothing is deleted.
+    """
     record = change_log.record
     if record.open_change is not None:
         return []
--- a/zincladder/policy/change_states.py
+++ b/zincladder/policy/change_states.py
@@ -1,7 +1,6 @@
-"""The states of a change, as transitions from one policy record to the next. Pure functions.
+"""The transitions of a change, each from one policy record to the next. Pure functions.
 
-`ChangePhase` shows the states and the ways between them. What a transition waits for is up to the
-coordinator.
+`ChangePhase` lists the states and the transitions between them. The coordinator decides when each happens.
 """
 
 from __future__ import annotations
@@ -27,10 +26,11 @@
 def propose_change(
     record: PolicyRecord, base_version: int, document: str, author: str, note: str, now: float
 ) -> PolicyRecord:
-    """The record with a change under way that was made from `base_version`; `now` is Unix time.
+    """Returns the record with a new open change that is based on `base_version`; `now` is Unix time.
 
-    Raises ChangeRejectedError if another change is under way or came first: the second of two operators is
-    notified of what it missed instead of overwriting it. A version that was withdrawn is never given again.
+    Raises ChangeRejectedError if another change is open, or if `base_version` is no longer in force: an
+    operator learns of the other change instead of overwriting it. The version number of a withdrawn change
+    is never used again.
     """
     change = record.open_change
     if change is not None:
@@ -39,55 +39,55 @@
         )
     if base_version != record.version:
         raise ChangeRejectedError(
-            f"version {record.version} is in force, not {base_version}: look at what it changed"
+            f"version {record.version} is in force, not {base_version}; review it and propose again"
         )
-    latest_tried = max((entry.version for entry in record.log), default=0)
-    version = max(record.version, latest_tried) + 1
+    highest_logged_version = max((entry.version for entry in record.log), default=0)
+    version = max(record.version, highest_logged_version) + 1
     proposed = PolicyChange(version, document, author[:MAX_TEXT_LENGTH], note[:MAX_TEXT_LENGTH], now)
     return msgspec.structs.replace(record, open_change=proposed)
 
 
 def decide(record: PolicyRecord, change: PolicyChange, absent: tuple[str, ...]) -> PolicyRecord:
-    """CHECKING -> DECIDED; `absent` are the expected fronts that did not agree."""
-    return msgspec.structs.replace(_in_phase(record, change, ChangePhase.DECIDED), absent=absent)
+    """CHECKING -> DECIDED. `absent` names the expected fronts that did not validate the document."""
+    return msgspec.structs.replace(_with_phase(record, change, ChangePhase.DECIDED), absent=absent)
 
 
 def begin_revoking(record: PolicyRecord, change: PolicyChange) -> PolicyRecord:
     """DECIDED -> REVOKING."""
-    return _in_phase(record, change, ChangePhase.REVOKING)
+    return _with_phase(record, change, ChangePhase.REVOKING)
 
 
 def retreat(record: PolicyRecord, change: PolicyChange) -> PolicyRecord:
-    """REVOKING -> DECIDED: the old version is granted again for now."""
-    return _in_phase(record, change, ChangePhase.DECIDED)
+    """REVOKING -> DECIDED. Leases on the old version are granted again for now."""
+    return _with_phase(record, change, ChangePhase.DECIDED)
 
 
 def activate(record: PolicyRecord, change: PolicyChange) -> PolicyRecord:
-    """REVOKING -> activated: the change's version is in force, and no change is open."""
-    closed = _closed(record, change, ChangeOutcome.ACTIVATED, (), record.absent)
+    """REVOKING -> activated. The version of the change is in force, and no change is open."""
+    closed = _close_change(record, change, ChangeOutcome.ACTIVATED, (), record.absent)
     return msgspec.structs.replace(closed, version=change.version, document=change.document)
 
 
 def withdraw(
     record: PolicyRecord, change: PolicyChange, reasons: Iterable[str], absent: tuple[str, ...] = ()
 ) -> PolicyRecord:
-    """CHECKING -> withdrawn, for the given reasons."""
+    """CHECKING -> withdrawn, with the given reasons. The version in force stays."""
     shortened = tuple(reason[:MAX_TEXT_LENGTH] for reason in list(reasons)[:MAX_REASONS])
-    return _closed(record, change, ChangeOutcome.WITHDRAWN, shortened, absent)
+    return _close_change(record, change, ChangeOutcome.WITHDRAWN, shortened, absent)
 
 
-def _in_phase(record: PolicyRecord, change: PolicyChange, phase: ChangePhase) -> PolicyRecord:
+def _with_phase(record: PolicyRecord, change: PolicyChange, phase: ChangePhase) -> PolicyRecord:
     return msgspec.structs.replace(record, open_change=msgspec.structs.replace(change, phase=phase))
 
 
-def _closed(
+def _close_change(
     record: PolicyRecord,
     change: PolicyChange,
     outcome: ChangeOutcome,
     reasons: tuple[str, ...],
     absent: tuple[str, ...],
 ) -> PolicyRecord:
-    """The record without an open change, which the change log then ends with."""
+    """Returns the record without an open change and with the closed one at the end of its change log."""
     entry = ChangeLogEntry(
         change.version,
         change.document,
@@ -100,7 +100,7 @@
     )
     log = (*record.log, entry)[-MAX_LOG_ENTRIES:]
     closed = msgspec.structs.replace(record, open_change=None, absent=(), log=log)
-    # Guards the end of the change: a record that is too large to be stored would leave it open for ever.
+    # A record that is too large to be stored would leave the change open for ever.
     while len(msgspec.msgpack.encode(closed)) > MAX_RECORD_BYTES and len(closed.log) > 1:
         closed = msgspec.structs.replace(closed, log=closed.log[1:])
     return closed
--- a/zincladder/policy/coordinator.py
+++ b/zincladder/policy/coordinator.py
@@ -1,12 +1,13 @@
-"""The leader's part in a policy change: leases on the version in force, and the phases of a change. No I/O.
+"""The leader's part in a policy change: grants leases on the version in force and runs the change. No I/O.
 
-What a new leader needs is in the group's record, which changes by compare and swap. Leases are not in
-it: a new leader waits until all that its predecessor may have granted have expired. Every message handed in
-was followed by a confirmation that this replica leads, so no lease began after a successor's election.
+The policy record holds what a new leader needs, and is replaced by compare and swap. It does not hold the
+leases: a new leader waits until all that its predecessor may have granted have expired. Before the host
+passes on a message, a majority confirms that this replica still leads; so no lease starts after the election
+of a successor.
 
-`ChangePhase` names the states of a change. Silent fronts are waited for while it is decided, and all others
-go on serving under the old version; so a change costs the clients one message to each front, its answer, and
-one write of the record.
+`ChangePhase` describes the states of a change. While a change is DECIDED the coordinator waits for the leases
+of silent fronts to expire, and all other fronts keep serving under the old version. So clients are rejected
+only for the time of one message to each front, its answer, and one write of the record.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.policy import change_states
 from zincladder.policy.granted_leases import GrantedLeases
-from zincladder.policy.linked_fronts import LinkedFront, agreement
+from zincladder.policy.linked_fronts import LinkedFront, count_agreement
 from zincladder.policy.model import (
     ChangePhase,
     DocumentContent,
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordWrite:
-    """The record is to be replaced, if its key still has the expected version."""
+    """A write that replaces the record if its value still has the expected version."""
 
     expected_version: int
     record: PolicyRecord
@@ -49,15 +50,15 @@
 
 @dataclass(slots=True)
 class CoordinatorActions:
-    """What the host is to do."""
+    """The actions that the host has to carry out."""
 
-    messages: list[tuple[int, FromCoordinator]] = field(default_factory=list)  # with the number of the link
+    messages: list[tuple[int, FromCoordinator]] = field(default_factory=list)  # each with its link's number
     write: RecordWrite | None = None
-    expect_fronts: list[str] = field(default_factory=list)  # to be stored as expected
+    expect_fronts: list[str] = field(default_factory=list)  # names to store as expected fronts
 
 
 class ChangeCoordinator:
-    """Decides for one leader in one term."""
+    """Runs the changes of the policy for one leader in one term."""
 
     def __init__(self, lease_timing: LeaseTiming, now: float, term: int = 0) -> None:
         self.lease_timing, self.term = lease_timing, term
@@ -67,21 +68,24 @@
         self.fronts: dict[int, LinkedFront] = {}  # by the number of the link
         self.leases = GrantedLeases(now + lease_timing.expiry_seconds)
         self._documents: dict[str, bytes] = {}
-        self._objections: list[tuple[int, str]] = []  # versions, and why a front can't serve under them
-        self._decided_version, self._decided_at = 0, now  # as far as this leader knows
-        self.phase_entered_at = now  # as far as this leader knows
+        self._objections: list[tuple[int, str]] = []  # a version, and why a front can't serve under it
+        self._decided_version, self._decided_at = 0, now  # when this leader first saw it DECIDED
+        self.phase_entered_at = now  # when this leader first saw the present phase
         self._write_pending = False
         self._actions = CoordinatorActions()
 
-    # Questions ------------------------------------------------------------------------------------
+    # Queries --------------------------------------------------------------------------------------
 
     @property
     def absent(self) -> tuple[str, ...]:
-        """Expected fronts without a link, by name."""
+        """The sorted names of expected fronts that are not connected."""
         return tuple(sorted(self.expected_fronts - {front.name for front in self.fronts.values()}))
 
     def blocked_by(self, now: float) -> tuple[str, ...]:
-        """Who may still rely on the version in force, and can't be asked to release its lease."""
+        """Returns the fronts that may still serve under the version in force and can't be asked to stop.
+
+        As long as leases of an earlier leader may be valid, the first item stands for their unknown holders.
+        """
         linked = {front.identity: front for front in self.fronts.values()}
         blocking = []
         for holder, lease in self.leases.by_process.items():
@@ -94,12 +98,12 @@
         return tuple(sorted(blocking))
 
     def is_silent(self, front: LinkedFront, now: float) -> bool:
-        """Whether a front has missed its renewals, so that it may not hear either."""
+        """Whether a front has missed its latest renewals, so that messages to it may be lost as well."""
         return front.is_silent(now, self.lease_timing.renew_seconds)
 
     @property
     def next_at(self) -> float:
-        """When `tick` is due."""
+        """The time at which `tick` has to be called; infinity if there is nothing to wait for."""
         change = self.record.open_change
         if change is None or self._write_pending:
             return math.inf
@@ -108,18 +112,19 @@
         release_due_at = self.phase_entered_at + self.lease_timing.release_timeout_seconds
         if change.phase is ChangePhase.REVOKING and not self._deferral_is_over(release_due_at):
             return release_due_at
-        moments = [lease.expires_at for lease in self.leases.by_process.values()]
-        moments += [
+        due_times = [lease.expires_at for lease in self.leases.by_process.values()]
+        due_times += [
             self.leases.former_leases_expire_at,
             self._decided_at + self.lease_timing.max_deferral_seconds,
         ]
-        return min((moment for moment in moments if moment > self.phase_entered_at), default=math.inf)
+        return min((due_at for due_at in due_times if due_at > self.phase_entered_at), default=math.inf)
 
     def _deferral_is_over(self, now: float) -> bool:
         """Whether a decided change has waited long enough for a moment in which no front is silent.
 
-        Guards a change in a fleet of which some front is always gone: that moment may never come. All fronts
-        then wait at once for whoever is gone: for one lease at most, once.
+        In a fleet where some front is always down that moment may never come. Once the wait is over, the
+        leases of all fronts are revoked, and the fleet rejects requests until the last lease has expired:
+        once, and for one lease at most.
         """
         return now >= self._decided_at + self.lease_timing.max_deferral_seconds
 
@@ -133,11 +138,11 @@
         documents: dict[str, bytes],
         now: float,
     ) -> None:
-        """Takes over what the state holds; a write of this leader has succeeded or failed by then."""
+        """Takes over the stored record. A pending write of this leader has succeeded or failed by then."""
         previous, self.record = self.record, record
         self._record_version, self.has_read_state, self._write_pending = record_version, True, False
         self.expected_fronts, self._documents = frozenset(expected_fronts), documents
-        if _state(previous) != _state(record):
+        if _change_state(previous) != _change_state(record):
             self.phase_entered_at = now
         change = record.open_change
         if change is None:
@@ -145,12 +150,12 @@
         elif change.phase is not ChangePhase.CHECKING and self._decided_version != change.version:
             self._decided_version, self._decided_at = change.version, now
         if change is None or change.phase is not ChangePhase.REVOKING:
-            self._resume_granting(now)
+            self._grant_deferred(now)
         self._advance(now)
 
-    def _resume_granting(self, now: float) -> None:
+    def _grant_deferred(self, now: float) -> None:
         for number, front in self.fronts.items():
-            front.asked_to_release = 0
+            front.release_requested_version = 0
             self._grant(number, front, now)
 
     def _write(self, record: PolicyRecord) -> None:
@@ -160,23 +165,23 @@
     # Fronts ---------------------------------------------------------------------------------------
 
     def link_opened(self, number: int, name: str, process: str, now: float) -> str:
-        """A front has connected; the reason why it can't take part, or nothing."""
+        """Adds a front that has connected. Returns why it can't take part; empty if it can."""
         if len(self.fronts) >= MAX_FRONTS:
-            return f"{MAX_FRONTS} fronts at most"
+            return f"too many fronts: at most {MAX_FRONTS} can connect to the leader"
         self.fronts[number] = LinkedFront(name, process, now)
-        # Guards the key-value state: a front's name is its own claim.
+        # Nothing verifies the name that a front sends, so the number of stored names is bounded.
         if name not in self.expected_fronts and len(self.expected_fronts) < MAX_FRONTS:
             self._actions.expect_fronts.append(name)
         self._advance(now)
         return ""
 
     def link_closed(self, number: int, now: float) -> None:
-        """A link is gone. The front may be alive all the same: its lease runs on."""
+        """Removes a front whose link is closed. It may still be running, so its lease stays valid."""
         self.fronts.pop(number, None)
         self._advance(now)
 
     def message_received(self, number: int, message: FromParticipant, now: float) -> None:
-        """Takes a front's message, received before a moment at which this replica was confirmed to lead."""
+        """Handles a front's message. A majority has confirmed since its arrival that this replica leads."""
         front = self.fronts.get(number)
         if front is None:
             return
@@ -202,23 +207,23 @@
         front.deferred_renewal = request
         self._grant(number, front, now)
         if front.deferred_renewal is request:
-            # Guards the link: a front that hears nothing takes this replica for dead.
+            # Without any reply the front would take this replica for dead and connect to another one.
             self._send(number, RenewalDeferred(request.serial))
 
     def _validated(self, front: LinkedFront, validation: DocumentValidated) -> None:
-        if validation.version == front.asked_about:
+        if validation.version == front.validation_requested_version:
             front.validation = validation
             for reason in validation.reasons:
                 self._objections.append((validation.version, f"{front.name}: {reason}"))
 
     def _granting_suspended(self) -> bool:
         change = self.record.open_change
-        # While the record is being written, it may be REVOKING already, for all that is known here.
+        # A pending write may have moved the record to REVOKING already.
         revoking = change is not None and change.phase is ChangePhase.REVOKING
         return not self.has_read_state or self._write_pending or revoking
 
     def _grant(self, number: int, front: LinkedFront, now: float) -> None:
-        """Answers a front's latest request, unless it has to be deferred."""
+        """Grants the lease that a front requested last, unless the request has to wait."""
         if front.deferred_renewal is None or not self.record.version or self._granting_suspended():
             return
         if front.identity in self.leases.fenced_off:
@@ -231,14 +236,14 @@
         )
         self._send(number, granted)
 
-    # A change -------------------------------------------------------------------------------------
+    # Open change ----------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Takes the steps that are due."""
+        """Advances the open change by the clock; has to be called at `next_at`."""
         self._advance(now)
 
     def _advance(self, now: float) -> None:
-        """Takes the next step of the open change, if its condition is met."""
+        """Takes the open change to its next state if the condition for that is met."""
         self.leases.drop_expired(now)
         change = self.record.open_change
         if not self.has_read_state or change is None or self._write_pending:
@@ -256,17 +261,17 @@
         """Decides the change once enough fronts agree; withdraws it if one objects or too few answer."""
         content = self._documents.get(change.document)
         if content is None:
-            self._withdraw(change, ["the document is not there"])
+            self._withdraw(change, ["the document of the change is not stored"])
             return
         self._ask_to_validate(change, content)
-        # The objection of a front that is gone again counts all the same.
+        # An objection counts even if its front has disconnected since.
         self._objections = [
             (version, reason) for version, reason in self._objections if version == change.version
         ]
         if self._objections:
             self._withdraw(change, sorted(reason for _, reason in self._objections))
             return
-        answers = agreement(self.fronts.values(), self.expected_fronts)
+        answers = count_agreement(self.fronts.values(), self.expected_fronts)
         enough = answers.suffices(self.lease_timing.min_agreeing_share)
         timed_out = now >= self.phase_entered_at + self.lease_timing.check_timeout_seconds
         if not (answers.all_answered and enough) and not timed_out:
@@ -279,34 +284,34 @@
 
     def _ask_to_validate(self, change: PolicyChange, content: bytes) -> None:
         for number, front in self.fronts.items():
-            if front.asked_about != change.version:
-                front.asked_about, front.validation = change.version, None
+            if front.validation_requested_version != change.version:
+                front.validation_requested_version, front.validation = change.version, None
                 self._send(number, ValidateDocument(change.version, change.document, content))
 
     def _withdraw(self, change: PolicyChange, reasons: Iterable[str], absent: tuple[str, ...] = ()) -> None:
         self._write(change_states.withdraw(self.record, change, reasons, absent))
 
     def _revoke(self, change: PolicyChange, now: float) -> None:
-        """Activates the change once no lease is left; retreats if some front does not release its lease."""
+        """Activates the change once no lease is valid; returns to DECIDED if one is not released in time."""
         for number, front in self.fronts.items():
-            if front.asked_to_release != change.version:
-                front.asked_to_release = change.version
+            if front.release_requested_version != change.version:
+                front.release_requested_version = change.version
                 self._send(number, RevokePolicyLease(change.version))
-        if self.leases.none_left(now):
+        if self.leases.no_lease_remains(now):
             self._write(change_states.activate(self.record, change))
             return
         timed_out = now >= self.phase_entered_at + self.lease_timing.release_timeout_seconds
         if timed_out and not self._deferral_is_over(now):
-            # All others go on as before until the lease of whoever has not released it has expired.
-            self.leases.fence_off_remaining()
+            # All other fronts serve under the old version again until the remaining leases have expired.
+            self.leases.suspend_remaining()
             self._write(change_states.retreat(self.record, change))
 
     def take_actions(self) -> CoordinatorActions:
-        """What is to be done since the last time."""
+        """Returns the actions since the last call, and clears them."""
         actions, self._actions = self._actions, CoordinatorActions()
         return actions
 
 
-def _state(record: PolicyRecord) -> tuple[int, str]:
+def _change_state(record: PolicyRecord) -> tuple[int, str]:
     change = record.open_change
     return (change.version, change.phase) if change else (0, "")
--- a/zincladder/policy/document.py
+++ b/zincladder/policy/document.py
@@ -1,8 +1,8 @@
-"""The content of a policy, and what it makes of one front's own configuration files. No I/O.
+"""The content of a policy, and how it overrides a front's own configuration files. No I/O.
 
-A policy is a JSON object. Its `settings` are laid over the settings of each front's platform file, key by
-key; its `operator` over the operator's file, of which only what SIGHUP takes can be part. What tells one
-front from another, its addresses, limits and place, is no part of a policy.
+A policy is a JSON object. The keys of its `settings` override the settings in each front's platform file, and
+those of its `operator` override the operator's file. Of the latter a policy can hold only tables that SIGHUP
+reloads. It can't hold what differs between fronts: their addresses, limits and zones.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontFiles:
-    """A front's own files as parsed, before any policy: the platform's and the operator's."""
+    """The parsed platform file and operator's file of a front, without any policy."""
 
     platform: dict[str, Any]
     operator: dict[str, Any]
 
 
 def parse_policy(content: bytes) -> dict[str, Any]:
-    """The policy in a document. Raises ConfigError, which names what can't be part of one."""
+    """Parses a document. Raises ConfigError, which names the key that can't be part of a policy."""
     try:
         policy = json.loads(content)
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"'policy': no JSON: {error}") from None
+        raise ConfigError(f"'policy' is not valid JSON: {error}") from None
     if not isinstance(policy, dict) or not policy:
         raise ConfigError("'policy' must be an object that is not empty")
     for key, value in policy.items():
         if key not in SECTIONS:
-            raise ConfigError(f"'{key}': there is no such part, only {', '.join(SECTIONS)}")
+            raise ConfigError(f"'{key}' can't be part of a policy, only {', '.join(SECTIONS)}")
         if not isinstance(value, dict):
             raise ConfigError(f"'{key}' must be an object")
     for table in policy.get("operator", {}):
@@ -49,17 +49,17 @@
             )
     for path, _ in leaves(policy):
         if path.count(".") > MAX_DEPTH:
-            raise ConfigError(f"'{path[:80]}' lies too deep")
+            raise ConfigError(f"'{path[:80]}' is nested too deeply")
     return policy
 
 
 def canonical(policy: dict[str, Any]) -> bytes:
-    """The document of a policy: the same bytes for the same policy, and so the same document id."""
+    """Encodes a policy as a document. Equal policies give equal bytes, and so the same document id."""
     return json.dumps(policy, sort_keys=True, separators=(",", ":")).encode()
 
 
 def leaves(value: Any, path: str = "") -> Iterator[tuple[str, Any]]:
-    """Each value that is not an object, with its dotted path; lists are values."""
+    """Yields each value that is not an object with its dotted path; a list is one value."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from leaves(inner, f"{path}.{key}" if path else str(key))
@@ -68,7 +68,7 @@
 
 
 def merged(own: dict[str, Any], policy: dict[str, Any]) -> dict[str, Any]:
-    """A copy of `own` in which each value that the policy names is the policy's."""
+    """Returns a copy of `own` with the values of the policy in place of its own."""
     result = copy.deepcopy(own)
     for key, value in policy.items():
         if isinstance(value, dict) and isinstance(result.get(key), dict):
@@ -81,9 +81,9 @@
 def configuration_under(
     files: FrontFiles, policy: dict[str, Any], current: Config
 ) -> tuple[Config, Operator]:
-    """This front's configuration under a policy.
+    """Returns the configuration that results from a front's files and a policy.
 
-    Raises ConfigError for a key that it can't apply as it runs.
+    Raises ConfigError for an invalid value, and for a key that a running front can't apply.
     """
     settings = merged(files.platform.get("settings", {}), policy.get("settings", {}))
     config, deferred = configuration.merge_reloaded(
@@ -100,9 +100,9 @@
 def validation_reasons(
     files: FrontFiles, content: bytes, current: Config, has_admission: bool
 ) -> tuple[str, ...]:
-    """The reasons why this front can't serve under a document; none if it can.
+    """Returns the reasons why this front can't serve under a document; none if it can.
 
-    `has_admission`: admission by source is on, which only a start can change.
+    `has_admission` tells whether admission by source is enabled, which only a restart changes.
     """
     try:
         policy = parse_policy(content)
@@ -115,7 +115,7 @@
 
 
 def overridden_keys(old: FrontFiles, new: FrontFiles, policy: dict[str, Any]) -> list[str]:
-    """Keys that were changed in a front's files although the policy sets them."""
+    """Returns the keys that were changed in a front's files although the policy sets them."""
     set_by_policy = {path for path, _ in leaves(policy)}
     before = dict(_file_leaves(old))
     return sorted(
@@ -128,7 +128,7 @@
 
 
 def difference(old: dict[str, Any], new: dict[str, Any]) -> list[tuple[str, Any, Any]]:
-    """Each path whose value differs, with the old and the new value; None where there is none."""
+    """Returns each path whose value differs, with the old and the new value; None stands for no value."""
     before, after = dict(leaves(old)), dict(leaves(new))
     return [
         (path, before.get(path), after.get(path))
--- a/zincladder/policy/errors.py
+++ b/zincladder/policy/errors.py
@@ -4,12 +4,12 @@
 
 
 class PolicyError(Exception):
-    """Base of the errors below; the text gives the reason."""
+    """Base class of the errors of this package; the message gives the reason."""
 
 
 class InvalidPolicyError(PolicyError):
-    """A document cannot be stored as a policy."""
+    """Raised when a document cannot be stored as a policy."""
 
 
 class ChangeRejectedError(PolicyError):
-    """A change cannot be proposed: another one is under way, or came first."""
+    """Raised when a change cannot be proposed because another one is open or was activated first."""
--- a/zincladder/policy/granted_leases.py
+++ b/zincladder/policy/granted_leases.py
@@ -1,4 +1,4 @@
-"""The leases that one leader has granted on the policy in force. No I/O."""
+"""The leases on the policy in force that one leader has granted. No I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class FrontProcess(NamedTuple):
-    """One process of a front."""
+    """Identifies one process of a front."""
 
     front: str
     process: str
@@ -15,32 +15,33 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantedLease:
-    """Until when a process may rely on its lease, and the serial of the request that it answers."""
+    """A lease as the leader sees it."""
 
-    expires_at: float
-    serial: int
+    expires_at: float  # until then the process may rely on it
+    serial: int  # of the request that it answers
 
 
 class GrantedLeases:
-    """Who may still serve under the version in force.
+    """The processes that may still serve under the version in force.
 
-    Guards the rule that no two versions are served at once: the next one is activated only after every lease
-    here was released or has expired, and so have those that a former leader may have granted.
+    No two versions may be served at once. So the next version is activated only after every lease here has
+    been released or has expired, and after those that a former leader may have granted have expired.
     """
 
     def __init__(self, former_leases_expire_at: float) -> None:
         self.former_leases_expire_at = former_leases_expire_at
         self.by_process: dict[FrontProcess, GrantedLease] = {}
-        self.fenced_off: set[FrontProcess] = set()  # did not release in time, and get no lease for now
+        self.fenced_off: set[FrontProcess] = set()  # did not release in time: get no lease until they do
 
     def grant(self, holder: FrontProcess, serial: int, expires_at: float) -> None:
-        """A process may rely on its lease until then."""
+        """Records a lease that a process may rely on until `expires_at`."""
         self.by_process[holder] = GrantedLease(expires_at, serial)
 
     def release(self, holder: FrontProcess, serial: int) -> None:
-        """A process ignores every lease that it requested up to the serial.
+        """Ends the lease of a process, which ignores all leases that it requested up to `serial`.
 
-        A release that was sent on an older link, before a lease on this one, releases nothing.
+        A release that the process sent before it requested its present lease has no effect. It may arrive
+        late, over an older link.
         """
         lease = self.by_process.get(holder)
         if (lease.serial if lease else 0) <= serial:
@@ -48,24 +49,24 @@
             self.fenced_off.discard(holder)
 
     def drop_expired(self, now: float) -> None:
-        """Forgets the leases that nobody can rely on any more."""
+        """Removes the expired leases."""
         self.by_process = {
             holder: lease for holder, lease in self.by_process.items() if lease.expires_at > now
         }
 
-    def fence_off_remaining(self) -> None:
-        """Grants nothing more to whoever has not released.
+    def suspend_remaining(self) -> None:
+        """Stops renewing the leases of the processes that have not released theirs.
 
-        A front may be heard and hear nothing; renewed again and again, its lease would hold a change up for
-        ever.
+        The messages of such a process may arrive while those sent to it are lost. If its lease were renewed
+        again and again, the change would never be activated.
         """
         self.fenced_off = set(self.by_process)
 
     def remaining_seconds(self, holder: FrontProcess, now: float) -> float:
-        """How long a process may still rely on its lease."""
+        """Returns how many seconds a process may still rely on its lease; 0 if it has none."""
         lease = self.by_process.get(holder)
         return max(0.0, lease.expires_at - now) if lease else 0.0
 
-    def none_left(self, now: float) -> bool:
-        """Whether nobody can rely on the version in force any more."""
+    def no_lease_remains(self, now: float) -> bool:
+        """Whether no process can still serve under the version in force."""
         return not self.by_process and now >= self.former_leases_expire_at
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -1,4 +1,4 @@
-"""The replicas' side of the policy: the change coordinator of whoever leads, and its writes. On anyio."""
+"""The replicas' side of the policy: runs the change coordinator of the leader, and its writes. On anyio."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from zincladder.policy.linked_fronts import LinkedFront
 from zincladder.policy.model import ChangePhase, FromParticipant
 
-REREAD = -1  # as the place in the log that was read: the coordinator reads all that is committed again
+READ_ALL_AGAIN = -1  # as the index that was read last: the coordinator reads the committed state again
 log = structlog.get_logger()
 
 
 class PolicyLeaderService(LeaseService[ChangeCoordinator, CoordinatorActions]):
-    """Coordinates changes of the policy while its replica leads the group."""
+    """Runs changes of the policy while its replica leads the group."""
 
     role = "front"
     messages = FromParticipant
@@ -36,11 +36,11 @@
         replica.swap_validators.append(change_log.rejection_reason)
 
     def begin_term(self, since: float, term: int) -> ChangeCoordinator:
-        """The coordinator of a new term."""
+        """Returns the coordinator of a new term."""
         return ChangeCoordinator(self.lease_timing, since, term)
 
     def state_changed(self, term_state: ChangeCoordinator) -> None:
-        """Tells the coordinator what the state holds."""
+        """Passes the stored policy to the coordinator, and logs the state of a change when it differs."""
         stored = change_log.read(self.replica.state.with_prefix(""))
         term_state.record_read(
             stored.record, stored.record_version, stored.expected_fronts, stored.contents, self.clock()
@@ -54,7 +54,7 @@
     def begin_writes(
         self, actions: CoordinatorActions, term_state: ChangeCoordinator, tasks: anyio.abc.TaskGroup
     ) -> None:
-        """Begins the coordinator's writes."""
+        """Starts the coordinator's writes in the background."""
         for front in actions.expect_fronts:
             tasks.start_soon(self.try_compare_and_swap, change_log.write_expected_front(front))
         if actions.write:
@@ -68,11 +68,12 @@
         if write.record.open_change is None:
             await self._delete_unreferenced()
         if self.term_state is term_state:
-            self.read_at = REREAD  # whatever came of the write, the coordinator goes on from what stands
+            # The coordinator continues from the stored record, whether or not the write succeeded.
+            self.read_at = READ_ALL_AGAIN
         self.wake()
 
     async def _delete_unreferenced(self) -> None:
-        """Removes documents that nothing names any more."""
+        """Deletes the documents that the record no longer needs."""
         try:
             await self.replica.confirm_leadership()
         except COMMIT_ERRORS:
@@ -80,10 +81,14 @@
         for swap in change_log.delete_unreferenced(change_log.read(self.replica.state.with_prefix(""))):
             await self.try_compare_and_swap(swap)
 
-    # Questions ------------------------------------------------------------------------------------
+    # Queries --------------------------------------------------------------------------------------
 
     def figures(self) -> dict[str, float]:
-        """The leader's metrics: fronts, the version in force, how long a change takes; empty elsewhere."""
+        """Returns the leader's metrics; empty if this replica doesn't lead.
+
+        `change` is the number of seconds since the open change entered its phase, and `waits` the number of
+        fronts whose leases it can only wait for.
+        """
         coordinator, now = self.term_state, self.clock()
         if coordinator is None:
             return {}
@@ -98,7 +103,7 @@
         }
 
     def progress(self) -> dict[str, object]:
-        """What `policy status` shows of the leader's view; empty where this replica doesn't lead."""
+        """Returns the leader's view that `policy status` shows; empty if this replica doesn't lead."""
         coordinator, now = self.term_state, self.clock()
         if coordinator is None:
             return {}
@@ -117,7 +122,7 @@
 
 
 def front_state(coordinator: ChangeCoordinator, front: LinkedFront, now: float) -> str:
-    """How a front stands towards the open change or the policy in force, as `policy status` words it."""
+    """Returns the state of a front that `policy status` shows: its part in the open change, or its lease."""
     change = coordinator.record.open_change
     if change is not None and change.phase is ChangePhase.CHECKING:
         if front.validation is None:
--- a/zincladder/policy/lease_client.py
+++ b/zincladder/policy/lease_client.py
@@ -1,6 +1,6 @@
-"""A front's side of the fleet's policy: its link to the leader, and its parts that serve under the policy.
+"""A front's side of the fleet's policy: keeps its lease, and applies the policy to the front. On anyio.
 
-On anyio. Loaded only where the operator's file has [policy].
+Imported only if the operator's file has [policy].
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyHooks:
-    """What a front does with a document: gives the reasons against it; applies it, or gives the reason."""
+    """The functions by which a front validates and applies a document; an empty result means success."""
 
-    validate: Callable[[bytes], tuple[str, ...]]
-    apply: Callable[[bytes], str]
+    validate: Callable[[bytes], tuple[str, ...]]  # returns why the front can't serve under it
+    apply: Callable[[bytes], str]  # returns why it failed
 
 
 class FleetPolicy(LeaseClient[ChangeParticipant]):
-    """One process of a front."""
+    """The policy client of one process of a front."""
 
     role = "front"
     messages = FromCoordinator
@@ -40,12 +40,15 @@
         participant = ChangeParticipant(clock(), config.serves_when_cut_off)
         super().__init__(participant, config.group, config.replicas, name, clock)
         self._hooks = hooks
-        self.rejected = 0  # requests, for want of a lease
+        self.rejected = 0  # requests that came while there was no valid lease
 
-    # Asked by the front ---------------------------------------------------------------------------
+    # Queries of the front -------------------------------------------------------------------------
 
     def decisions_paused_for(self) -> float:
-        """0 while this front may serve; else the seconds after which a client may come back."""
+        """Returns 0 while this front may serve; else the seconds after which a client may retry.
+
+        In the second case the call counts as a rejected request.
+        """
         now = self.clock()
         if self.participant.serving_version(now):
             return 0.0
@@ -53,20 +56,24 @@
         return self.participant.retry_after_seconds(now)
 
     def not_ready_reason(self) -> str:
-        """What keeps this front from serving; empty if it may."""
+        """Returns why this front can't serve now; empty if it can."""
         participant = self.participant
         if participant.serving_version(self.clock()):
             return ""
         for reason in participant.failed_documents.values():
-            return f"the fleet's policy can't be taken: {reason}"
+            return f"the fleet's policy can't be applied: {reason}"
         if not participant.version:
-            return "no policy of the fleet yet" if participant.linked else "no keeper has been reached yet"
+            return "no fleet policy received yet" if participant.linked else "no keeper has been reached yet"
         if participant.linked:
             return "the fleet's policy is changing"
-        return "the lease on the fleet's policy has run out"
+        return "the lease on the fleet's policy has expired"
 
     def figures(self) -> dict[str, float]:
-        """For STATS and metrics: the version served under (0 for none), the lease's seconds, and so on."""
+        """Returns the values for STATS and metrics.
+
+        `version` is the one served under (0 for none), `lease` the seconds that are left of the lease, and
+        `refused` the number of requests that were rejected without one.
+        """
         now = self.clock()
         return {
             "version": float(self.participant.serving_version(now)),
@@ -78,13 +85,13 @@
     # Running --------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Keeps a link to the leader until it is cancelled."""
+        """Keeps a link to the leader and renews the lease, until it is cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.renew_when_due)
             await self.leader.run()
 
     def carry_out(self) -> None:
-        """Carries out the participant's actions, and those that follow from their results."""
+        """Carries out the participant's actions, and the further ones that their results lead to."""
         while True:
             actions = self.participant.take_actions()
             for message in actions.messages:
--- a/zincladder/policy/linked_fronts.py
+++ b/zincladder/policy/linked_fronts.py
@@ -1,4 +1,4 @@
-"""The fronts with a link to the leader, and whether enough of them agree to a change. No I/O."""
+"""The fronts that are connected to the leader, and whether enough of them agree to a change. No I/O."""
 
 from __future__ import annotations
 
@@ -13,46 +13,50 @@
 
 @dataclass(slots=True)
 class LinkedFront:
-    """A front that has a link to this replica."""
+    """One process of a front that is connected to this replica."""
 
     name: str
     process: str
     renewed_at: float
-    deferred_renewal: RenewPolicyLease | None = None  # answered once there is a version to grant a lease on
-    asked_about: int = 0  # the version that it was asked to validate
+    deferred_renewal: RenewPolicyLease | None = None  # latest request, until a lease can be granted
+    validation_requested_version: int = 0  # version that it was last asked to validate
     validation: DocumentValidated | None = None
     applied_document: str = ""
-    asked_to_release: int = 0  # the version for which it was asked to release its lease
+    release_requested_version: int = 0  # version for whose activation it was asked to release its lease
 
     @property
     def identity(self) -> FrontProcess:
-        """Whose leases its requests are for."""
+        """The process that its leases are granted to."""
         return FrontProcess(self.name, self.process)
 
     def is_silent(self, now: float, renew_seconds: float) -> bool:
-        """Whether it has missed its renewals, so that it may not hear either."""
+        """Whether it has missed its latest renewals, so that messages to it may be lost as well."""
         return now - self.renewed_at > SILENCE_RENEWALS * renew_seconds
 
 
 @dataclass(frozen=True, slots=True)
 class Agreement:
-    """How many of the expected fronts could serve under a change."""
+    """How many of the expected fronts can serve under the document of a change."""
 
     agreed: int
     expected: int
-    absent: tuple[str, ...]  # expected fronts that did not agree, as many as a record names
-    all_answered: bool  # every front with a link
+    absent: tuple[str, ...]  # expected fronts that did not agree, up to MAX_ABSENT_NAMES
+    all_answered: bool  # whether every connected front has answered
 
     def suffices(self, min_share: float) -> bool:
         """Whether more than this share of the expected fronts agree.
 
-        Guards the fleet against a change that most fronts never saw: they could all turn out unable to serve.
+        Fronts that have not validated a document may turn out unable to serve under it, so a change that most
+        fronts never saw must not be activated.
         """
         return self.agreed > min_share * self.expected or not self.expected
 
 
-def agreement(fronts: Collection[LinkedFront], expected_fronts: frozenset[str]) -> Agreement:
-    """Counts the answers; none of them is an objection. A linked front that agrees counts as expected."""
+def count_agreement(fronts: Collection[LinkedFront], expected_fronts: frozenset[str]) -> Agreement:
+    """Counts the fronts that agree. A connected front that agrees counts as an expected one.
+
+    The caller has made sure that no front objects.
+    """
     agreed = {front.name for front in fronts if front.validation}
     expected = expected_fronts | agreed
     absent = tuple(sorted(expected - agreed))[:MAX_ABSENT_NAMES]
--- a/zincladder/policy/model.py
+++ b/zincladder/policy/model.py
@@ -1,8 +1,9 @@
-"""Types of a policy, of its changes, and of the messages between fronts and the change coordinator.
+"""Types of a policy and its changes, and of the messages between fronts and the change coordinator.
 
-A policy is one document, identified by its content. Versions count the policies of a group from 1; 0 means
-none. The structs are arrays on the wire and in the stored values: the order of their fields, their tags and
-the values of the enums are exchanged with other versions, so they stay as they are. Spans in seconds.
+A policy is one document, identified by a hash of its content. The policies of a group have version numbers
+from 1 on; version 0 means that there is no policy. The structs are encoded as arrays, both in messages and in
+stored values. Other releases read them, so the order of the fields, the tags and the values of the enums must
+not change. Durations are in seconds.
 """
 
 from __future__ import annotations
@@ -14,44 +15,44 @@
 
 from zincladder.leases.model import NotLeaderReply
 
-POLICY_KEY = "policy"  # the key of the PolicyRecord
-DOCUMENT_PREFIX = "document/"  # keys of the proposed documents, by document id
-EXPECTED_FRONT_PREFIX = "front/"  # keys of the fronts that are expected to take part, by name
+POLICY_KEY = "policy"  # key of the PolicyRecord
+DOCUMENT_PREFIX = "document/"  # followed by a document id: the key of a proposed document
+EXPECTED_FRONT_PREFIX = "front/"  # followed by a front's name: the key of an expected front
 MAX_LOG_ENTRIES = 100
 MAX_REASONS = 20
 MAX_ABSENT_NAMES = 100
-MAX_RECORD_BYTES = 200 << 10  # beyond it the oldest entries of the change log are dropped
-MAX_RETAINED_DOCUMENT_BYTES = 4 << 20  # beyond it the documents of the oldest log entries are removed
-MAX_TEXT_LENGTH = 200  # characters of an author, a note or a reason
+MAX_RECORD_BYTES = 200 << 10  # a larger record loses the oldest entries of its change log
+MAX_RETAINED_DOCUMENT_BYTES = 4 << 20  # above it the documents of the oldest log entries are deleted
+MAX_TEXT_LENGTH = 200  # in characters, of an author, a note or a reason
 
 
 def document_id(content: bytes) -> str:
-    """The identity of a document: a digest, so that no content can be exchanged under the same id."""
+    """Returns the id of a document, which is a hash of its content: an id never stands for two contents."""
     return hashlib.sha256(content).hexdigest()[:32]
 
 
 class ChangePhase(enum.StrEnum):
     """The state of the open change.
 
-    CHECKING -> DECIDED -> REVOKING -> activated (no change is open any more)
-    CHECKING -> withdrawn
+    CHECKING -> DECIDED -> REVOKING -> activated (the change is closed)
+    CHECKING -> withdrawn (the change is closed)
     REVOKING -> DECIDED, when a front does not release its lease in time
     """
 
-    CHECKING = "checking"  # the fronts are asked whether they could serve under it; it may be withdrawn
-    DECIDED = "decided"  # it will be activated; the old version is still in force
-    REVOKING = "clearing"  # the fronts release their leases on the old version, and nobody gets a new one
+    CHECKING = "checking"  # the fronts validate the document; the change may still be withdrawn
+    DECIDED = "decided"  # the change will be activated; the old version is still in force
+    REVOKING = "clearing"  # the fronts release their leases on the old version; no lease is granted
 
 
 class ChangeOutcome(enum.StrEnum):
-    """How a change ended."""
+    """The result of a closed change."""
 
     ACTIVATED = "held"
     WITHDRAWN = "withdrawn"
 
 
 class PolicyChange(msgspec.Struct, frozen=True, array_like=True):
-    """The change that is under way."""
+    """An open change."""
 
     version: int
     document: str
@@ -62,7 +63,7 @@
 
 
 class ChangeLogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """A change that has ended, with the reasons for which it was withdrawn, if it was."""
+    """A closed change; `reasons` says why it was withdrawn and is empty if it was activated."""
 
     version: int
     document: str
@@ -71,16 +72,16 @@
     proposed_at: float  # Unix time
     outcome: ChangeOutcome
     reasons: tuple[str, ...] = ()
-    absent: tuple[str, ...] = ()  # expected fronts that could not be asked
+    absent: tuple[str, ...] = ()  # expected fronts that did not validate the document
 
 
 class PolicyRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The value of the policy's key: the policy in force, the open change, and the change log."""
+    """The value of POLICY_KEY: the policy in force, the open change and the change log."""
 
     version: int = 0
     document: str = ""
     open_change: PolicyChange | None = None
-    absent: tuple[str, ...] = ()  # expected fronts that could not be asked about the open change
+    absent: tuple[str, ...] = ()  # expected fronts that did not validate the open change's document
     log: tuple[ChangeLogEntry, ...] = ()  # oldest first
 
 
@@ -91,19 +92,19 @@
     """Requests a lease on the policy in force."""
 
     serial: int
-    applied_document: str = ""  # the policy that this front is ready to serve under
+    applied_document: str = ""  # id of the document that this front has applied
 
 
 class DocumentValidated(msgspec.Struct, frozen=True, array_like=True, tag="checked"):
-    """Whether this front could serve under a document: without reasons against it, it could."""
+    """Tells whether this front can serve under a document."""
 
     version: int
     document: str
-    reasons: tuple[str, ...] = ()
+    reasons: tuple[str, ...] = ()  # why it can't; empty if it can
 
 
 class PolicyLeaseReleased(msgspec.Struct, frozen=True, array_like=True, tag="released"):
-    """This process serves under no version any more, and ignores leases requested up to `serial`."""
+    """Tells that this process has stopped serving and ignores the leases requested up to `serial`."""
 
     version: int
     serial: int
@@ -121,23 +122,23 @@
 
 
 class PolicyLeaseGranted(msgspec.Struct, frozen=True, array_like=True, tag="granted"):
-    """The lease requested with this serial, valid from the moment at which it was requested."""
+    """Grants the lease that was requested with this serial; it is valid from the time of the request."""
 
     serial: int
     version: int
     document: str
     valid_seconds: float
-    renew_seconds: float  # between two renewals
+    renew_seconds: float  # time between two renewals
 
 
 class RenewalDeferred(msgspec.Struct, frozen=True, array_like=True, tag="waits"):
-    """The request with this serial has arrived; it is answered once a lease can be granted."""
+    """Confirms the request with this serial, which is answered as soon as a lease can be granted."""
 
     serial: int
 
 
 class ValidateDocument(msgspec.Struct, frozen=True, array_like=True, tag="check"):
-    """Asks a front whether it could serve under a document."""
+    """Asks a front whether it can serve under a document."""
 
     version: int
     document: str
@@ -145,13 +146,13 @@
 
 
 class RevokePolicyLease(msgspec.Struct, frozen=True, array_like=True, tag="release"):
-    """Asks a front to release its lease at once, as the given version is to be activated."""
+    """Asks a front to release its lease at once, so that the given version can be activated."""
 
     version: int
 
 
 class DocumentContent(msgspec.Struct, frozen=True, array_like=True, tag="delivered"):
-    """The content of a document."""
+    """Delivers the content of a document."""
 
     document: str
     content: bytes
--- a/zincladder/policy/participant.py
+++ b/zincladder/policy/participant.py
@@ -1,8 +1,8 @@
-"""A front's part in the fleet's policy: under which version it may serve now. No I/O.
+"""A front's part in the fleet's policy: tells under which version it may serve now. No I/O.
 
-Its host hands in messages of the leader, the results of the front's own checks, and the time, and carries out
-the actions. Before each decision it asks `serving_version`: a process that slept past the end of its lease
-learns so there, before any message reaches it.
+The host passes in the leader's messages, the results of the front's validation, and the time, and carries out
+the actions. Before each decision it calls `serving_version`: if the process was suspended past the expiry of
+its lease, that call shows it, even before any message arrives.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class ParticipantActions:
-    """What the host is to do: send these messages, then validate and apply these documents."""
+    """The actions that the host has to carry out, in the order of the fields."""
 
     messages: list[FromParticipant] = field(default_factory=list)
     validate: list[ValidateDocument] = field(default_factory=list)
@@ -39,76 +39,80 @@
 
 
 class ChangeParticipant:
-    """One process of a front. Times are of a clock that runs on while the process or the machine sleeps."""
+    """The state of one process of a front.
+
+    Times come from a clock that keeps running while the process or the machine is suspended.
+    """
 
     def __init__(self, now: float, serves_when_cut_off: bool = False) -> None:
         self._serves_when_cut_off = serves_when_cut_off
         self.renewals = RenewalSchedule(now)
         self.version = 0  # of the latest lease
         self.lease_expires_at = -float("inf")
-        self.applied_document = ""  # that the front's parts serve under
-        self.failed_documents: dict[str, str] = {}  # in force and impossible to apply here, with the reason
+        self.applied_document = ""  # id of the document that the front has applied
+        self.failed_documents: dict[str, str] = {}  # why a document can't be applied, by id
         self.linked = False
-        self.released = False  # on the leader's request, and not granted another lease since
-        self._leased_document = ""
+        self.released = False  # whether it has released its lease and got no other one since
+        self._leased_document = ""  # id of the document that the latest lease is for
         self._void_serial = 0  # leases requested up to this serial are ignored
-        self._documents: dict[str, bytes] = {}
-        self._fetching = ""
+        self._documents: dict[str, bytes] = {}  # cached contents, by document id
+        self._requested_document = ""  # id of the document that was requested from the leader
         self._actions = ParticipantActions()
 
     # Before each decision -------------------------------------------------------------------------
 
     def serving_version(self, now: float) -> int:
-        """The version to decide under at this moment; 0 for none: then requests are rejected."""
+        """Returns the version under which to decide now; 0 if requests have to be rejected."""
         if not self.version or self.applied_document != self._leased_document:
             return 0
         if now < self.lease_expires_at:
             return self.version
-        # Cut off. By the operator's choice it goes on serving, unless it has released its lease.
+        # The lease has expired. With `cut_off = "go_on"` in the operator's file the front keeps serving,
+        # unless it has released the lease: then another version may be in force.
         return self.version if self._serves_when_cut_off and not self.released else 0
 
     def retry_after_seconds(self, now: float) -> float:
-        """When a client that is rejected now may come back."""
+        """Returns the seconds after which a client that is rejected now may retry."""
         if not self.linked:
             return self.renewals.interval_seconds
         return max(MIN_RETRY_AFTER_SECONDS, min(self.renewals.interval_seconds, self.renewals.next_at - now))
 
     def lease_seconds_left(self, now: float) -> float:
-        """How long this process may still rely on its lease."""
+        """Returns how many seconds this process may still rely on its lease."""
         return max(0.0, self.lease_expires_at - now) if self.version else 0.0
 
     @property
     def renewal_interval_seconds(self) -> float:
-        """Between two renewals."""
+        """The time between two renewals."""
         return self.renewals.interval_seconds
 
     # Events ---------------------------------------------------------------------------------------
 
     @property
     def next_at(self) -> float:
-        """When `tick` is due."""
+        """The time at which `tick` has to be called."""
         return self.renewals.next_at if self.linked else float("inf")
 
     def link_changed(self, up: bool, now: float) -> None:
-        """The link to the leader is up, or is down with all messages under way on it."""
-        self.linked, self.renewals.next_at, self._fetching = up, now, ""
+        """Records that the link to the leader is up, or is down and has lost all messages in transit."""
+        self.linked, self.renewals.next_at, self._requested_document = up, now, ""
         self._actions = ParticipantActions(apply=self._actions.apply)
 
     def tick(self, now: float) -> None:
-        """Renews the lease when that is due."""
+        """Requests a renewal of the lease if one is due."""
         if self.linked and now >= self.renewals.next_at:
             self._renew(now)
 
     def _renew(self, now: float) -> None:
         serial = self.renewals.request(now, self.renewals.interval_seconds)
-        self._fetching = ""  # fetched again where it has not come
+        self._requested_document = ""  # a document that has not arrived by now is requested again
         self._send(RenewPolicyLease(serial, self.applied_document))
 
     def _send(self, message: FromParticipant) -> None:
         self._actions.messages.append(message)
 
     def message_received(self, message: FromCoordinator, now: float) -> None:
-        """Takes a message of the leader."""
+        """Handles a message of the leader."""
         match message:
             case PolicyLeaseGranted():
                 self._granted(message, now)
@@ -120,7 +124,7 @@
             case DocumentContent(document, content):
                 self._document_arrived(document, content)
             case NotLeaderReply() | RenewalDeferred():
-                pass  # the host connects to the leader, or knows by it that the leader is alive
+                pass  # the host handles them: it connects to the leader, or takes it as a sign of life
 
     def _granted(self, granted: PolicyLeaseGranted, now: float) -> None:
         requested_at = self.renewals.answered(granted.serial)
@@ -142,15 +146,15 @@
         self._renew(now)
 
     def _release(self, version: int) -> None:
-        # Guards the one version in force: a grant that is still under way is ignored from now on.
+        # A grant that is still in transit must not take effect: another version may soon be in force.
         self.lease_expires_at, self.released = -float("inf"), True
         self._void_serial = self.renewals.serial
         self._send(PolicyLeaseReleased(version, self._void_serial))
 
     def _document_arrived(self, document: str, content: bytes) -> None:
         self._cache(document, content)
-        if document == self._fetching:
-            self._fetching = ""
+        if document == self._requested_document:
+            self._requested_document = ""
         if document == self._leased_document:
             self._apply_leased_document()
 
@@ -165,29 +169,32 @@
         content = self._documents.get(self._leased_document)
         if content is not None:
             self._actions.apply.append((self._leased_document, content))
-        elif self._fetching != self._leased_document:
-            self._fetching = self._leased_document
+        elif self._requested_document != self._leased_document:
+            self._requested_document = self._leased_document
             self._send(FetchDocument(self._leased_document))
 
-    # Results of the host --------------------------------------------------------------------------
+    # Results of the host's actions ----------------------------------------------------------------
 
     def validated(self, request: ValidateDocument, reasons: tuple[str, ...]) -> None:
-        """The front's own checks of a document have ended, with the reasons against it."""
+        """Reports to the leader whether this front can serve under a document; without `reasons` it can."""
         self._send(DocumentValidated(request.version, request.document, reasons))
 
     def applied(self, document: str, failure: str = "") -> None:
-        """The front's parts serve under a document, or can't: then it serves under no version that has it."""
+        """Records that the front has applied a document, or why it failed.
+
+        After a failure the front serves under no version that has this document.
+        """
         if failure:
             self.failed_documents = {document: failure}
         else:
             self.applied_document, self.failed_documents = document, {}
 
     def leave(self) -> None:
-        """An orderly end: releases the lease at once, so that no change has to wait for it."""
+        """Releases the lease at shutdown, so that no change has to wait until it expires."""
         self._release(self.version)
         self.version = 0
 
     def take_actions(self) -> ParticipantActions:
-        """What is to be done since the last time."""
+        """Returns the actions since the last call, and clears them."""
         actions, self._actions = self._actions, ParticipantActions()
         return actions
--- a/zincladder/tasks/__init__.py
+++ b/zincladder/tasks/__init__.py
@@ -1,1 +1,1 @@
-"""Singleton tasks: one process of the fleet at a time runs each, and fences reject one that wakes up late."""
+"""Singleton tasks: at most one process of the fleet runs each, and fencing tokens stop outdated holders."""
--- a/zincladder/tasks/context.py
+++ b/zincladder/tasks/context.py
@@ -1,4 +1,4 @@
-"""What a singleton task uses while its process holds the lease: its token and its checkpoint. On anyio."""
+"""What a running singleton task works with: its fencing token, its checkpoint and the counters. On anyio."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from zincladder.tasks.errors import CheckpointTooLargeError, LeaseLostError
 from zincladder.tasks.model import checkpoint_key, write_checkpoint
 
-RETRY_SECONDS = 0.2  # after a checkpoint of which it isn't known whether it was stored
+RETRY_SECONDS = 0.2  # delay before a checkpoint is written again after an unknown outcome
 log = structlog.get_logger()
 
 
 class TaskHost(Protocol):
     """The process that runs the task."""
 
-    fenced: int  # effects that a fence has rejected
+    fenced: int  # number of writes that were rejected because of an outdated fencing token
 
     def active_token(self, task: str) -> int:
-        """The token under which to act on a task at this moment; 0: not at all."""
+        """Returns the token under which this process may act on a task now; 0 if it may not."""
 
     def client(self) -> Client:
-        """A client of the group."""
+        """Returns a client of the group."""
 
 
 class TaskContext:
@@ -43,26 +43,30 @@
         self._host, self.task = host, task
 
     def token(self) -> int:
-        """The token to act under. Raises LeaseLostError if there is none at this moment.
+        """Returns the fencing token to act under. Raises LeaseLostError if the lease is not valid now.
 
-        To be read after the last await before each effect, and never remembered over one: the process may
-        have slept past the end of its lease.
+        Call it right before each write, after the last await, and don't keep the token over an await: the
+        process may have been suspended past the expiry of its lease.
         """
         if token := self._host.active_token(self.task):
             return token
         raise LeaseLostError(self.task)
 
     async def load_checkpoint(self) -> tuple[int, bytes]:
-        """The checkpoint stored last, by whomever, with its version; (0, b"") if there is none."""
+        """Returns the version and the content of the task's checkpoint; (0, b"") if there is none.
+
+        Any lease holder may have stored it. Raises LeaseLostError if the lease is not valid now.
+        """
         self.token()
         key = checkpoint_key(self.task)
         stored = (await self._host.client().get(key)).get(key)
         return (stored.version, stored.data) if stored else (0, b"")
 
     async def store_checkpoint(self, expected_version: int, data: bytes) -> int:
-        """Stores a checkpoint if the lease is still held when the group writes it; returns its version.
+        """Stores a checkpoint and returns its version.
 
-        Raises LeaseLostError if it is not held, and CheckpointTooLargeError.
+        Raises LeaseLostError if the lease is not held any more when the group applies the write, and
+        CheckpointTooLargeError.
         """
         swap = write_checkpoint(self.task, self.token(), expected_version, data)
         while True:
@@ -79,7 +83,8 @@
                 case CapacityExceeded(reason):
                     raise CheckpointTooLargeError(reason)
                 case VersionMismatch(version) if version != expected_version:
-                    # Perhaps this very write, whose answer was lost: nobody else writes under this token.
+                    # An earlier attempt may have succeeded and its reply been lost. Then the stored content
+                    # is the same, as no other process writes under this token.
                     if (await self.load_checkpoint()) == (version, data):
                         return version
                     raise LeaseLostError(self.task)
@@ -87,12 +92,15 @@
             await anyio.sleep(RETRY_SECONDS)
 
     def rejected_by_fence(self, where: str) -> None:
-        """An effect of this process was rejected because a newer lease holder has acted there."""
+        """Records that `where` rejected a write because a newer lease holder has written there."""
         self._host.fenced += 1
-        log.warning("rejected by a fence", task=self.task, at=where)
+        log.warning("write of a task rejected: fencing token outdated", task=self.task, rejected_by=where)
 
     async def collect(self) -> rpc.CollectedCounters:
-        """The sums of the counters that all processes have reported to the leader."""
+        """Returns the sums of the counters that all processes have reported to the leader.
+
+        Raises RequestFailedError if the leader replies with anything else.
+        """
         reply = await self._host.client().request(rpc.CollectCounters())
         if not isinstance(reply, rpc.CollectedCounters):
             raise RequestFailedError(str(reply))
--- a/zincladder/tasks/counter_sums.py
+++ b/zincladder/tasks/counter_sums.py
@@ -1,9 +1,9 @@
-"""Counters of many processes as one: sums that only rise, through processes and leaders that end. No I/O.
+"""Sums up the counters of many processes, so that the sums never fall when processes or leaders end. No I/O.
 
-A process reports its counters since its start. A leader adds up what grew since the first report that it
-received of each process: what was counted before a change of leader is in the former one's sums, and what
-came between is lost. So nothing is ever counted twice, and a change of leader or lease holder loses one
-interval at most.
+A process reports its counters since its start. A leader adds up how much they have grown since the first
+report that it received from each process. What was counted before is in the sums of the former leader, and
+what was counted between the last report to it and the first one to the new leader is lost. So nothing is
+counted twice, and a change of leader or lease holder loses one report interval at most.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 import msgspec
 
 MAX_SERIES = 4096
-MAX_PROCESSES = 4096  # of 2,048 fronts, each of which has a second one while it is upgraded
+MAX_PROCESSES = 4096  # 2,048 fronts, each of which has a second process during an upgrade
 MAX_COUNTERS_PER_PROCESS = 2048
-MAX_NAME_LENGTH = 200  # characters of a counter's name
+MAX_NAME_LENGTH = 200  # in characters, of a counter's name
 MAX_COUNTER_VALUE = 1e18
 
 
 class CounterSums:
-    """A leader's sums of what processes have reported in its term."""
+    """The sums of the counters that processes have reported to a leader in its term."""
 
     def __init__(self) -> None:
         self.totals: Counter[str] = Counter()
         self._latest: dict[tuple[str, str], Mapping[str, float]] = {}
-        self.dropped = 0  # series for which there was no room
+        self.dropped = 0  # number of reported values that did not fit within the limits
 
     def reported(self, name: str, process: str, counters: Mapping[str, float]) -> None:
-        """Adds what the counters of one process have grown by since its last report."""
+        """Adds the growth of the counters of one process since its last report."""
         before = self._latest.get((name, process))
         if before is None and len(self._latest) >= MAX_PROCESSES:
             return
@@ -44,7 +44,7 @@
                 self.totals[series] += max(0.0, growth)  # type: ignore[assignment]  # Counter is typed as int
 
     def _accepted(self, counters: Mapping[str, float]) -> dict[str, float]:
-        """Guards the memory and the sums: names and values are a process's own claims."""
+        """Returns the counters within the limits: a process may report any number of names and any value."""
         if len(counters) > MAX_COUNTERS_PER_PROCESS:
             self.dropped += len(counters) - MAX_COUNTERS_PER_PROCESS
             counters = dict(list(counters.items())[:MAX_COUNTERS_PER_PROCESS])
@@ -55,20 +55,20 @@
         }
 
     def forget(self, name: str, process: str) -> None:
-        """A process reports no more on its link; should it connect again, it counts from its first report."""
+        """Removes a process whose link is closed. After it reconnects its next report counts as the first."""
         self._latest.pop((name, process), None)
 
 
 class FleetTotals(msgspec.Struct, frozen=True, array_like=True):
-    """A lease holder's totals, stored as its checkpoint: its successor goes on from them."""
+    """The fleet's totals. A lease holder stores them as its checkpoint, and its successor continues them."""
 
-    at: int = 0  # Unix milliseconds of the samples that go with them
-    epoch: str = ""  # of the leader's sums that were added last
-    seen: dict[str, float] = {}  # those sums
+    at: int = 0  # time of the samples that carry these totals, in Unix milliseconds
+    epoch: str = ""  # identifies the leader and the term of the sums that were added last
+    seen: dict[str, float] = {}  # the sums that were added last
     totals: dict[str, float] = {}
 
     def advanced(self, epoch: str, sums: Mapping[str, float], at: int) -> FleetTotals:
-        """With the growth of a leader's sums; the sums of another epoch began at 0."""
+        """Returns the totals plus the growth of a leader's sums. The sums of a new epoch started at 0."""
         before = self.seen if epoch == self.epoch else {}
         totals = dict(self.totals)
         for series, value in sums.items():
@@ -78,20 +78,21 @@
 
 
 def encode_totals(totals: FleetTotals) -> bytes:
-    """A checkpoint; compressed, as the names of series are alike."""
+    """Encodes totals as a checkpoint. It is compressed, because the names of series are similar."""
     return bytes(cramjam.snappy.compress_raw(msgspec.msgpack.encode(totals)))
 
 
 def decode_totals(data: bytes) -> FleetTotals:
-    """The totals in a checkpoint; empty ones for no bytes."""
+    """Decodes the totals in a checkpoint; no bytes stand for empty totals."""
     if not data:
         return FleetTotals()
     return msgspec.msgpack.decode(bytes(cramjam.snappy.decompress_raw(data)), type=FleetTotals)
 
 
 def next_sample_at(last: int, now: int, interval: int) -> int:
-    """The time of the next samples in ms: a multiple of the interval, and later than the last.
+    """Returns the time of the next samples in milliseconds.
 
-    Guards the receiver's order of samples against a wall clock that is set back.
+    It is a multiple of the interval, and later than the last one even if the wall clock was set back: the
+    receiver needs samples in the order of their times.
     """
     return max(now // interval * interval, last + interval)
--- a/zincladder/tasks/errors.py
+++ b/zincladder/tasks/errors.py
@@ -4,12 +4,12 @@
 
 
 class TaskError(Exception):
-    """Base of the errors below."""
+    """Base class of the errors of this package."""
 
 
 class LeaseLostError(TaskError):
-    """This process may not act on the task any more, or not now; the text names the task."""
+    """Raised when this process holds no valid lease on a task; the message names the task."""
 
 
 class CheckpointTooLargeError(TaskError):
-    """The group can't store so large a checkpoint; the text gives the reason."""
+    """Raised when a checkpoint is too large for the group to store; the message gives the reason."""
--- a/zincladder/tasks/fence.py
+++ b/zincladder/tasks/fence.py
@@ -1,7 +1,7 @@
-"""The fence where a lease holder's effect arrives: rejects older tokens than the newest one seen. No I/O.
+"""Checks fencing tokens at a receiver: rejects a token that is older than the newest one admitted. No I/O.
 
-Its host stores what `admit` has raised, and syncs it, before the effect: a fence that forgets over a restart
-would let a former lease holder in.
+The host has to store `highest` durably after each `admit` and before it applies the write. If the tokens were
+lost in a restart, a former lease holder could write again.
 """
 
 from __future__ import annotations
@@ -12,20 +12,24 @@
 
 
 class Fence:
-    """The highest token seen of each task, at one receiver."""
+    """The highest fencing token that one receiver has admitted for each task."""
 
     def __init__(self, highest: Mapping[str, int] | None = None) -> None:
         self.highest = dict(highest or {})
         self.rejected = 0
 
     def admit(self, task: str, token: int) -> str:
-        """Empty where an effect under this token may be made, which bars all older ones; else the reason."""
+        """Admits a write under this token, or rejects it.
+
+        Returns an empty string if the write is admitted; all older tokens are rejected from then on. Else
+        returns the reason for the rejection.
+        """
         newest = self.highest.get(task, 0)
         if token < newest or token < 1:
             self.rejected += 1
             return f"task {task!r}: token {token} is older than {newest}, which was admitted here"
         if newest == 0 and len(self.highest) >= MAX_TASKS:
             self.rejected += 1
-            return f"{MAX_TASKS} tasks at most"
+            return f"too many tasks: at most {MAX_TASKS} can be fenced"
         self.highest[task] = token
         return ""
--- a/zincladder/tasks/host.py
+++ b/zincladder/tasks/host.py
@@ -1,4 +1,4 @@
-"""The replicas' side of singleton tasks: the lease manager of whoever leads, its writes, the fleet's sums.
+"""The replicas' side of singleton tasks: runs the lease manager on the leader, and sums up counters.
 
 On anyio.
 """
@@ -36,7 +36,7 @@
 
 
 def read_assignments(state: KeyValueState) -> dict[str, tuple[TaskAssignment, int]]:
-    """Each task's assignment with the version of its value, which is the lease holder's token."""
+    """Returns each task's assignment with the version of its value, which is the lease holder's token."""
     return {
         key.removeprefix(TASK_PREFIX): (
             msgspec.msgpack.decode(value.data, type=TaskAssignment),
@@ -47,21 +47,25 @@
 
 
 def rejection_reason(swap: CompareAndSwap) -> str:
-    """Why a caller's write can't be accepted; empty if it can.
+    """Returns why a client's write is rejected; empty if it is accepted.
 
-    Guards the rule of one lease holder: the leader alone assigns tasks, and only a lease holder stores a
-    checkpoint.
+    A task has at most one lease holder only if no one but the leader assigns tasks, and no one but a lease
+    holder stores checkpoints.
     """
     if swap.key.startswith(CHECKPOINT_PREFIX) and swap.data is not None:
         task = swap.key.removeprefix(CHECKPOINT_PREFIX)
-        return "" if swap.guard and swap.guard.key == task_key(task) else "progress needs its duty's token"
+        return (
+            ""
+            if swap.guard and swap.guard.key == task_key(task)
+            else "a checkpoint needs the fencing token of its task"
+        )
     if not swap.key.startswith(TASK_PREFIX):
         return ""
     try:
         assignment: TaskAssignment = msgspec.msgpack.decode(swap.data or b"", type=TaskAssignment)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return f"no duty: {error}"
-    return "the leader alone names owners" if assignment.lease_holder else ""
+        return f"the value is not a task assignment: {error}"
+    return "only the leader can assign a task to a lease holder" if assignment.lease_holder else ""
 
 
 class TaskLeaderService(LeaseService[LeaseManager, LeaseManagerActions]):
@@ -75,47 +79,46 @@
     ) -> None:
         super().__init__(replica, lease_timing, clock)
         self.sums = CounterSums()
-        self._reporters: dict[int, tuple[str, str]] = {}  # names and processes, by the number of the link
+        self._reporters: dict[int, tuple[str, str]] = {}  # name and process, by the number of the link
         replica.swap_validators.append(rejection_reason)
         replica.collect_counters = self.collect
 
     def begin_term(self, since: float, term: int) -> LeaseManager:
-        """The lease manager of a new term."""
+        """Returns the lease manager of a new term, and starts new sums."""
         self.sums = CounterSums()
         return LeaseManager(self.lease_timing, since, term)
 
     def state_changed(self, term_state: LeaseManager) -> None:
-        """Tells the lease manager what the state holds."""
+        """Passes the stored assignments to the lease manager."""
         term_state.assignments_read(read_assignments(self.replica.state), self.clock())
 
     def begin_writes(
         self, actions: LeaseManagerActions, term_state: LeaseManager, tasks: anyio.abc.TaskGroup
     ) -> None:
-        """Begins the lease manager's writes."""
+        """Starts the lease manager's writes in the background."""
         for write in actions.writes:
             tasks.start_soon(self._write, write, term_state)
 
     async def _write(self, write: AssignmentWrite, term_state: LeaseManager) -> None:
-        # The time of day, which the lease manager doesn't know.
+        # The lease manager has no wall clock, so the Unix time is set here.
         assignment = msgspec.structs.replace(write.assignment, changed_at=time.time())
         swap = CompareAndSwap(
             task_key(write.task), write.expected_version, msgspec.msgpack.encode(assignment)
         )
-        undecided = False
+        outcome_unknown = False
         while self.term_state is term_state:
             try:
                 result = await self.replica.compare_and_swap(swap)
             except CommitUnknownError:
-                undecided = (
-                    True  # the log keeps their order: the outcome of the next attempt tells of this one
-                )
+                # The next attempt comes later in the log, so its result shows whether this one succeeded.
+                outcome_unknown = True
                 continue
             except (NotLeaderError, BusyError):
                 await anyio.sleep(RETRY_SECONDS)
-                if undecided:
+                if outcome_unknown:
                     continue
             else:
-                if isinstance(result, Swapped) or undecided:
+                if isinstance(result, Swapped) or outcome_unknown:
                     log.info(
                         "task assignment",
                         task=write.task,
@@ -128,7 +131,7 @@
         self.wake()
 
     def message_received(self, number: int, message: FromRunner) -> None:
-        """Adds up reported counters."""
+        """Adds reported counters to the sums."""
         term_state = self.term_state
         if isinstance(message, ReportCounters) and term_state is not None and number in term_state.runners:
             runner = term_state.runners[number]
@@ -136,22 +139,29 @@
             self.sums.reported(runner.name, runner.process, message.counters)
 
     def link_closed(self, number: int) -> None:
-        """A link has ended."""
+        """Removes the counters that were reported on a closed link."""
         if number in self._reporters:
             self.sums.forget(*self._reporters.pop(number))
 
     def collect(self) -> rpc.CollectedCounters:
-        """The sums of this leader's term, which begin at 0. Raises Busy before the term has begun here."""
-        if self.term_state is None:  # what was summed in an earlier term would be counted twice
-            raise BusyError("this keeper has only just begun to lead")
+        """Returns the sums of this leader's term, which started at 0.
+
+        Raises BusyError while this replica leads no term: the sums of an earlier term would be counted twice.
+        """
+        if self.term_state is None:
+            raise BusyError("this replica has not started its term as the leader yet")
         return rpc.CollectedCounters(
             f"{self.replica.config.name}/{self.term_state.term}", dict(self.sums.totals)
         )
 
-    # Questions ------------------------------------------------------------------------------------
+    # Queries --------------------------------------------------------------------------------------
 
     def figures(self) -> dict[str, float]:
-        """The leader's metrics; empty elsewhere."""
+        """Returns the leader's metrics; empty if this replica doesn't lead.
+
+        `duties` is the number of assigned tasks, and `orphans` that of tasks without a lease holder which are
+        not paused.
+        """
         term_state = self.term_state
         if term_state is None:
             return {}
@@ -165,7 +175,7 @@
         }
 
     def progress(self) -> dict[str, object]:
-        """What `tasks status` shows of the leader's view; empty where this replica doesn't lead."""
+        """Returns the leader's view that `tasks status` shows; empty if this replica doesn't lead."""
         term_state, now = self.term_state, self.clock()
         if term_state is None:
             return {}
@@ -173,7 +183,7 @@
             task: {
                 "owner": assignment.lease_holder,
                 "token": token,
-                "lease_s": round(max(0.0, term_state.free_at(task) - now), 2),
+                "lease_s": round(max(0.0, term_state.reassignable_at(task) - now), 2),
                 "linked": bool(term_state.holder_link(task)),
                 "paused": assignment.paused,
                 "left": assignment.vacancy_reason,
--- a/zincladder/tasks/lease_holder.py
+++ b/zincladder/tasks/lease_holder.py
@@ -1,7 +1,7 @@
 """A process's part: which singleton tasks are assigned to it, and whether it may act on one now. No I/O.
 
-Before each effect its host reads `active_token`, after the last await before the effect: a process may have
-slept for an hour between any two lines, and a token that was remembered over an await proves nothing.
+The host calls `active_token` right before each write of a task, after the last await. A process can be
+suspended for an hour between any two lines, so a token that was read before an await may have expired.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     Revoke,
 )
 
-IDLE_FACTOR = 5  # times as long between two renewals of a process without an assignment
+IDLE_INTERVAL_FACTOR = 5  # a process without an assignment multiplies its renewal interval by this
 
 
 @dataclass(slots=True)
@@ -31,20 +31,23 @@
 
     token: int
     expires_at: float = -float("inf")
-    assigned_after_serial: int = 0  # requests up to this serial did not name the assignment
+    assigned_after_serial: int = 0  # requests up to this serial were sent before the assignment arrived
 
 
 @dataclass(slots=True)
 class LeaseHolderActions:
-    """What the host is to do: send these messages, and begin or end running these tasks."""
+    """The actions that the host has to carry out."""
 
     messages: list[FromRunner] = field(default_factory=list)
-    begin: list[str] = field(default_factory=list)
-    end: list[str] = field(default_factory=list)
+    begin: list[str] = field(default_factory=list)  # tasks to start
+    end: list[str] = field(default_factory=list)  # tasks to stop
 
 
 class LeaseHolder:
-    """One process. Times are of a clock that runs on while the process or the machine sleeps."""
+    """The leases of one process.
+
+    Times come from a clock that keeps running while the process or the machine is suspended.
+    """
 
     def __init__(self, offered: Iterable[str], now: float) -> None:
         self.offered = tuple(sorted(offered))
@@ -54,33 +57,33 @@
         self._running: set[str] = set()
         self._actions = LeaseHolderActions()
 
-    # Before each effect ---------------------------------------------------------------------------
+    # Before each write of a task ------------------------------------------------------------------
 
     def active_token(self, task: str, now: float) -> int:
-        """The token under which to act on a task at this moment; 0: not at all."""
+        """Returns the token under which this process may act on a task now; 0 if it may not."""
         lease = self.leases.get(task)
         return lease.token if lease is not None and now < lease.expires_at else 0
 
     def lease_seconds_left(self, task: str, now: float) -> float:
-        """How long this process may rely on its lease."""
+        """Returns how many seconds this process may still rely on its lease on a task."""
         lease = self.leases.get(task)
         return max(0.0, lease.expires_at - now) if lease else 0.0
 
     @property
     def renewal_interval_seconds(self) -> float:
-        """Between two renewals."""
-        return self.renewals.interval_seconds * (1 if self.leases else IDLE_FACTOR)
+        """The time between two renewals."""
+        return self.renewals.interval_seconds * (1 if self.leases else IDLE_INTERVAL_FACTOR)
 
     # Events ---------------------------------------------------------------------------------------
 
     @property
     def next_at(self) -> float:
-        """When `tick` is due."""
+        """The time at which `tick` has to be called."""
         expiries = [lease.expires_at for task, lease in self.leases.items() if task in self._running]
         return min(self.renewals.next_at if self.linked else float("inf"), *expiries, float("inf"))
 
     def link_changed(self, up: bool, now: float) -> None:
-        """The link to the leader is up, or is down with all messages under way on it."""
+        """Records that the link to the leader is up, or is down and has lost all messages in transit."""
         self.linked, self.renewals.next_at = up, now
         self._actions.messages.clear()
         if up:
@@ -88,10 +91,10 @@
         self.tick(now)
 
     def tick(self, now: float) -> None:
-        """Renews the leases when that is due, and ends tasks whose lease has expired."""
+        """Stops the tasks whose lease has expired, and requests a renewal if one is due."""
         for task, lease in self.leases.items():
             if task in self._running and now >= lease.expires_at:
-                self._end_running(task)  # begun again with a new lease, if it is still assigned
+                self._stop_task(task)  # starts again with a new lease if it is still assigned
         if self.linked and now >= self.renewals.next_at:
             self._renew(now)
 
@@ -104,7 +107,7 @@
         self._send(RenewLease(serial, assigned))
 
     def message_received(self, message: FromLeaseManager, now: float) -> None:
-        """Takes a message of the leader."""
+        """Handles a message of the leader."""
         match message:
             case Assigned(task, token):
                 self._assigned(task, token, now)
@@ -115,7 +118,7 @@
                 if lease is None or lease.token <= token:
                     self.release(task, token)
             case NotLeaderReply():
-                pass  # the host connects to the leader
+                pass  # the host handles it: it connects to the leader
 
     def _assigned(self, task: str, token: int, now: float) -> None:
         lease = self.leases.get(task)
@@ -133,7 +136,7 @@
         tokens, expires_at = dict(granted.granted), requested_at + granted.valid_seconds
         for task, lease in list(self.leases.items()):
             if lease.assigned_after_serial >= granted.serial:
-                continue  # the request did not name it
+                continue  # the request was sent before the task was assigned
             if tokens.get(task) != lease.token:
                 self._drop(task)
             elif expires_at > lease.expires_at:
@@ -142,19 +145,19 @@
                     self._running.add(task)
                     self._actions.begin.append(task)
 
-    def _end_running(self, task: str) -> None:
+    def _stop_task(self, task: str) -> None:
         if task in self._running:
             self._running.discard(task)
             self._actions.end.append(task)
 
     def _drop(self, task: str) -> None:
-        self._end_running(task)
+        self._stop_task(task)
         self.leases.pop(task, None)
 
     # Requests of the host -------------------------------------------------------------------------
 
     def release(self, task: str, token: int | None = None) -> None:
-        """Ends a task and releases its lease: another process may begin at once."""
+        """Stops a task and releases its lease, so that another process may start it at once."""
         lease = self.leases.get(task)
         token = lease.token if lease is not None and token is None else token
         self._drop(task)
@@ -162,13 +165,13 @@
             self._send(ReleaseLease(task, token))
 
     def leave(self) -> None:
-        """An orderly end: offers nothing more and releases every lease."""
+        """Withdraws all offers and releases every lease, at shutdown."""
         self.offered = ()
         self._send(Offer(()))
         for task in sorted(self.leases):
             self.release(task)
 
     def take_actions(self) -> LeaseHolderActions:
-        """What is to be done since the last time."""
+        """Returns the actions since the last call, and clears them."""
         actions, self._actions = self._actions, LeaseHolderActions()
         return actions
--- a/zincladder/tasks/lease_manager.py
+++ b/zincladder/tasks/lease_manager.py
@@ -1,9 +1,9 @@
 """The leader's part: assigns singleton tasks to runners, and grants leases on them. No I/O.
 
-Assignments are in the group's key-value state, which changes by compare and swap. Leases are in this
-replica's memory: a new leader waits until all that its predecessor may have granted have expired before it
-assigns a task to anybody else. The lease holder itself goes on meanwhile. Every message handed in was
-followed by a confirmation that this replica leads.
+The assignments are stored in the group's key-value state and replaced by compare and swap. The leases are in
+the leader's memory only: before a new leader assigns a task to another runner, it waits until all leases that
+its predecessor may have granted have expired. Meanwhile the present lease holder can renew its own. Before
+the host passes on a message, a majority confirms that this replica still leads.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskLease:
-    """Under which token, and until when, a process may act on a task."""
+    """The lease under which a process may act on a task."""
 
     token: int
     expires_at: float
@@ -41,16 +41,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """When, and on which link, a runner was notified of its assignment under a token."""
+    """The latest notification of a runner that a task is assigned to it."""
 
     token: int
-    link: int
+    link: int  # number of the link that it was sent on
     sent_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class AssignmentWrite:
-    """The value of a task's key is to be replaced, if it still has the expected version."""
+    """A write that replaces a task's assignment if its value still has the expected version."""
 
     task: str
     expected_version: int
@@ -59,42 +59,41 @@
 
 @dataclass(slots=True)
 class LeaseManagerActions:
-    """What the host is to do."""
+    """The actions that the host has to carry out."""
 
-    messages: list[tuple[int, FromLeaseManager]] = field(default_factory=list)  # with the number of the link
+    messages: list[tuple[int, FromLeaseManager]] = field(default_factory=list)  # each with its link's number
     writes: list[AssignmentWrite] = field(default_factory=list)
 
 
-NEVER_ASSIGNED = (TaskAssignment(), 0)  # an assignment and the version of its value, which is the token
+UNASSIGNED = (TaskAssignment(), 0)  # the assignment and the token of a task that has no stored value
 
 
 class LeaseManager:
-    """Decides for one leader in one term."""
+    """Assigns the tasks and grants the leases for one leader in one term."""
 
     def __init__(self, lease_timing: LeaseTiming, now: float, term: int = 0) -> None:
         self.lease_timing, self.term = lease_timing, term
         self.runners: dict[int, LinkedRunner] = {}  # by the number of the link
         self.assignments: dict[str, tuple[TaskAssignment, int]] = {}  # by task, with the token
         self.has_read_state = False  # whether the state has been read in this term
-        self.leases: dict[str, TaskLease] = {}  # of the present or the last lease holder, by task
-        self._former_leases_expire_at = (
-            now + lease_timing.expiry_seconds
-        )  # what a predecessor may have granted
+        self.leases: dict[str, TaskLease] = {}  # latest lease of each task, valid or not
+        # By then all leases that an earlier leader may have granted have expired.
+        self._former_leases_expire_at = now + lease_timing.expiry_seconds
         self._announced: dict[str, Announcement] = {}  # by task
-        self._pending_writes: set[str] = set()  # tasks
+        self._pending_writes: set[str] = set()  # tasks whose assignment is being written
         self._last_advanced_at = now
         self._actions = LeaseManagerActions()
 
-    # Questions ------------------------------------------------------------------------------------
+    # Queries --------------------------------------------------------------------------------------
 
-    def free_at(self, task: str) -> float:
-        """When nobody can act on a task any more, unless its lease is renewed."""
+    def reassignable_at(self, task: str) -> float:
+        """Returns the time from which no process can act on a task, unless its lease is renewed before."""
         lease = self.leases.get(task)
         return lease.expires_at if lease else self._former_leases_expire_at
 
     def assignment(self, task: str) -> tuple[TaskAssignment, int]:
-        """A task's assignment and its token."""
-        return self.assignments.get(task, NEVER_ASSIGNED)
+        """Returns a task's assignment and its token."""
+        return self.assignments.get(task, UNASSIGNED)
 
     def _tasks(self) -> set[str]:
         offered = {task for runner in self.runners.values() for task in runner.offered}
@@ -102,15 +101,18 @@
 
     @property
     def next_at(self) -> float:
-        """When `tick` is due."""
-        moments = [self.free_at(task) for task in self._tasks() if task not in self._pending_writes]
-        moments += [
+        """The time at which `tick` has to be called; infinity if there is nothing to wait for."""
+        due_times = [self.reassignable_at(task) for task in self._tasks() if task not in self._pending_writes]
+        due_times += [
             announced.sent_at + self.lease_timing.renew_seconds for announced in self._announced.values()
         ]
-        return min((moment for moment in moments if moment > self._last_advanced_at), default=math.inf)
+        return min((due_at for due_at in due_times if due_at > self._last_advanced_at), default=math.inf)
 
     def holder_link(self, task: str) -> int:
-        """The latest link of a task's lease holder, as an older one may be dead unnoticed; 0 for none."""
+        """Returns the number of the latest link of a task's lease holder; 0 if it has none.
+
+        An older link may be dead without this replica having noticed.
+        """
         assignment, _ = self.assignment(task)
         links = (number for number, runner in self.runners.items() if runner.holds(assignment))
         return max(links, default=0)
@@ -118,13 +120,13 @@
     # Key-value state ------------------------------------------------------------------------------
 
     def assignments_read(self, assignments: Mapping[str, tuple[TaskAssignment, int]], now: float) -> None:
-        """Takes over what the state holds, with the versions of its values."""
+        """Takes over the stored assignments, each with the version of its value, which is its token."""
         for task, (assignment, token) in assignments.items():
             before, token_before = self.assignment(task)
             if not self.has_read_state or token_before == token:
                 continue
             for number, runner in self.runners.items():
-                if runner.holds(before):  # moved or paused by a command, or its lease has expired
+                if runner.holds(before):  # a command moved or paused the task, or the lease has expired
                     self._send(number, Revoke(task, token_before))
             if assignment.lease_holder:
                 self.leases[task] = TaskLease(token, now + self.lease_timing.expiry_seconds)
@@ -132,10 +134,10 @@
         self._advance(now)
 
     def write_ended(self, task: str, now: float) -> None:
-        """A write of a task's assignment has succeeded, or never will.
+        """Records that a write of a task's assignment has succeeded, or has failed for good.
 
-        Until then nobody gets a lease on the task: its former holder could otherwise renew one past the
-        moment at which its successor may act.
+        Until then no lease on the task is granted. Otherwise its former holder could renew a lease beyond the
+        time at which its successor may act.
         """
         self._pending_writes.discard(task)
         self._advance(now)
@@ -148,27 +150,27 @@
     # Runners --------------------------------------------------------------------------------------
 
     def link_opened(self, number: int, name: str, process: str, now: float) -> str:
-        """A runner has connected; the reason why it can't take part, or nothing."""
+        """Adds a runner that has connected. Returns why it can't take part; empty if it can."""
         if len(self.runners) >= MAX_RUNNERS:
-            return f"{MAX_RUNNERS} runners at most"
+            return f"too many runners: at most {MAX_RUNNERS} can connect to the leader"
         self.runners[number] = LinkedRunner(name, process)
         return ""
 
     def link_closed(self, number: int, now: float) -> None:
-        """A link is gone. The runner may be alive all the same: its leases run on."""
+        """Removes a runner whose link is closed. It may still be running, so its leases stay valid."""
         self.runners.pop(number, None)
         self._advance(now)
 
     def message_received(self, number: int, message: FromRunner, now: float) -> None:
-        """Takes a runner's message, received before a moment at which this replica was confirmed to lead."""
+        """Handles a runner's message. A majority has confirmed since its arrival that this replica leads."""
         runner = self.runners.get(number)
         if runner is None:
             return
         runner.lapsed = False
         match message:
             case Offer(tasks):
-                named = (task for task in tasks[:MAX_TASKS] if 0 < len(task) <= MAX_NAME_LENGTH)
-                runner.offered = frozenset(named)
+                valid_names = (task for task in tasks[:MAX_TASKS] if 0 < len(task) <= MAX_NAME_LENGTH)
+                runner.offered = frozenset(valid_names)
             case RenewLease():
                 self._renewal_requested(number, runner, message, now)
             case ReleaseLease(task, token):
@@ -186,7 +188,7 @@
             assignment, current_token = self.assignment(task)
             valid = runner.holds(assignment) and token == current_token
             if valid and task not in self._pending_writes:
-                expires_at = max(self.free_at(task), now + self.lease_timing.expiry_seconds)
+                expires_at = max(self.reassignable_at(task), now + self.lease_timing.expiry_seconds)
                 self.leases[task] = TaskLease(token, expires_at)
                 granted.append((task, token))
         lease = LeaseGranted(
@@ -198,22 +200,24 @@
         assignment, current_token = self.assignment(task)
         lease = self.leases.get(task)
         if token == current_token and runner.holds(assignment):
-            # Nobody else can hold a lease: the token was given when all older leases had expired.
+            # No other process holds a lease: the token was issued after all older leases had expired.
             self.leases[task] = TaskLease(token, now)
             if task not in self._pending_writes:
-                vacancy = f"given back by {runner.name}"
-                self._write(task, TaskAssignment(changed_at=assignment.changed_at, vacancy_reason=vacancy))
+                vacancy_reason = f"given back by {runner.name}"
+                self._write(
+                    task, TaskAssignment(changed_at=assignment.changed_at, vacancy_reason=vacancy_reason)
+                )
         elif lease is not None and token == lease.token:
-            self.leases[task] = TaskLease(token, now)  # by whom a command took it from
+            self.leases[task] = TaskLease(token, now)  # released by the holder that a command took it from
 
     # Assignments ----------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Takes the steps that are due."""
+        """Announces and assigns tasks by the clock; has to be called at `next_at`."""
         self._advance(now)
 
     def _advance(self, now: float) -> None:
-        """Announces assignments to their holders, and assigns what nobody can act on any more."""
+        """Announces assignments to their holders, and reassigns the tasks without a valid lease."""
         self._last_advanced_at = now
         if not self.has_read_state:
             return
@@ -227,24 +231,27 @@
                 continue
             number = self.holder_link(task)
             self._announce(task, number, token, now)
-            if now >= self.free_at(task):
+            if now >= self.reassignable_at(task):
                 self._reassign(task, assignment, number, now)
 
     def _announce(self, task: str, number: int, token: int, now: float) -> None:
-        """Tells the holder of its assignment, and tells it again while it requests no lease."""
+        """Notifies the holder of its assignment, and repeats that as long as it requests no lease."""
         if not number:
             self._announced.pop(task, None)
             return
         announced = self._announced.get(task, Announcement(0, 0, 0.0))
         is_new = (announced.token, announced.link) != (token, number)
         is_due = announced.sent_at + self.lease_timing.renew_seconds <= now
-        if is_new or (is_due and now >= self.free_at(task)):
+        if is_new or (is_due and now >= self.reassignable_at(task)):
             self._send(number, Assigned(task, token))
         if is_new or is_due:
             self._announced[task] = Announcement(token, number, now)
 
     def _reassign(self, task: str, assignment: TaskAssignment, holder_link: int, now: float) -> None:
-        """Assigns a task without a valid lease to another runner, or to nobody if its holder is gone."""
+        """Assigns a task without a valid lease to another runner.
+
+        Without a candidate the holder keeps the task if it is connected; else the task becomes vacant.
+        """
         if task not in self.assignments and len(self.assignments) + len(self._pending_writes) >= MAX_TASKS:
             return
         others = [runner for number, runner in self.runners.items() if number != holder_link]
@@ -256,10 +263,10 @@
                 self.runners[holder_link].lapsed = True
             self._write(task, TaskAssignment(chosen.name, chosen.process, now))
         elif assignment.lease_holder and not holder_link:
-            vacancy = f"{assignment.lease_holder} is gone"
-            self._write(task, TaskAssignment(changed_at=now, vacancy_reason=vacancy))
+            vacancy_reason = f"{assignment.lease_holder} is gone"
+            self._write(task, TaskAssignment(changed_at=now, vacancy_reason=vacancy_reason))
 
     def take_actions(self) -> LeaseManagerActions:
-        """What is to be done since the last time."""
+        """Returns the actions since the last call, and clears them."""
         actions, self._actions = self._actions, LeaseManagerActions()
         return actions
--- a/zincladder/tasks/runner.py
+++ b/zincladder/tasks/runner.py
@@ -1,6 +1,6 @@
 """A process's part in the fleet's singleton tasks: its link to the leader, and the tasks that it runs.
 
-On anyio. Loaded only where the operator's file has [duties].
+On anyio. Imported only if the operator's file has `[duties]`.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from zincladder.tasks.lease_holder import LeaseHolder
 from zincladder.tasks.model import FromLeaseManager, ReportCounters
 
-MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.2, 5.0  # after a task that failed
+MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.2, 5.0  # before a failed task is started again
 REPORT_INTERVAL_SECONDS = 2.0
 log = structlog.get_logger()
 
 
 class TaskRunner(LeaseClient[LeaseHolder]):
-    """One process."""
+    """Runs the singleton tasks that are assigned to one process."""
 
     role = "worker"
     messages = FromLeaseManager
@@ -49,24 +49,29 @@
         self.failures = self.fenced = 0
 
     def active_token(self, task: str) -> int:
-        """The token under which to act on a task at this moment; 0: not at all."""
+        """Returns the token under which this process may act on a task now; 0 if it may not."""
         return self.participant.active_token(task, self.clock())
 
     def client(self) -> Client:
-        """A client of the group."""
+        """Returns a client of the group."""
         return Client(self._config.group, self._config.replicas, self._name)
 
     def figures(self) -> dict[str, float]:
-        """For STATS and metrics: tasks run now, the shortest lease left, tasks that failed or came late."""
+        """Returns the values for STATS and metrics.
+
+        `owned` is the number of tasks with a valid lease, `lease` the seconds until the first of these leases
+        expires (0 if there is none), `failures` the number of runs that failed, and `fenced` the number of
+        writes that were rejected because of an outdated token.
+        """
         now, lease_holder = self.clock(), self.participant
-        left = [
+        seconds_left = [
             lease_holder.lease_seconds_left(task, now)
             for task in lease_holder.leases
             if lease_holder.active_token(task, now)
         ]
         return {
-            "owned": float(len(left)),
-            "lease": round(min(left, default=0.0), 3),
+            "owned": float(len(seconds_left)),
+            "lease": round(min(seconds_left, default=0.0), 3),
             "linked": float(lease_holder.linked),
             "failures": float(self.failures),
             "fenced": float(self.fenced),
@@ -75,7 +80,7 @@
     # Running --------------------------------------------------------------------------------------
 
     async def run(self, stopping: anyio.Event) -> None:
-        """Runs until it is cancelled; once `stopping` is set it releases every task and takes no more."""
+        """Runs until it is cancelled. Once `stopping` is set it releases every task and takes on no other."""
         async with anyio.create_task_group() as self._tasks:
             self._tasks.start_soon(self.renew_when_due)
             self._tasks.start_soon(self._report_counters)
@@ -91,11 +96,11 @@
         while True:
             if self.participant.linked:
                 self.leader.send_queue.put(ReportCounters(self._counters()))
-            # Jitter, so that the reports of a fleet are spread.
+            # Jitter spreads the reports of a fleet over time.
             await anyio.sleep(REPORT_INTERVAL_SECONDS * (0.9 + 0.2 * self.random.random()))
 
     def carry_out(self) -> None:
-        """Carries out the lease holder's actions."""
+        """Carries out the lease holder's actions: stops and starts tasks, and sends messages."""
         actions = self.participant.take_actions()
         for task in actions.end:
             if scope := self._scopes.pop(task, None):
@@ -108,7 +113,7 @@
             self._tasks.start_soon(self._run_task, task, scope)
 
     async def _run_task(self, task: str, scope: anyio.CancelScope) -> None:
-        """Runs a task for as long as this process holds its lease; one that fails is begun anew."""
+        """Runs a task as long as this process holds its lease; starts it again when it fails."""
         log.info("task started", task=task, token=self.active_token(task))
         backoff = MIN_BACKOFF_SECONDS
         with scope:
@@ -116,11 +121,11 @@
                 try:
                     await self._functions[task](TaskContext(self, task))
                 except LeaseLostError:
-                    # The lease may have expired a moment before its end or its renewal is known here.
+                    # The lease may have expired just before this process handles its expiry or renewal.
                     await anyio.sleep(MIN_BACKOFF_SECONDS)
                     continue
                 except (RequestFailedError, OutcomeUnknownError) as error:
-                    log.info("task waits for the group", task=task, reason=str(error))
+                    log.info("task interrupted: replica group unavailable", task=task, reason=str(error))
                 except Exception:
                     self.failures += 1
                     log.exception("task failed", task=task)
--- a/zincladder/tasks/runner_selection.py
+++ b/zincladder/tasks/runner_selection.py
@@ -1,4 +1,4 @@
-"""Which runner a singleton task is assigned to. Pure functions."""
+"""Selects the runner that a singleton task is assigned to. Pure functions."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @dataclass(slots=True)
 class LinkedRunner:
-    """A process that has a link to this replica."""
+    """A process that is connected to this replica."""
 
     name: str
     process: str
     offered: frozenset[str] = frozenset()
-    lapsed: bool = False  # it let a lease expire and has sent nothing since
+    lapsed: bool = False  # whether it let a lease expire and has sent no message since
 
     def holds(self, assignment: TaskAssignment) -> bool:
         """Whether a task is assigned to this process."""
@@ -27,10 +27,12 @@
 def choose_runner(
     task: str, preferred: str, candidates: Iterable[LinkedRunner], assignments: Iterable[TaskAssignment]
 ) -> LinkedRunner | None:
-    """The preferred runner; else the one with the fewest tasks, and among these by a hash of the names.
+    """Returns the runner that gets a task; None if no candidate offers to run it.
 
-    All replicas choose alike, whatever order the runners connect in, and tasks are spread over them. Chosen
-    by first offer, one front would run everything after a restart of the whole fleet.
+    Runners that let a lease expire come last. Of the others the preferred runner is chosen, else the one with
+    the fewest tasks; a hash of the names breaks ties. So every replica makes the same choice, no matter in
+    which order the runners connect, and the tasks are spread. If the first offer decided, one front would run
+    all tasks after a restart of the whole fleet.
     """
     holders = [(a.lease_holder, a.process) for a in assignments if a.lease_holder]
 
