--- a/zincladder/consensus/key_value_state.py
+++ b/zincladder/consensus/key_value_state.py
@@ -92,7 +92,7 @@
         try:
             swap: CompareAndSwap = msgspec.msgpack.decode(data, type=CompareAndSwap)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return CapacityExceeded(f"the entry is not a compare-and-swap: {error}")
+            return CapacityExceeded(f"no swap: {error}")
         if swap.guard is not None and self._version(swap.guard.key) != swap.guard.version:
             return FencingTokenRejected(self._version(swap.guard.key))
         if swap.expected != self._version(swap.key):
@@ -118,14 +118,12 @@
     def _set(self, index: int, key: str, data: bytes) -> CompareAndSwapResult:
         """Sets a value within the limits, which keep a snapshot small enough for a record and for memory."""
         if len(key) > MAX_KEY_BYTES or len(data) > MAX_VALUE_BYTES:
-            return CapacityExceeded(
-                f"a key is limited to {MAX_KEY_BYTES} bytes and a value to {MAX_VALUE_BYTES} bytes"
-            )
+            return CapacityExceeded(f"a key has {MAX_KEY_BYTES} bytes and a value {MAX_VALUE_BYTES} at most")
         if key not in self._values and len(self._values) >= MAX_KEYS:
             return CapacityExceeded(f"{MAX_KEYS} registers at most")
         size = self.size - self._weight(key) + len(key) + len(data)
         if size > MAX_TOTAL_BYTES:
-            return CapacityExceeded(f"{MAX_TOTAL_BYTES} bytes at most in all keys and values together")
+            return CapacityExceeded(f"{MAX_TOTAL_BYTES} bytes at most in all registers")
         self._values[key], self.size = VersionedValue(index, data), size
         return Swapped(index)
 
--- a/zincladder/consensus/membership_change.py
+++ b/zincladder/consensus/membership_change.py
@@ -31,7 +31,7 @@
         state = self._state
         old, new = state.membership.voters, membership.voters
         if state.membership_change_is_open() or not state.has_committed_in_term():
-            raise BusyError("an earlier membership change is not committed yet")
+            raise BusyError("another change of the members is not decided yet")
         if len(old.keys() ^ new.keys()) > 1 or not new:
             raise BusyError("one voter at a time")
         return self._append(membership)
--- a/zincladder/consensus/peer_links.py
+++ b/zincladder/consensus/peer_links.py
@@ -22,9 +22,7 @@
 REPLICA_ROLE = "keeper"  # the role in the Hello of a replica; part of the link protocol
 MAX_UNCONFIRMED_PEERS = 16  # replicas that a new replica accepts before it knows the group's members
 MAX_QUEUED_MESSAGES = 256  # per member
-OTHER_DIRECTORY_REASON = (
-    "its directory is not the one that {}; remove the replica from the group and add it again"
-)
+OTHER_DIRECTORY_REASON = "its directory is not the one that {}; remove it and add it anew"
 log = structlog.get_logger()
 
 
@@ -127,13 +125,13 @@
         """The reason to reject a replica that connects with this Hello; empty if it is accepted."""
         members, known_instances = membership.addresses, self._store.peer_instances
         if members and hello.name not in members:
-            return f"{hello.name!r} is not a member of the group"
+            return f"{hello.name!r} is no member"
         if (
             not members
             and len(known_instances) >= MAX_UNCONFIRMED_PEERS
             and hello.name not in known_instances
         ):
-            return "too many replicas have connected before the group's members are known"
+            return "too many replicas before the group's members are known"
         if hello.name == self._config.name:
             return f"{hello.name!r} is this replica's own name"
         if known_instances.get(hello.name, hello.instance_id) != hello.instance_id:
--- a/zincladder/consensus/raft.py
+++ b/zincladder/consensus/raft.py
@@ -244,7 +244,7 @@
         if not self._state.is_leader:
             raise NotLeaderError(self.leader)
         if self._transfer.active:
-            raise BusyError("the leader is transferring its leadership to another replica")
+            raise BusyError("the leader hands over")
 
     def propose(self, data: bytes) -> tuple[int, int]:
         """Appends an entry and returns its index and term.
@@ -254,7 +254,7 @@
         """
         self._check_accepts()
         if self.log.last_index - self.commit_index >= MAX_UNCOMMITTED_ENTRIES:
-            raise BusyError(f"{MAX_UNCOMMITTED_ENTRIES} entries are not yet stored by a majority")
+            raise BusyError(f"{MAX_UNCOMMITTED_ENTRIES} entries wait for a majority")
         return self._replication.append(Entry(self.term, EntryKind.DATA, data)), self.term
 
     def change_membership(self, membership: Membership) -> tuple[int, int]:
--- a/zincladder/consensus/read_index.py
+++ b/zincladder/consensus/read_index.py
@@ -36,7 +36,7 @@
     def request(self, ticket: int) -> None:
         """Adds a read. Raises BusyError if too many are pending."""
         if len(self._pending) + len(self._before_first_commit) >= MAX_PENDING_READS:
-            raise BusyError(f"{MAX_PENDING_READS} reads are pending already")
+            raise BusyError(f"{MAX_PENDING_READS} reads wait")
         if self._state.has_committed_in_term():
             self._await_confirmation(ticket)
         else:
--- a/zincladder/consensus/rpc_service.py
+++ b/zincladder/consensus/rpc_service.py
@@ -91,7 +91,7 @@
         values = self._replica.state.with_prefix(body.prefix)
         if sum(len(key) + len(value.data) for key, value in values.items()) > MAX_VALUES_BYTES:
             return rpc.RequestFailed(
-                f"more than {MAX_VALUES_BYTES} bytes under {body.prefix[:40]!r}: request a longer prefix"
+                f"over {MAX_VALUES_BYTES} bytes under {body.prefix[:40]!r}: ask for less"
             )
         return rpc.ValuesByPrefix(values)
 
--- a/zincladder/consensus/server.py
+++ b/zincladder/consensus/server.py
@@ -170,7 +170,7 @@
         if reason := handshake_error(hello, self.config.group, roles):
             return reason
         if self._open_links > MAX_LINKS:
-            return "too many connections"
+            return "too many links"
         if hello.role != REPLICA_ROLE:
             return ""
         return self._peers.rejection_reason(hello, self.node.membership)
@@ -215,7 +215,7 @@
         index, term = self.node.propose(msgspec.msgpack.encode(swap))
         result = await self._await_commit(index, term)
         if result is None:
-            raise CommitUnknownError("the leader changed before the outcome was known")
+            raise CommitUnknownError("the leader has changed meanwhile")
         return result
 
     async def _await_commit(self, index: int, term: int) -> CompareAndSwapResult | None:
@@ -249,11 +249,11 @@
             try:
                 parse_address(address)
             except ValueError:
-                raise BusyError(f"{address[:40]!r} is not an address such as 127.0.0.1:7300") from None
+                raise BusyError(f"{address[:40]!r} is no address like 127.0.0.1:7300") from None
             if name in members.addresses:
-                raise BusyError(f"{name!r} is already a member of the group")
+                raise BusyError(f"{name!r} is a member already")
         if change.remove and change.remove not in members.addresses:
-            raise BusyError(f"{change.remove!r} is not a member of the group")
+            raise BusyError(f"{change.remove!r} is no member")
         voters = {name: address for name, address in members.voters.items() if name != change.remove}
         learners = {name: address for name, address in members.learners.items() if name != change.remove}
         index, term = self.node.change_membership(Membership(voters, learners | change.add))
--- a/zincladder/links/frames.py
+++ b/zincladder/links/frames.py
@@ -91,11 +91,11 @@
 def handshake_error(hello: Hello, group: str, roles: tuple[str, ...]) -> str:
     """The reason for a member of `group` to reject this Hello; empty if it is acceptable."""
     if hello.version != VERSION:
-        return f"unsupported link version {hello.version}, expected {VERSION}"
+        return f"links of version {hello.version}, not {VERSION}"
     if hello.group != group:
         return f"group {hello.group[:MAX_SHOWN_LENGTH]!r}, not {group!r}"
     if hello.role not in roles:
-        return f"unknown role {hello.role[:MAX_SHOWN_LENGTH]!r}, expected one of {', '.join(roles)}"
+        return f"role {hello.role[:MAX_SHOWN_LENGTH]!r}, only {', '.join(roles)}"
     if not hello.name or len(hello.name) > MAX_NAME_LENGTH:
-        return f"the name is empty or longer than {MAX_NAME_LENGTH} characters"
+        return f"no name, or one of more than {MAX_NAME_LENGTH} letters"
     return ""
--- a/zincladder/policy/change_log.py
+++ b/zincladder/policy/change_log.py
@@ -58,15 +58,15 @@
     A record that can't be decoded must not be stored: it would crash each replica that becomes the leader.
     """
     if swap.key == LEASE_TIMING_KEY:
-        return f"{LEASE_TIMING_KEY!r} can be written by replicas only"
+        return f"{LEASE_TIMING_KEY!r} is the keepers' own"
     if swap.key == POLICY_KEY:
         try:
             msgspec.msgpack.decode(swap.data or b"", type=PolicyRecord)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return f"the value is not a policy record: {error}"
+            return f"no record of a policy: {error}"
     name = swap.key.removeprefix(DOCUMENT_PREFIX)
     if name != swap.key and swap.data is not None and name != document_id(swap.data):
-        return "the key of a document has to hold the hash of its content"
+        return "a document is named by its content"
     return ""
 
 
--- a/zincladder/policy/coordinator.py
+++ b/zincladder/policy/coordinator.py
@@ -261,7 +261,7 @@
         """Decides the change once enough fronts agree; withdraws it if one objects or too few answer."""
         content = self._documents.get(change.document)
         if content is None:
-            self._withdraw(change, ["the document of the change is not stored"])
+            self._withdraw(change, ["the document is not there"])
             return
         self._ask_to_validate(change, content)
         # An objection counts even if its front has disconnected since.
--- a/zincladder/policy/document.py
+++ b/zincladder/policy/document.py
@@ -34,12 +34,12 @@
     try:
         policy = json.loads(content)
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"'policy' is not valid JSON: {error}") from None
+        raise ConfigError(f"'policy': no JSON: {error}") from None
     if not isinstance(policy, dict) or not policy:
         raise ConfigError("'policy' must be an object that is not empty")
     for key, value in policy.items():
         if key not in SECTIONS:
-            raise ConfigError(f"'{key}' can't be part of a policy, only {', '.join(SECTIONS)}")
+            raise ConfigError(f"'{key}': there is no such part, only {', '.join(SECTIONS)}")
         if not isinstance(value, dict):
             raise ConfigError(f"'{key}' must be an object")
     for table in policy.get("operator", {}):
@@ -49,7 +49,7 @@
             )
     for path, _ in leaves(policy):
         if path.count(".") > MAX_DEPTH:
-            raise ConfigError(f"'{path[:80]}' is nested too deeply")
+            raise ConfigError(f"'{path[:80]}' lies too deep")
     return policy
 
 
--- a/zincladder/policy/lease_client.py
+++ b/zincladder/policy/lease_client.py
@@ -61,12 +61,12 @@
         if participant.serving_version(self.clock()):
             return ""
         for reason in participant.failed_documents.values():
-            return f"the fleet's policy can't be applied: {reason}"
+            return f"the fleet's policy can't be taken: {reason}"
         if not participant.version:
-            return "no fleet policy received yet" if participant.linked else "no keeper has been reached yet"
+            return "no policy of the fleet yet" if participant.linked else "no keeper has been reached yet"
         if participant.linked:
             return "the fleet's policy is changing"
-        return "the lease on the fleet's policy has expired"
+        return "the lease on the fleet's policy has run out"
 
     def figures(self) -> dict[str, float]:
         """Returns the values for STATS and metrics.
--- a/zincladder/tasks/fence.py
+++ b/zincladder/tasks/fence.py
@@ -30,6 +30,6 @@
             return f"task {task!r}: token {token} is older than {newest}, which was admitted here"
         if newest == 0 and len(self.highest) >= MAX_TASKS:
             self.rejected += 1
-            return f"too many tasks: at most {MAX_TASKS} can be fenced"
+            return f"{MAX_TASKS} tasks at most"
         self.highest[task] = token
         return ""
--- a/zincladder/tasks/host.py
+++ b/zincladder/tasks/host.py
@@ -54,18 +54,14 @@
     """
     if swap.key.startswith(CHECKPOINT_PREFIX) and swap.data is not None:
         task = swap.key.removeprefix(CHECKPOINT_PREFIX)
-        return (
-            ""
-            if swap.guard and swap.guard.key == task_key(task)
-            else "a checkpoint needs the fencing token of its task"
-        )
+        return "" if swap.guard and swap.guard.key == task_key(task) else "progress needs its duty's token"
     if not swap.key.startswith(TASK_PREFIX):
         return ""
     try:
         assignment: TaskAssignment = msgspec.msgpack.decode(swap.data or b"", type=TaskAssignment)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return f"the value is not a task assignment: {error}"
-    return "only the leader can assign a task to a lease holder" if assignment.lease_holder else ""
+        return f"no duty: {error}"
+    return "the leader alone names owners" if assignment.lease_holder else ""
 
 
 class TaskLeaderService(LeaseService[LeaseManager, LeaseManagerActions]):
@@ -149,7 +145,7 @@
         Raises BusyError while this replica leads no term: the sums of an earlier term would be counted twice.
         """
         if self.term_state is None:
-            raise BusyError("this replica has not started its term as the leader yet")
+            raise BusyError("this keeper has only just begun to lead")
         return rpc.CollectedCounters(
             f"{self.replica.config.name}/{self.term_state.term}", dict(self.sums.totals)
         )
