--- a/zincladder/cli/__init__.py
+++ b/zincladder/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' commands, on click. The daemon imports none of this."""
+"""The command line for operators, built on click. A running front does not import this package."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="zincladder", message="%(prog)s %(version)s")
 def main() -> None:
-    """A caching router: the front, and what its operators ask of it."""
+    """Run the fronts and replicas of a caching router, and inspect and control them."""
 
 
 @main.command()
 def run() -> None:
     """Run a front in the foreground, as `python -m zincladder` does.
 
-    RELAY_CONFIG names its configuration and ZINCLADDER_OPERATOR the operator's file.
+    RELAY_CONFIG names its configuration file, and ZINCLADDER_OPERATOR the operator's file.
     """
-    # Replaces this process, so that the front's memory holds nothing that only the commands import.
+    # Replaces this process, so that the front does not hold the modules of the commands in memory.
     os.execv(sys.executable, [sys.executable, "-m", "zincladder"])
 
 
@@ -39,14 +39,18 @@
 def check(files: tuple[Path, ...]) -> None:
     """Read configuration files and print each fault with its key.
 
-    FILES ending in .toml are operator's files, all others a front's configuration. Names of classes in an
-    operator's file are checked against the configuration given beside it. Exits with 1 if there is a fault.
+    FILES that end in .toml are operator's files, all others are configurations of fronts. Class names in an
+    operator's file are checked against the configuration that is given with it. Exits with 1 if there is a
+    fault.
     """
     sys.exit(0 if _all_valid(files) else 1)
 
 
 def _all_valid(files: tuple[Path, ...]) -> bool:
-    """Print the faults of each file, the operator's files last, as they refer to the others' classes."""
+    """Prints the faults of each file; returns whether there are none.
+
+    Operator's files come last, because they refer to the request classes of a front's configuration.
+    """
     from zincladder.config import ConfigError, Names, read_operator
     from zincladder.config.check import config_faults, operator_faults
 
@@ -70,7 +74,7 @@
 
 
 def _hidden_alias(command: click.Command, name: str) -> click.Command:
-    """The same command under an earlier name, which the help does not list."""
+    """Returns the command under a former name, which still works and is not listed in the help."""
     alias = copy.copy(command)
     alias.name, alias.hidden = name, True
     return alias
--- a/zincladder/cli/admission.py
+++ b/zincladder/cli/admission.py
@@ -1,4 +1,4 @@
-"""`zincladder admission`: the sources of connections, and which are blocked or trusted."""
+"""`zincladder admission`: shows the addresses that call a front, and blocks or trusts networks."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 DURATION = re.compile(r"(\d+(?:\.\d+)?)([smhd])")
 COLUMNS = ("source", "lane", "connections", "open", "loop_percent", "penalty_s")
 WIDE_COLUMNS = (*COLUMNS, "unread_bytes", "served", "standing", "strikes")
-WIDE_TERMINAL = 110  # characters
+WIDE_TERMINAL_CHARACTERS = 110
 TEXT_COLUMNS = ("source", "lane")
 LANE_STYLES = {"limited": "red", "new": "", "known": "green", "listed": "cyan"}
 BLOCKED_STYLE = "red"
 
 
 class Duration(click.ParamType[float]):
-    """A time like 90s, 10m, 2h or 1d, in seconds."""
+    """The type of an option that takes a time such as 90s, 10m, 2h or 1d and gives it in seconds."""
 
     name = "time"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> float:
-        """The seconds of a text; a default is a number already."""
+        """Returns the seconds of a text. A float is a default value, and is returned as it is."""
         if isinstance(value, float):
             return value
         match = DURATION.fullmatch(str(value))
@@ -39,20 +39,24 @@
 
 
 @click.group()
-@click.option("--socket", "path", help="The front's control socket; else that of ZINCLADDER_OPERATOR's file.")
+@click.option(
+    "--socket", "path", help="The front's control socket. Default: the one in ZINCLADDER_OPERATOR's file."
+)
 @click.pass_context
 def admission(context: click.Context, path: str | None) -> None:
-    """Who calls a running front, and who may."""
+    """Show the addresses that call a running front, and block or trust networks."""
     context.obj = path
 
 
 @admission.command()
-@click.option("--most", default=20, show_default=True, type=click.IntRange(1, 1000), help="Sources shown.")
+@click.option(
+    "--most", default=20, show_default=True, type=click.IntRange(1, 1000), help="How many sources to show."
+)
 @click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
-@click.option("--watch", type=click.FloatRange(0.2, 3600), help="Show it anew every so many seconds.")
+@click.option("--watch", type=click.FloatRange(0.2, 3600), help="Refresh every so many seconds.")
 @click.pass_obj
 def top(path: str | None, most: int, as_json: bool, watch: float | None) -> None:
-    """Show the sources by what they use."""
+    """Show the sources that use the most, in descending order."""
     control_socket = socket_path(path)
 
     def fetch() -> AdmissionReport:
@@ -78,7 +82,7 @@
     from rich.live import Live
 
     console = Console()
-    columns = WIDE_COLUMNS if console.width >= WIDE_TERMINAL else COLUMNS
+    columns = WIDE_COLUMNS if console.width >= WIDE_TERMINAL_CHARACTERS else COLUMNS
     if watch is None:
         console.print(_table(fetch(), columns))
         return
@@ -112,16 +116,18 @@
 @click.argument("address")
 @click.pass_obj
 def show(path: str | None, address: str) -> None:
-    """Print all that is on record of one ADDRESS, as JSON."""
+    """Print everything that is recorded about one ADDRESS, as JSON."""
     click.echo(json.dumps(send_command(socket_path(path), "admission.show", address=address), indent=2))
 
 
 @admission.command()
 @click.argument("network")
-@click.option("--for", "seconds", type=Duration(), help="How long, like 10m; else until the front ends.")
+@click.option(
+    "--for", "seconds", type=Duration(), help="How long, such as 10m. Default: until the front stops."
+)
 @click.pass_obj
 def block(path: str | None, network: str, seconds: float | None) -> None:
-    """Turn a NETWORK away and end its connections; what it has open is answered first."""
+    """Reject connections of a NETWORK and close those it has, each after its open requests are answered."""
     fields = {} if seconds is None else {"seconds": seconds}
     result: BlockResult = send_command(socket_path(path), "admission.block", network=network, **fields)
     click.echo(f"{network} is blocked, {result['ended']} idle connections ended")
@@ -131,7 +137,7 @@
 @click.argument("network")
 @click.pass_obj
 def unblock(path: str | None, network: str) -> None:
-    """Let a NETWORK in again that `block` named."""
+    """Accept connections again from a NETWORK that was blocked with `block`."""
     send_command(socket_path(path), "admission.unblock", network=network)
     click.echo(f"{network} is let in")
 
@@ -140,6 +146,6 @@
 @click.argument("network")
 @click.pass_obj
 def trust(path: str | None, network: str) -> None:
-    """List a NETWORK as known until the front ends."""
+    """Treat a NETWORK until the front stops as if the operator's file listed it as known."""
     send_command(socket_path(path), "admission.trust", network=network)
     click.echo(f"{network} is trusted")
--- a/zincladder/cli/client.py
+++ b/zincladder/cli/client.py
@@ -13,9 +13,9 @@
 
 
 def socket_path(given: str | None) -> str:
-    """The control socket's path: as given, or as the file that ZINCLADDER_OPERATOR names has it.
+    """Returns the path of the control socket: the given one, else that of ZINCLADDER_OPERATOR's file.
 
-    Raises a ClickException where neither names one.
+    Raises click.ClickException if neither names a socket.
     """
     path = given or _path_in_operators_file()
     if path is None:
@@ -41,7 +41,11 @@
 
 
 def send_command(path: str, name: str, **fields: Any) -> Any:
-    """The result of one command; a ClickException says what went wrong."""
+    """Sends one command and returns its result.
+
+    Raises click.ClickException if the front cannot be reached, or closes the connection without a reply, or
+    replies with an error.
+    """
     try:
         line = _exchange(path, json.dumps({"do": name, **fields}).encode() + b"\n")
     except OSError as error:
--- a/zincladder/cli/group.py
+++ b/zincladder/cli/group.py
@@ -1,4 +1,4 @@
-"""What the commands on a group of replicas have in common: their options, a client, and its errors."""
+"""Shared by the commands on a group of replicas: their options, the client, and its errors."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 from zincladder.config import ConfigError
 from zincladder.config.replica import ReplicaConfig, parse_replica_config
 
-if TYPE_CHECKING:  # imported only where a command needs it: commands start without the links' libraries
+if TYPE_CHECKING:
+    # Commands import this when they need it, so that the others start without the network libraries it loads.
     from zincladder.consensus.client import Client
 
-CLIENT_NAME = "keepers"  # in a greeting
+CLIENT_NAME = "keepers"  # sent to a replica in the handshake
 T = TypeVar("T")
-Group = tuple[str, dict[str, str]]  # a group's name, and its replicas' addresses by their names
+Group = tuple[str, dict[str, str]]  # the group's name, and the address of each replica by its name
 
 
 def read_replica_config(path: Path) -> ReplicaConfig:
-    """A replica's configuration file. A ClickException names its fault."""
+    """Reads a replica's configuration file. Raises click.ClickException, which names the fault."""
     try:
         return parse_replica_config(tomllib.loads(path.read_text()))
     except (OSError, ValueError, ConfigError) as error:
@@ -30,7 +31,10 @@
 
 
 def group_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Adds --file, or --group with --at: which replicas to ask. The command gets them as `group`."""
+    """Adds the options that select a group of replicas: --file, or --group with --at.
+
+    The command gets the selected group as its argument `group`.
+    """
 
     @functools.wraps(command)
     def wrapped(*args: Any, file: Path | None, at: tuple[str, ...], group: str | None, **options: Any) -> Any:
@@ -38,22 +42,26 @@
             config = read_replica_config(file)
             chosen = (config.group, config.founders | config.address_overrides)
         elif group and at:
-            chosen = (group, dict(place.partition("=")[::2] for place in at))
+            chosen = (group, dict(replica.partition("=")[::2] for replica in at))
         else:
             raise click.UsageError("give --file, or --group with one --at or more")
         return command(*args, group=chosen, **options)
 
     for option in (
-        click.option("--group", help="The group's name, with --at."),
-        click.option("--at", multiple=True, metavar="NAME=ADDRESS", help="A replica; instead of a file."),
-        click.option("--file", type=click.Path(path_type=Path), help="The file of any replica of the group."),
+        click.option("--group", help="The group's name; needs --at."),
+        click.option("--at", multiple=True, metavar="NAME=ADDRESS", help="A replica; instead of --file."),
+        click.option(
+            "--file",
+            type=click.Path(path_type=Path),
+            help="The configuration file of any replica of the group.",
+        ),
     ):
         wrapped = option(wrapped)
     return wrapped
 
 
 def group_client(group: Group) -> Client:
-    """A client of the group."""
+    """Returns a new client of the group."""
     from zincladder.consensus.client import Client
 
     name, addresses = group
@@ -61,7 +69,11 @@
 
 
 def run_call(call: Callable[[], Awaitable[T]]) -> T:
-    """The result of an async call. A ClickException says whether nothing, or perhaps something, was done."""
+    """Runs an async call and returns its result.
+
+    Raises click.ClickException. Its text says whether the request had no effect, or whether its outcome is
+    unknown.
+    """
     import anyio
 
     from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
--- a/zincladder/cli/policy.py
+++ b/zincladder/cli/policy.py
@@ -1,4 +1,4 @@
-"""`zincladder policy`: the one policy of a fleet, and changes of it."""
+"""`zincladder policy`: shows the policy of a fleet, and proposes changes to it."""
 
 from __future__ import annotations
 
@@ -16,26 +16,28 @@
 from zincladder.cli.group import group_options
 from zincladder.cli.policy_client import Group
 
-POLL_SECONDS = 0.1  # between two looks at a change that is followed
-EXIT_FAILED = 1  # not proposed, or withdrawn
-EXIT_UNDECIDED = 3
+POLL_SECONDS = 0.1  # between two reads of the change log while a change is followed
+EXIT_FAILED = 1  # the change was not proposed, or was withdrawn
+EXIT_UNDECIDED = 3  # the change was still open after --wait
 
 
 @click.group()
 @group_options
 @click.pass_context
 def policy(context: click.Context, group: Group) -> None:
-    """The policy of a fleet: what is in force, what was, and changes that take hold everywhere or nowhere."""
+    """Show and change the policy of a fleet. A change takes effect on all fronts or on none."""
     context.obj = group
 
 
-author_option = click.option("--author", default=getuser, help="Who; else the user that runs this.")
+author_option = click.option(
+    "--author", default=getuser, help="The author to record. Default: the current user."
+)
 
 
 def following_options(command: Any) -> Any:
-    """The options of commands that follow a change."""
+    """Adds the options of the commands that follow a change."""
     for option in (
-        click.option("--json", "as_json", is_flag=True, help="Print JSON, a line for each step."),
+        click.option("--json", "as_json", is_flag=True, help="Print JSON, one line for each step."),
         click.option(
             "--wait",
             "wait_seconds",
@@ -52,7 +54,7 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @click.pass_obj
 def check(group: Group, file: Path) -> None:
-    """Read a policy from FILE (JSON, or TOML) and print what it would change. Nothing is proposed."""
+    """Read a policy from FILE (JSON or TOML) and print what it would change. Nothing is proposed."""
     new, change_log = client.read_policy_file(file), client.read_change_log(group)
     differences = client.differences(group, change_log.record.document, new)
     output.print_differences(differences)
@@ -61,9 +63,9 @@
 
 @policy.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--note", required=True, help="Why, for the history.")
+@click.option("--note", required=True, help="The reason for the change, shown in the history.")
 @author_option
-@click.option("--base", type=int, help="The version that it was made from; else the one in force now.")
+@click.option("--base", type=int, help="The version that it is based on. Default: the one in force.")
 @following_options
 @click.pass_obj
 def propose(
@@ -75,10 +77,10 @@
     wait_seconds: float,
     as_json: bool,
 ) -> None:
-    """Propose the policy in FILE and follow it until it is in force everywhere or withdrawn.
+    """Propose the policy in FILE and follow the change until it is in force everywhere or withdrawn.
 
-    Exits with 1 if it was not made or came to nothing, with 3 if it is not known yet. Ending this command
-    stops nothing.
+    Exits with 1 if the change was not proposed or was withdrawn, and with 3 if it is still open after --wait.
+    The change goes on if this command is stopped.
     """
     version, document = client.propose(group, client.read_policy_file(file), note, author, base)
     _follow(group, version, document, wait_seconds, as_json)
@@ -86,12 +88,12 @@
 
 @policy.command()
 @click.argument("version", type=int)
-@click.option("--note", default="", help="Why, for the history.")
+@click.option("--note", default="", help="The reason for the change, shown in the history.")
 @author_option
 @following_options
 @click.pass_obj
 def back(group: Group, version: int, note: str, author: str, wait_seconds: float, as_json: bool) -> None:
-    """Propose the document of VERSION again, as a new change. Exits as `propose` does."""
+    """Propose the policy of VERSION again, as a new change. Has the exit codes of `propose`."""
     document = client.document_of_version(client.read_change_log(group), version)
     restored = client.read_document(group, document)
     note = note or f"back to version {version}"
@@ -100,7 +102,10 @@
 
 
 def _follow(group: Group, version: int, document: str, wait_seconds: float, as_json: bool) -> None:
-    """Prints each step of a change until it has ended, and exits."""
+    """Prints each step of a change until the change has ended or the wait is over, and exits.
+
+    Raises click.ClickException if the change is no longer recorded.
+    """
     from zincladder.policy.model import ChangeOutcome
 
     deadline, printed = time.monotonic() + wait_seconds, ""
@@ -124,7 +129,7 @@
 
 
 def _without_leases(view: dict[str, Any]) -> dict[str, Any]:
-    """The leader's view without the leases' seconds, which pass all the time and are no step."""
+    """Returns the leader's view without the remaining lease times: their change is not a step to print."""
     return view | {"fronts": {name: front["state"] for name, front in view.get("fronts", {}).items()}}
 
 
@@ -132,16 +137,16 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
 @click.pass_obj
 def status(group: Group, as_json: bool) -> None:
-    """Show the version in force, the change under way, and each front that takes part."""
+    """Show the version in force, the open change, and each front that takes part."""
     record = client.read_change_log(group).record
     output.print_status(record, client.leader_view(group), as_json)
 
 
 @policy.command()
-@click.option("--json", "as_json", is_flag=True, help="Print JSON, a line for each change.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON, one line for each change.")
 @click.pass_obj
 def history(group: Group, as_json: bool) -> None:
-    """List all changes on record, oldest first."""
+    """List all recorded changes, oldest first."""
     for entry in client.read_change_log(group).record.log:
         output.print_entry(entry, as_json)
 
@@ -151,7 +156,7 @@
 @click.argument("new", type=int, required=False)
 @click.pass_obj
 def diff(group: Group, old: int, new: int | None) -> None:
-    """Show what differs between two versions; without NEW, between OLD and the one in force."""
+    """Show what differs between two versions. Without NEW, compares OLD with the version in force."""
     change_log = client.read_change_log(group)
     in_force = change_log.record.version
     new_document = client.document_of_version(change_log, in_force if new is None else new)
@@ -165,7 +170,7 @@
 @click.argument("version", type=int, required=False)
 @click.pass_obj
 def show(group: Group, version: int | None) -> None:
-    """Print a version as JSON; without VERSION the one in force."""
+    """Print a version as JSON. Without VERSION, prints the one in force."""
     change_log = client.read_change_log(group)
     shown = change_log.record.version if version is None else version
     document = client.document_of_version(change_log, shown)
@@ -176,6 +181,6 @@
 @click.argument("front")
 @click.pass_obj
 def forget(group: Group, front: str) -> None:
-    """Expect a FRONT no more: it is counted as absent no longer. One that comes back is expected again."""
+    """Stop expecting a FRONT, so that it does not count as absent. It is expected again once it is back."""
     client.forget_front(group, front)
     click.echo(f"{front} is expected no more")
--- a/zincladder/cli/policy_client.py
+++ b/zincladder/cli/policy_client.py
@@ -1,4 +1,4 @@
-"""What the policy commands ask of a group: the registers, a proposal, and how far a change is."""
+"""The requests of the policy commands to a group: reads the change log, and proposes and follows changes."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 if TYPE_CHECKING:
     from zincladder.policy.change_log import ChangeLog
 
-Group = tuple[str, dict[str, str]]  # the group's name, and its replicas' addresses by name
+Group = tuple[str, dict[str, str]]  # the group's name, and the address of each replica by its name
 
 
 def read_policy_file(file: Path) -> dict[str, Any]:
-    """A policy in JSON or TOML. Raises ClickException, which names the fault."""
+    """Reads a policy in JSON or TOML. Raises click.ClickException, which names the fault."""
     from zincladder.config import ConfigError
     from zincladder.policy.document import parse_policy
 
@@ -33,7 +33,10 @@
 
 
 def read_change_log(group: Group) -> ChangeLog:
-    """The policy's record. Documents are fetched one by one: all of them together may not fit a message."""
+    """Reads the policy's record, without the documents.
+
+    Documents are fetched one by one, because all of them together may be too large for one message.
+    """
     from zincladder.policy import change_log
     from zincladder.policy.model import POLICY_KEY
 
@@ -41,7 +44,10 @@
 
 
 def read_document(group: Group, document: str) -> dict[str, Any]:
-    """The policy with this document id; {} for "", the policy before the first one."""
+    """Reads the policy with this document id; {} for "", which stands for the state before the first policy.
+
+    Raises click.ClickException if the document is no longer stored.
+    """
     from zincladder.policy.model import DOCUMENT_PREFIX
 
     if not document:
@@ -55,7 +61,10 @@
 
 
 def document_of_version(change_log: ChangeLog, version: int) -> str:
-    """The document id of a version that is or was in force, or was tried."""
+    """Returns the document id of a version that is or was in force, or was withdrawn.
+
+    Raises click.ClickException if the version is not recorded.
+    """
     record = change_log.record
     if version == 0:
         return ""
@@ -68,7 +77,7 @@
 
 
 def differences(group: Group, old_document: str, new: dict[str, Any]) -> list[tuple[str, Any, Any]]:
-    """Each path that differs between a stored document and a policy, with both values."""
+    """Returns each path that differs between a stored document and a policy, with the old and new value."""
     from zincladder.policy.document import difference
 
     return difference(read_document(group, old_document), new)
@@ -77,9 +86,10 @@
 def propose(
     group: Group, policy: dict[str, Any], note: str, author: str, base_version: int | None
 ) -> tuple[int, str]:
-    """Proposes a policy; the version and document id of the change. Raises ClickException if it is rejected.
+    """Proposes a policy; returns the version and the document id of the change.
 
-    `base_version` is the version that it was made from; None stands for the one in force now.
+    `base_version` is the version that the policy is based on; None stands for the version in force. Raises
+    click.ClickException if the proposal is rejected.
     """
     from zincladder.policy import change_log
     from zincladder.policy.change_states import propose_change
@@ -104,11 +114,15 @@
     return record.open_change.version, document
 
 
-def _write_or_fail(group: Group, swap: Any, proposal: bool = False) -> None:
-    """Writes a register. A version mismatch fails a proposal only; a document is then stored already."""
+def _write_or_fail(group: Group, write: Any, proposal: bool = False) -> None:
+    """Writes a register with compare-and-swap. Raises click.ClickException if the write fails.
+
+    A version mismatch is a failure for a proposal only. For a document it means that the same document is
+    already stored.
+    """
     from zincladder.consensus.key_value_state import CapacityExceeded, VersionMismatch
 
-    result = run_call(lambda: group_client(group).compare_and_swap(swap.key, swap.expected, swap.data))
+    result = run_call(lambda: group_client(group).compare_and_swap(write.key, write.expected, write.data))
     if isinstance(result, CapacityExceeded):
         raise click.ClickException(f"not proposed: {result.reason}")
     if proposal and isinstance(result, VersionMismatch):
@@ -122,7 +136,7 @@
 
 
 def leader_view(group: Group) -> dict[str, Any]:
-    """What the leader sees of the fronts; {} if it cannot be known."""
+    """Returns the leader's view of the fronts; {} if the reply holds none."""
     from zincladder.consensus import rpc
 
     reply = run_call(lambda: group_client(group).request(rpc.GetProgress()))
@@ -131,7 +145,7 @@
 
 
 def forget_front(group: Group, front: str) -> None:
-    """Removes a front from those that are expected. Raises ClickException if it is not one of them."""
+    """Removes a front from the expected ones. Raises click.ClickException if it is not expected."""
     from zincladder.policy.model import EXPECTED_FRONT_PREFIX
 
     client = group_client(group)
--- a/zincladder/cli/policy_output.py
+++ b/zincladder/cli/policy_output.py
@@ -1,4 +1,4 @@
-"""What the policy commands print. Scripts read the JSON keys, so these do not follow the names of fields."""
+"""The output of the policy commands. JSON keys are read by scripts and stay if a field is renamed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def entry_json(entry: ChangeLogEntry) -> dict[str, Any]:
-    """An entry of the change log."""
+    """Returns an entry of the change log with the keys of the JSON output."""
     return {
         "version": entry.version,
         "document": entry.document,
@@ -28,7 +28,7 @@
 
 
 def change_json(change: PolicyChange) -> dict[str, Any]:
-    """An open change."""
+    """Returns an open change with the keys of the JSON output."""
     return {
         "version": change.version,
         "document": change.document,
@@ -40,7 +40,7 @@
 
 
 def print_differences(differences: list[tuple[str, Any, Any]]) -> None:
-    """Each path that differs, with its old and its new value."""
+    """Prints each path that differs, with its old and its new value."""
     for path, old, new in differences:
         if old is not None:
             click.echo(f"- {path} = {json.dumps(old)}")
@@ -49,11 +49,11 @@
 
 
 def print_outcome(entry: ChangeLogEntry, as_json: bool) -> None:
-    """The end of a change that is followed."""
+    """Prints how a followed change has ended."""
     if as_json:
         keys = ("version", "outcome", "reasons", "absent")
-        whole = entry_json(entry)
-        click.echo(json.dumps({key: whole[key] for key in keys}))
+        fields = entry_json(entry)
+        click.echo(json.dumps({key: fields[key] for key in keys}))
         return
     click.echo(f"version {entry.version} {entry.outcome}")
     for reason in entry.reasons:
@@ -63,7 +63,7 @@
 
 
 def print_phase(change: PolicyChange, view: dict[str, Any], as_json: bool) -> None:
-    """A phase of a change that is followed, with the leader's view of the fronts."""
+    """Prints the phase of a followed change, with the leader's view of the fronts."""
     if as_json:
         click.echo(json.dumps({"version": change.version, "phase": change.phase} | view))
         return
@@ -74,7 +74,7 @@
 
 
 def print_status(record: PolicyRecord, view: dict[str, Any], as_json: bool) -> None:
-    """The version in force, the open change, and the leader's view of the fronts."""
+    """Prints the version in force, the open change, and the leader's view of the fronts."""
     change = record.open_change
     if as_json:
         in_force = {
@@ -107,7 +107,7 @@
 
 
 def print_entry(entry: ChangeLogEntry, as_json: bool) -> None:
-    """An entry of the change log."""
+    """Prints an entry of the change log."""
     if as_json:
         click.echo(json.dumps(entry_json(entry)))
         return
--- a/zincladder/cli/replica.py
+++ b/zincladder/cli/replica.py
@@ -1,6 +1,6 @@
-"""`zincladder replica`: one of the processes that replicate a fleet's state.
+"""`zincladder replica`: runs one of the processes that replicate a fleet's state.
 
-SIGHUP is not handled and ends the process; restart a replica to change its file.
+SIGHUP is not handled and ends the process. A replica reads its configuration file only when it starts.
 """
 
 from __future__ import annotations
@@ -14,18 +14,20 @@
 from zincladder.cli.group import read_replica_config
 from zincladder.config.replica import LeaseTable, ReplicaConfig
 
-if TYPE_CHECKING:  # imported only where the command needs it: commands start without the links' libraries
+if TYPE_CHECKING:
+    # The command imports this when it runs, so that others start without the network libraries it loads.
     from zincladder.consensus.lease_timing import LeaseTiming
 
-TRANSFER_TIMEOUT_SECONDS = 2.0  # for another replica to lead, at a graceful shutdown
+TRANSFER_TIMEOUT_SECONDS = 2.0  # for another replica to become leader at a graceful shutdown
 
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def replica(file: Path) -> None:
-    """Run a replica in the foreground, as FILE says. SIGTERM ends it; its directory holds what it promised.
+    """Run a replica in the foreground with the configuration FILE, until SIGTERM.
 
-    Exits with 1 if the directory cannot be used or fails: a replica that can't write has no vote.
+    Its votes and log are kept in its directory. Exits with 1 if the directory cannot be used or a write
+    fails, because a replica that cannot write must not vote.
     """
     import anyio
     import structlog
@@ -42,8 +44,8 @@
         sys.exit(1)
 
 
-def _first_error(group: BaseExceptionGroup[Any]) -> BaseException:
-    error: BaseException = group
+def _first_error(errors: BaseExceptionGroup[Any]) -> BaseException:
+    error: BaseException = errors
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
@@ -65,7 +67,7 @@
 
 
 async def _run_replica(config: ReplicaConfig) -> None:
-    """Runs a replica with the services of its leader, until SIGTERM or SIGINT."""
+    """Runs a replica until SIGTERM or SIGINT, with the services that it provides while it is the leader."""
     import signal
 
     import anyio
--- a/zincladder/cli/replicas.py
+++ b/zincladder/cli/replicas.py
@@ -1,4 +1,4 @@
-"""`zincladder replicas`: the status of a group of replicas, and changes of its members."""
+"""`zincladder replicas`: shows the status of a group of replicas, and changes its members."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 
 from zincladder.cli.group import Group, group_client, group_options, run_call
 
-if TYPE_CHECKING:  # imported only where a command needs it: commands start without the links' libraries
+if TYPE_CHECKING:
+    # Commands import this when they need it, so that the others start without the network libraries it loads.
     from rich.table import Table
 
     from zincladder.consensus import rpc
 
 STATUS_TIMEOUT_SECONDS = 2.0
 BYTES_PER_KB = 1024
-# The fields of a replica's status, and the keys that `status --json` prints them under.
+# Maps the fields of a replica's status to the keys of `status --json`, which scripts read.
 JSON_KEYS = {
     "name": "name",
     "role": "role",
@@ -35,7 +36,7 @@
     "key_count": "registers",
     "journal_bytes": "bytes_kept",
 }
-# The table's columns, and whether each is text, to be aligned to the left.
+# The table's columns. True marks text, which is aligned to the left.
 COLUMNS = {
     "replica": True,
     "role": True,
@@ -51,7 +52,7 @@
 @group_options
 @click.pass_context
 def replicas(context: click.Context, group: Group) -> None:
-    """Who replicates a fleet's state: who leads, how far each one is, and who belongs to the group."""
+    """Show the replicas of a fleet's state, and change which of them belong to the group."""
     context.obj = group
 
 
@@ -59,11 +60,11 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
 @click.pass_obj
 def status(group: Group, as_json: bool) -> None:
-    """Ask each replica for its status. Exits with 1 if none of them leads."""
-    answers = run_call(partial(_ask_all, group))
+    """Show the status of each replica. Exits with 1 if none of them is the leader."""
+    answers = run_call(partial(_fetch_statuses, group))
     statuses = {name: answer for name, answer in answers.items() if not isinstance(answer, str)}
-    leaders = [each for each in statuses.values() if each.role == "leader"]
-    leader = max(leaders, key=lambda each: each.term, default=None)
+    leaders = [replica for replica in statuses.values() if replica.role == "leader"]
+    leader = max(leaders, key=lambda replica: replica.term, default=None)
     if as_json:
         click.echo(json.dumps({name: json_row(answer) for name, answer in answers.items()}))
     else:
@@ -74,14 +75,14 @@
 
 
 def json_row(answer: rpc.ReplicaStatus | str) -> dict[str, Any]:
-    """A replica's status as `status --json` prints it, or why it could not be asked."""
+    """Returns a replica's status as `status --json` prints it, or the error of the request."""
     if isinstance(answer, str):
         return {"error": answer}
     return {key: getattr(answer, field) for field, key in JSON_KEYS.items()}
 
 
-async def _ask_all(group: Group) -> dict[str, rpc.ReplicaStatus | str]:
-    """Each replica's status, or why it could not be asked."""
+async def _fetch_statuses(group: Group) -> dict[str, rpc.ReplicaStatus | str]:
+    """Returns the status of each replica by its name, or the error of the request."""
     import anyio
 
     from zincladder.consensus import rpc
@@ -90,7 +91,7 @@
     client = group_client(group)
     answers: dict[str, rpc.ReplicaStatus | str] = {}
 
-    async def ask(name: str, address: str) -> None:
+    async def fetch(name: str, address: str) -> None:
         try:
             answer = await client.request_from(address, rpc.GetStatus(), STATUS_TIMEOUT_SECONDS)
             answers[name] = answer if isinstance(answer, rpc.ReplicaStatus) else str(answer)
@@ -99,7 +100,7 @@
 
     async with anyio.create_task_group() as tasks:
         for name, address in group[1].items():
-            tasks.start_soon(ask, name, address)
+            tasks.start_soon(fetch, name, address)
     return dict(sorted(answers.items()))
 
 
@@ -124,7 +125,7 @@
 
 
 def _notes(name: str, leader: rpc.ReplicaStatus) -> list[str]:
-    """What the leader knows of a replica that an operator should see."""
+    """Returns the conditions of a replica that the leader reports and an operator should see."""
     notes: list[str] = []
     if name not in leader.voters | leader.learners:
         notes.append("no member")
@@ -150,7 +151,7 @@
 
 
 def _request(group: Group, body: Any) -> None:
-    """Sends a request that the leader carries out. A ClickException if it didn't, or may not have."""
+    """Sends a request to the leader. Raises click.ClickException if it failed or its outcome is unknown."""
     from zincladder.consensus import rpc
 
     response = run_call(partial(group_client(group).request, body))
@@ -176,7 +177,7 @@
 @click.argument("name")
 @click.pass_obj
 def remove(group: Group, name: str) -> None:
-    """Remove the replica NAME. One that comes back under the name needs an empty directory."""
+    """Remove the replica NAME. To join again under this name, a replica needs an empty directory."""
     from zincladder.consensus import rpc
 
     _request(group, rpc.ChangeMembership(remove=name))
@@ -186,7 +187,7 @@
 @replicas.command("hand-over")
 @click.pass_obj
 def transfer_leadership(group: Group) -> None:
-    """Let another replica lead, as before work on the machine of the one that does."""
+    """Transfer leadership to another replica, for example before maintenance on the leader's machine."""
     from zincladder.consensus import rpc
 
     _request(group, rpc.TransferLeadership())
--- a/zincladder/cli/status.py
+++ b/zincladder/cli/status.py
@@ -1,4 +1,4 @@
-"""`zincladder ready` and `zincladder stats`: a front's status, asked at its `control` address."""
+"""`zincladder ready` and `zincladder stats`: read a front's status from its `control` address."""
 
 from __future__ import annotations
 
@@ -12,13 +12,16 @@
 from zincladder.cli.admission import Duration
 from zincladder.config import parse_address
 
-TIMEOUT_SECONDS = 2.0  # an answer is owed within one
-POLL_SECONDS = 0.1  # between two calls of `--wait`
+TIMEOUT_SECONDS = 2.0  # a front has to answer within 1 s
+POLL_SECONDS = 0.1  # between two calls with `--wait`
 ANSWER_KINDS = ("succeeded", "declined", "aborted")
 
 
-def call(address: str, line: str) -> str:
-    """The whole answer to one call; a ClickException says what went wrong."""
+def _call(address: str, line: str) -> str:
+    """Sends one line and returns the whole answer.
+
+    Raises click.BadParameter for a malformed address, and click.ClickException if the call fails.
+    """
     try:
         host, port = parse_address(address)
     except ValueError:
@@ -35,10 +38,10 @@
 @click.command()
 @click.argument("address", metavar="ADDRESS")
 @click.option(
-    "--wait", type=Duration(), default=0.0, help="Ask again until it is ready, for so long (10s, 1m)."
+    "--wait", type=Duration(), default=0.0, help="Retry until it is ready, for at most this time (10s, 1m)."
 )
 def ready(address: str, wait: float) -> None:
-    """Say whether the front at ADDRESS can serve; exits with 1 if it cannot."""
+    """Print whether the front at ADDRESS can serve requests. Exits with 1 if it cannot."""
     deadline = time.monotonic() + wait
     while True:
         answer, is_ready = _ready(address)
@@ -49,9 +52,9 @@
 
 
 def _ready(address: str) -> tuple[str, bool]:
-    """The answer to READY or the fault of the call, and whether the front is ready."""
+    """Returns the answer to READY or the error of the call, and whether the front is ready."""
     try:
-        answer = call(address, "READY").strip()
+        answer = _call(address, "READY").strip()
     except click.BadParameter:
         raise
     except click.ClickException as error:
@@ -61,9 +64,9 @@
 
 @click.command()
 @click.argument("address", metavar="ADDRESS")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object instead of a table.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object instead of a table.")
 def stats(address: str, as_json: bool) -> None:
-    """Show the figures of the front at ADDRESS, by class where they have one."""
+    """Show the statistics of the front at ADDRESS, with the answers of each request class."""
     statistics = _statistics(address)
     if as_json:
         click.echo(json.dumps(statistics))
@@ -72,7 +75,7 @@
 
 
 def _statistics(address: str) -> dict[str, int]:
-    lines = call(address, "STATS").splitlines()
+    lines = _call(address, "STATS").splitlines()
     if not lines or lines[-1] != "EOT":
         raise click.ClickException(f"{address}: the figures broke off")
     pairs = (line.partition("=") for line in lines[:-1])
--- a/zincladder/cli/tasks.py
+++ b/zincladder/cli/tasks.py
@@ -1,4 +1,4 @@
-"""`zincladder tasks`: which process runs each singleton task of the fleet, and which one is to."""
+"""`zincladder tasks`: shows which process runs each singleton task, and moves, pauses and resumes tasks."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 from zincladder.cli.group import group_client, group_options, run_call
 
-Group = tuple[str, dict[str, str]]  # the group's name, and its replicas' addresses by name
+Group = tuple[str, dict[str, str]]  # the group's name, and the address of each replica by its name
 
 
 @click.group()
 @group_options
 @click.pass_context
 def tasks(context: click.Context, group: Group) -> None:
-    """Singleton tasks of the fleet: one process at a time runs each."""
+    """Show and control the singleton tasks of the fleet, each of which runs in one process at a time."""
     context.obj = group
 
 
 @dataclass(frozen=True)
 class StoredTasks:
-    """What the group tells of its tasks."""
+    """The tasks as the group has stored them, and the leader's view of them. All keys are task names."""
 
     leader_view: dict[str, Any]
-    assignments: dict[str, tuple[Any, int]]  # with the versions of their registers
+    assignments: dict[str, tuple[Any, int]]  # with the version of its register
     checkpoint_sizes: dict[str, int]  # in bytes
 
 
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class TaskStatus:
-    """What `status` shows of a task."""
+    """The status of one task, as the command `status` shows it."""
 
     task: str
     lease_holder: str
@@ -73,7 +73,7 @@
     vacancy_reason: str
 
     def as_json(self) -> dict[str, Any]:
-        """With the keys that scripts read, which do not follow the names of fields."""
+        """Returns the status with the JSON keys that scripts read, which stay if a field is renamed."""
         return {
             "duty": self.task,
             "owner": self.lease_holder,
@@ -87,7 +87,7 @@
         }
 
     def note(self) -> str:
-        """Why nobody runs the task, or what may end that its holder does."""
+        """Returns why no process runs the task, or that its holder has lost its link; "" if neither is so."""
         if self.lease_holder and not self.holder_linked:
             return "its holder has no link to the leader"
         return "paused" if self.paused else self.vacancy_reason
@@ -95,13 +95,13 @@
 
 def _task_status(stored: StoredTasks, task: str) -> TaskStatus:
     assignment, token = stored.assignments[task]
-    seen = stored.leader_view.get("duties", {}).get(task, {})
+    reported = stored.leader_view.get("duties", {}).get(task, {})
     return TaskStatus(
         task,
         assignment.lease_holder,
         token,
-        seen.get("lease_s", 0.0),
-        seen.get("linked", False),
+        reported.get("lease_s", 0.0),
+        reported.get("linked", False),
         round(max(0.0, time.time() - assignment.changed_at), 1),
         stored.checkpoint_sizes.get(task, 0),
         assignment.paused,
@@ -113,25 +113,28 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
 @click.pass_obj
 def status(group: Group, as_json: bool) -> None:
-    """Show each task: lease holder, token, what is left of the lease. Exits with 1 if one has no holder."""
+    """Show the lease holder, token and remaining lease time of each task.
+
+    Exits with 1 if a task that is not paused has no holder.
+    """
     stored = _read_tasks(group)
-    found = [_task_status(stored, task) for task in sorted(stored.assignments)]
+    statuses = [_task_status(stored, task) for task in sorted(stored.assignments)]
     runners = stored.leader_view.get("workers", [])
     if as_json:
-        click.echo(json.dumps({"duties": [task.as_json() for task in found], "workers": runners}))
+        click.echo(json.dumps({"duties": [task.as_json() for task in statuses], "workers": runners}))
     else:
-        _print_table(group, found, runners)
-    sys.exit(1 if any(not task.lease_holder and not task.paused for task in found) else 0)
+        _print_table(group, statuses, runners)
+    sys.exit(1 if any(not task.lease_holder and not task.paused for task in statuses) else 0)
 
 
-def _print_table(group: Group, found: list[TaskStatus], runners: list[str]) -> None:
+def _print_table(group: Group, statuses: list[TaskStatus], runners: list[str]) -> None:
     from rich.console import Console
     from rich.table import Table
 
     table = Table(title=f"{group[0]}: {len(runners)} runners")
     for column in ("task", "holder", "token", "lease s", "for s", "checkpoint", "note"):
         table.add_column(column, justify="left" if column in ("task", "holder", "note") else "right")
-    for task in found:
+    for task in statuses:
         table.add_row(
             task.task,
             task.lease_holder or "nobody",
@@ -144,8 +147,12 @@
     Console().print(table)
 
 
-def _write(group: Group, task: str, **changes: Any) -> None:
-    """Takes a task from its holder, which the leader then asks to stop, and waits for."""
+def _vacate(group: Group, task: str, **changes: Any) -> None:
+    """Stores a task without a lease holder, and with the given changes to its assignment.
+
+    The leader then asks the former holder to stop, and waits until it has. Raises click.ClickException if the
+    task does not exist or was changed meanwhile.
+    """
     import msgspec
 
     from zincladder.consensus.key_value_state import CompareAndSwap, Swapped
@@ -170,8 +177,8 @@
 @click.argument("runner")
 @click.pass_obj
 def move(group: Group, name: str, runner: str) -> None:
-    """Give the task NAME to RUNNER, if it is there and offers to run it; else to somebody else."""
-    _write(group, name, preferred_runner=runner, paused=False, vacancy_reason=f"to be moved to {runner}")
+    """Move the task NAME to RUNNER, or to another runner if RUNNER is absent or does not offer to run it."""
+    _vacate(group, name, preferred_runner=runner, paused=False, vacancy_reason=f"to be moved to {runner}")
     click.echo(f"{name} goes to {runner} once its holder has stopped")
 
 
@@ -179,8 +186,8 @@
 @click.argument("name")
 @click.pass_obj
 def pause(group: Group, name: str) -> None:
-    """Let nobody run the task NAME until it is resumed. Its checkpoint is kept."""
-    _write(group, name, paused=True, vacancy_reason="paused")
+    """Stop the task NAME until it is resumed. Its checkpoint is kept."""
+    _vacate(group, name, paused=True, vacancy_reason="paused")
     click.echo(f"{name} is paused")
 
 
@@ -188,6 +195,6 @@
 @click.argument("name")
 @click.pass_obj
 def resume(group: Group, name: str) -> None:
-    """Let somebody run the task NAME again, from where it stopped."""
-    _write(group, name, paused=False, vacancy_reason="resumed")
+    """Let a runner run the task NAME again, from its checkpoint."""
+    _vacate(group, name, paused=False, vacancy_reason="resumed")
     click.echo(f"{name} goes on")
