--- a/zincladder/dns/__init__.py
+++ b/zincladder/dns/__init__.py
@@ -1,1 +1,1 @@
-"""The DNS front: DNS-based request routing on the same core, over UDP and TCP."""
+"""The DNS front: answers DNS queries with endpoints that the router selects, over UDP and TCP."""
--- a/zincladder/dns/answers.py
+++ b/zincladder/dns/answers.py
@@ -1,4 +1,4 @@
-"""Builds the responses of the DNS front: one message in, one message out. No I/O."""
+"""Builds the DNS front's responses from received messages. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from zincladder.core.engine import Core
 from zincladder.routing import interface as api
 
-TTL_SECONDS = 0  # a resolver that cached an answer would go on naming an endpoint that drains
+TTL_SECONDS = 0  # a resolver that cached an answer would still return an endpoint that is draining
 UDP_BYTES_WITHOUT_EDNS = 512
 MAX_UDP_BYTES = 1232
 MAX_MESSAGE_BYTES = 65535
@@ -29,14 +29,14 @@
 # The flags in the third byte of a header (RFC 1035, 4.1.1).
 QR_FLAG, TC_FLAG = 0x80, 0x02
 COPIED_FLAGS = 0x79  # the opcode and RD, which a response copies from its query
-MAX_LOGGED_CHARACTERS = 120  # of a fault: its text may quote the query
+MAX_LOGGED_CHARACTERS = 120  # of an error text, which may quote the query
 SERVICE = dns.name.from_text("_rpc._tcp", origin=None)
 log = structlog.get_logger()
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """The request that a host name stands for."""
+    """The request that is routed to answer a query for a host name."""
 
     request_class: str
     object: int
@@ -44,15 +44,15 @@
 
 
 def is_query(data: bytes) -> bool:
-    """Whether a message has a whole header and is no response.
+    """Returns whether a message has a complete header and is not a response.
 
-    Guards against two servers that answer each other's responses for ever.
+    A response must not be answered: two servers would answer each other's responses for ever.
     """
     return len(data) >= HEADER_BYTES and not data[2] & QR_FLAG
 
 
 class Answers:
-    """Answers queries by the core's routing decisions, for the hosts of the operator's configuration."""
+    """Answers queries for the hosts of the operator's file with the core's routing decisions."""
 
     def __init__(
         self, config: DnsConfig, core: Core, address_of: Callable[[api.EndpointId], Address | None]
@@ -70,7 +70,10 @@
         self._existing_names = self._names_in_zone()
 
     def _names_in_zone(self) -> set[dns.name.Name]:
-        """The names that get NOERROR: the zone, and every host and its service with all names above them."""
+        """Returns the names that exist in the zone; all others get NXDOMAIN.
+
+        They are the zone, each host and its service name, and the names between these and the zone.
+        """
         names = {self._zone}
         for host in self._targets:
             for name in (host, SERVICE.concatenate(host)):
@@ -80,15 +83,15 @@
         return names
 
     def respond(self, data: bytes, arrived_at: float, max_bytes: int | None = None) -> bytes | None:
-        """The response to one message.
+        """Returns the response to one message.
 
         Args:
-            data: The message as it was received.
+            data: The received message.
             arrived_at: When it was received, by the core's clock.
-            max_bytes: Limit of the response's size over UDP; None over TCP.
+            max_bytes: The largest response over UDP; None over TCP.
 
         Returns:
-            The response, or None where none may be sent.
+            The response, or None if the message must not be answered.
         """
         if not is_query(data):
             return None
@@ -113,10 +116,10 @@
         return _to_wire(query, response, max_bytes)
 
     def truncated(self, data: bytes) -> bytes | None:
-        """A truncated response without records, so that the client asks again over TCP.
+        """Returns a truncated response without records, so that the client repeats its query over TCP.
 
-        It is made without reading the question (RFC 1035, 4.1.1; RFC 2181, 9), and is None where no response
-        may be sent.
+        Only the header of the message is read (RFC 1035, 4.1.1; RFC 2181, 9). Returns None if the message
+        must not be answered.
         """
         if not is_query(data):
             return None
@@ -124,7 +127,7 @@
         return _header(data, QR_FLAG | TC_FLAG, 0)
 
     def _header_only(self, data: bytes, rcode: dns.rcode.Rcode) -> bytes:
-        """The response to a query that cannot be read past its header."""
+        """Returns the response to a query of which only the header can be used, and counts it."""
         self._count(rcode)
         return _header(data, QR_FLAG, int(rcode))
 
@@ -149,7 +152,8 @@
         elif name == self._zone and question.rdtype == dns.rdatatype.SOA:
             response.answer.append(self._soa())
             return
-        response.authority.append(self._soa())  # its minimum of 0 keeps negative answers out of caches
+        # The SOA record's minimum of 0 keeps resolvers from caching the negative answer.
+        response.authority.append(self._soa())
 
     def _answer_with_endpoint(
         self,
@@ -159,9 +163,9 @@
         response: dns.message.Message,
         arrived_at: float,
     ) -> None:
-        """Answer with one address of one endpoint.
+        """Answers with one address of one endpoint.
 
-        Guards writes, which may run only once: a client that got a second address would retry there.
+        A client that got a second address would retry there, and a write may run only once.
         """
         endpoint = self._route(target, arrived_at + self._timeout_seconds)
         address = self._address_of(endpoint) if endpoint is not None else None
@@ -176,7 +180,7 @@
         response.additional.extend(records[1:])
 
     def _route(self, target: Target, deadline: float) -> api.EndpointId | None:
-        """The endpoint for a request; None if the deadline has passed or the request is rejected."""
+        """Returns the endpoint for a request; None if its deadline has passed or the router rejects it."""
         now = self._core.clock.now()
         request_class = self._core.classes.number_of(target.request_class, now)
         if request_class is None or now >= deadline:
@@ -191,12 +195,12 @@
 
 
 def _header(query: bytes, flags: int, rcode: int) -> bytes:
-    """A response that is a header alone, with the query's id, opcode and RD."""
+    """Returns a response that consists of a header only, with the query's id, opcode and RD flag."""
     return query[:2] + bytes([flags | query[2] & COPIED_FLAGS, rcode]) + bytes(8)
 
 
 def _to_wire(query: dns.message.Message, response: dns.message.Message, max_bytes: int | None) -> bytes:
-    """The bytes of a response; truncated where they exceed what the client and `max_bytes` allow."""
+    """Returns the encoded response; a truncated one if it exceeds what the client or `max_bytes` allows."""
     if max_bytes is None:
         limit = MAX_MESSAGE_BYTES
     elif query.edns < 0:
--- a/zincladder/dns/server.py
+++ b/zincladder/dns/server.py
@@ -1,4 +1,4 @@
-"""The DNS front's sockets: UDP and TCP on one address."""
+"""The DNS front's server: UDP and TCP on one address."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 from zincladder.net.write_queue import WriteQueue
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-IDLE_TIMEOUT_SECONDS = 5.0  # of a TCP connection, for a whole query and for the writing of a response
-LENGTH_BYTES = 2  # before each message over TCP (RFC 1035, 4.2.2)
+IDLE_TIMEOUT_SECONDS = 5.0  # over TCP, to receive a whole query and to write a response
+LENGTH_PREFIX_BYTES = 2  # of each message over TCP (RFC 1035, 4.2.2)
 MAX_QUERY_BYTES = 4096  # over UDP
 ACCEPT_RETRY_SECONDS = 0.01
-BACKLOG = 64  # connections that wait to be accepted
-MAX_DATAGRAMS_IN_A_ROW = 64  # then the other tasks run
+LISTEN_BACKLOG = 64  # connections that wait to be accepted
+MAX_DATAGRAMS_IN_A_ROW = 64  # then the server waits for the socket again, and other tasks can run
 log = structlog.get_logger()
 
 
 async def return_at_once() -> None:
-    """Wait for nothing."""
+    """Returns without waiting: the default of `wait_until_ready`."""
 
 
 class DnsServer:
-    """Listens from its making on, and serves queries until `run` is cancelled."""
+    """Listens as soon as it is created, and serves queries from `run` until this is cancelled."""
 
     def __init__(
         self,
@@ -48,15 +48,15 @@
         admission: Admission,
         wait_until_ready: Callable[[], Awaitable[None]] = return_at_once,
     ) -> None:
-        """Bind both sockets.
+        """Binds both sockets.
 
         Args:
-            listen: Address of both; with port 0 the system chooses one.
+            listen: The address of both; the system chooses a port if it is 0.
             answers: Builds the responses.
-            clock: The core's, which dates the arrival of queries.
-            admission: Judges datagrams and connections.
-            wait_until_ready: Queries stay in the system's queue until it returns. Guards resolvers, which
-                would cache an answer that was made without an endpoint list.
+            clock: The core's clock, which gives the arrival times of queries.
+            admission: Decides which datagrams are answered and which connections are accepted.
+            wait_until_ready: Queries stay in the sockets' queues until it returns. An answer that was made
+                without an endpoint list could be cached by resolvers.
 
         Raises:
             OSError: The address cannot be bound.
@@ -67,13 +67,14 @@
         self._tcp = socket.socket(address_family(listen[0]), socket.SOCK_STREAM)
         self._tcp.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         for sock in (self._udp, self._tcp):
-            # During an upgrade both processes answer, each by its own decisions on the same endpoint list.
+            # During an upgrade both processes listen, and each answers with its own routing decisions.
+            # Both have the same endpoint list.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         try:
             self._tcp.bind(listen)
             self.address: Address = self._tcp.getsockname()[:2]
             self._udp.bind(self.address)
-            self._tcp.listen(BACKLOG)
+            self._tcp.listen(LISTEN_BACKLOG)
         except OSError:
             self.close()
             raise
@@ -82,12 +83,12 @@
         self._rate_limited_log = RateLimitedLog()
 
     def close(self) -> None:
-        """Close both sockets."""
+        """Closes both sockets."""
         self._udp.close()
         self._tcp.close()
 
     async def run(self) -> None:
-        """Serve queries until cancelled, then close the sockets."""
+        """Serves queries until cancelled, then closes the sockets."""
         try:
             await self._wait_until_ready()
             async with anyio.create_task_group() as tasks:
@@ -122,7 +123,7 @@
                     data, peer = self._udp.recvfrom(MAX_QUERY_BYTES)
                 except (BlockingIOError, InterruptedError):
                     break
-                except OSError:  # an earlier response did not reach its peer
+                except OSError:  # the system reports that an earlier response was not delivered
                     continue
                 response = self._respond_to_datagram(data, peer[0])
                 if response is not None:
@@ -139,13 +140,13 @@
     def _send_datagram(self, response: bytes, peer: Address) -> None:
         try:
             self._udp.sendto(response, peer)
-        except OSError as error:  # as if lost by the network: the resolver asks again
+        except OSError as error:  # the resolver retries, as after a loss in the network
             log.info("dns response not sent", reason=str(error))
 
     def _respond(self, data: bytes, max_bytes: int | None) -> bytes | None:
         try:
             return self._answers.respond(data, self._clock.now(), max_bytes)
-        except Exception:  # guards the front, which no single query may end
+        except Exception:  # an error in the handling of one query must not stop the front
             log.exception("dns query failed")
             return None
 
@@ -160,21 +161,25 @@
                         await self._serve_query(read_buffer, write_queue)
                 except (ConnectionEndedError, TimeoutError) as error:
                     if isinstance(error, ConnectionEndedError) and error.reason is EndReason.PROTOCOL_ERROR:
-                        log.info("dns connection ended", reason=str(error))
+                        log.info("dns connection closed after a protocol error", reason=str(error))
                 tasks.cancel_scope.cancel()
         finally:
             sock.close()
             self._admission.close_connection(DescriptorUse.DNS, host)
 
     async def _serve_query(self, read_buffer: ReadBuffer, write_queue: WriteQueue) -> None:
-        """Read one query and queue its response. Raises ConnectionEndedError and TimeoutError."""
+        """Reads one query and queues its response.
+
+        Raises ConnectionEndedError if the connection has ended or the message cannot be answered, and
+        TimeoutError if no whole query arrives in time.
+        """
         with anyio.fail_after(IDLE_TIMEOUT_SECONDS):
-            size = int.from_bytes(await read_buffer.read_exactly(LENGTH_BYTES), "big")
+            size = int.from_bytes(await read_buffer.read_exactly(LENGTH_PREFIX_BYTES), "big")
             data = bytes(await read_buffer.read_exactly(size))
         response = self._respond(data, None)
         if response is None:
-            raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, "a message that cannot be answered")
-        write_queue.put([len(response).to_bytes(LENGTH_BYTES, "big"), response])
+            raise ConnectionEndedError(EndReason.PROTOCOL_ERROR, "the message cannot be answered")
+        write_queue.put([len(response).to_bytes(LENGTH_PREFIX_BYTES, "big"), response])
 
     async def _write_responses(self, write_queue: WriteQueue, tasks: anyio.abc.TaskGroup) -> None:
         try:
--- a/zincladder/plugin/transport.py
+++ b/zincladder/plugin/transport.py
@@ -1,7 +1,8 @@
-"""A transport for Apache Thrift's Python library that follows the front's routing.
+"""A transport for Apache Thrift's Python library that connects to the endpoints a front selects.
 
-It queries the DNS front itself, past the resolvers of the machine: one that ignores a TTL of 0 would go on
-naming an endpoint that drains. It needs thrift and dnspython, and nothing of the daemon.
+It queries the DNS front directly and not through the resolvers of the machine, because a resolver that
+ignores a TTL of 0 would still return an endpoint that is draining. It needs thrift and dnspython, and no
+module of the daemon.
 
     transport = TFramedTransport(SteeredTransport("papers.main.example.org", ("127.0.0.1", 5353)))
     client = Front.Client(TBinaryProtocol(transport, strictRead=True, strictWrite=True))
@@ -19,29 +20,29 @@
 import dns.rdatatype
 from thrift.transport.TTransport import TTransportBase, TTransportException
 
-MAX_ANSWER_AGE_SECONDS = 0.25  # clients must have left a draining endpoint within 500 ms
-QUERY_TIMEOUT_SECONDS = 0.25  # then the query is sent again
+MAX_ANSWER_AGE_SECONDS = 0.25  # clients have to leave a draining endpoint within 500 ms
+QUERY_TIMEOUT_SECONDS = 0.25  # then the query is repeated, until the deadline of the call
 Address = tuple[str, int]
 
 
 class SteeredTransport(TTransportBase):  # type: ignore[misc]
-    """A byte transport to the one endpoint that the front names for a host.
+    """A byte transport to the endpoint that the front selects for a host.
 
-    A read whose connection ends before any byte of the reply is sent once more, to the endpoint that is named
-    then. A write that may have run is never sent again, nor is another endpoint tried.
+    If the connection ends before any byte of the reply, a read is sent once more, to the endpoint that the
+    front then selects. A write that may have run is never sent again, to this endpoint or to another.
 
-    Every method that talks to the front or an endpoint raises TTransportException: NOT_OPEN where there is no
-    connection, TIMED_OUT at the deadline, END_OF_FILE where a call may have run and has no reply.
+    Every method that contacts the front or an endpoint raises TTransportException: NOT_OPEN if there is no
+    connection, TIMED_OUT at the deadline, END_OF_FILE if a call may have run but its reply is missing.
     """
 
     def __init__(self, host: str, front: Address, deadline: float = 2.5, write: bool = False) -> None:
-        """Make a transport that is not open yet.
+        """Creates a transport that is not open yet.
 
         Args:
-            host: A host of the front's DNS zone.
-            front: The address of the front's DNS.
+            host: The name of a host in the front's DNS zone.
+            front: The address and port of the front's DNS server.
             deadline: Seconds for each call, from its flush to the last byte of its reply.
-            write: Whether calls have effects, and so may run only once.
+            write: Whether calls have effects and so may run only once.
         """
         self._service_name = f"_rpc._tcp.{host}"
         self._front = front
@@ -49,38 +50,41 @@
         self._is_write = write
         self._socket: socket.socket | None = None
         self._endpoint: Address | None = None
-        self._endpoint_named_at = 0.0
+        self._endpoint_queried_at = 0.0
         self._deadline = 0.0
         self._write_buffer = bytearray()
         self._retryable_call = b""  # the call that was sent last; empty once it has been retried
         self._reply_started = False
 
-    # The methods that Thrift calls ---------------------------------------------------------------
+    # Methods that Thrift calls -------------------------------------------------------------------
 
     def isOpen(self) -> bool:  # noqa: N802 - Thrift's name
-        """Whether there is a connection."""
+        """Returns whether there is a connection."""
         return self._socket is not None
 
     def open(self) -> None:
-        """Connect to the endpoint that the front names now."""
+        """Connects to the endpoint that the front selects now."""
         self._start_deadline()
         self._connect(self._query_endpoint())
 
     def close(self) -> None:
-        """Close the connection, if there is one."""
+        """Closes the connection, if there is one."""
         if self._socket is not None:
             self._socket.close()
         self._socket = None
 
     def write(self, buf: bytes) -> None:
-        """Add bytes to the call that the next `flush` sends."""
+        """Appends bytes to the call that the next `flush` sends."""
         self._write_buffer += buf
 
     def flush(self) -> None:
-        """Send one call, to the endpoint that the front names now."""
+        """Sends one call to the endpoint that the front selects.
+
+        The front is queried again if its last answer is older than MAX_ANSWER_AGE_SECONDS.
+        """
         self._start_deadline()
         self._retryable_call, self._write_buffer = bytes(self._write_buffer), bytearray()
-        if self._socket is None or time.monotonic() - self._endpoint_named_at > MAX_ANSWER_AGE_SECONDS:
+        if self._socket is None or time.monotonic() - self._endpoint_queried_at > MAX_ANSWER_AGE_SECONDS:
             endpoint = self._query_endpoint()
             if self._socket is None or endpoint != self._endpoint:
                 self._connect(endpoint)
@@ -91,7 +95,7 @@
             self._retry(error)
 
     def read(self, sz: int) -> bytes:
-        """At least one and at most `sz` bytes of the reply."""
+        """Returns at least one and at most `sz` bytes of the reply."""
         while True:
             try:
                 data = self._receive(sz)
@@ -99,7 +103,7 @@
                 self._retry(error)
                 continue
             if not data:
-                self._retry(ConnectionResetError("the connection ended before the reply did"))
+                self._retry(ConnectionResetError("the connection ended before the whole reply arrived"))
                 continue
             self._reply_started = True
             return data
@@ -117,7 +121,10 @@
         return remaining
 
     def _query_endpoint(self) -> Address:
-        """The endpoint that the front names. A negative answer is final; only a lost one is queried again."""
+        """Queries the front and returns the endpoint that it selects.
+
+        A query is repeated only if no answer arrives. A negative answer fails the call.
+        """
         answer = self._query_front()
         hosts = [
             data.address for rrset in answer.additional if rrset.rdtype == dns.rdatatype.A for data in rrset
@@ -125,8 +132,8 @@
         ports = [data.port for rrset in answer.answer if rrset.rdtype == dns.rdatatype.SRV for data in rrset]
         if len(hosts) != 1 or len(ports) != 1:
             code = dns.rcode.to_text(answer.rcode())
-            raise TTransportException(TTransportException.NOT_OPEN, f"the front names no member: {code}")
-        self._endpoint_named_at = time.monotonic()
+            raise TTransportException(TTransportException.NOT_OPEN, f"the front returned no endpoint: {code}")
+        self._endpoint_queried_at = time.monotonic()
         return hosts[0], ports[0]
 
     def _query_front(self) -> dns.message.Message:
@@ -140,7 +147,7 @@
                 continue
             except (OSError, dns.exception.DNSException) as error:
                 raise TTransportException(
-                    TTransportException.NOT_OPEN, f"no answer of the front: {error}"
+                    TTransportException.NOT_OPEN, f"the DNS query to the front failed: {error}"
                 ) from error
             return answer
 
@@ -162,12 +169,12 @@
 
     def _receive(self, max_bytes: int) -> bytes:
         if self._socket is None:
-            raise TTransportException(TTransportException.NOT_OPEN, "not open")
+            raise TTransportException(TTransportException.NOT_OPEN, "the transport is not open")
         self._socket.settimeout(self._remaining_seconds())
         return self._socket.recv(max_bytes)
 
     def _retry(self, cause: OSError) -> None:
-        """Send a read once more after its connection was lost. Guards every write, which may have run."""
+        """Sends a read once more after its connection was lost. Raises for a write, which may have run."""
         self.close()
         if isinstance(cause, TimeoutError):
             raise TTransportException(
