--- a/zincladder/export/__init__.py
+++ b/zincladder/export/__init__.py
@@ -1,1 +1,1 @@
-"""The export of samples by Prometheus remote write: messages, delivery, and batches that wait in a spool."""
+"""The export of samples by Prometheus remote write: encoding, storage of unsent batches, and delivery."""
--- a/zincladder/export/batch_store.py
+++ b/zincladder/export/batch_store.py
@@ -1,4 +1,4 @@
-"""Batches that wait to be sent, and the store that holds them in memory."""
+"""The interface of a store for unsent batches, and a store that keeps them in memory."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 
 @dataclass(frozen=True, slots=True)
 class SpooledBatch:
-    """A batch that waits. Its number rises by one from batch to batch."""
+    """An encoded batch that waits to be sent. Batches of a store are numbered consecutively."""
 
     number: int
-    unix_ms: int
+    unix_ms: int  # the time of its samples
     payload: bytes
 
 
 class BatchStore(Protocol):
-    """A queue of batches, bounded in bytes: the oldest are dropped when there are too many."""
+    """A queue of batches with a limit in bytes. The oldest batches are dropped if the limit is exceeded."""
 
-    lost_batches: int  # dropped or unreadable, and never sent
+    lost_batches: int  # that were dropped or became unreadable before they were sent
 
     def __len__(self) -> int:
-        """How many batches wait."""
+        """Returns the number of batches that wait."""
 
     def append(self, unix_ms: int, payload: bytes) -> None:
-        """Add a batch. Raises OSError if it cannot be stored; the store is as before then."""
+        """Adds a batch. Raises OSError if it cannot be stored; the store is unchanged then."""
 
     def oldest(self) -> SpooledBatch | None:
-        """The batch to send next; None if there is none."""
+        """Returns the batch to send next; None if there is none."""
 
     def acknowledge(self, batch: SpooledBatch) -> None:
-        """Remove a batch that was sent or will never be. It may have been dropped meanwhile."""
+        """Removes a batch that was sent or was rejected. Has no effect if the batch was dropped meanwhile."""
 
 
 class MemoryStore:
-    """Batches in memory, which a crash loses."""
+    """A BatchStore in memory. Its batches are lost in a crash."""
 
     def __init__(self, max_bytes: int) -> None:
-        """Create an empty store. `max_bytes` bounds the payloads of all batches together."""
+        """Creates an empty store. `max_bytes` limits the total size of the payloads."""
         self.size_bytes = 0
         self.lost_batches = 0
         self._max_bytes = max_bytes
@@ -46,11 +46,11 @@
         self._last_number = 0
 
     def __len__(self) -> int:
-        """How many batches wait."""
+        """Returns the number of batches that wait."""
         return len(self._batches)
 
     def append(self, unix_ms: int, payload: bytes) -> None:
-        """Add a batch, and drop the oldest while the bound is exceeded."""
+        """Adds a batch, and drops the oldest ones while the limit is exceeded."""
         self._last_number += 1
         self._batches.append(SpooledBatch(self._last_number, unix_ms, payload))
         self.size_bytes += len(payload)
@@ -62,10 +62,10 @@
         self.size_bytes -= len(self._batches.popleft().payload)
 
     def oldest(self) -> SpooledBatch | None:
-        """The batch to send next; None if there is none."""
+        """Returns the batch to send next; None if there is none."""
         return self._batches[0] if self._batches else None
 
     def acknowledge(self, batch: SpooledBatch) -> None:
-        """Remove a batch that was sent or will never be. It may have been dropped meanwhile."""
+        """Removes a batch that was sent or was rejected. Has no effect if the batch was dropped meanwhile."""
         if self._batches and self._batches[0].number == batch.number:
             self._remove_oldest()
--- a/zincladder/export/fleet_metrics.py
+++ b/zincladder/export/fleet_metrics.py
@@ -1,9 +1,10 @@
-"""The singleton task 'figures': one lease holder pushes the sums of all fronts' counters.
+"""The singleton task 'figures': the lease holder pushes the sums of all fronts' counters.
 
-Each interval the sums are fetched, stored as the checkpoint under the lease holder's token, then pushed once.
-What was stored and not pushed when a lease holder failed is not sent again, so no sample is sent twice; the
-next push has all of it. A push that arrives late still has the sums of its own time. A receiver that knows
-fencing tokens gets the lease holder's.
+In each interval the sums are collected, stored as the task's checkpoint under the lease holder's fencing
+token, and then pushed once. If a lease holder fails between storing and pushing, its successor does not push
+the stored sums, so that no sample is sent twice; they are included in the next push. A push that arrives late
+carries the sums and the time of its own interval. Each push has the fencing token in a header, for receivers
+that check it.
 """
 
 from __future__ import annotations
@@ -22,8 +23,9 @@
 from zincladder.tasks.context import TaskContext
 from zincladder.tasks.counter_sums import FleetTotals, decode_totals, encode_totals, next_sample_at
 
-FENCE_HEADER = "X-Zincladder-Fence"  # "TASK TOKEN", for a receiver that remembers the highest token of each
-HTTP_FENCED = 409  # what such a receiver answers to an older token
+# Its value is "TASK TOKEN". A receiver that supports it keeps the highest token of each task.
+FENCE_HEADER = "X-Zincladder-Fence"
+HTTP_FENCED = 409  # the response of such a receiver to an older token
 PUSH_TIMEOUT_SECONDS = 5.0
 ANSWERS, ATTEMPTS = "zincladder_fleet_class_answers_total", "zincladder_fleet_cache_attempts_total"
 LABELS = {ANSWERS: ("class", "kind"), ATTEMPTS: ("cache", "end")}
@@ -31,12 +33,12 @@
 
 
 def series(metric: str, *label_values: str) -> str:
-    """A counter's name in reports: the metric, then the values of its labels."""
+    """Returns a counter's key in the fronts' reports: the metric and its label values, separated by NUL."""
     return "\0".join((metric, *label_values))
 
 
 def samples(totals: dict[str, float]) -> list[Sample]:
-    """The samples of a push; counters that are not known here are left out."""
+    """Returns the samples of a push, without counters that this version does not know."""
     known_samples = []
     for name, value in sorted(totals.items()):
         metric, *label_values = name.split("\0")
@@ -47,14 +49,14 @@
 
 
 class FleetMetricsTask:
-    """The function of the task, which the lease holder runs."""
+    """The task's function, which runs on the lease holder."""
 
     def __init__(self, config: RemoteWriteConfig, wall_clock: Callable[[], float] = time.time) -> None:
         self._config, self._wall_clock = config, wall_clock
         self.pushed = 0
 
     async def __call__(self, context: TaskContext) -> None:
-        """Push each interval until cancelled. Raises LeaseLostError."""
+        """Pushes once in each interval until cancelled. Raises LeaseLostError."""
         interval_ms = int(1000 * self._config.interval_seconds)
         version, data = await context.load_checkpoint()
         totals = decode_totals(data)
@@ -75,14 +77,15 @@
         push = messages.push_body(batch.payload, self._config.version)
 
         def fencing_header() -> list[tuple[str, str]]:
-            return [(FENCE_HEADER, f"{context.task} {context.token()}")]  # read after the last await
+            # The token is read after the last await: the lease may have ended while the task waited.
+            return [(FENCE_HEADER, f"{context.task} {context.token()}")]
 
         response = PushResponse()
         try:
             with anyio.fail_after(PUSH_TIMEOUT_SECONDS):
                 response = await post(self._config, push, fencing_header)
         except PUSH_ERRORS as error:
-            log.info("fleet metrics not pushed", reason=str(error) or type(error).__name__)
+            log.info("push of fleet metrics failed", reason=str(error) or type(error).__name__)
         if response.status == HTTP_FENCED:
             context.rejected_by_fence("receiver")
         self.pushed += response.accepted
--- a/zincladder/export/messages.py
+++ b/zincladder/export/messages.py
@@ -1,7 +1,7 @@
-"""Remote write messages, from the field numbers of the published specifications, built without a compiler.
+"""Remote write messages, built at run time from the field numbers of the specifications, without protoc.
 
-2.0 is `io.prometheus.write.v2.Request`, 1.0 is `prometheus.WriteRequest`. A batch is encoded and stored as
-2.0; for a receiver that knows only 1.0 it is converted when it is sent.
+Version 2.0 has the message `io.prometheus.write.v2.Request`, 1.0 has `prometheus.WriteRequest`. A batch is
+encoded and stored as 2.0. For a receiver that supports only 1.0 it is converted when it is sent.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _Field:
-    """A field of a message, as the specification has it."""
+    """A field of a message, as defined by the specification."""
 
     name: str
     number: int
     type: int
     repeated: bool = False
-    message: str = ""  # name of the field's message, for TYPE_MESSAGE
+    message: str = ""  # the name of the message type, if `type` is TYPE_MESSAGE
 
 
 _V1: dict[str, tuple[_Field, ...]] = {
@@ -51,7 +51,7 @@
         _Field("timestamp", 2, _Descriptor.TYPE_INT64),
     ),
     "Metadata": (
-        _Field("type", 1, _Descriptor.TYPE_INT32),  # an enum on the wire is a varint
+        _Field("type", 1, _Descriptor.TYPE_INT32),  # an enum, which is encoded as a varint too
         _Field("help_ref", 3, _Descriptor.TYPE_UINT32),
         _Field("unit_ref", 4, _Descriptor.TYPE_UINT32),
     ),
@@ -73,12 +73,12 @@
 
 
 class MalformedRequestError(ValueError):
-    """Bytes that are no 2.0 request."""
+    """A payload is not a valid 2.0 request."""
 
 
 @dataclass(frozen=True, slots=True)
 class EncodedBatch:
-    """A batch as a 2.0 request, not compressed."""
+    """A batch as an uncompressed 2.0 request."""
 
     payload: bytes
     sample_count: int
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PushBody:
-    """The body of a push, compressed, and the headers that name its protocol."""
+    """The compressed body of a push, and the headers that identify its protocol."""
 
     body: bytes
     content_type: str
@@ -115,23 +115,23 @@
 
 
 class SymbolTable:
-    """The texts of one request: each once, the empty one first, as the specification has it."""
+    """The strings of one request, each once. The specification requires the empty string at index 0."""
 
     def __init__(self) -> None:
         self.texts: dict[str, int] = {"": 0}
 
     def reference(self, text: str) -> int:
-        """The number of a text, which is added if it is new."""
+        """Returns the index of a text, which is added if it is new."""
         return self.texts.setdefault(text, len(self.texts))
 
 
 def encode_batch(samples: Iterable[Sample], unix_ms: int, created_ms: int) -> EncodedBatch:
-    """Encode one batch, with the labels in the order of their names.
+    """Encodes one batch, with the labels sorted by name.
 
     Args:
         samples: The samples of the batch.
-        unix_ms: Their time.
-        created_ms: When the counters began: the front's start.
+        unix_ms: The time of the samples, in Unix milliseconds.
+        created_ms: When the counters started, which is the front's start, in Unix milliseconds.
     """
     request, symbols, sample_count = Request(), SymbolTable(), 0
     for sample in samples:
@@ -149,10 +149,10 @@
 
 
 def to_v1(payload: bytes) -> bytes:
-    """A 2.0 request as one of 1.0, which knows neither types nor created times.
+    """Converts a 2.0 request to 1.0, which has neither metric types nor creation times.
 
     Raises:
-        MalformedRequestError: The payload is no 2.0 request.
+        MalformedRequestError: The payload is not a valid 2.0 request.
     """
     request, write_request = parse_v2(payload), WriteRequest()
     symbols = list(request.symbols)
@@ -168,10 +168,10 @@
 
 
 def parse_v2(payload: bytes) -> Any:
-    """A 2.0 request, as an instance of Request.
+    """Parses a 2.0 request, and returns it as an instance of Request.
 
     Raises:
-        MalformedRequestError: It cannot be read, or refers to symbols that it does not have.
+        MalformedRequestError: The payload cannot be parsed, or refers to symbols that it does not contain.
     """
     request = Request()
     try:
@@ -180,19 +180,19 @@
         raise MalformedRequestError(f"not a 2.0 request: {error}") from None
     symbol_count = len(request.symbols)
     if symbol_count and request.symbols[0] != "":
-        raise MalformedRequestError("the first symbol must be the empty text")
+        raise MalformedRequestError("the first symbol must be the empty string")
     for series in request.timeseries:
         references = series.labels_refs
         if len(references) % 2 or any(reference >= symbol_count for reference in references):
-            raise MalformedRequestError("labels that refer to no symbol")
+            raise MalformedRequestError("a label reference points to no symbol")
     return request
 
 
 def push_body(payload: bytes, version: int) -> PushBody:
-    """A batch as it is pushed in version 1 or 2 of the protocol.
+    """Returns the body and headers that push a batch with version 1 or 2 of the protocol.
 
     Raises:
-        MalformedRequestError: Version 1 is asked for, and the payload is no 2.0 request.
+        MalformedRequestError: The version is 1, and the payload is not a valid 2.0 request.
     """
     if version == 1:
         body = bytes(cramjam.snappy.compress_raw(to_v1(payload)))
--- a/zincladder/export/push.py
+++ b/zincladder/export/push.py
@@ -1,4 +1,4 @@
-"""One push over HTTP/1.1, and its response."""
+"""Sends one push over HTTP/1.1 and reads its response."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 MAX_WRITTEN_DIGITS = 9
 RETRY_AFTER_HEADER = b"retry-after"
 WRITTEN_HEADER = b"x-prometheus-remote-write-samples-written"
-# What `post` raises where no response comes.
+# The exceptions that `post` raises if no response arrives.
 PUSH_ERRORS = (OSError, TimeoutError, anyio.BrokenResourceError, anyio.EndOfStream, h11.ProtocolError)
 Headers = Iterable[tuple[str, str]]
 
 
 def no_headers() -> Headers:
-    """No further headers."""
+    """Returns no headers: the default of `further_headers`."""
     return ()
 
 
 async def post(
     config: RemoteWriteConfig, push: PushBody, further_headers: Callable[[], Headers] = no_headers
 ) -> PushResponse:
-    """Send one body.
+    """Sends one push on a new connection and returns the response.
 
     Args:
         config: The receiver.
         push: The body and its headers.
-        further_headers: Called when the connection is there, right before the first byte of the request. It
-            may raise, and then nothing is sent.
+        further_headers: Called when the connection is open, right before the request is sent. If it raises,
+            nothing is sent.
 
     Raises:
-        One of PUSH_ERRORS: No response came.
+        One of PUSH_ERRORS: No response arrived.
     """
     connection = h11.Connection(h11.CLIENT)
     async with await anyio.connect_tcp(config.host, config.port) as stream:
@@ -51,7 +51,7 @@
             h11.EndOfMessage(),
         )
         await stream.send(b"".join(connection.send(event) or b"" for event in events))
-        return _response_of(await _receive_response(connection, stream))
+        return _parse_response(await _receive_response(connection, stream))
 
 
 def _headers(config: RemoteWriteConfig, push: PushBody) -> Headers:
@@ -78,7 +78,7 @@
                 data = b""
             received_bytes += len(data)
             if received_bytes > MAX_RESPONSE_BYTES:
-                raise h11.RemoteProtocolError("an answer without end")
+                raise h11.RemoteProtocolError("the response is too long")
             connection.receive_data(data)
         elif isinstance(event, h11.Response):
             return event
@@ -86,7 +86,7 @@
             raise anyio.EndOfStream
 
 
-def _response_of(response: h11.Response) -> PushResponse:
+def _parse_response(response: h11.Response) -> PushResponse:
     retry_after_seconds: float | None = None
     written_samples: int | None = None
     for name, value in response.headers:
@@ -98,5 +98,5 @@
 
 
 def parse_http_date(text: str) -> float:
-    """An HTTP date in Unix seconds. Raises ValueError or TypeError if it is none."""
+    """Parses an HTTP date to Unix seconds. Raises ValueError or TypeError if the text is not a date."""
     return parsedate_to_datetime(text).timestamp()
--- a/zincladder/export/sender.py
+++ b/zincladder/export/sender.py
@@ -1,4 +1,4 @@
-"""Pushes samples to one receiver: collects them at even times, stores them, and sends them in order."""
+"""Pushes samples to one receiver: collects them at regular intervals, and stores and sends them in order."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 PUSH_TIMEOUT_SECONDS = 10.0
 FINISH_POLL_SECONDS = 0.02
-SAMPLES_IN_A_ROW = 200  # then the other tasks run
+MAX_SAMPLES_IN_A_ROW = 200  # then other tasks can run
 MAX_LOGGED_FILES = 10
-OVERFLOWED = "overflowed"  # label value of batches that were lost
+OVERFLOWED = "overflowed"  # label value for lost batches, beside those of PushOutcome
 # After these a batch is not sent again.
 FINAL_OUTCOMES = (PushOutcome.SENT, PushOutcome.PARTIAL, PushOutcome.REJECTED)
 T = TypeVar("T")
@@ -34,7 +34,10 @@
 
 
 class RemoteWrite:
-    """The sender of one receiver. No request waits for it: a worker thread encodes and writes files."""
+    """The sender for one receiver.
+
+    Encoding and file access run in a worker thread, so that the event loop can serve requests meanwhile.
+    """
 
     def __init__(
         self,
@@ -43,13 +46,13 @@
         count: Callable[[str, int], None],
         rules: DeliveryRules | None = None,
     ) -> None:
-        """Make a sender, and open its spool if it has one.
+        """Creates a sender, and opens its spool if one is configured.
 
         Args:
             config: The receiver.
-            samples: Gives the samples of the moment.
-            count: Counts batches by an outcome.
-            rules: How batches are sent; by the configuration if it is None.
+            samples: Returns the current samples.
+            count: Adds a number of batches to the count of an outcome.
+            rules: How batches are sent; None takes the rules from the configuration.
 
         Raises:
             ConfigError: The spool cannot be used.
@@ -61,17 +64,17 @@
         self._spool = _open_spool(config)
         self._created_ms = _unix_ms()
         self._batch_added = anyio.Event()
-        self._stores_lock = anyio.Lock()  # a worker thread uses the stores, for one call at a time
+        self._stores_lock = anyio.Lock()  # held while a worker thread uses a store
         self._rate_limited_log = RateLimitedLog()
         self._counted_lost_batches = 0
 
     @property
     def waiting(self) -> int:
-        """The batches that are stored."""
+        """The number of batches that wait to be sent."""
         return len(self._memory) + (len(self._spool) if self._spool else 0)
 
     async def run(self) -> None:
-        """Collect and send until cancelled, then close the spool."""
+        """Collects and sends batches until cancelled, then closes the spool."""
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._send_batches)
@@ -85,9 +88,9 @@
                 self._spool.close()
 
     async def finish(self, timeout_seconds: float) -> None:
-        """Send the front's last samples, while `run` still goes on.
+        """Collects the front's last samples and waits until all batches are sent. `run` has to be running.
 
-        What the receiver does not accept in time is lost, unless there is a spool.
+        Batches that the receiver does not accept within the timeout are lost, unless there is a spool.
         """
         await self.collect()
         with anyio.move_on_after(timeout_seconds):
@@ -95,12 +98,12 @@
                 await anyio.sleep(FINISH_POLL_SECONDS)
 
     async def collect(self) -> None:
-        """Store the samples of this moment as a batch."""
+        """Stores the current samples as a batch."""
         unix_ms = _unix_ms()
         samples: list[Sample] = []
         for sample in self._samples():
             samples.append(sample)
-            if len(samples) % SAMPLES_IN_A_ROW == 0:
+            if len(samples) % MAX_SAMPLES_IN_A_ROW == 0:
                 await anyio.lowlevel.checkpoint()
         batch = await _in_worker_thread(lambda: messages.encode_batch(samples, unix_ms, self._created_ms))
         async with self._stores_lock:
@@ -109,17 +112,19 @@
         self._batch_added.set()
 
     def _store(self, unix_ms: int, payload: bytes) -> None:
-        """Store a batch in the spool; in memory where there is none, or while the disk does not take it.
+        """Stores a batch in the spool, or in memory if there is no spool or it cannot be written.
 
-        Guards the order: the batches in memory are newer than all in the spool, and are sent after them. So
-        none goes into the spool before memory is empty.
+        Batches in memory are newer than all batches in the spool, and are sent after them. To keep this
+        order, nothing is added to the spool before the memory is empty.
         """
         if self._spool is not None and not len(self._memory):
             try:
                 self._spool.append(unix_ms, payload)
                 return
             except OSError as error:
-                self._rate_limited_log.warning("spool not written, batch queued in memory", reason=str(error))
+                self._rate_limited_log.warning(
+                    "spool could not be written, batch is kept in memory", reason=str(error)
+                )
         self._memory.append(unix_ms, payload)
 
     def _count_lost_batches(self) -> None:
@@ -149,20 +154,22 @@
                 await self._acknowledge(store, batch)
 
     async def _send(self, batch: SpooledBatch) -> PushOutcome:
-        """Push a batch once, and count what became of it."""
+        """Pushes a batch once, and counts the outcome."""
         version, payload = self._delivery.version, batch.payload
         try:
             push = await _in_worker_thread(lambda: messages.push_body(payload, version))
             sample_count = len(messages.parse_v2(payload).timeseries) if version == 2 else 0
-        except messages.MalformedRequestError as error:  # written by another program: the checksum is right
-            log.warning("spooled batch cannot be read", reason=str(error))
+        except messages.MalformedRequestError as error:  # its checksum is right, so another program wrote it
+            log.warning("spooled batch dropped, it cannot be decoded", reason=str(error))
             self._count(PushOutcome.REJECTED.value, 1)
             return PushOutcome.REJECTED
         response = await self._post(push)
         now = anyio.current_time()
         outcome = self._delivery.record_response(response, len(push.body), sample_count, now)
         if outcome is PushOutcome.REJECTED:
-            self._rate_limited_log.warning("remote write rejected", status=response.status)
+            self._rate_limited_log.warning(
+                "remote write push rejected, batch dropped", status=response.status
+            )
         self._count(outcome.value, 1)
         return outcome
 
@@ -171,7 +178,9 @@
             with anyio.fail_after(PUSH_TIMEOUT_SECONDS):
                 return await post(self._config, push)
         except PUSH_ERRORS as error:
-            self._rate_limited_log.warning("remote write failed", reason=str(error) or type(error).__name__)
+            self._rate_limited_log.warning(
+                "remote write push failed, will be retried", reason=str(error) or type(error).__name__
+            )
         return PushResponse()
 
     async def _acknowledge(self, store: BatchStore, batch: SpooledBatch) -> None:
@@ -180,7 +189,7 @@
 
 
 def _open_spool(config: RemoteWriteConfig) -> Spool | None:
-    """The spool of a receiver that has one. Raises ConfigError if it cannot be used."""
+    """Opens the spool, if one is configured. Raises ConfigError if it cannot be used."""
     if config.spool_folder is None:
         return None
     try:
@@ -188,9 +197,12 @@
     except SpoolError as error:
         raise ConfigError(f"'remote_write.spool' cannot be used: {error}") from None
     if spool.foreign_files:
-        log.warning("foreign files in the spool", files=spool.foreign_files[:MAX_LOGGED_FILES])
+        log.warning(
+            "spool folder holds files that are not segments of this spool",
+            files=spool.foreign_files[:MAX_LOGGED_FILES],
+        )
     if len(spool):
-        log.info("spool resumed", waiting=len(spool))
+        log.info("spool reopened with unsent batches", batches=len(spool))
     return spool
 
 
--- a/zincladder/export/spool.py
+++ b/zincladder/export/spool.py
@@ -1,6 +1,6 @@
-"""Batches that wait to be sent, in segment files that a crash leaves readable.
+"""A store of unsent batches in segment files, which stay readable after a crash.
 
-All methods block; the sender calls those that touch files in a worker thread, one at a time.
+All methods block. The sender calls those that access files in a worker thread, one at a time.
 """
 
 from __future__ import annotations
@@ -18,45 +18,45 @@
 SEGMENT_NAME = re.compile(r"(\d{20})\.seg")
 CURSOR_NAME = "cursor"
 CURSOR_SLOTS = 2
-SEGMENTS_OF_A_FULL_SPOOL = 8  # one of them is dropped at the bound
+SEGMENTS_OF_FULL_SPOOL = 8  # if the spool is full, the oldest of them is dropped
 MIN_SEGMENT_BYTES = 64 << 10
 FOLDER_MODE, FILE_MODE = 0o700, 0o600
 
 
 class SpoolError(Exception):
-    """The folder cannot be used; the text says why."""
+    """The spool's folder cannot be used; the text gives the reason."""
 
 
 class Spool:
-    """A BatchStore in segment files, with a cursor file for what was acknowledged.
+    """A BatchStore in segment files, with a cursor file that holds the number of the last acknowledged batch.
 
-    The cursor is written before the next batch goes out. So a process that is killed at any byte loses at
-    most the batch that it was writing, and sends at most the batch that was in flight once more; never one
-    before it.
+    The cursor is written before the next batch is sent. A process that is killed at any point therefore
+    loses at most the batch that it was writing, and after a restart sends at most the batch that was in
+    flight a second time, never one before it.
     """
 
     def __init__(self, folder: Path, max_bytes: int) -> None:
-        """Open a spool, or create it.
+        """Opens a spool, or creates an empty one.
 
         Args:
-            folder: Where the files are; made if it does not exist.
-            max_bytes: Bound of all segments together; the one that is written to is never dropped.
+            folder: The folder of the files, which is created if it does not exist.
+            max_bytes: The limit on all segments together. The segment that is written to is never dropped.
 
         Raises:
             SpoolError: The folder cannot be used.
         """
         self.lost_batches = 0
-        self.foreign_files: list[str] = []  # not of this spool, and left alone
+        self.foreign_files: list[str] = []  # names of files that are not part of the spool; never changed
         self._folder = folder
         self._max_bytes = max_bytes
-        self._max_segment_bytes = max(MIN_SEGMENT_BYTES, max_bytes // SEGMENTS_OF_A_FULL_SPOOL)
-        self._segment_bytes: dict[int, int] = {}  # sizes by the number of the first batch, in order
+        self._max_segment_bytes = max(MIN_SEGMENT_BYTES, max_bytes // SEGMENTS_OF_FULL_SPOOL)
+        self._segment_bytes: dict[int, int] = {}  # size of each segment by its first batch number, ascending
         self._next_number = 1
-        self._acknowledged = 0  # number of the last batch that need not be sent
+        self._acknowledged = 0  # number of the last batch that was sent or given up
         self._cursor_generation = 0
-        self._segment_file: int | None = None  # descriptors
+        self._segment_file: int | None = None  # file descriptor of the segment that is written to
         self._cursor_file: int | None = None
-        self._read_ahead: deque[SpooledBatch] = deque()  # of the oldest segment
+        self._read_ahead: deque[SpooledBatch] = deque()  # unsent batches of the oldest segment
         try:
             self._open()
         except OSError as error:
@@ -64,18 +64,18 @@
             raise SpoolError(f"{folder}: {error.strerror or error}") from None
 
     def __len__(self) -> int:
-        """How many batches wait."""
+        """Returns the number of batches that wait."""
         return self._next_number - 1 - self._acknowledged
 
     @property
     def size_bytes(self) -> int:
-        """The size of all segments."""
+        """The size of all segments together."""
         return sum(self._segment_bytes.values())
 
     # Opening --------------------------------------------------------------------------------------
 
     def _open(self) -> None:
-        """Read the cursor and the segments, and repair both after a crash."""
+        """Reads the cursor and the segments, and repairs both after a crash."""
         self._folder.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
         self._cursor_file = os.open(self._folder / CURSOR_NAME, flags, FILE_MODE)
@@ -85,18 +85,19 @@
         if cursor is not None:
             self._cursor_generation, self._acknowledged = cursor
         else:
-            # Guards the order: nobody knows what the receiver has, and it must get no old sample after a new.
+            # It is unknown which batches the receiver has, and it must not get old samples after newer
+            # ones. So all stored batches are given up.
             self._acknowledged = last
             self.lost_batches = 0 if first is None else last - first + 1
         if first is not None:
             self._acknowledged = max(self._acknowledged, first - 1)
         self._next_number = max(last, self._acknowledged) + 1
-        for _ in range(CURSOR_SLOTS):  # so that both are valid, and one stays so if the other is torn
+        for _ in range(CURSOR_SLOTS):  # make both valid: if a write to one is torn, the other is used
             self._write_cursor(self._acknowledged)
         self._remove_acknowledged_segments()
 
     def _recover_segments(self) -> int:
-        """Find the segments of the folder; the number of the last batch in them, 0 if there is none."""
+        """Reads the segments in the folder; returns the number of their last batch, 0 if there is none."""
         last = 0
         for path in sorted(self._folder.iterdir()):
             if path.name == CURSOR_NAME:
@@ -109,15 +110,15 @@
         return last
 
     def _recover_segment(self, path: Path, first: int, last: int) -> int:
-        """Cut off what a crash left incomplete in a segment.
+        """Reads one segment, and truncates it after its last complete batch.
 
         Args:
             path: The segment's file.
-            first: The number of its first batch, by its name.
+            first: The number of its first batch, from the file's name.
             last: The number of the last batch in the segments before it.
 
         Returns:
-            The number of the last batch up to the end of this segment.
+            The number of the last batch in this segment, or `last` if it holds none.
         """
         data = path.read_bytes()
         if records.first_of(data, records.SPOOL) != first or first <= last:
@@ -141,10 +142,10 @@
     # Writing --------------------------------------------------------------------------------------
 
     def append(self, unix_ms: int, payload: bytes) -> None:
-        """Add a batch, and drop the oldest segments while the bound is exceeded.
+        """Adds a batch, and drops the oldest segments while the limit is exceeded.
 
         Raises:
-            OSError: The disk does not take it; the spool is as before then.
+            OSError: The batch cannot be written; the spool is unchanged then.
         """
         data = records.pack(self._next_number, unix_ms, payload)
         segment = next(reversed(self._segment_bytes), None)
@@ -169,7 +170,7 @@
             self._drop_oldest_segment()
 
     def _start_segment(self) -> None:
-        """Begin a segment. Syncs the one before, which then outlives a power failure."""
+        """Starts a new segment. Syncs the previous one to disk, so that it survives a power failure."""
         if self._segment_file is not None:
             os.fdatasync(self._segment_file)
             os.close(self._segment_file)
@@ -190,7 +191,7 @@
         return self._folder / f"{first:020d}.seg"
 
     def _drop_oldest_segment(self) -> None:
-        """Remove the oldest segment, and count its batches that were never sent as lost."""
+        """Removes the oldest segment, and counts its unsent batches as lost."""
         first, second = list(self._segment_bytes)[:2]
         unsent_batches = max(0, second - 1 - max(self._acknowledged, first - 1))
         self.lost_batches += unsent_batches
@@ -199,13 +200,13 @@
         self._remove_acknowledged_segments()
 
     def _skip_to(self, number: int) -> None:
-        """Go on with batch `number`: those before it are lost."""
+        """Continues with batch `number`, and gives up the batches before it."""
         self._read_ahead.clear()
         self._acknowledged = number - 1
         self._write_cursor(self._acknowledged)
 
     def _remove_acknowledged_segments(self) -> None:
-        """Remove the segments that need not be sent, but for the one that is written to."""
+        """Removes the segments without unsent batches, except the one that is written to."""
         firsts = list(self._segment_bytes)
         for first, following in zip(firsts, [*firsts[1:], self._next_number], strict=False):
             is_written_to = first == firsts[-1] and self._segment_file is not None
@@ -218,7 +219,7 @@
     # Sending --------------------------------------------------------------------------------------
 
     def oldest(self) -> SpooledBatch | None:
-        """The batch to send next; None if there is none."""
+        """Returns the batch to send next; None if there is none."""
         while self._read_ahead and self._read_ahead[0].number <= self._acknowledged:
             self._read_ahead.popleft()
         while not self._read_ahead and len(self):
@@ -226,7 +227,7 @@
         return self._read_ahead[0] if self._read_ahead else None
 
     def _read_segment(self) -> None:
-        """Read the segment that has the next batch, and so at most one segment into memory."""
+        """Reads the segment of the next batch into memory, which holds at most one segment."""
         next_to_send = self._acknowledged + 1
         first = max((first for first in self._segment_bytes if first <= next_to_send), default=None)
         data = b"" if first is None else self._segment_path(first).read_bytes()
@@ -234,14 +235,14 @@
             if record.number >= next_to_send:
                 self._read_ahead.append(SpooledBatch(record.number, record.stamp, record.payload))
         if not self._read_ahead or self._read_ahead[0].number != next_to_send:
-            # Corrupted since it was written: the rest of this segment is lost, and the next one is sent.
+            # The segment was corrupted after it was written: give up the rest and continue with the next one.
             later_firsts = (first for first in self._segment_bytes if first > next_to_send)
             following = min(later_firsts, default=self._next_number)
             self.lost_batches += following - next_to_send
             self._skip_to(following)
 
     def acknowledge(self, batch: SpooledBatch) -> None:
-        """Remove a batch that was sent or will never be. It may have been dropped meanwhile."""
+        """Removes a batch that was sent or was rejected. Has no effect if the batch was dropped meanwhile."""
         if batch.number != self._acknowledged + 1:
             return
         self._write_cursor(batch.number)
@@ -251,14 +252,14 @@
         self._remove_acknowledged_segments()
 
     def _write_cursor(self, acknowledged: int) -> None:
-        """Write the older of the two slots, so that a torn write leaves the other one valid."""
+        """Writes the older of the two slots, so that a torn write leaves the other one valid."""
         assert self._cursor_file is not None
         self._cursor_generation += 1
         offset = self._cursor_generation % CURSOR_SLOTS * records.SLOT.size
         os.pwrite(self._cursor_file, records.pack_cursor(self._cursor_generation, acknowledged), offset)
 
     def close(self) -> None:
-        """Sync and close the files."""
+        """Syncs and closes the files."""
         for file in (self._segment_file, self._cursor_file):
             if file is not None:
                 with contextlib.suppress(OSError):
@@ -268,6 +269,6 @@
 
 
 def _write_all(file: int, data: bytes, offset: int) -> None:
-    """Write all of `data`, or raise OSError. A short write means that the disk is full."""
+    """Writes all of `data`. Raises OSError if it fails; a short write means that the disk is full."""
     if os.pwrite(file, data, offset) < len(data):
         raise OSError(errno.ENOSPC, "no space left on device")
