--- a/tests/cli/test_replicas.py
+++ b/tests/cli/test_replicas.py
@@ -1,4 +1,4 @@
-"""`zincladder replicas`: what scripts read of its output."""
+"""The JSON output of `zincladder replicas status`, which scripts read."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from zincladder.consensus.rpc import ReplicaStatus
 
 
-def test_the_keys_of_a_status_as_json_stay() -> None:
+def test_the_json_output_of_a_status_keeps_its_keys() -> None:
     voters, learners = {"k1": "127.0.0.1:7301"}, {"k4": "127.0.0.1:7304"}
     status = ReplicaStatus(
         "k1", "leader", "k1", 4, 20, 21, 5, voters, learners, {"k2": 20}, ["k3"], ["k5"], 12, 4096
--- a/tests/dns/test_admission.py
+++ b/tests/dns/test_admission.py
@@ -1,4 +1,4 @@
-"""DNS under admission by source: a rate over UDP, a cap over TCP."""
+"""Admission by source for DNS: a query rate over UDP, and a connection limit over TCP."""
 
 from __future__ import annotations
 
@@ -16,30 +16,34 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_dns_over_udp_is_limited_and_leads_to_tcp_which_has_a_cap() -> None:
+async def test_udp_queries_over_the_rate_are_truncated_and_tcp_connections_are_limited() -> None:
     limits = {"dns_rate": 1.0, "dns_burst": 4, "dns_per_address": 2}
-    async with world(serve, operator={"admission": limits}) as w:
-        assert w.listening.dns
+    async with world(serve, operator={"admission": limits}) as front:
+        assert front.listening.dns
         query = dns.message.make_query("papers.main.example.org", "A").to_wire()
-        async with await anyio.create_connected_udp_socket(*w.listening.dns) as udp:
+        async with await anyio.create_connected_udp_socket(*front.listening.dns) as udp:
             for _ in range(40):
                 await udp.send(query)
             answers = []
             with anyio.move_on_after(1.0):
                 while True:
                     answers.append(dns.message.from_wire(await udp.receive()))
-        cut = [a for a in answers if a.flags & dns.flags.TC]
-        assert 4 <= len(answers) - len(cut) <= 6 and 10 <= len(cut) <= 13 and not any(a.answer for a in cut)
-        open_now = [socket.create_connection(w.listening.dns) for _ in range(2)]
+        truncated = [a for a in answers if a.flags & dns.flags.TC]
+        assert (
+            4 <= len(answers) - len(truncated) <= 6
+            and 10 <= len(truncated) <= 13
+            and not any(a.answer for a in truncated)
+        )
+        connections = [socket.create_connection(front.listening.dns) for _ in range(2)]
         await anyio.sleep(0.1)
-        third = socket.create_connection(w.listening.dns)
+        third = socket.create_connection(front.listening.dns)
         third.settimeout(2)
         with pytest.raises(ConnectionResetError):
             assert not await anyio.to_thread.run_sync(third.recv, 1)
             raise ConnectionResetError
-        open_now[0].sendall(len(query).to_bytes(2, "big") + query)
-        open_now[0].settimeout(2)
-        assert await anyio.to_thread.run_sync(open_now[0].recv, 512)
-        for sock in (*open_now, third):
+        connections[0].sendall(len(query).to_bytes(2, "big") + query)
+        connections[0].settimeout(2)
+        assert await anyio.to_thread.run_sync(connections[0].recv, 512)
+        for sock in (*connections, third):
             sock.close()
-        assert (await Resolver(w.listening.dns).raw(query))[2] & 0x82  # over its rate still: cut short again
+        assert (await Resolver(front.listening.dns).raw(query))[2] & 0x82  # still over the rate: truncated
--- a/tests/export/samples.py
+++ b/tests/export/samples.py
@@ -1,4 +1,4 @@
-"""Samples that the tests of export send."""
+"""Samples for the tests of the export."""
 
 from __future__ import annotations
 
--- a/tests/export/test_delivery.py
+++ b/tests/export/test_delivery.py
@@ -1,4 +1,4 @@
-"""When a batch is sent, again or not at all."""
+"""When a batch is sent, retried or dropped."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from zincladder.export.push import parse_http_date
 
 
-def delivery(**changes: Any) -> Delivery:
+def new_delivery(**changes: Any) -> Delivery:
     return Delivery(DeliveryRules(**changes), random.Random(5))
 
 
@@ -21,10 +21,8 @@
     [
         (PushResponse(200), PushOutcome.SENT),
         (PushResponse(204, written_samples=7), PushOutcome.SENT),
-        (
-            PushResponse(200, written_samples=6),
-            PushOutcome.PARTIAL,
-        ),  # the rest was dropped there; sending it again would not help
+        # The receiver has dropped the rest, and would do so again.
+        (PushResponse(200, written_samples=6), PushOutcome.PARTIAL),
         (PushResponse(400), PushOutcome.REJECTED),
         (PushResponse(404), PushOutcome.REJECTED),
         (PushResponse(301), PushOutcome.REJECTED),
@@ -34,36 +32,39 @@
         (PushResponse(0), PushOutcome.RETRIED),
     ],
 )
-def test_what_follows_from_each_answer(response: PushResponse, outcome: PushOutcome) -> None:
-    d = delivery()
-    assert d.record_response(response, 1000, 7, 100.0) is outcome
-    assert (d.wait_seconds(100.0, 1) > 0) == (outcome is PushOutcome.RETRIED)
+def test_each_response_leads_to_its_outcome(response: PushResponse, outcome: PushOutcome) -> None:
+    delivery = new_delivery()
+    assert delivery.record_response(response, 1000, 7, 100.0) is outcome
+    assert (delivery.wait_seconds(100.0, 1) > 0) == (outcome is PushOutcome.RETRIED)
     if outcome is PushOutcome.FELL_BACK:
-        assert d.version == 1 and d.record_response(response, 1000, 7, 100.0) is PushOutcome.REJECTED
+        assert (
+            delivery.version == 1
+            and delivery.record_response(response, 1000, 7, 100.0) is PushOutcome.REJECTED
+        )
 
 
-def test_pauses_grow_with_jitter_to_their_bound_and_one_success_ends_them() -> None:
-    d, now, pauses = delivery(), 0.0, []
+def test_the_backoff_grows_with_jitter_to_its_limit_and_a_success_resets_it() -> None:
+    delivery, now, waits = new_delivery(), 0.0, []
     for _ in range(12):
-        d.record_response(PushResponse(503), 10, 1, now)
-        pauses.append(d.wait_seconds(now, 1))
-        now += pauses[-1]
-        assert d.wait_seconds(now, 1) == 0.0
-    assert all(0.25 * 2.0**i <= p <= 0.5 * 2.0**i for i, p in enumerate(pauses[:6]))
-    assert all(15.0 <= p <= 30.0 for p in pauses[7:]) and len(set(pauses)) == 12
-    d.record_response(PushResponse(200), 10, 1, now)
-    d.record_response(PushResponse(503), 10, 1, now)
-    assert d.wait_seconds(now, 1) <= 0.5
+        delivery.record_response(PushResponse(503), 10, 1, now)
+        waits.append(delivery.wait_seconds(now, 1))
+        now += waits[-1]
+        assert delivery.wait_seconds(now, 1) == 0.0
+    assert all(0.25 * 2.0**i <= p <= 0.5 * 2.0**i for i, p in enumerate(waits[:6]))
+    assert all(15.0 <= p <= 30.0 for p in waits[7:]) and len(set(waits)) == 12
+    delivery.record_response(PushResponse(200), 10, 1, now)
+    delivery.record_response(PushResponse(503), 10, 1, now)
+    assert delivery.wait_seconds(now, 1) <= 0.5
 
 
-def test_a_time_that_the_receiver_names_is_kept_up_to_a_bound() -> None:
-    d = delivery()
-    d.record_response(PushResponse(429, retry_after_seconds=20.0), 10, 1, 0.0)
-    assert d.wait_seconds(0.0, 1) == 20.0
-    d.record_response(PushResponse(503, retry_after_seconds=1e9), 10, 1, 20.0)
-    assert d.wait_seconds(20.0, 1) == 300.0
-    d.clock_stepped_back(-5000.0)
-    assert d.wait_seconds(-5000.0, 1) <= 300.0
+def test_retry_after_is_obeyed_up_to_a_limit() -> None:
+    delivery = new_delivery()
+    delivery.record_response(PushResponse(429, retry_after_seconds=20.0), 10, 1, 0.0)
+    assert delivery.wait_seconds(0.0, 1) == 20.0
+    delivery.record_response(PushResponse(503, retry_after_seconds=1e9), 10, 1, 20.0)
+    assert delivery.wait_seconds(20.0, 1) == 300.0
+    delivery.limit_waits_after_clock_step(-5000.0)
+    assert delivery.wait_seconds(-5000.0, 1) <= 300.0
     date = formatdate(1_764_576_060, usegmt=True)
     assert parse_retry_after(date, 1_764_576_000.0, parse_http_date) == 60.0
     assert parse_retry_after(" 7 ", 0.0, parse_http_date) == 7.0
@@ -72,13 +73,13 @@
     ] * 5
 
 
-def test_a_backlog_is_replayed_at_a_rate_and_a_fresh_batch_at_once() -> None:
-    d, now, sent = delivery(replay_bytes_per_s=10_000), 0.0, 0
+def test_a_backlog_is_sent_at_the_replay_rate_and_a_single_batch_at_once() -> None:
+    delivery, now, sent = new_delivery(replay_bytes_per_s=10_000), 0.0, 0
     while now < 10.0:
-        pause = d.wait_seconds(now, 50)
-        if pause == 0.0:
-            d.record_response(PushResponse(200), 1000, 1, now)
+        wait = delivery.wait_seconds(now, 50)
+        if wait == 0.0:
+            delivery.record_response(PushResponse(200), 1000, 1, now)
             sent += 1
-        now += pause
+        now += wait
     assert 99 <= sent <= 102
-    assert d.wait_seconds(now, 1) == 0.0
+    assert delivery.wait_seconds(now, 1) == 0.0
--- a/tests/export/test_sender.py
+++ b/tests/export/test_sender.py
@@ -1,4 +1,4 @@
-"""A sender against receivers that misbehave, outages, and a disk that is full."""
+"""A sender with faulty receivers, during outages, and with a full disk."""
 
 from __future__ import annotations
 
@@ -24,8 +24,9 @@
 
 
 class Receiver:
-    """Takes pushes; answers each with the next step of its script: a status with headers, or a way to
-    fail.
+    """A receiver that handles each push by the next step of its script, and accepts all after the last.
+
+    A step is a status, a status with headers, or a way to fail: "stall", "reset" or "trickle".
     """
 
     def __init__(self, *script: Any) -> None:
@@ -40,42 +41,42 @@
         await listener.serve(self._connection)
 
     async def _connection(self, stream: anyio.abc.ByteStream) -> None:
-        talk, body, head = h11.Connection(h11.SERVER), b"", {}
+        http, body, headers = h11.Connection(h11.SERVER), b"", {}
         async with stream:
             step = self.script.pop(0) if self.script else 204
             if step == "stall":
                 await anyio.sleep_forever()
-            while not isinstance(event := talk.next_event(), h11.EndOfMessage):
+            while not isinstance(event := http.next_event(), h11.EndOfMessage):
                 if event is h11.NEED_DATA:
-                    talk.receive_data(await stream.receive())
+                    http.receive_data(await stream.receive())
                 elif isinstance(event, h11.Request):
-                    head = dict(event.headers)
+                    headers = dict(event.headers)
                 elif isinstance(event, h11.Data):
                     body += bytes(event.data)
-            self.pushes.append((head, body))
+            self.pushes.append((headers, body))
             if step == "reset":
                 return
             if step == "trickle":
                 await stream.send(b"HTTP/1.1 2")
                 await anyio.sleep_forever()
-            status, more = step if isinstance(step, tuple) else (step, [])
-            answer = h11.Response(status_code=status, headers=[("Content-Length", "0"), *more])
-            await stream.send((talk.send(answer) or b"") + (talk.send(h11.EndOfMessage()) or b""))
-
-    def times(self) -> list[int]:
-        """The time of each push, in the order in which they came."""
-        found = []
-        for head, body in self.pushes:
+            status, more_headers = step if isinstance(step, tuple) else (step, [])
+            response = h11.Response(status_code=status, headers=[("Content-Length", "0"), *more_headers])
+            await stream.send((http.send(response) or b"") + (http.send(h11.EndOfMessage()) or b""))
+
+    def sample_times(self) -> list[int]:
+        """The sample time of each push, in the order of arrival."""
+        timestamps = []
+        for headers, body in self.pushes:
             data = bytes(cramjam.snappy.decompress_raw(body))
-            if head[b"x-prometheus-remote-write-version"] == b"2.0.0":
-                assert head[b"content-type"] == messages.V2_CONTENT_TYPE.encode()
+            if headers[b"x-prometheus-remote-write-version"] == b"2.0.0":
+                assert headers[b"content-type"] == messages.V2_CONTENT_TYPE.encode()
                 request = messages.parse_v2(data)
             else:
                 request = messages.WriteRequest()
                 request.ParseFromString(data)
             assert len(request.timeseries) == len(SAMPLES)
-            found.append(request.timeseries[0].samples[0].timestamp)
-        return found
+            timestamps.append(request.timeseries[0].samples[0].timestamp)
+        return timestamps
 
 
 FAST = DeliveryRules(min_backoff_seconds=0.01, max_backoff_seconds=0.05, max_retry_after_seconds=0.2)
@@ -85,14 +86,16 @@
     return iter(SAMPLES)
 
 
-async def pushed(receiver: Receiver, want: dict[str, int], **config: Any) -> Counter[str]:
-    """Runs a sender every 20 ms against a receiver until it has counted what is wanted."""
+async def run_sender(receiver: Receiver, want: dict[str, int], **config: Any) -> Counter[str]:
+    """Runs a sender that collects every 20 ms until the wanted outcomes are counted; returns the counts."""
     counts: Counter[str] = Counter()
     async with anyio.create_task_group() as tasks:
         await tasks.start(receiver.run)
-        to = RemoteWriteConfig("127.0.0.1", receiver.port, "/api/v1/write", 0.02, **config)
-        push = RemoteWrite(to, samples, lambda outcome, many: counts.update({outcome: many}), FAST)
-        tasks.start_soon(push.run)
+        receiver_config = RemoteWriteConfig("127.0.0.1", receiver.port, "/api/v1/write", 0.02, **config)
+        sender = RemoteWrite(
+            receiver_config, samples, lambda outcome, number: counts.update({outcome: number}), FAST
+        )
+        tasks.start_soon(sender.run)
         with anyio.fail_after(10):
             while any(counts[k] < n for k, n in want.items()):
                 await anyio.sleep(0.005)
@@ -114,55 +117,55 @@
         ([(200, [("X-Prometheus-Remote-Write-Samples-Written", "2")])], {"partial": 1, "sent": 1}),
     ],
 )
-async def test_a_receiver_that_misbehaves_gets_each_batch_in_order(
+async def test_a_faulty_receiver_gets_each_batch_in_order(
     script: list[Any], want: dict[str, int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("zincladder.export.sender.PUSH_TIMEOUT_SECONDS", 0.3)
     receiver = Receiver(*script)
-    counts = await pushed(receiver, want)
+    counts = await run_sender(receiver, want)
     assert all(counts[k] == n for k, n in want.items() if k != "sent")
-    times = receiver.times()
-    assert times == sorted(times)
+    sample_times = receiver.sample_times()
+    assert sample_times == sorted(sample_times)
     if 500 in script:
-        assert len({body for _, body in receiver.pushes[:4]}) == 1  # the same batch until it is taken
+        assert len({body for _, body in receiver.pushes[:4]}) == 1  # the same batch until it is accepted
     if 415 in script:
-        versions = [head[b"x-prometheus-remote-write-version"] for head, _ in receiver.pushes[:3]]
-        assert versions == [b"2.0.0", b"0.1.0", b"0.1.0"] and times[0] == times[1]
+        versions = [headers[b"x-prometheus-remote-write-version"] for headers, _ in receiver.pushes[:3]]
+        assert versions == [b"2.0.0", b"0.1.0", b"0.1.0"] and sample_times[0] == sample_times[1]
 
 
 @pytest.mark.anyio
-async def test_an_outage_and_a_restart_lose_nothing_with_a_spool(tmp_path: Path) -> None:
-    dead = Receiver(*["reset"] * 10_000)
-    counts = await pushed(dead, {"retried": 8}, spool_folder=str(tmp_path))
+async def test_with_a_spool_no_batch_is_lost_in_an_outage_and_a_restart(tmp_path: Path) -> None:
+    failing_receiver = Receiver(*["reset"] * 10_000)
+    counts = await run_sender(failing_receiver, {"retried": 8}, spool_folder=str(tmp_path))
     assert not counts["sent"] and not counts["overflowed"]
     waiting = len(Spool(tmp_path, 64 << 20))
     assert waiting >= 5
     receiver = Receiver()
-    await pushed(receiver, {"sent": waiting + 2}, spool_folder=str(tmp_path))
-    times = receiver.times()
-    assert times == sorted(set(times)) and times[0] == dead.times()[0]
+    await run_sender(receiver, {"sent": waiting + 2}, spool_folder=str(tmp_path))
+    sample_times = receiver.sample_times()
+    assert sample_times == sorted(set(sample_times)) and sample_times[0] == failing_receiver.sample_times()[0]
 
 
 @pytest.mark.anyio
-async def test_a_spool_that_cannot_be_written_leaves_memory_and_its_bound(
+async def test_batches_are_kept_in_memory_and_in_order_while_the_spool_cannot_be_written(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    tried, real = 0, os.pwrite
+    batch_writes, real_pwrite = 0, os.pwrite
 
-    def full(file: int, data: bytes, at: int) -> int:
-        nonlocal tried
-        tried += len(data) > 100  # a batch; the cursor has its place already
-        return real(file, data[:50] if len(data) > 100 and 4 <= tried <= 6 else data, at)
+    def write_partly(file: int, data: bytes, offset: int) -> int:
+        nonlocal batch_writes
+        batch_writes += len(data) > 100  # a write of the cursor is shorter, and needs no new space
+        return real_pwrite(file, data[:50] if len(data) > 100 and 4 <= batch_writes <= 6 else data, offset)
 
-    monkeypatch.setattr("zincladder.export.spool.os.pwrite", full)
+    monkeypatch.setattr("zincladder.export.spool.os.pwrite", write_partly)
     receiver = Receiver(*["reset"] * 4)
-    counts = await pushed(receiver, {"sent": 40}, spool_folder=str(tmp_path), max_memory_bytes=1 << 14)
-    times = receiver.times()
-    assert times == sorted(times) and not counts["overflowed"] and tried > 8
+    counts = await run_sender(receiver, {"sent": 40}, spool_folder=str(tmp_path), max_memory_bytes=1 << 14)
+    sample_times = receiver.sample_times()
+    assert sample_times == sorted(sample_times) and not counts["overflowed"] and batch_writes > 8
 
 
-def test_a_spool_that_cannot_be_a_folder_is_a_fault_of_the_configuration(tmp_path: Path) -> None:
+def test_a_spool_path_that_is_a_file_is_a_configuration_error(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("x")
     config = RemoteWriteConfig("127.0.0.1", 1, "/", spool_folder=str(tmp_path / "file"))
     with pytest.raises(ConfigError, match=r"remote_write\.spool"):
-        RemoteWrite(config, samples, lambda outcome, many: None)
+        RemoteWrite(config, samples, lambda outcome, number: None)
--- a/tests/plugin/test_transport.py
+++ b/tests/plugin/test_transport.py
@@ -1,4 +1,4 @@
-"""The Thrift plug-in against the running front and stub members that speak framed Thrift."""
+"""The Thrift plug-in with a running front and stub endpoints that speak framed Thrift."""
 
 from __future__ import annotations
 
@@ -23,13 +23,17 @@
 from zincladder.plugin.transport import SteeredTransport
 
 
-class ThriftMember(StubCache):
-    """Runs calls and counts them by what they ask for; `dies` is how many it runs without an answer."""
+class ThriftEndpoint(StubCache):
+    """Runs calls and counts them by sequence number.
 
-    dies = 0
+    The next `calls_to_drop` calls run, but their connection is closed without an answer. If `silent` is set,
+    calls get no answer and their connection stays open.
+    """
+
+    calls_to_drop = 0
     silent = False
 
-    def begin(self) -> None:
+    def reset_runs(self) -> None:
         self.runs: Counter[int] = Counter()
 
     async def _connection(self, stream: anyio.abc.ByteStream) -> None:
@@ -46,31 +50,31 @@
                 self.runs[call.seq] += 1
                 if self.silent:
                     await anyio.sleep_forever()
-                if self.dies:
-                    self.dies -= 1
+                if self.calls_to_drop:
+                    self.calls_to_drop -= 1
                     return
                 await stream.send(b"".join(thrift.answer("handle", call.seq, self.name.encode(), {}, True)))
 
 
 @contextmanager
-def steered() -> Iterator[tuple[World, list[ThriftMember], BlockingPortal]]:
-    """A front whose members speak Thrift: two caches, a parent and, last, the origin."""
-    endpoints = [ThriftMember(f"s-{i:08x}", kind) for i, kind in enumerate((0, 0, 1, 2), 1)]
+def front_with_thrift_endpoints() -> Iterator[tuple[World, list[ThriftEndpoint], BlockingPortal]]:
+    """A front whose endpoints speak Thrift: two caches, a parent and, last, the origin."""
+    endpoints = [ThriftEndpoint(f"s-{i:08x}", kind) for i, kind in enumerate((0, 0, 1, 2), 1)]
     for endpoint in endpoints:
-        endpoint.begin()
+        endpoint.reset_runs()
     with ExitStack() as stack:
         portal = stack.enter_context(start_blocking_portal())
-        w = stack.enter_context(portal.wrap_async_context_manager(world(endpoints=list(endpoints))))
-        yield w, endpoints, portal
+        front = stack.enter_context(portal.wrap_async_context_manager(world(endpoints=list(endpoints))))
+        yield front, endpoints, portal
 
 
-def transport(w: World, host: str, **more: float | bool) -> SteeredTransport:
-    assert w.listening.dns
-    return SteeredTransport(f"{host}.main.example.org", w.listening.dns, **more)  # type: ignore[arg-type]
+def transport(front: World, host: str, **options: float | bool) -> SteeredTransport:
+    assert front.listening.dns
+    return SteeredTransport(f"{host}.main.example.org", front.listening.dns, **options)  # type: ignore[arg-type]
 
 
 def call(protocol: TBinaryProtocol, seq: int) -> str:
-    """Calls `handle` with no arguments, as generated code does; gives the name of who answered."""
+    """Calls `handle` without arguments, as generated code does; returns the name of the endpoint."""
     protocol.writeMessageBegin("handle", TMessageType.CALL, seq)
     protocol.writeFieldStop()
     protocol.writeMessageEnd()
@@ -81,7 +85,7 @@
     protocol.readStructBegin()
     assert protocol.readFieldBegin()[1:] == (TType.STRING, 1)
     name = protocol.readBinary().decode()
-    for _ in range(2):  # the rest of the Answer, and of the result
+    for _ in range(2):  # the rest of the Answer struct, and of the result struct
         protocol.skip(TType.STRUCT)
     protocol.readMessageEnd()
     return str(name)
@@ -91,28 +95,28 @@
     return TBinaryProtocol(TFramedTransport(steered_transport), strictRead=True, strictWrite=True)
 
 
-def test_calls_leave_a_drained_member_within_the_deadline() -> None:
-    with steered() as (w, endpoints, portal):
-        protocol = protocol_over(transport(w, "papers"))
-        first = call(protocol, 1)
-        (drained,) = [m for m in endpoints if m.name == first]
-        portal.call(w.coordinator.tell, 2, drained.record(1))
-        drained_at, seq, late = time.monotonic(), 1, []
+def test_calls_leave_a_draining_endpoint_within_the_deadline() -> None:
+    with front_with_thrift_endpoints() as (front, endpoints, portal):
+        protocol = protocol_over(transport(front, "papers"))
+        first_endpoint = call(protocol, 1)
+        (drained,) = [m for m in endpoints if m.name == first_endpoint]
+        portal.call(front.coordinator.tell, 2, drained.record(1))
+        drained_at, seq, answered_late = time.monotonic(), 1, []
         while time.monotonic() < drained_at + 0.8:
             seq += 1
-            began = time.monotonic()
+            started_at = time.monotonic()
             answered = call(protocol, seq)
-            if began > drained_at + 0.5:
-                late.append(answered)
-        assert late and first not in late
+            if started_at > drained_at + 0.5:
+                answered_late.append(answered)
+        assert answered_late and first_endpoint not in answered_late
 
 
 def test_a_write_that_may_have_run_is_never_sent_again() -> None:
-    with steered() as (w, endpoints, _):
+    with front_with_thrift_endpoints() as (front, endpoints, _):
         origin = endpoints[-1]
-        origin.dies = 3
+        origin.calls_to_drop = 3
         for seq in range(1, 6):
-            booking = transport(w, "booking", write=True)
+            booking = transport(front, "booking", write=True)
             if seq <= 3:
                 with pytest.raises(TTransportException, match="may have run"):
                     call(protocol_over(booking), seq)
@@ -121,36 +125,41 @@
         assert origin.runs == Counter(range(1, 6)) and not any(m.runs for m in endpoints[:-1])
 
 
-def test_a_read_is_sent_once_more_and_not_for_ever() -> None:
-    with steered() as (w, endpoints, _):
-        protocol = protocol_over(transport(w, "papers"))
+def test_a_read_is_retried_only_once() -> None:
+    with front_with_thrift_endpoints() as (front, endpoints, _):
+        protocol = protocol_over(transport(front, "papers"))
         for endpoint in endpoints:
-            endpoint.dies = 1
+            endpoint.calls_to_drop = 1
         assert call(protocol, 1) and sum(m.runs[1] for m in endpoints) == 2
         for endpoint in endpoints:
-            endpoint.dies = 9
+            endpoint.calls_to_drop = 9
         with pytest.raises(TTransportException):
             call(protocol, 2)
         assert sum(m.runs[2] for m in endpoints) == 2
 
 
-def test_the_front_gives_up_and_the_call_fails_at_once() -> None:
-    with steered() as (w, _, __), pytest.raises(TTransportException, match="NXDOMAIN"):
-        transport(w, "nobody").open()
+def test_a_negative_answer_of_the_front_fails_the_call_at_once() -> None:
+    with (
+        front_with_thrift_endpoints() as (front, _, __),
+        pytest.raises(TTransportException, match="NXDOMAIN"),
+    ):
+        transport(front, "nobody").open()
 
 
-def test_a_member_that_says_nothing_ends_the_call_at_its_deadline() -> None:
-    with steered() as (w, endpoints, _):
+def test_a_call_to_a_silent_endpoint_fails_at_its_deadline() -> None:
+    with front_with_thrift_endpoints() as (front, endpoints, _):
         for endpoint in endpoints:
             endpoint.silent = True
-        began = time.monotonic()
+        started_at = time.monotonic()
         with pytest.raises(TTransportException) as caught:
-            call(protocol_over(transport(w, "papers", deadline=0.3)), 1)
-        assert caught.value.type == TTransportException.TIMED_OUT and time.monotonic() - began >= 0.3
+            call(protocol_over(transport(front, "papers", deadline=0.3)), 1)
+        assert caught.value.type == TTransportException.TIMED_OUT and time.monotonic() - started_at >= 0.3
 
 
-def test_the_plug_in_needs_nothing_of_the_daemon() -> None:
-    parts = ("anyio", "structlog", "zincladder.core", "zincladder.net")
-    code = f"import sys, zincladder.plugin.transport; print([m for m in {parts} if m in sys.modules])"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, text=True)
-    assert done.stdout == "[]\n"
+def test_the_plug_in_imports_no_module_of_the_daemon() -> None:
+    daemon_modules = ("anyio", "structlog", "zincladder.core", "zincladder.net")
+    code = (
+        f"import sys, zincladder.plugin.transport; print([m for m in {daemon_modules} if m in sys.modules])"
+    )
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, text=True)
+    assert result.stdout == "[]\n"
--- a/zincladder/export/delivery.py
+++ b/zincladder/export/delivery.py
@@ -119,7 +119,7 @@
             return backoff
         return max(backoff, min(retry_after_seconds, rules.max_retry_after_seconds))
 
-    def clock_stepped_back(self, now: float) -> None:
+    def limit_waits_after_clock_step(self, now: float) -> None:
         """Limits the remaining waits after the clock was set back."""
         max_wait = max(self._rules.max_backoff_seconds, self._rules.max_retry_after_seconds)
         self._not_before = min(self._not_before, now + max_wait)
