--- a/tests/export/test_sender.py
+++ b/tests/export/test_sender.py
@@ -26,7 +26,8 @@
 class Receiver:
     """A receiver that handles each push by the next step of its script, and accepts all after the last.
 
-    A step is a status, a status with headers, or a way to fail: "stall", "reset" or "trickle".
+    A step is a status, a status with headers, or a way to fail: "stall" reads nothing, "reset" closes the
+    connection without a response, and "trickle" sends only the start of one.
     """
 
     def __init__(self, *script: Any) -> None:
@@ -79,7 +80,7 @@
         return timestamps
 
 
-FAST = DeliveryRules(min_backoff_seconds=0.01, max_backoff_seconds=0.05, max_retry_after_seconds=0.2)
+FAST_RULES = DeliveryRules(min_backoff_seconds=0.01, max_backoff_seconds=0.05, max_retry_after_seconds=0.2)
 
 
 def samples() -> Iterator[Sample]:
@@ -93,7 +94,7 @@
         await tasks.start(receiver.run)
         receiver_config = RemoteWriteConfig("127.0.0.1", receiver.port, "/api/v1/write", 0.02, **config)
         sender = RemoteWrite(
-            receiver_config, samples, lambda outcome, number: counts.update({outcome: number}), FAST
+            receiver_config, samples, lambda outcome, number: counts.update({outcome: number}), FAST_RULES
         )
         tasks.start_soon(sender.run)
         with anyio.fail_after(10):
--- a/zincladder/cli/admission.py
+++ b/zincladder/cli/admission.py
@@ -56,7 +56,7 @@
 @click.option("--watch", type=click.FloatRange(0.2, 3600), help="Refresh every so many seconds.")
 @click.pass_obj
 def top(path: str | None, most: int, as_json: bool, watch: float | None) -> None:
-    """Show the sources that use the most, in descending order."""
+    """Show the sources that lately used the most time of the event loop, in descending order."""
     control_socket = socket_path(path)
 
     def fetch() -> AdmissionReport:
@@ -116,7 +116,7 @@
 @click.argument("address")
 @click.pass_obj
 def show(path: str | None, address: str) -> None:
-    """Print everything that is recorded about one ADDRESS, as JSON."""
+    """Print everything that is recorded about an ADDRESS and its network, as JSON."""
     click.echo(json.dumps(send_command(socket_path(path), "admission.show", address=address), indent=2))
 
 
--- a/zincladder/cli/policy.py
+++ b/zincladder/cli/policy.py
@@ -111,7 +111,10 @@
     deadline, printed = time.monotonic() + wait_seconds, ""
     while time.monotonic() < deadline:
         record = client.read_change_log(group).record
-        entry = next((e for e in record.log if (e.version, e.document) == (version, document)), None)
+        entry = next(
+            (logged for logged in record.log if (logged.version, logged.document) == (version, document)),
+            None,
+        )
         if entry is not None:
             output.print_outcome(entry, as_json)
             sys.exit(0 if entry.outcome is ChangeOutcome.ACTIVATED else EXIT_FAILED)
--- a/zincladder/cli/status.py
+++ b/zincladder/cli/status.py
@@ -29,8 +29,8 @@
     try:
         with socket.create_connection((host, port), TIMEOUT_SECONDS) as sock:
             sock.sendall(line.encode() + b"\n")
-            with sock.makefile("rb") as lines:
-                return lines.read().decode("ascii", "replace")
+            with sock.makefile("rb") as stream:
+                return stream.read().decode("ascii", "replace")
     except OSError as error:
         raise click.ClickException(f"{address}: {error.strerror or error}") from None
 
--- a/zincladder/cli/tasks.py
+++ b/zincladder/cli/tasks.py
@@ -25,11 +25,11 @@
 
 @dataclass(frozen=True)
 class StoredTasks:
-    """The tasks as the group has stored them, and the leader's view of them. All keys are task names."""
+    """The leader's view of the tasks, and their stored assignments and checkpoints by the task's name."""
 
     leader_view: dict[str, Any]
-    assignments: dict[str, tuple[Any, int]]  # with the version of its register
-    checkpoint_sizes: dict[str, int]  # in bytes
+    assignments: dict[str, tuple[Any, int]]  # with the version of its register, the fencing token
+    checkpoint_sizes: dict[str, int]  # in bytes, by task
 
 
 def _read_tasks(group: Group) -> StoredTasks:
--- a/zincladder/dns/answers.py
+++ b/zincladder/dns/answers.py
@@ -87,7 +87,7 @@
 
         Args:
             data: The received message.
-            arrived_at: When it was received, by the core's clock.
+            arrived_at: When it was received, in seconds of the core's clock.
             max_bytes: The largest response over UDP; None over TCP.
 
         Returns:
--- a/zincladder/dns/server.py
+++ b/zincladder/dns/server.py
@@ -38,7 +38,7 @@
 
 
 class DnsServer:
-    """Listens as soon as it is created, and serves queries from `run` until this is cancelled."""
+    """Listens on UDP and TCP as soon as it is created; `run` serves the queries."""
 
     def __init__(
         self,
@@ -67,8 +67,8 @@
         self._tcp = socket.socket(address_family(listen[0]), socket.SOCK_STREAM)
         self._tcp.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         for sock in (self._udp, self._tcp):
-            # During an upgrade both processes listen, and each answers with its own routing decisions.
-            # Both have the same endpoint list.
+            # During an upgrade the old and the new process listen together. Each answers with its own routing
+            # decisions, from the same endpoint list.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         try:
             self._tcp.bind(listen)
--- a/zincladder/export/delivery.py
+++ b/zincladder/export/delivery.py
@@ -18,7 +18,7 @@
 # Share of a backoff that is always waited. The rest is random, so that many fronts do not retry at once.
 MIN_BACKOFF_SHARE = 0.5
 MAX_RETRY_AFTER_DIGITS = 9
-MAX_REPLAY_WAIT_SECONDS = 1.0  # if the clock was set back
+MAX_REPLAY_WAIT_SECONDS = 1.0  # limit of a remaining wait after the clock was set back
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PushResponse:
-    """A receiver's response to a push, or that none arrived."""
+    """A receiver's response to a push; without a status, a push that got no response."""
 
     status: int = NO_RESPONSE
     retry_after_seconds: float | None = None
--- a/zincladder/export/sender.py
+++ b/zincladder/export/sender.py
@@ -27,7 +27,7 @@
 MAX_SAMPLES_IN_A_ROW = 200  # then other tasks can run
 MAX_LOGGED_FILES = 10
 OVERFLOWED = "overflowed"  # label value for lost batches, beside those of PushOutcome
-# After these a batch is not sent again.
+# After one of these outcomes a batch is removed and not sent again.
 FINAL_OUTCOMES = (PushOutcome.SENT, PushOutcome.PARTIAL, PushOutcome.REJECTED)
 T = TypeVar("T")
 log = structlog.get_logger()
--- a/zincladder/export/spool.py
+++ b/zincladder/export/spool.py
@@ -55,7 +55,7 @@
         self._acknowledged = 0  # number of the last batch that was sent or given up
         self._cursor_generation = 0
         self._segment_file: int | None = None  # file descriptor of the segment that is written to
-        self._cursor_file: int | None = None
+        self._cursor_file: int | None = None  # file descriptor
         self._read_ahead: deque[SpooledBatch] = deque()  # unsent batches of the oldest segment
         try:
             self._open()
