--- a/zincladder/export/spool.py
+++ b/zincladder/export/spool.py
@@ -46,7 +46,7 @@
             SpoolError: The folder cannot be used.
         """
         self.lost_batches = 0
-        self.foreign_files: list[str] = []  # names of files that are not part of the spool; never changed
+        self.foreign_files: list[str] = []  # files that are not part of the spool; not read or removed
         self._folder = folder
         self._max_bytes = max_bytes
         self._max_segment_bytes = max(MIN_SEGMENT_BYTES, max_bytes // SEGMENTS_OF_FULL_SPOOL)
