--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -158,8 +158,8 @@
 async def test_purges_and_endpoint_updates_after_the_decision_apply_to_the_send(
     state: api.EndpointState, lost_is_source: bool
 ) -> None:
-    # Updates may arrive after the decision, while a connection is established. Rules 3 and 5, on draining
-    # endpoints and on purges, apply at the send.
+    # Updates may arrive after the decision, while a connection is established. Rules 3 and 5 of the platform
+    # (draining endpoints, purges) apply at the time when the attempt is sent.
     async with case() as (c, _):
         (attempt,) = c.transport.attempts
         assert attempt.may_start() and attempt.max_age_now() == 0.0
--- a/tests/net/test_live_bytes.py
+++ b/tests/net/test_live_bytes.py
@@ -1,4 +1,4 @@
-"""Compares the bytes that a front process exchanges with a client, a cache and the origin with a fixture.
+"""The bytes that a front process sends to a client, a cache and the origin, compared with a fixture.
 
 The peers are implemented here with plain sockets, so that they share no code with the front.
 """
--- a/zincladder/admission/fair_queue.py
+++ b/zincladder/admission/fair_queue.py
@@ -1,11 +1,12 @@
 """Weighted fair queueing of messages: a fair share of event loop time for each lane, network and source.
 
 Each lane earns its share of the event loop's time as credit. Credit that a lane does not need becomes spare
-credit, which any lane may use, so that no time is left idle. Before a message is parsed, its reader asks for
-credit: while the lane has some, the message is read at once; otherwise the slot is queued. `dispatch` serves
-the queues by deficit round robin (Shreedhar and Varghese, SIGCOMM 1995). In the NEW and LIMITED lanes each
-network is one flow, which is shared evenly by its sources, so that ten thousand addresses of one network get
-no more than three addresses of another. In the other lanes each source is a flow.
+credit, which any lane may use, so that no time is left idle. Before a message is read, its cost is taken from
+the credit of its lane, or else from the spare credit. If neither is left, or slots of the lane are queued
+already, the slot of the message's connection is queued. `dispatch` serves the queues by deficit round robin
+(Shreedhar and Varghese, SIGCOMM 1995). In the NEW and LIMITED lanes each network is one flow, which is shared
+evenly by its sources, so that ten thousand addresses of one network get no more than three addresses of
+another. In the other lanes each source is a flow.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 RATE_DECREASE_FACTOR = 0.96  # per dispatch while the event loop lags
 RATE_INCREASE = 0.004  # per dispatch while it does not; three times this while nothing is queued
 MAX_CREDITED_INTERVAL_SECONDS = 0.1  # a longer time between dispatches, as after a pause, earns no more
-MIN_LIMITED_SHARE = 0.01  # share of the lane of sources under a penalty
+MIN_LIMITED_SHARE = 0.01  # least share of loop time for the LIMITED lane
 MIN_CALIBRATION_SECONDS = 0.05  # a measurement with less work than this is too inaccurate
 CALIBRATION_WEIGHT = 0.2  # weight of a new measurement in the moving average
 MIN_COST_SCALE, MAX_COST_SCALE = 0.25, 4.0  # ratio of measured to modelled cost
@@ -182,7 +183,7 @@
     def _adapt_rate(self, loop_lag: float) -> None:
         """Adapt the rate to the delay of the event loop: increase additively, decrease multiplicatively.
 
-        The process cannot know which part of a CPU core it gets, but it can measure the delay.
+        The delay can be measured; the part of a CPU core that the process gets cannot.
         """
         waiting = any(queue.queued_slots for queue in self._queues)
         if loop_lag > RATE_DECREASE_LAG_SECONDS:
--- a/zincladder/admission/model.py
+++ b/zincladder/admission/model.py
@@ -90,7 +90,7 @@
     network_burst: int = 400
     reserve: float = 0.4  # part of slots, open requests and unread bytes for known and listed sources only
     max_sources: int = 8192  # addresses whose history is kept
-    known_after_seconds: float = 3.0  # seconds in which requests were served, until a source becomes KNOWN
+    known_after_seconds: float = 3.0  # points, one per second with a served request, that make a source KNOWN
     known_half_life_seconds: float = 600.0
     penalty_seconds: float = 2.0  # length of the first penalty; each further one is twice as long
     max_penalty_seconds: float = 300.0
@@ -152,7 +152,7 @@
     unread_bytes: int = 0
     waiting_since: float = 0.0  # when its next message began to wait to be read; 0 if no message waits
     idle_list: dict[ConnectionSlot, float] | None = None  # the list of evictable slots that holds it, if any
-    evicting: bool = False  # the connection was asked to close, but its descriptor is not free yet
+    evicting: bool = False  # the connection is to be closed, but its descriptor is not free yet
 
 
 class Eviction(NamedTuple):
--- a/zincladder/admission/reputation.py
+++ b/zincladder/admission/reputation.py
@@ -62,8 +62,8 @@
     def record_served(self, source: Source, now: float) -> None:
         """Count a served request, which earns a point at most once per second and forgives part of a strike.
 
-        A source that has exceeded its share within the last second earns nothing, so that a flood cannot
-        become known by those of its requests that are served.
+        A source that has exceeded its share within the last second earns nothing. Otherwise the source of a
+        flood would become KNOWN through those of its requests that are served.
         """
         source.served += 1
         if source.strikes > 0.0:
--- a/zincladder/admission/source_admission.py
+++ b/zincladder/admission/source_admission.py
@@ -91,7 +91,7 @@
     # Operators' commands and reloads ---------------------------------------------------------------
 
     def apply_limits(self, limits: AdmissionLimits) -> None:
-        """Change the limits; connections and requests that exceed a lowered cap stay until answered."""
+        """Change the limits; a lowered cap ends no connection or request that is already open."""
         self._rates.apply_limits(limits)
         self._other_listeners.apply_limits(limits)
         self._state.apply_limits(limits)
--- a/zincladder/config/limits.py
+++ b/zincladder/config/limits.py
@@ -7,17 +7,17 @@
 from zincladder.config.model import Config
 from zincladder.routing import interface as api
 
-DEFAULT_MEMORY_MB = 192  # the least that the platform guarantees; so is DEFAULT_SOCKETS
+DEFAULT_MEMORY_MB = 192  # both defaults are the least that the platform guarantees
 DEFAULT_SOCKETS = 1024
-PROCESS_BASE_MB = 22  # of one process under load, without its requests
+PROCESS_BASE_MB = 22  # memory of one process under load, without its requests
 RESERVED_MB = 6  # kept free, whatever the number of processes
 MIN_REQUESTS_MB = 4  # for the requests of one process, even if the memory is too small
 OPEN_REQUEST_KB = 100  # assumed for an open request; most of them wait and hold no body yet
-UNREAD_ANSWERS_DIVISOR = 2  # the memory for requests divided by this may hold unread answers
+UNREAD_ANSWERS_DIVISOR = 2  # unread answers may take 1 / this of the memory for requests
 
 
 def request_limits(memory_mb: int, processes: int) -> tuple[int, int]:
-    """Returns, for each process, the maximum number of open requests and of bytes of answers left unread."""
+    """Returns the maximum number of open requests and the maximum bytes of unread answers, per process."""
     per_process_mb = (memory_mb - RESERVED_MB - processes * PROCESS_BASE_MB) // processes
     request_bytes = max(MIN_REQUESTS_MB, per_process_mb) << 20
     return request_bytes // (OPEN_REQUEST_KB << 10), request_bytes // UNREAD_ANSWERS_DIVISOR
--- a/zincladder/config/settings.py
+++ b/zincladder/config/settings.py
@@ -90,7 +90,7 @@
 
 
 def _read_classes(settings: Node, domain: Node) -> tuple[api.RequestClass, ...]:
-    """Returns the request classes; some values of a class stand in lists of 'domain', at its number."""
+    """Returns the request classes; some of their values are in lists of 'domain', in class order."""
     fresh, usable = domain.numbers("freshFor"), domain.numbers("usableAfter")
     stale_weights = domain.numbers("classStaleWorth")
     uncacheable = domain.list_of("neverKept", flag, "flags", [])
--- a/zincladder/control/status_server.py
+++ b/zincladder/control/status_server.py
@@ -14,7 +14,7 @@
 from zincladder.support.lingering_close import LINGER_SECONDS, lingering_close
 
 CONNECTION_TIMEOUT_SECONDS = 10.0  # for receiving the line and sending the answer
-MIN_CONNECTIONS = 4  # accepted at once, even if no descriptors are available
+MIN_CONNECTIONS = 4  # open at the same time, even if no descriptors are available
 READ_BYTES = 512
 log = structlog.get_logger()
 
--- a/zincladder/core/attempt_guard.py
+++ b/zincladder/core/attempt_guard.py
@@ -1,4 +1,8 @@
-"""Checks an attempt just before its first byte against what has changed since the router decided it."""
+"""Checks whether an attempt may still be sent and how old a copy may be, just before its first byte is sent.
+
+Since the router's decision the deadline may have passed, the client may have disconnected, an endpoint may
+have stopped being ready, or a purge may have arrived.
+"""
 
 from __future__ import annotations
 
--- a/zincladder/core/request_classes.py
+++ b/zincladder/core/request_classes.py
@@ -1,4 +1,4 @@
-"""Numbers the request classes, across settings that change while requests are open. No I/O.
+"""Numbers the request classes so that settings can change while requests are open. No I/O.
 
 A number keeps its name and its rules for as long as anything refers to it. An open request looks its rules up
 by number, so it keeps the rules under which it was read, even if its class is changed or removed.
@@ -10,14 +10,14 @@
 
 from zincladder.routing import interface as api
 
-# For this time a removed class is still accepted, and its number is not reused: clients receive new settings
+# A removed class is still accepted for this time, and its number is not reused: clients receive new settings
 # 1.2 s after the front.
 REMOVED_CLASS_SECONDS = 2.0
-NEW_CLASS = -1  # stands for the number of a class that has no learned statistics to continue with
+NEW_CLASS = -1  # instead of a number: the class has no learned statistics to continue with
 
 
 class RequestClasses:
-    """All classes that have a number. Other parts share the lists `names` and `rules`, changed in place."""
+    """All classes that have a number. `names` and `rules` are changed in place: other parts refer to them."""
 
     def __init__(self, names: Sequence[str], rules: Sequence[api.RequestClass]) -> None:
         self.names, self.rules = list(names), list(rules)
@@ -44,9 +44,9 @@
     ) -> tuple[int, ...]:
         """Replaces the classes; `open_numbers` are the class numbers of open requests.
 
-        Returns for each number the number whose learned statistics it continues with, or `NEW_CLASS`. A class
-        whose rules changed gets another number. Numbers are reused, so the current classes, the open requests
-        and the reserved numbers bound the size of the table.
+        Returns, by class number, the number whose learned statistics the class takes over, or `NEW_CLASS`. A
+        class whose rules changed gets another number. Numbers are reused, so the current classes, the open
+        requests and the reserved numbers bound the size of the table.
         """
         previous_numbers, self.current = self.current, {}
         self._drop_expired_reservations(now)
--- a/zincladder/handover/model.py
+++ b/zincladder/handover/model.py
@@ -1,9 +1,9 @@
 """The messages of an upgrade, and the count of the processes of one front. No I/O.
 
 The new process sends a `Hello`. The old process answers with its own `Hello`, with its listening socket as
-ancillary data. Nothing else is sent: each process learns from the end of the connection that the other has
-ended. Later versions may add keys to the message. A change in the meaning of a key raises VERSION; processes
-of different versions do not pass their listening sockets, and each opens its own.
+ancillary data. Nothing else is sent, but the connection stays open: its end shows each process that the other
+has ended. Later versions may add keys to the message. A change in the meaning of a key requires a higher
+VERSION; processes of different versions do not pass their listening sockets, and each opens its own.
 """
 
 from __future__ import annotations
@@ -82,5 +82,5 @@
 
     @property
     def has_successor(self) -> bool:
-        """Whether a newer process shares the listening socket, and so accepts connections in its backlog."""
+        """Whether a newer process shares the listening socket and accepts the connections in its backlog."""
         return any(self._is_newer.values())
--- a/zincladder/net/cache_transport.py
+++ b/zincladder/net/cache_transport.py
@@ -57,7 +57,7 @@
         return AttemptEnd(EndReason.TIMED_OUT)
 
     def _serialize(self, attempt: AttemptRequest) -> list[bytes]:
-        """Serializes the attempt with the time that is left and the oldest copy that purges allow by now."""
+        """Serializes the attempt; the time left and the maximum age of a copy are those at this moment."""
         request = attempt.request
         fields = protocol.write_fetch(
             attempt, self._class_names[request.request_class], attempt.deadline - self._now()
--- a/zincladder/net/coordinator_watch.py
+++ b/zincladder/net/coordinator_watch.py
@@ -49,7 +49,7 @@
             on_event: Called with each new event, in order.
             seed: The seed of the backoff's jitter.
             freshness: Notified of the state of the connection.
-            on_change: Called after `freshness` was notified.
+            on_change: Called after frames were applied, and after a connection has ended or has failed.
         """
         self._random = Random(seed)
         self._coordinator, self.last_event, self._on_event = coordinator, last_event, on_event
@@ -68,10 +68,10 @@
             self._attempt_scope.cancel()
 
     def poll(self) -> None:
-        """Applies the events that have been received by the system but are not read yet.
+        """Applies the events that the operating system has received but the watch has not read yet.
 
-        Called before routing decisions: after a stall of the process or the event loop they may run before
-        the watch's own task, and would be made on an outdated endpoint list.
+        Called before routing decisions: after a stall of the process or the event loop, a decision may be
+        made before the watch's own task runs, and would otherwise use an outdated endpoint list.
         """
         now = monotonic()
         if self._connection is not None and now - self._polled_at >= POLL_INTERVAL_SECONDS:
--- a/zincladder/net/known_events.py
+++ b/zincladder/net/known_events.py
@@ -1,4 +1,4 @@
-"""Reads the coordinator's events that the configuration states, which a front applies at its start."""
+"""Reads the coordinator's events that the configuration contains; a front applies them at its start."""
 
 from __future__ import annotations
 
--- a/zincladder/net/protocol.py
+++ b/zincladder/net/protocol.py
@@ -1,7 +1,8 @@
 """Tables of the fields of the platform's protocol: their names, valid values and meaning. No I/O.
 
-The functions here read, check and write fields by these tables, so that each field is defined once. A field
-that the front does not use states the reason. A reader raises ValueError for an invalid text of a peer.
+The functions here read, check and write fields by these tables, so that each field is defined once. The
+tables also have the fields that the front does not use, with the reason. The `read` functions of the tables
+raise ValueError for an invalid text; only an invalid load report is read as an empty one.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 MAX_PART = 1 << 20
 MAX_GROUP = 255
 MAX_MILLISECONDS = 10**12
-# Of a part, as clients state it. A size without a bound would outweigh all sizes learned before.
+# Largest size that a client may state for a part; an unbounded size would outweigh all sizes learned before.
 MAX_SIZE_KB = 1e7
 
 
@@ -90,7 +91,7 @@
         report = {LOAD_REPORT_NAMES.get(name, name): float(value) for name, value in pairs}
     except ValueError:
         return {}
-    # float() also accepts 'nan' and 'inf'. One such figure would spoil the mean that caches are compared to.
+    # float() also accepts 'nan' and 'inf'. One such value would spoil the estimates made from load reports.
     return report if all(0.0 <= value < math.inf for value in report.values()) else {}
 
 
@@ -163,8 +164,8 @@
     return f"{max(1, math.floor(age * 1000))}" if 0 < age < math.inf else ""
 
 
-# How each field of a `fetch` is written, from the attempt, the name of its class and the seconds until its
-# deadline. A field whose text is "" is left out.
+# For each field of a `fetch`, the function that returns its text from the attempt, the name of the request's
+# class and the seconds until the deadline. A field whose text is "" is left out.
 ATTEMPT_FIELDS: dict[str, Callable[[AttemptRequest, str, float], str]] = {
     "cls": lambda attempt, class_name, seconds_left: class_name,
     "item": lambda attempt, class_name, seconds_left: f"{attempt.request.object:016x}",
--- a/zincladder/net/thrift.py
+++ b/zincladder/net/thrift.py
@@ -124,7 +124,7 @@
 
 
 def find_withdrawn(unread: bytes | bytearray, start: int) -> Iterator[int]:
-    """Yields the sequence numbers of the requests that `withdraw` messages in unread bytes name.
+    """Finds `withdraw` messages in unread bytes; yields the sequence number of each withdrawn request.
 
     Looks at complete frames only, of which the first begins at `start`, and stops at a malformed one. Nothing
     is consumed: the connection's read task handles all messages, including malformed ones.
--- a/zincladder/routing/endpoints.py
+++ b/zincladder/routing/endpoints.py
@@ -27,7 +27,7 @@
     last_answer_at: float
     failure_rate: float = 0.0  # moving average of its outcomes, from 0 to 1
     in_flight: int = 0  # attempts of this router
-    slowdown: float = 0.0  # moving average: duration of its answers, or of fills from it, in transfer times
+    slowdown: float = 0.0  # moving average: duration of its answers, or of fills from it, per transfer time
     is_ejected: bool = False
     fails_fast: bool = False  # its last failure was immediate, so some of its fills may still succeed
     next_trial_at: float = 0.0  # earliest time of the next trial request while it is ejected
@@ -50,7 +50,7 @@
         return self.stats.get(self.origin_id) if self.origin_id else None
 
     def is_sibling_fill(self, cache: api.EndpointId, source: api.EndpointId) -> bool:
-        """Whether `source` is another cache of the location than `cache`."""
+        """Whether `source` is a cache of this location, but not `cache` itself."""
         return source in self.caches.ids and source != cache
 
     def track_in_flight(self, stats: EndpointStats, change: int) -> None:
@@ -59,7 +59,7 @@
         self.in_flight_at_caches += change * (stats.endpoint.id in self.caches.ids)
 
     def assign_roles(self, settings: api.Settings) -> None:
-        """Assigns roles by changed settings; the rings change only with the next update of the list."""
+        """Assigns the roles under changed settings; the rings follow at the next update of the list."""
         for stats in self.stats.values():
             stats.role = _role(stats.endpoint, settings)
 
@@ -85,7 +85,7 @@
             self.stats[endpoint.id] = EndpointStats(endpoint, role, now, in_flight=in_flight)
 
     def _rebuild_rings(self, settings: api.Settings) -> None:
-        """Updates the origin and the count in flight; a ring is rebuilt only if its endpoints changed."""
+        """Selects the origin, recounts attempts in flight, and rebuilds each ring whose endpoints changed."""
         by_role: dict[Role, list[api.Endpoint]] = {role: [] for role in Role}
         for stats in self.stats.values():
             by_role[stats.role].append(stats.endpoint)
--- a/zincladder/routing/interface.py
+++ b/zincladder/routing/interface.py
@@ -67,7 +67,7 @@
     UNREACHABLE = 4  # no connection could be established
     RESET = 5  # the connection was lost; the request may have been executed
     CANCELLED = 6
-    NOT_SENT = 7  # the request was already finished, or had no attempts or time left
+    NOT_SENT = 7  # the request was finished or had no attempts, time or deduplication window left
     MISS = 8  # the endpoint had no fresh copy and did not fill one
 
 
@@ -102,7 +102,7 @@
     priority_weight: float = 1.0  # value of an answer that is on time
     late_weight: float = 0.0  # share of the priority weight that a late answer earns
     scope: Scope = Scope.ALL
-    deduplication_window: float = 0.0  # seconds after the first attempt that may have been executed
+    deduplication_window: float = 0.0  # seconds, from the first attempt that may have been executed
     streamed: bool = False
     fresh_seconds: float = 0.0  # 0: a copy is fresh until it is purged
     stale_if_error_seconds: float = 0.0  # a copy is usable this long after its fresh time if the origin fails
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a router needs to know about its deployment, and which features the platform permits."""
+    """The deployment of a router, and the features that the platform permits."""
 
     classes: tuple[RequestClass, ...]
     zone: int  # the router's own zone, which is its location
@@ -142,18 +142,18 @@
     parent_slow_start: SlowStart = SlowStart(1.0, 0.0, 0.0, 1.0)
     drain_grace: float = 0.0  # seconds within which requests to a draining endpoint have to finish
     answer_slack: float = 0.0  # seconds after a client's deadline during which an answer still counts
-    purge_grace: float = 0.0  # seconds after a purge event from which on no older copy may be served
-    purge_done: float = 0.0  # seconds after a purge from which on no endpoint has an older copy
+    purge_grace: float = 0.0  # seconds after a purge event during which older copies may still be served
+    purge_done: float = 0.0  # seconds after a purge until every endpoint has dropped the older copies
     max_attempts: int = 1  # per request
     connect_timeout: float = 0.0  # seconds
     may_cancel: bool = False
     hedged_requests: bool = False
     probes: bool = False
-    retry_after: bool = False  # clients respect Retry-After; not used: max_retry_after above 0 enables it
-    max_retry_after: float = 0.0  # seconds
+    retry_after: bool = False  # clients respect Retry-After; unused: only max_retry_after is read
+    max_retry_after: float = 0.0  # seconds; a value above 0 enables Retry-After
     may_bypass_caches: bool = False
     coalesces_fills: bool = False
-    fill_faults_reported: bool = True  # the answer to a failed fill says whether its source was at fault
+    fill_faults_reported: bool = True  # the answer to a failed fill shows whether its source was at fault
     peer_fill: PeerFill = PeerFill.OFF
     origin_overload_factor: float = 0.0  # load at which the origin stops for a while; 0: it never does
     origin_overload_seconds: float = 0.0  # how long the origin withstands that load
@@ -167,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One entry of the endpoint list; `kind` says whether it is a cache, a parent or the origin."""
+    """One entry of the endpoint list; `Settings` defines which `kind` is a parent and which the origin."""
 
     id: EndpointId
     kind: int
@@ -208,7 +208,7 @@
 
 @dataclass(slots=True)  # one per request: creating a frozen instance takes three times as long
 class AttemptEnded:
-    """The end of an attempt; every attempt has exactly one. `closed` says that the request is finished."""
+    """The end of an attempt; every attempt has exactly one. `closed`: the request is finished."""
 
     request: int
     attempt: int
@@ -283,7 +283,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lookup:
-    """An attempt that asks an endpoint for a fresh copy, without a fill; the origin has every object."""
+    """An attempt without a fill: an endpoint needs a fresh copy to answer; the origin has every object."""
 
     request: int
     endpoint: EndpointId
@@ -291,7 +291,7 @@
 
 @dataclass(slots=True)  # one per request: creating a frozen instance takes three times as long
 class Fetch:
-    """An attempt that says what the endpoint does on a miss.
+    """An attempt with instructions for the endpoint in case of a miss.
 
     If `source` is the endpoint itself, nothing is filled. If `cache_rank` is 0, nothing is cached.
     """
@@ -300,8 +300,8 @@
     endpoint: EndpointId
     source: EndpointId
     cache_rank: int
-    max_age: float = 0.0  # of an acceptable copy, in seconds; 0: the fresh time of the class
-    coalesce: bool = False  # it may join a fill in progress
+    max_age: float = 0.0  # maximum age of a copy in seconds; 0: the fresh time of the class
+    coalesce: bool = False  # the request may join a fill in progress
     cached_only: bool = False  # the source answers only from its cache
     parent_proxies: bool = False  # the source caches no copy
     renew: bool = False  # a stale copy is served and renewed afterwards
--- a/zincladder/routing/load_shedding.py
+++ b/zincladder/routing/load_shedding.py
@@ -8,9 +8,9 @@
 
 from zincladder.routing.requests import PendingRequest
 
-# An overload may prolong a transfer by at most this many latency objectives of its class.
+# Longest accepted delay of a transfer by an overload, in latency objectives of its class.
 MAX_OBJECTIVE_OVERRUN = 1.0
-# Load of the location's link (transfers on it, divided by those that it carries) above which fills become
+# Load of the location's link (transfers in progress, divided by the link's capacity) above which fills become
 # slower in proportion to the load.
 SATURATED_LINK_LOAD = 2.5
 # A request with at least this share of its class's timeout left is never rejected for lack of time.
@@ -18,7 +18,7 @@
 
 
 def would_miss_objective(pending: PendingRequest, overload: float) -> bool:
-    """Whether an overload would make the answer too late; this is the case for large answers first.
+    """Whether an overload would make the answer too late; the larger an answer, the longer it is delayed.
 
     `overload` is the factor by which a transfer is prolonged; 1 means that it is not.
     """
@@ -27,7 +27,7 @@
 
 
 def would_miss_deadline(seconds_left: float, transfer_seconds: float, timeout: float) -> bool:
-    """Whether the client's deadline passes before the answer can be complete, even if the first cache hits.
+    """Whether the client's deadline passes before the answer can be complete, even without a cache miss.
 
     `seconds_left` is the time until the deadline, `timeout` the timeout of the request's class in seconds.
     Half of the timeout always counts as enough: if sizes are not announced, `transfer_seconds` is a mean of
--- a/zincladder/routing/state.py
+++ b/zincladder/routing/state.py
@@ -26,7 +26,7 @@
         self.transfer_times: list[TransferTimeEstimate] = []  # by class
         self.sibling_hit_share = 1.0  # moving average: share of the fills from sibling caches that hit
         self.median_slowdown = 1.0  # of the location's caches
-        # Last reported load of the location's link: transfers on it, divided by those that it carries.
+        # Last reported load of the location's link: transfers in progress, divided by the link's capacity.
         self.location_link_load = 0.0
         self.apply_settings(api.SettingsChanged(settings, (-1,) * len(settings.classes)))
 
@@ -48,7 +48,8 @@
     def estimate_transfer(self, request: api.Request, request_class: api.RequestClass) -> float:
         """Returns the seconds that sending the answer takes at the client's rate, without any waiting.
 
-        The request counts towards the mean transfer time of its class.
+        A request of known size counts towards the mean transfer time of its class; for any other request that
+        mean is returned.
         """
         estimate = self.transfer_times[request.request_class]
         kb_per_s = self.settings.client_kb_per_s
--- a/zincladder/wiring/status.py
+++ b/zincladder/wiring/status.py
@@ -19,7 +19,7 @@
     from zincladder.policy.lease_client import FleetPolicy
     from zincladder.tasks.runner import TaskRunner
 
-# The sections of STATS; a section is the prefix of the names of its values.
+# Sections of the answer to STATS: the name of a section is the prefix of its values' names.
 POLICY_SECTION, TASKS_SECTION = "policy", "duty"
 
 
--- a/zincladder/wiring/tasks.py
+++ b/zincladder/wiring/tasks.py
@@ -1,4 +1,4 @@
-"""Connects the fleet's singleton tasks to a front: its counters, and the tasks in the operator's file."""
+"""Builds a front's runner for the fleet's singleton tasks, and supplies it with the front's counters."""
 
 from __future__ import annotations
 
