--- a/zincladder/consensus/client.py
+++ b/zincladder/consensus/client.py
@@ -1,4 +1,7 @@
-"""A client of a group: finds the leader and reports whether a request was done, not done, or may be done."""
+"""A client of a replica group.
+
+It finds the leader, and reports whether a request was done, was not done, or may have been done.
+"""
 
 from __future__ import annotations
 
@@ -74,7 +77,7 @@
         raise RequestFailedError(state.failure_summary())
 
     async def _try_next_replica(self, state: _RequestState, body: rpc.RequestBody) -> rpc.ResponseBody | None:
-        """Sends the request to one replica; returns None if it does not lead or can't be reached."""
+        """Sends the request to one replica. Returns None if another replica has to be tried."""
         name, address = state.untried.popitem()
         try:
             link, _ = await connect(parse_address(address), self._hello)
@@ -96,9 +99,10 @@
         return None
 
     async def _exchange_once(self, link: Link, body: rpc.RequestBody) -> rpc.ResponseBody:
-        """Sends the request once. If the link fails, only a read-only request may go to another replica.
+        """Sends the request once. If the link fails, returns NotLeader for a read-only request.
 
-        A change is not sent again once its outcome is unknown, because it could then be done twice.
+        The caller then tries another replica. A change raises OutcomeUnknownError instead: if it were sent
+        again, it could be done twice.
         """
         try:
             return await self._exchange(link, body)
@@ -111,7 +115,10 @@
     async def get(
         self, prefix: str, timeout_seconds: float = REQUEST_TIMEOUT_SECONDS
     ) -> dict[str, VersionedValue]:
-        """Returns the values whose keys begin with `prefix`, no older than this call. Raises as `request`."""
+        """Returns the values whose keys begin with `prefix`, as they are at the time of this call or later.
+
+        Raises the errors of `request`.
+        """
         response = await self.request(rpc.GetByPrefix(prefix), timeout_seconds)
         if isinstance(response, rpc.ValuesByPrefix):
             return response.values
@@ -120,9 +127,9 @@
     async def compare_and_swap(
         self, key: str, expected: int, data: bytes | None, timeout_seconds: float = REQUEST_TIMEOUT_SECONDS
     ) -> CompareAndSwapResult:
-        """Sets the value of `key` if its version is `expected`, 0 if it must not exist. None removes it.
+        """Sets the value of `key` to `data` if its version is `expected`; None as `data` removes the key.
 
-        Raises as `request`.
+        0 as `expected` means that the key must not exist yet. Raises the errors of `request`.
         """
         response = await self.request(CompareAndSwap(key, expected, data), timeout_seconds)
         if isinstance(response, rpc.OutcomeUnknown):
@@ -134,15 +141,15 @@
 
 
 class _RequestState:
-    """The progress of one request over all replicas that were tried."""
+    """The progress of one request while the replicas are tried in turn."""
 
     def __init__(self, addresses: Mapping[str, str]) -> None:
-        self.untried = dict(addresses)  # replicas left to try in this round; the last one is next
+        self.untried = dict(addresses)  # replicas not yet tried in this round; the last one is tried next
         self.failures: dict[str, str] = {}  # why each replica did not handle the request
         self.outcome_unknown = False  # a change was sent and no response has arrived
 
     def follow_redirect(self, name: str, leader: str) -> None:
-        """Records that a replica does not lead, and makes the leader that it names the next to try."""
+        """Records that the replica `name` does not lead, and makes `leader` the next replica to try."""
         self.failures[name] = f"not the leader, which is {leader}" if leader else "knows no leader"
         if leader in self.untried:
             self.untried[leader] = self.untried.pop(leader)
--- a/zincladder/consensus/disk_writer.py
+++ b/zincladder/consensus/disk_writer.py
@@ -12,7 +12,10 @@
 
 
 class DiskWriter:
-    """Each method returns once its data is synced to disk. After a JournalError the replica has to stop."""
+    """Writes to the store of one replica. Each method returns once its data is synced to disk.
+
+    After a JournalError the replica has to stop.
+    """
 
     def __init__(self, store: ReplicaStore) -> None:
         self._store = store
@@ -25,10 +28,10 @@
                 await anyio.to_thread.run_sync(self._store.write, output)
 
     async def remember_peer(self, name: str, instance_id: str) -> bool:
-        """Returns whether `instance_id` identifies the directory known for this member.
+        """Returns whether `instance_id` is the one recorded for the directory of the member `name`.
 
-        The first directory seen under a name is remembered. A replica that lost its directory has lost its
-        vote and its entries, so it must not go on under the same name.
+        Records it if there is none yet. A replica that lost its directory has lost its vote and its entries,
+        so it must not continue under the same name with a new directory.
         """
         if self._store.peer_instances.get(name) == instance_id:
             return True
@@ -36,7 +39,7 @@
             return await anyio.to_thread.run_sync(self._store.remember_peer, name, instance_id)
 
     async def forget_all_but(self, members: Collection[str]) -> None:
-        """Forgets the directories of replicas that are not in `members`, as they were removed."""
+        """Deletes the recorded instance ids of replicas that are not in `members`: they were removed."""
         removed = self._store.peer_instances.keys() - members
         async with self._lock:
             for name in removed:
--- a/zincladder/consensus/election.py
+++ b/zincladder/consensus/election.py
@@ -10,7 +10,7 @@
 
 
 class Election:
-    """The elections of one node. `on_elected` is called with the current time once it has won one."""
+    """Runs the elections of one node. Calls `on_elected` with the current time when the node is elected."""
 
     def __init__(self, state: RaftState, seed: int, on_elected: Callable[[float], None]) -> None:
         self._state, self._on_elected = state, on_elected
--- a/zincladder/consensus/errors.py
+++ b/zincladder/consensus/errors.py
@@ -8,16 +8,19 @@
 
 
 class BusyError(Exception):
-    """Raised by a replica that can't do the request at the moment; nothing was done. The text says why."""
+    """Raised by a replica that rejects a request; nothing was done. The text says why."""
 
 
 class CommitUnknownError(Exception):
-    """Raised by a replica after it appended an entry that may be committed or lost; the text says why."""
+    """Raised by a replica if an entry that it appended may be committed or lost. The text says why.
+
+    Also raised if no majority confirms the replica's leadership in time.
+    """
 
 
 class RequestFailedError(Exception):
-    """Raised by a client: nothing was done. The text gives the reason of each replica that was tried."""
+    """Raised by a client if nothing was done. The text gives the leader's reason, or each replica's."""
 
 
 class OutcomeUnknownError(Exception):
-    """Raised by a client that lost the connection or the leader after a request, which may have been done."""
+    """Raised by a client if a request was sent and it is unknown whether it was done."""
--- a/zincladder/consensus/key_value_state.py
+++ b/zincladder/consensus/key_value_state.py
@@ -1,7 +1,7 @@
 """The replicated state: a key-value store that is changed only by compare-and-swap. No I/O.
 
 The version of a value is the index of the log entry that wrote it. Versions therefore rise with each write to
-any key and are never reused, not even after a value is removed, so that a version can be a fencing token.
+any key and are never reused, not even after a value is removed, so a version can serve as a fencing token.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 class VersionedValue(msgspec.Struct, frozen=True, array_like=True):
-    """A value, and the version that a compare-and-swap has to expect in order to change it."""
+    """A value and its version. A compare-and-swap changes the value only if it expects this version."""
 
     version: int
     data: bytes
 
 
 class VersionGuard(msgspec.Struct, frozen=True, array_like=True):
-    """The version that another key must have for a swap to be applied: a fencing token check in the log."""
+    """A fencing token check: a swap is applied only if the value of this key has this version."""
 
     key: str
     version: int
@@ -88,7 +88,7 @@
         return {key: value for key, value in sorted(self._values.items()) if key.startswith(prefix)}
 
     def apply(self, index: int, data: bytes) -> CompareAndSwapResult:
-        """Applies the data of the entry at `index`. Each replica gets the same result, whatever it holds."""
+        """Applies the data of the entry at `index`. All replicas get the same result, even an error."""
         try:
             swap: CompareAndSwap = msgspec.msgpack.decode(data, type=CompareAndSwap)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -116,7 +116,10 @@
         return Swapped(index)
 
     def _set(self, index: int, key: str, data: bytes) -> CompareAndSwapResult:
-        """Sets a value within the limits, which keep a snapshot small enough for a record and for memory."""
+        """Sets a value unless that exceeds a limit.
+
+        The limits keep a snapshot small enough for a record and for memory.
+        """
         if len(key) > MAX_KEY_BYTES or len(data) > MAX_VALUE_BYTES:
             return CapacityExceeded(f"a key has {MAX_KEY_BYTES} bytes and a value {MAX_VALUE_BYTES} at most")
         if key not in self._values and len(self._values) >= MAX_KEYS:
--- a/zincladder/consensus/leader_services.py
+++ b/zincladder/consensus/leader_services.py
@@ -1,8 +1,8 @@
-"""The base of the services that a replica runs for the fleet while it leads. Uses anyio.
+"""The base class of the services that a replica runs while it leads its group. Uses anyio.
 
-The decisions of a service are made by a term state, without I/O. It is created once a majority has confirmed
-that this replica leads, and is dropped with all links when the replica no longer leads. A message from a link
-reaches it only after another such confirmation.
+The decisions of a service are made by its term state, without I/O. The term state is created once a majority
+has confirmed that this replica leads. It is dropped, and all links are closed, when the replica no longer
+leads. Each message from a link is handled only after a majority has confirmed the leadership again.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class TermState(Protocol):
-    """Makes the decisions of a service in one leader's term, without I/O. Links are known by number."""
+    """Makes the decisions of a service in one leader's term, without I/O. Links are identified by number."""
 
     term: int
 
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkedProcess:
-    """A connected process: the queue of messages to it, and the scope that ends its link."""
+    """A connected process: the queue of messages to it, and the cancel scope of its link."""
 
     queue: SendQueue
     scope: anyio.CancelScope
@@ -82,7 +82,7 @@
         self.term_state: TermStateT | None = None
         self.links: dict[int, LinkedProcess] = {}
         self._last_number = 0
-        # The applied index at the latest `state_changed`; -1 makes the next `refresh` call it again.
+        # The applied index when `state_changed` was last called; -1 forces a call at the next `refresh`.
         self.read_at = -1
         self._wakeup = anyio.Event()
         self._warning = RateLimitedLog().warning
@@ -171,7 +171,7 @@
     async def _agree_on_lease_timing(self) -> LeaseTiming:
         """Returns the group's lease timing.
 
-        The first leader of the group stores the timing of its file; every later leader uses the stored one.
+        The first leader of the group stores its configured timing; every later leader uses the stored one.
         """
         if self.replica.state.get(LEASE_TIMING_KEY) is None:
             await self.replica.compare_and_swap(
@@ -247,7 +247,7 @@
         while True:
             message = await link.receive(self.messages)
             # A leader that was replaced must grant no lease: its successor waits only for the leases that
-            # were granted before its own term.
+            # were granted before the successor's term began.
             await self.replica.confirm_leadership()
             if self.term_state is not term_state:
                 return
--- a/zincladder/consensus/leadership_transfer.py
+++ b/zincladder/consensus/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Leadership transfer: the leader has a voter with the whole log start an election at once. No I/O."""
+"""Leadership transfer: the leader asks a voter that has the whole log to start an election. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 class LeadershipTransfer:
     """A transfer of the leadership to another voter.
 
-    While it is `active` the leader rejects new entries; otherwise no voter might ever have the whole log.
+    While it is `active`, the leader rejects new entries; otherwise no voter might ever catch up with its log.
     """
 
     def __init__(self, state: RaftState) -> None:
@@ -23,7 +23,7 @@
             self.proceed()
 
     def proceed(self) -> None:
-        """Asks the most recently heard of the voters that have the whole log to start an election."""
+        """Asks a voter to start an election: of those with the whole log, the one that responded last."""
         state = self._state
         if not self.active or not state.is_leader:
             return
--- a/zincladder/consensus/lease_timing.py
+++ b/zincladder/consensus/lease_timing.py
@@ -20,11 +20,13 @@
     clock_drift: float = 0.01
     # How long fronts may take to validate a policy.
     check_timeout_seconds: float = 3.0
-    # How long fronts may take to release their leases. After that all of them keep the old version for now.
+    # How long fronts may take to release their leases for a change. After that, the fronts that did so serve
+    # under the old version again until the remaining leases have expired.
     release_timeout_seconds: float = 0.3
     # More than this share of the known fronts has to accept a change.
     min_agreeing_share: float = 0.5
-    # How long a decided change may wait for a time at which no front is absent.
+    # How long a decided change may wait for a time at which no front is silent. After that, the leases of all
+    # fronts are revoked.
     max_deferral_seconds: float = 15.0
     # How long the holder of a task's lease may be paused between its check of the clock and its action.
     max_action_seconds: float = 0.2
@@ -44,5 +46,5 @@
 
     @property
     def expiry_seconds(self) -> float:
-        """How long a replica waits, from the grant, until a lease that was not released has expired."""
+        """How long after the grant a lease that was not released expires, by the replica's clock."""
         return self.lease_seconds * (1 + self.clock_drift)
--- a/zincladder/consensus/log.py
+++ b/zincladder/consensus/log.py
@@ -25,7 +25,8 @@
         self.snapshot = stored.snapshot
         self._entries: list[Entry] = []
         self._memberships = [_IndexedMembership(self.snapshot_index, stored.snapshot.membership)]
-        self.stored_index = self.snapshot_index  # index of the last entry that is on disk
+        # Index of the last entry that is on disk or was returned by `take_unstored`.
+        self.stored_index = self.snapshot_index
         for entry in stored.entries:
             self.append(entry)
         self.stored_index = self.last_index
@@ -81,7 +82,7 @@
         return tuple(entries)
 
     def first_index_of_term(self, index: int) -> int:
-        """The index of the first entry with the same term as the entry at `index`, after the snapshot."""
+        """The index of the first entry after the snapshot that has the same term as the entry at `index`."""
         term = self.term_at(index)
         while index - 1 > self.snapshot_index and self.term_at(index - 1) == term:
             index -= 1
@@ -98,8 +99,8 @@
     def replace_from(self, first_index: int, entries: Iterable[Entry]) -> None:
         """Makes the log hold `entries` from `first_index` on.
 
-        The log is truncated only at an entry that differs: entries after matching ones are kept, since this
-        may be a delayed message.
+        The log is truncated only at an entry that differs. Entries after matching ones are kept, because
+        `entries` may come from a delayed message.
         """
         for index, entry in enumerate(entries, first_index):
             if index <= self.last_index and self.term_at(index) != entry.term:
@@ -123,7 +124,10 @@
         self.snapshot = snapshot
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """Replaces the log by a leader's snapshot, but keeps the entries that are known to follow it."""
+        """Replaces the log by a leader's snapshot.
+
+        Keeps the entries after it if the log holds the snapshot's last entry.
+        """
         matches = self.term_at(snapshot.index) == snapshot.term
         following = self.entries_from(snapshot.index + 1) if matches else ()
         self.snapshot, self._entries = snapshot, []
@@ -133,7 +137,7 @@
         self.stored_index = snapshot.index
 
     def take_unstored(self) -> tuple[int, tuple[Entry, ...]]:
-        """Returns the entries that were not on disk at the last call, and the index of the first one."""
+        """Returns the entries after `stored_index`, which have to be written, and the first one's index."""
         first_index = max(self.stored_index, self.snapshot_index) + 1
         self.stored_index = self.last_index
         return first_index, self.entries_from(first_index)
--- a/zincladder/consensus/log_replication.py
+++ b/zincladder/consensus/log_replication.py
@@ -37,9 +37,9 @@
 
 
 def _next_index_hint(state: RaftState, prev_index: int) -> int:
-    """The index that the leader tries next.
+    """The index at which the leader compares the logs next.
 
-    It skips all entries of the differing term at once, so that logs that differ much match after few rounds.
+    It skips all entries of the differing term at once, so that very different logs match after few rounds.
     """
     if prev_index > state.log.last_index:
         return state.log.last_index
@@ -104,9 +104,9 @@
             peer.awaiting_response = False
             self._advance_commit_index()
         elif message.index <= peer.match_index:
-            # The peer no longer has an entry that it confirmed in this term, so its directory is an older
-            # copy, unless the response was delayed (its serial shows that). Index 0 responds to a message
-            # of an earlier term of this leader and says nothing about what the peer stores.
+            # The peer rejects an index that it has confirmed in this term. Either the response was delayed,
+            # which its serial shows, or the peer's directory is an older copy. Index 0 is the response to a
+            # message from an earlier term of this leader and does not show what the peer stores.
             peer.stale |= message.index > 0 and message.serial > peer.match_serial
             return
         elif message.index == peer.next_index - 1:
--- a/zincladder/consensus/membership_change.py
+++ b/zincladder/consensus/membership_change.py
@@ -26,7 +26,8 @@
     def request(self, membership: Membership) -> int:
         """Appends the new membership and returns the index of its entry.
 
-        Raises BusyError while another change is not committed, and for a change of more than one voter.
+        Raises BusyError until the previous change and an entry of this term are committed, and if the change
+        concerns more than one voter or leaves none.
         """
         state = self._state
         old, new = state.membership.voters, membership.voters
--- a/zincladder/consensus/model.py
+++ b/zincladder/consensus/model.py
@@ -1,4 +1,4 @@
-"""Types of the Raft messages between the members of a group and of the records a member stores. No logic.
+"""Types of the Raft messages between members of a group, and of the records that a member stores. No logic.
 
 Messages and stored records are msgspec structs encoded as arrays. Indexes number the log's entries from 1;
 terms number the elections. Names and rules follow the Raft paper (Ongaro and Ousterhout, 2014) and Ongaro's
@@ -42,9 +42,9 @@
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True):
-    """The latest term that a member knows and the candidate it voted for in that term; "" for none.
+    """A member's current term, and the candidate that it voted for in that term; "" for none.
 
-    It has to survive restarts: a member that forgot its vote could vote twice in one term.
+    It has to survive restarts: a member that lost its vote could vote twice in one term.
     """
 
     term: int = 0
@@ -74,7 +74,7 @@
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
     """A candidate requests a vote.
 
-    With `pre_vote` it asks whether it would get the vote in `term`, which has not begun yet.
+    With `pre_vote`, the sender asks whether it would get the vote in `term`, which has not begun yet.
     """
 
     term: int
@@ -95,7 +95,8 @@
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="append"):
     """The entries that follow `prev_index`. Without entries it is a heartbeat.
 
-    `serial` numbers the messages that a leader sends in one term, so that a response names its message.
+    `serial` numbers the messages that a leader sends in one term, so that a response can be matched to its
+    message.
     """
 
     term: int
@@ -110,7 +111,8 @@
     """The response to AppendEntries, and to a snapshot that is installed or not needed.
 
     With `success` the member's log matches the leader's up to `index`. Otherwise its entry at `index` is
-    missing or differs, and `next_index_hint` is the index that the leader tries next.
+    missing or differs, and `next_index_hint` is the index at which the leader compares the logs next. Without
+    `success`, an `index` of 0 rejects a message of an old term.
     """
 
     term: int
@@ -121,7 +123,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="install"):
-    """One chunk of a snapshot, which begins at byte `offset` of `total_bytes`."""
+    """The chunk of a snapshot that begins at byte `offset`. The whole snapshot has `total_bytes`."""
 
     term: int
     serial: int
--- a/zincladder/consensus/peer_links.py
+++ b/zincladder/consensus/peer_links.py
@@ -20,7 +20,7 @@
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 REPLICA_ROLE = "keeper"  # the role in the Hello of a replica; part of the link protocol
-MAX_UNCONFIRMED_PEERS = 16  # replicas that a new replica accepts before it knows the group's members
+MAX_UNCONFIRMED_PEERS = 16  # replicas that a new replica accepts before it has the group's membership
 MAX_QUEUED_MESSAGES = 256  # per member
 OTHER_DIRECTORY_REASON = "its directory is not the one that {}; remove it and add it anew"
 log = structlog.get_logger()
@@ -50,8 +50,8 @@
         self._on_message, self._random_fraction = on_message, random_fraction
         self._hello = Hello(VERSION, config.group, REPLICA_ROLE, config.name, store.identity.instance_id)
         self._dialed: dict[str, DialedPeer] = {}
-        # Queues to members that have connected to this replica. A new replica knows no addresses yet, so it
-        # can send over these links only.
+        # Queues to members that have connected to this replica. A new replica has no addresses of members
+        # yet, so it can send over these links only.
         self._accepted_queues: dict[str, SendQueue] = {}
         self._membership = Membership({})  # the membership of the latest `dial`
         self._warning = RateLimitedLog().warning
@@ -64,7 +64,7 @@
             queue.put(message)
 
     def dial(self, membership: Membership, tasks: anyio.abc.TaskGroup) -> None:
-        """Starts a link to each new member, and ends those to members removed or moved to another address."""
+        """Starts links to new members, and ends links to members that were removed or have a new address."""
         if membership is self._membership:
             return
         self._membership = membership
--- a/zincladder/consensus/pending.py
+++ b/zincladder/consensus/pending.py
@@ -37,7 +37,8 @@
 class PendingEntry(Pending[CompareAndSwapResult | None]):
     """The result of an entry appended in `term`.
 
-    It is None if the entry has no result, another entry has its index, or a snapshot covers that index.
+    It is None if the entry changes the membership, if an entry of another term is applied at its index, or
+    if a snapshot covers that index.
     """
 
     def __init__(self, term: int) -> None:
--- a/zincladder/consensus/raft.py
+++ b/zincladder/consensus/raft.py
@@ -2,8 +2,8 @@
 
 The host passes in messages and the time, and collects an Output with `take_output`. It writes the Output's
 records to disk before it sends the messages, so that no vote or acknowledgement is lost if the process is
-killed at any instruction. Messages may be lost, duplicated and reordered. The time is that of any monotonic
-clock of the process: it decides only how soon a failed leader is noticed; safety does not depend on it.
+killed at any instruction. Messages may be lost, duplicated and reordered. The time may come from any
+monotonic clock of the process: it affects only how soon a failed leader is detected, not safety.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class RaftNode:
-    """One member of the group. Passes messages and the time to the parts of Raft, collects their output."""
+    """One member of the group. Passes messages and time to the parts of Raft and collects their output."""
 
     def __init__(
         self, name: str, stored: StoredState, now: float, seed: int, timing: RaftTiming | None = None
@@ -68,12 +68,12 @@
 
     @property
     def term(self) -> int:
-        """The latest term that this node knows."""
+        """The current term of this node."""
         return self._state.term
 
     @property
     def role(self) -> Role:
-        """The role of this node in that term."""
+        """The role of this node in its current term."""
         return self._state.role
 
     @property
@@ -98,7 +98,7 @@
 
     @property
     def membership(self) -> Membership:
-        """The current members, whether their log entry is committed or not."""
+        """The current members: those of the latest membership entry, committed or not."""
         return self._state.membership
 
     @property
@@ -132,7 +132,7 @@
             if now - peer.last_contact_at < timing.election_timeout_seconds
         }
         if not self._state.is_quorum(reachable | {self.name}):
-            # The others may have elected a new leader meanwhile. Callers must not wait on this one.
+            # The others may have elected a new leader meanwhile, so callers must not wait for this one.
             self._become_follower(self.term, "", now)
             return
         self._state.next_heartbeat_at = now + timing.heartbeat_seconds
@@ -189,7 +189,7 @@
         self._handle(message, sender, now)
 
     def _reject_old_term(self, message: Message, sender: str) -> None:
-        """Tells the sender of an old term's request the current term. Drops responses of old terms."""
+        """Answers a request of an old term with the current term. Drops other messages of old terms."""
         if isinstance(message, RequestVote):
             self._state.send(sender, RequestVoteResponse(self.term, False, message.pre_vote))
         elif isinstance(message, AppendEntries | InstallSnapshot):
@@ -249,8 +249,8 @@
     def propose(self, data: bytes) -> tuple[int, int]:
         """Appends an entry and returns its index and term.
 
-        The entry was committed if the entry that is applied at this index has this term. Raises
-        NotLeaderError or BusyError if it is not appended. Once appended, only the log shows its outcome.
+        Raises NotLeaderError or BusyError if the entry is not appended. Once an entry is applied at this
+        index, its term shows the outcome: the appended entry was committed if the terms are equal.
         """
         self._check_accepts()
         if self.log.last_index - self.commit_index >= MAX_UNCOMMITTED_ENTRIES:
@@ -260,7 +260,7 @@
     def change_membership(self, membership: Membership) -> tuple[int, int]:
         """Appends a membership entry that adds or removes one voter at most, or changes learners.
 
-        Returns and raises as `propose`.
+        Returns the index and term of the entry, and raises the errors of `propose`.
         """
         self._check_accepts()
         index = self._changes.request(membership)
@@ -290,7 +290,7 @@
         if self.log.snapshot_index < index <= self._applied_index:
             self.log.compact(index, state)
             self._snapshot_to_store = self.log.snapshot
-            # The entries after the snapshot are written again, because it begins a new file.
+            # The entries after the snapshot are written again, because storing a snapshot begins a new file.
             self.log.stored_index = index
 
     def take_output(self) -> Output:
--- a/zincladder/consensus/raft_state.py
+++ b/zincladder/consensus/raft_state.py
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class PeerProgress:
-    """What a leader knows of another member."""
+    """The replication progress of another member, as recorded by the leader."""
 
     next_index: int
     last_contact_at: float  # when the latest response arrived
@@ -69,7 +69,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node believes that it leads; another node may have been elected since."""
+        """Whether this node leads in its current term; a later term may have another leader."""
         return self.role is Role.LEADER
 
     @property
--- a/zincladder/consensus/read_index.py
+++ b/zincladder/consensus/read_index.py
@@ -53,7 +53,7 @@
         self._needs_broadcast = True
 
     def confirm(self) -> None:
-        """Moves the reads that a majority has confirmed to the ready ones.
+        """Marks each read as ready once a majority has confirmed the leadership after its request.
 
         A leader that was replaced while it was paused gets no such confirmation, so it answers no stale read.
         """
--- a/zincladder/consensus/rpc.py
+++ b/zincladder/consensus/rpc.py
@@ -12,13 +12,13 @@
 
 
 class GetByPrefix(msgspec.Struct, frozen=True, array_like=True, tag="get"):
-    """Asks for all values whose keys begin with `prefix`, no older than the request."""
+    """Asks for all values whose keys begin with `prefix`, as they are at the time of the request or later."""
 
     prefix: str
 
 
 class ChangeMembership(msgspec.Struct, frozen=True, array_like=True, tag="change"):
-    """Adds a member, given by its name and address, or removes the named one."""
+    """Adds the members in `add` (addresses by name) as learners, and removes the member `remove`, if any."""
 
     add: dict[str, str] = {}
     remove: str = ""
@@ -117,7 +117,7 @@
 
 
 class Done(msgspec.Struct, frozen=True, array_like=True, tag="done"):
-    """The request was done."""
+    """The request was done; for TransferLeadership, the transfer was started."""
 
 
 ResponseBody = (
--- a/zincladder/consensus/rpc_service.py
+++ b/zincladder/consensus/rpc_service.py
@@ -1,4 +1,4 @@
-"""Answers the requests of a group's clients: fronts, workers and operators' commands. Uses anyio."""
+"""Answers the requests of a group's clients: operators' commands and processes that run tasks. Uses anyio."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether the replica believes that it leads."""
+        """Whether the replica leads in its current term; a later term may have another leader."""
 
     def status(self) -> rpc.ReplicaStatus:
         """Returns the replica's view of the group."""
@@ -39,7 +39,7 @@
         """Appends the swap and returns its result once it is committed and applied."""
 
     async def change_membership(self, change: rpc.ChangeMembership) -> None:
-        """Appends the membership change and returns once it is committed."""
+        """Appends the membership change and returns once an entry is applied at its index."""
 
     def start_leadership_transfer(self) -> None:
         """Starts a leadership transfer and returns at once."""
@@ -59,7 +59,7 @@
             await link.send(rpc.RpcResponse(request.number, response))
 
     async def respond(self, body: rpc.RequestBody) -> rpc.ResponseBody:
-        """Handles one request. Errors of the replica become responses."""
+        """Handles one request. Turns the errors that the replica raises into responses."""
         try:
             return await self._respond(body)
         except NotLeaderError:
--- a/zincladder/consensus/server.py
+++ b/zincladder/consensus/server.py
@@ -30,7 +30,7 @@
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 MAX_LINKS = 4096  # up to 2,048 fronts with one link each, and a second one during an upgrade
-OPERATOR_ROLE = "operator"  # the role in the Hello of an operator's command
+OPERATOR_ROLE = "operator"  # the role in the Hello of a consensus Client
 log = structlog.get_logger()
 
 
@@ -38,7 +38,7 @@
     """Runs one replica.
 
     `run` raises JournalError once the directory can't be written: without durable storage the replica may not
-    vote. Services that run on the group register their callbacks in the public lists.
+    vote. The services of the leader register their callbacks in the public attributes.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
     async def _run_once(self, tasks: anyio.abc.TaskGroup) -> None:
         """Writes, sends and applies one output of the node, then waits until there is more to do.
 
-        The order ensures that everything this replica tells others is on its disk.
+        The order ensures that a message is sent only after the state behind it is on this replica's disk.
         """
         self._wakeup = wakeup = anyio.Event()
         self.node.tick(self._clock())
@@ -107,7 +107,7 @@
         await self._disk.write(output)
         for to, message in output.messages:
             self._peers.send(to, message)
-        self._peers.dial(self.node.membership, tasks)  # a membership entry counts before it is committed
+        self._peers.dial(self.node.membership, tasks)  # a membership entry takes effect before its commit
         await self._apply(output)
         self._log_role()
         for listener in self.state_listeners:
@@ -191,7 +191,7 @@
                     reason=reason,
                     peer=hello.name[:40] if hello else "",
                 )
-        except Exception:  # an error in one connection must not stop the replica, which has a vote
+        except Exception:  # an error in one connection must not stop a voting replica
             log.exception("connection handler failed")
         finally:
             self._open_links -= 1
@@ -210,7 +210,7 @@
     async def compare_and_swap(self, swap: CompareAndSwap) -> CompareAndSwapResult:
         """Appends the swap and returns its result once it is committed and applied.
 
-        Raises NotLeaderError or BusyError if nothing was done, CommitUnknownError if it may be done.
+        Raises NotLeaderError or BusyError if nothing was done, CommitUnknownError if it may have been done.
         """
         index, term = self.node.propose(msgspec.msgpack.encode(swap))
         result = await self._await_commit(index, term)
@@ -242,7 +242,11 @@
             raise NotLeaderError(self.node.leader)
 
     async def change_membership(self, change: rpc.ChangeMembership) -> None:
-        """Adds learners or removes a member. Raises as `compare_and_swap`."""
+        """Adds learners or removes a member, and returns once an entry is applied at the change's index.
+
+        Raises NotLeaderError or BusyError if nothing was done, CommitUnknownError after a timeout. Does not
+        raise if another leader's entry took the index.
+        """
         await self.confirm_leadership()  # a new leader rejects membership changes until its first commit
         members = self.node.membership
         for name, address in change.add.items():
@@ -283,7 +287,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica believes that it leads; another one may have been elected since."""
+        """Whether this replica leads in its current term; a later term may have another leader."""
         return self.node.role is Role.LEADER
 
     def start_leadership_transfer(self) -> None:
--- a/zincladder/consensus/snapshot_transfer.py
+++ b/zincladder/consensus/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Sends snapshots in chunks to members whose next entries the leader has compacted away. No I/O."""
+"""Transfers snapshots in chunks to members that lack entries the leader has already compacted. No I/O."""
 
 from __future__ import annotations
 
--- a/zincladder/consensus/store.py
+++ b/zincladder/consensus/store.py
@@ -19,7 +19,7 @@
 VERSION = 1
 INSTANCE_ID_BYTES = 8
 MIN_COMPACTION_BYTES = 1 << 20
-COMPACTION_FACTOR = 4  # a journal more than this many times the size of the snapshot's state is rewritten
+COMPACTION_FACTOR = 4  # the journal is rewritten once it exceeds this many times the snapshot's state
 
 
 class RecordKind(enum.IntEnum):
@@ -33,7 +33,7 @@
 
 
 class ReplicaIdentity(msgspec.Struct, frozen=True, array_like=True):
-    """The replica that a directory belongs to. `instance_id` is a random number that is unique to it."""
+    """The replica that a directory belongs to. `instance_id` is a random id of the directory."""
 
     version: int
     group: str
@@ -86,7 +86,7 @@
         return StoredState(self._hard_state, self._snapshot, tuple(self._entries))
 
     def _read_identity(self, group: str, name: str) -> ReplicaIdentity:
-        """Returns the identity of the directory, and creates it in a new directory.
+        """Returns the identity of the directory; writes a new one first if the directory is empty.
 
         Raises JournalError for the directory of another replica, whose votes and entries are not this one's.
         """
@@ -173,7 +173,7 @@
         self._journal.rewrite([Item(RecordKind.IDENTITY, encode(self.identity)), *self._state_items()])
 
     def remember_peer(self, name: str, instance_id: str) -> bool:
-        """Returns whether `instance_id` is the one known for this member; remembers it if none is known."""
+        """Returns whether `instance_id` is the one recorded for this member; records it if there is none."""
         known = self.peer_instances.get(name)
         if known is None:
             self.peer_instances[name] = instance_id
@@ -182,7 +182,7 @@
         return known == instance_id
 
     def forget_peer(self, name: str) -> None:
-        """Forgets the directory of a removed member, so that its name can be used with another directory."""
+        """Deletes a removed member's instance id, so that its name can be used with another directory."""
         if self.peer_instances.pop(name, None) is not None:
             self._append_peer_instances()
 
--- a/zincladder/durable/errors.py
+++ b/zincladder/durable/errors.py
@@ -4,4 +4,4 @@
 
 
 class JournalError(Exception):
-    """A journal's folder can't be used, or its data can't be trusted. The text gives path and reason."""
+    """A journal can't be read or written, or its data is corrupt. The text gives the path and the reason."""
--- a/zincladder/durable/journal.py
+++ b/zincladder/durable/journal.py
@@ -1,8 +1,8 @@
 """A journal: an ordered list of records of several kinds, written and synced to disk in batches.
 
-The journal is a single file: `00000000000000000001.log`, then the next number after each rewrite. `rewrite`
-writes the records that are still needed to a file with a temporary name, syncs it and renames it to the next
-number. If the process is killed at any instruction, either the old or the new file is complete.
+The journal is a single file, named by a number: `00000000000000000001.log` at first. `rewrite` writes the
+records that are still needed to a file with a temporary name, syncs it and renames it to the next number. If
+the process is killed at any instruction, either the old or the new file is complete.
 
 Steps of `append`: write, sync, return. Steps of `rewrite`: write, sync, rename, sync the folder, remove the
 older file, return.
@@ -131,7 +131,7 @@
     def append(self, items: Iterable[Item]) -> None:
         """Appends the records as one batch and returns once it is synced to disk.
 
-        Raises JournalError if that fails, and from then on for each call.
+        Raises JournalError if that fails. The journal is then closed, and every later call raises it too.
         """
         with self._closing_on_failure():
             data = self._pack_batch(items)
@@ -142,7 +142,7 @@
             self.size_bytes += len(data)
 
     def rewrite(self, items: Iterable[Item]) -> None:
-        """Replaces all records written before by these, atomically."""
+        """Replaces all records of the journal by these, atomically."""
         with self._closing_on_failure():
             if self._lock_descriptor < 0:
                 raise JournalError(f"{self._folder}: the journal is closed")
--- a/zincladder/durable/records.py
+++ b/zincladder/durable/records.py
@@ -5,9 +5,9 @@
     cursor  = two slots of generation:8 acknowledged:8 crc:4, written alternately
 
 All integers are unsigned and little-endian; sizes are in bytes. Record numbers increase by one. The magic
-says whether the segment belongs to a spool, where a stamp is a time in Unix milliseconds, or to a journal,
-where it holds the batch number and the kind. Readers stop at the first incomplete record: after a crash, that
-is the one that was being written.
+distinguishes the segments of a spool, where a stamp is a time in Unix milliseconds, from those of a journal,
+where it holds the batch number and the kind. Readers stop at the first incomplete record: after a crash,
+that is the one that was being written.
 """
 
 from __future__ import annotations
--- a/zincladder/leases/client.py
+++ b/zincladder/leases/client.py
@@ -32,7 +32,7 @@
         """Makes the decisions that are due at this time."""
 
     def link_changed(self, up: bool, now: float) -> None:
-        """Called when the link is established, and when it is lost with all messages in transit."""
+        """Called when the link is established, and when it is lost; messages in transit are then lost too."""
 
     def message_received(self, message: Any, now: float) -> None:
         """Handles a message of the leader."""
@@ -75,7 +75,7 @@
     # Called by LeaderLink -------------------------------------------------------------------------
 
     def link_changed(self, up: bool) -> None:
-        """Called when the link is established, and when it is lost with all messages in transit."""
+        """Called when the link is established, and when it is lost; messages in transit are then lost too."""
         self.participant.link_changed(up, self.clock())
         self.carry_out()
         self.wake()
@@ -108,7 +108,7 @@
                 await wakeup.wait()
 
     async def end(self, timeout_seconds: float) -> None:
-        """Releases every lease, and waits up to `timeout_seconds` until the sending task has the messages.
+        """Releases every lease, and waits up to `timeout_seconds` until the queue of messages is empty.
 
         The process may exit right after this.
         """
--- a/zincladder/leases/renewals.py
+++ b/zincladder/leases/renewals.py
@@ -9,8 +9,9 @@
 class RenewalSchedule:
     """The renewal requests of one process.
 
-    A lease is valid from the time of its request. Counted from the response, it would last longer than the
-    leader waits, and two processes could rely on leases that exclude each other.
+    The duration of a lease counts from its request. If it counted from the response, a process could rely on
+    its lease after the leader's wait for its expiry, and two processes could rely on leases that exclude each
+    other.
     """
 
     def __init__(self, now: float) -> None:
--- a/zincladder/links/connection.py
+++ b/zincladder/links/connection.py
@@ -79,7 +79,8 @@
 async def connect(address: Address, hello: Hello) -> tuple[Link, Welcome]:
     """Connects to a replica, and returns the link and the replica's Welcome.
 
-    Raises HandshakeRejectedError if the replica rejects the connection, else CONNECTION_ERRORS or FrameError.
+    Raises HandshakeRejectedError if the replica rejects the connection, and one of CONNECTION_ERRORS
+    or FrameError if the connection or the handshake fails.
     """
     with anyio.fail_after(IO_TIMEOUT_SECONDS):
         link = Link(await anyio.connect_tcp(*address))
--- a/zincladder/links/leader_link.py
+++ b/zincladder/links/leader_link.py
@@ -20,10 +20,10 @@
 
 
 class LeaderLinkHandler(Protocol):
-    """Receives what happens on the link."""
+    """Handles the events of a link."""
 
     def link_changed(self, up: bool) -> None:
-        """Called when the link is established, and when it is lost with all messages in transit."""
+        """Called when the link is established, and when it is lost; messages in transit are then lost too."""
 
     def message_received(self, message: Any) -> str | None:
         """Handles a message of the replica.
@@ -79,7 +79,7 @@
     async def _try_replica(self, name: str, backoff: ReconnectBackoff) -> str:
         """Connects to a replica and serves the link until it ends.
 
-        Returns the name of the leader if the replica has named another one, else "".
+        Returns the name of the leader if the replica replies that it does not lead; "" if it gives none.
         """
         leader = ""
         try:
@@ -108,7 +108,8 @@
                 tasks.start_soon(self.send_queue.send_to, link)
                 leader = None
                 while leader is None:
-                    # A paused leader or a network that drops all packets does not close the connection.
+                    # The timeout is needed because the connection stays open if the leader is paused or the
+                    # network drops all packets.
                     with anyio.fail_after(self._handler.silence_timeout_seconds()):
                         message = await link.receive(self._messages)
                     leader = self._handler.message_received(message)
