--- a/zincladder/cli/__init__.py
+++ b/zincladder/cli/__init__.py
@@ -47,9 +47,9 @@
 
 
 def _all_valid(files: tuple[Path, ...]) -> bool:
-    """Prints the faults of each file; returns whether there are none.
+    """Prints each file's faults, or that it is good. Returns whether no file has a fault.
 
-    Operator's files come last, because they refer to the request classes of a front's configuration.
+    Operator's files are read last, because they refer to the request classes of a front's configuration.
     """
     from zincladder.config import ConfigError, Names, read_operator
     from zincladder.config.check import config_faults, operator_faults
--- a/zincladder/cli/admission.py
+++ b/zincladder/cli/admission.py
@@ -29,7 +29,7 @@
     name = "time"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> float:
-        """Returns the seconds of a text. A float is a default value, and is returned as it is."""
+        """Returns the seconds of a duration. A float is a default value, and is returned as it is."""
         if isinstance(value, float):
             return value
         match = DURATION.fullmatch(str(value))
@@ -127,7 +127,7 @@
 )
 @click.pass_obj
 def block(path: str | None, network: str, seconds: float | None) -> None:
-    """Reject connections of a NETWORK and close those it has, each after its open requests are answered."""
+    """Reject new connections of a NETWORK, and close its open ones once their requests are answered."""
     fields = {} if seconds is None else {"seconds": seconds}
     result: BlockResult = send_command(socket_path(path), "admission.block", network=network, **fields)
     click.echo(f"{network} is blocked, {result['ended']} idle connections ended")
@@ -146,6 +146,6 @@
 @click.argument("network")
 @click.pass_obj
 def trust(path: str | None, network: str) -> None:
-    """Treat a NETWORK until the front stops as if the operator's file listed it as known."""
+    """Until the front stops, treat a NETWORK as if the operator's file listed it as known."""
     send_command(socket_path(path), "admission.trust", network=network)
     click.echo(f"{network} is trusted")
--- a/zincladder/cli/client.py
+++ b/zincladder/cli/client.py
@@ -13,9 +13,9 @@
 
 
 def socket_path(given: str | None) -> str:
-    """Returns the path of the control socket: the given one, else that of ZINCLADDER_OPERATOR's file.
+    """Returns the path of the control socket: `given`, or the one in the file ZINCLADDER_OPERATOR names.
 
-    Raises click.ClickException if neither names a socket.
+    Raises click.ClickException if no path is given and no such file names a socket.
     """
     path = given or _path_in_operators_file()
     if path is None:
--- a/zincladder/cli/group.py
+++ b/zincladder/cli/group.py
@@ -1,4 +1,4 @@
-"""Shared by the commands on a group of replicas: their options, the client, and its errors."""
+"""The options, client and error handling that all commands on a group of replicas use."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 from zincladder.config.replica import ReplicaConfig, parse_replica_config
 
 if TYPE_CHECKING:
-    # Commands import this when they need it, so that the others start without the network libraries it loads.
+    # A command imports the client only when it needs it: the import loads the network libraries, and other
+    # commands start without them.
     from zincladder.consensus.client import Client
 
 CLIENT_NAME = "keepers"  # sent to a replica in the handshake
@@ -23,7 +24,7 @@
 
 
 def read_replica_config(path: Path) -> ReplicaConfig:
-    """Reads a replica's configuration file. Raises click.ClickException, which names the fault."""
+    """Reads a replica's configuration file. Raises click.ClickException if it can't be read or is invalid."""
     try:
         return parse_replica_config(tomllib.loads(path.read_text()))
     except (OSError, ValueError, ConfigError) as error:
@@ -71,8 +72,8 @@
 def run_call(call: Callable[[], Awaitable[T]]) -> T:
     """Runs an async call and returns its result.
 
-    Raises click.ClickException. Its text says whether the request had no effect, or whether its outcome is
-    unknown.
+    Raises click.ClickException if the call fails. Its text distinguishes a request that had no effect from
+    one whose outcome is unknown.
     """
     import anyio
 
--- a/zincladder/cli/policy.py
+++ b/zincladder/cli/policy.py
@@ -132,7 +132,7 @@
 
 
 def _without_leases(view: dict[str, Any]) -> dict[str, Any]:
-    """Returns the leader's view without the remaining lease times: their change is not a step to print."""
+    """Returns the leader's view without the remaining lease times, which alone do not make a new step."""
     return view | {"fronts": {name: front["state"] for name, front in view.get("fronts", {}).items()}}
 
 
--- a/zincladder/cli/policy_client.py
+++ b/zincladder/cli/policy_client.py
@@ -1,4 +1,4 @@
-"""The requests of the policy commands to a group: reads the change log, and proposes and follows changes."""
+"""The requests that the policy commands send to a group: to read the change log and propose changes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def read_policy_file(file: Path) -> dict[str, Any]:
-    """Reads a policy in JSON or TOML. Raises click.ClickException, which names the fault."""
+    """Reads a policy in JSON or TOML. Raises click.ClickException if it can't be read or is invalid."""
     from zincladder.config import ConfigError
     from zincladder.policy.document import parse_policy
 
@@ -33,7 +33,7 @@
 
 
 def read_change_log(group: Group) -> ChangeLog:
-    """Reads the policy's record, without the documents.
+    """Reads the policy's record. The result holds no documents and no expected fronts.
 
     Documents are fetched one by one, because all of them together may be too large for one message.
     """
--- a/zincladder/cli/replica.py
+++ b/zincladder/cli/replica.py
@@ -15,10 +15,10 @@
 from zincladder.config.replica import LeaseTable, ReplicaConfig
 
 if TYPE_CHECKING:
-    # The command imports this when it runs, so that others start without the network libraries it loads.
+    # The command imports this when it runs, so that other commands start without the consensus package.
     from zincladder.consensus.lease_timing import LeaseTiming
 
-TRANSFER_TIMEOUT_SECONDS = 2.0  # for another replica to become leader at a graceful shutdown
+TRANSFER_TIMEOUT_SECONDS = 2.0  # longest wait for another leader at a graceful shutdown
 
 
 @click.command()
--- a/zincladder/cli/replicas.py
+++ b/zincladder/cli/replicas.py
@@ -12,7 +12,8 @@
 from zincladder.cli.group import Group, group_client, group_options, run_call
 
 if TYPE_CHECKING:
-    # Commands import this when they need it, so that the others start without the network libraries it loads.
+    # A command imports these only when it needs them, so that other commands start without loading rich
+    # and the consensus package.
     from rich.table import Table
 
     from zincladder.consensus import rpc
@@ -52,7 +53,7 @@
 @group_options
 @click.pass_context
 def replicas(context: click.Context, group: Group) -> None:
-    """Show the replicas of a fleet's state, and change which of them belong to the group."""
+    """Show the replicas that store a fleet's state, and change which of them belong to the group."""
     context.obj = group
 
 
@@ -125,7 +126,7 @@
 
 
 def _notes(name: str, leader: rpc.ReplicaStatus) -> list[str]:
-    """Returns the conditions of a replica that the leader reports and an operator should see."""
+    """Returns what an operator should see about a replica, taken from the leader's status."""
     notes: list[str] = []
     if name not in leader.voters | leader.learners:
         notes.append("no member")
--- a/zincladder/cli/tasks.py
+++ b/zincladder/cli/tasks.py
@@ -25,11 +25,11 @@
 
 @dataclass(frozen=True)
 class StoredTasks:
-    """The leader's view of the tasks, and their stored assignments and checkpoints by the task's name."""
+    """The leader's view of the tasks, and by task name the stored assignments and sizes of checkpoints."""
 
     leader_view: dict[str, Any]
-    assignments: dict[str, tuple[Any, int]]  # with the version of its register, the fencing token
-    checkpoint_sizes: dict[str, int]  # in bytes, by task
+    assignments: dict[str, tuple[Any, int]]  # each with its fencing token
+    checkpoint_sizes: dict[str, int]  # bytes
 
 
 def _read_tasks(group: Group) -> StoredTasks:
@@ -87,7 +87,7 @@
         }
 
     def note(self) -> str:
-        """Returns why no process runs the task, or that its holder has lost its link; "" if neither is so."""
+        """Returns why the task has no holder, or that its holder has no link; "" if a linked one holds it."""
         if self.lease_holder and not self.holder_linked:
             return "its holder has no link to the leader"
         return "paused" if self.paused else self.vacancy_reason
@@ -150,8 +150,8 @@
 def _vacate(group: Group, task: str, **changes: Any) -> None:
     """Stores a task without a lease holder, and with the given changes to its assignment.
 
-    The leader then asks the former holder to stop, and waits until it has. Raises click.ClickException if the
-    task does not exist or was changed meanwhile.
+    The leader then revokes the former holder's lease, and does not assign the task before that lease has been
+    released or has expired. Raises click.ClickException if the task does not exist or was changed meanwhile.
     """
     import msgspec
 
--- a/zincladder/policy/change_log.py
+++ b/zincladder/policy/change_log.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeLog:
-    """All stored values of the policy at one point of the log."""
+    """The stored values of the policy, as of one entry of the replicated log."""
 
     record: PolicyRecord
     record_version: int  # version of the value of POLICY_KEY; 0 if there is none
@@ -78,8 +78,8 @@
 def write_document(content: bytes) -> CompareAndSwap:
     """Returns the write that stores a document.
 
-    A version mismatch counts as success, because the key then holds the same content already. Raises
-    InvalidPolicyError if the document is too large for a value.
+    If that write fails with a version mismatch, the key holds the same content already, so the caller may
+    continue. Raises InvalidPolicyError if the document is too large for a value.
     """
     if len(content) > MAX_VALUE_BYTES:
         raise InvalidPolicyError(f"the policy has {len(content)} bytes; the limit is {MAX_VALUE_BYTES}")
@@ -87,15 +87,15 @@
 
 
 def write_expected_front(front: str) -> CompareAndSwap:
-    """Returns the write that makes a front an expected one: changes count it even if it is not connected."""
+    """Returns the write that marks a front as expected, so that it counts even while it is not connected."""
     return CompareAndSwap(EXPECTED_FRONT_PREFIX + front, 0, b"")
 
 
 def delete_unreferenced(change_log: ChangeLog) -> list[CompareAndSwap]:
     """Returns the writes that delete the documents which the record no longer needs.
 
-    Needed are the document in force and those of the latest log entries, up to MAX_RETAINED_DOCUMENT_BYTES.
-    While a change is open nothing is deleted.
+    It needs the document in force, and those of the latest log entries up to MAX_RETAINED_DOCUMENT_BYTES in
+    total. While a change is open, nothing is deleted.
     """
     record = change_log.record
     if record.open_change is not None:
--- a/zincladder/policy/change_states.py
+++ b/zincladder/policy/change_states.py
@@ -28,8 +28,8 @@
 ) -> PolicyRecord:
     """Returns the record with a new open change that is based on `base_version`; `now` is Unix time.
 
-    Raises ChangeRejectedError if another change is open, or if `base_version` is no longer in force: an
-    operator learns of the other change instead of overwriting it. The version number of a withdrawn change
+    Raises ChangeRejectedError if another change is open, or if `base_version` is no longer in force, so that
+    an operator does not overwrite a change without having seen it. The version number of a withdrawn change
     is never used again.
     """
     change = record.open_change
@@ -58,7 +58,7 @@
 
 
 def retreat(record: PolicyRecord, change: PolicyChange) -> PolicyRecord:
-    """REVOKING -> DECIDED. Leases on the old version are granted again for now."""
+    """REVOKING -> DECIDED. Leases on the old version are granted again until the next attempt."""
     return _with_phase(record, change, ChangePhase.DECIDED)
 
 
--- a/zincladder/policy/coordinator.py
+++ b/zincladder/policy/coordinator.py
@@ -1,13 +1,13 @@
 """The leader's part in a policy change: grants leases on the version in force and runs the change. No I/O.
 
 The policy record holds what a new leader needs, and is replaced by compare and swap. It does not hold the
-leases: a new leader waits until all that its predecessor may have granted have expired. Before the host
-passes on a message, a majority confirms that this replica still leads; so no lease starts after the election
-of a successor.
+leases: a new leader waits until all leases that its predecessor may have granted have expired. The host
+passes a front's message to the coordinator only after a majority has confirmed that this replica still leads,
+so no lease starts after the election of a successor.
 
 `ChangePhase` describes the states of a change. While a change is DECIDED the coordinator waits for the leases
-of silent fronts to expire, and all other fronts keep serving under the old version. So clients are rejected
-only for the time of one message to each front, its answer, and one write of the record.
+of silent fronts to expire, and all other fronts keep serving under the old version. Therefore requests are
+usually rejected only while each front is sent one message and answers it, and the record is written once.
 """
 
 from __future__ import annotations
@@ -69,8 +69,9 @@
         self.leases = GrantedLeases(now + lease_timing.expiry_seconds)
         self._documents: dict[str, bytes] = {}
         self._objections: list[tuple[int, str]] = []  # a version, and why a front can't serve under it
-        self._decided_version, self._decided_at = 0, now  # when this leader first saw it DECIDED
-        self.phase_entered_at = now  # when this leader first saw the present phase
+        # The version of the latest decided change, and when this leader first read that it is decided.
+        self._decided_version, self._decided_at = 0, now
+        self.phase_entered_at = now  # when the present phase was first read
         self._write_pending = False
         self._actions = CoordinatorActions()
 
@@ -82,9 +83,9 @@
         return tuple(sorted(self.expected_fronts - {front.name for front in self.fronts.values()}))
 
     def blocked_by(self, now: float) -> tuple[str, ...]:
-        """Returns the fronts that may still serve under the version in force and can't be asked to stop.
+        """Returns the fronts that may still serve under the version in force and that messages may not reach.
 
-        As long as leases of an earlier leader may be valid, the first item stands for their unknown holders.
+        While leases of an earlier leader may be valid, the first item stands for their unknown holders.
         """
         linked = {front.identity: front for front in self.fronts.values()}
         blocking = []
@@ -122,9 +123,9 @@
     def _deferral_is_over(self, now: float) -> bool:
         """Whether a decided change has waited long enough for a moment in which no front is silent.
 
-        In a fleet where some front is always down that moment may never come. Once the wait is over, the
-        leases of all fronts are revoked, and the fleet rejects requests until the last lease has expired:
-        once, and for one lease at most.
+        In a fleet where some front is always down, there may be no such moment. Once the wait is over, the
+        leases of all fronts are revoked, and the fleet rejects requests until the last lease has been
+        released or has expired. That happens once for a change and lasts for one lease at most.
         """
         return now >= self._decided_at + self.lease_timing.max_deferral_seconds
 
@@ -181,7 +182,7 @@
         self._advance(now)
 
     def message_received(self, number: int, message: FromParticipant, now: float) -> None:
-        """Handles a front's message. A majority has confirmed since its arrival that this replica leads."""
+        """Handles a front's message. Since it arrived, a majority has confirmed that this replica leads."""
         front = self.fronts.get(number)
         if front is None:
             return
@@ -207,7 +208,7 @@
         front.deferred_renewal = request
         self._grant(number, front, now)
         if front.deferred_renewal is request:
-            # Without any reply the front would take this replica for dead and connect to another one.
+            # Without any reply the front would give up this replica and connect to another one.
             self._send(number, RenewalDeferred(request.serial))
 
     def _validated(self, front: LinkedFront, validation: DocumentValidated) -> None:
@@ -258,7 +259,7 @@
                 self._revoke(change, now)
 
     def _validate(self, change: PolicyChange, now: float) -> None:
-        """Decides the change once enough fronts agree; withdraws it if one objects or too few answer."""
+        """Decides the change if no front objects and enough agree; otherwise withdraws it."""
         content = self._documents.get(change.document)
         if content is None:
             self._withdraw(change, ["the document is not there"])
@@ -292,7 +293,10 @@
         self._write(change_states.withdraw(self.record, change, reasons, absent))
 
     def _revoke(self, change: PolicyChange, now: float) -> None:
-        """Activates the change once no lease is valid; returns to DECIDED if one is not released in time."""
+        """Activates the change once no lease is valid.
+
+        Returns it to DECIDED if a lease is not released in time, unless the deferral is over.
+        """
         for number, front in self.fronts.items():
             if front.release_requested_version != change.version:
                 front.release_requested_version = change.version
--- a/zincladder/policy/document.py
+++ b/zincladder/policy/document.py
@@ -1,8 +1,8 @@
 """The content of a policy, and how it overrides a front's own configuration files. No I/O.
 
 A policy is a JSON object. The keys of its `settings` override the settings in each front's platform file, and
-those of its `operator` override the operator's file. Of the latter a policy can hold only tables that SIGHUP
-reloads. It can't hold what differs between fronts: their addresses, limits and zones.
+those of its `operator` override the operator's file. The `operator` part can hold only tables that SIGHUP
+reloads. A policy can't hold what differs between fronts: their addresses, limits and zones.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def parse_policy(content: bytes) -> dict[str, Any]:
-    """Parses a document. Raises ConfigError, which names the key that can't be part of a policy."""
+    """Parses a document. Raises ConfigError if it is no policy; the text names the key at fault."""
     try:
         policy = json.loads(content)
     except (ValueError, RecursionError) as error:
@@ -59,7 +59,7 @@
 
 
 def leaves(value: Any, path: str = "") -> Iterator[tuple[str, Any]]:
-    """Yields each value that is not an object with its dotted path; a list is one value."""
+    """Yields each value other than an object, with its dotted path. A list counts as one value."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from leaves(inner, f"{path}.{key}" if path else str(key))
@@ -68,7 +68,7 @@
 
 
 def merged(own: dict[str, Any], policy: dict[str, Any]) -> dict[str, Any]:
-    """Returns a copy of `own` with the values of the policy in place of its own."""
+    """Returns a copy of `own` in which the values that the policy sets replace the original ones."""
     result = copy.deepcopy(own)
     for key, value in policy.items():
         if isinstance(value, dict) and isinstance(result.get(key), dict):
@@ -100,9 +100,9 @@
 def validation_reasons(
     files: FrontFiles, content: bytes, current: Config, has_admission: bool
 ) -> tuple[str, ...]:
-    """Returns the reasons why this front can't serve under a document; none if it can.
+    """Returns the reasons why this front can't serve under a document; empty if it can.
 
-    `has_admission` tells whether admission by source is enabled, which only a restart changes.
+    `has_admission` is whether admission by source is enabled. Only a restart can change that.
     """
     try:
         policy = parse_policy(content)
--- a/zincladder/policy/granted_leases.py
+++ b/zincladder/policy/granted_leases.py
@@ -15,33 +15,36 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantedLease:
-    """A lease as the leader sees it."""
+    """The leader's record of a lease."""
 
-    expires_at: float  # until then the process may rely on it
-    serial: int  # of the request that it answers
+    expires_at: float  # from then on the process does not rely on it, even if its clock is slow
+    serial: int  # serial of the request that the lease was granted for
 
 
 class GrantedLeases:
     """The processes that may still serve under the version in force.
 
-    No two versions may be served at once. So the next version is activated only after every lease here has
-    been released or has expired, and after those that a former leader may have granted have expired.
+    No two versions may be served at once. Therefore the next version is activated only after every lease
+    recorded here has been released or has expired, and after all leases that a former leader may have granted
+    have expired.
     """
 
     def __init__(self, former_leases_expire_at: float) -> None:
         self.former_leases_expire_at = former_leases_expire_at
         self.by_process: dict[FrontProcess, GrantedLease] = {}
-        self.fenced_off: set[FrontProcess] = set()  # did not release in time: get no lease until they do
+        # Processes that did not release their lease in time. They get no other one until they have released
+        # it or no change is open.
+        self.fenced_off: set[FrontProcess] = set()
 
     def grant(self, holder: FrontProcess, serial: int, expires_at: float) -> None:
         """Records a lease that a process may rely on until `expires_at`."""
         self.by_process[holder] = GrantedLease(expires_at, serial)
 
     def release(self, holder: FrontProcess, serial: int) -> None:
-        """Ends the lease of a process, which ignores all leases that it requested up to `serial`.
+        """Ends the lease of a process. The process ignores all leases that it requested up to `serial`.
 
-        A release that the process sent before it requested its present lease has no effect. It may arrive
-        late, over an older link.
+        A release that the process sent before it requested its present lease has no effect. Such a release
+        may arrive late, over an older link.
         """
         lease = self.by_process.get(holder)
         if (lease.serial if lease else 0) <= serial:
@@ -63,7 +66,7 @@
         self.fenced_off = set(self.by_process)
 
     def remaining_seconds(self, holder: FrontProcess, now: float) -> float:
-        """Returns how many seconds a process may still rely on its lease; 0 if it has none."""
+        """Returns the seconds until the lease of a process expires here; 0 if it has none."""
         lease = self.by_process.get(holder)
         return max(0.0, lease.expires_at - now) if lease else 0.0
 
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -1,4 +1,4 @@
-"""The replicas' side of the policy: runs the change coordinator of the leader, and its writes. On anyio."""
+"""The replicas' side of the policy: runs the leader's change coordinator and its writes. Uses anyio."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from zincladder.policy.linked_fronts import LinkedFront
 from zincladder.policy.model import ChangePhase, FromParticipant
 
-READ_ALL_AGAIN = -1  # as the index that was read last: the coordinator reads the committed state again
+READ_ALL_AGAIN = -1  # value of `read_at` that makes the service pass on the committed state again
 log = structlog.get_logger()
 
 
@@ -40,7 +40,7 @@
         return ChangeCoordinator(self.lease_timing, since, term)
 
     def state_changed(self, term_state: ChangeCoordinator) -> None:
-        """Passes the stored policy to the coordinator, and logs the state of a change when it differs."""
+        """Passes the stored policy to the coordinator, and logs the policy's state if it has changed."""
         stored = change_log.read(self.replica.state.with_prefix(""))
         term_state.record_read(
             stored.record, stored.record_version, stored.expected_fronts, stored.contents, self.clock()
@@ -86,8 +86,8 @@
     def figures(self) -> dict[str, float]:
         """Returns the leader's metrics; empty if this replica doesn't lead.
 
-        `change` is the number of seconds since the open change entered its phase, and `waits` the number of
-        fronts whose leases it can only wait for.
+        `change` is the number of seconds since the open change entered its phase. `waits` is the number of
+        fronts that messages may not reach, so that the change has to wait until their leases expire.
         """
         coordinator, now = self.term_state, self.clock()
         if coordinator is None:
@@ -122,7 +122,7 @@
 
 
 def front_state(coordinator: ChangeCoordinator, front: LinkedFront, now: float) -> str:
-    """Returns the state of a front that `policy status` shows: its part in the open change, or its lease."""
+    """Returns the state of a front for `policy status`: its validation of the open change, or its lease."""
     change = coordinator.record.open_change
     if change is not None and change.phase is ChangePhase.CHECKING:
         if front.validation is None:
--- a/zincladder/policy/lease_client.py
+++ b/zincladder/policy/lease_client.py
@@ -1,4 +1,4 @@
-"""A front's side of the fleet's policy: keeps its lease, and applies the policy to the front. On anyio.
+"""A front's side of the fleet's policy: renews its lease, and applies the policy to the front. Uses anyio.
 
 Imported only if the operator's file has [policy].
 """
@@ -24,7 +24,7 @@
 class PolicyHooks:
     """The functions by which a front validates and applies a document; an empty result means success."""
 
-    validate: Callable[[bytes], tuple[str, ...]]  # returns why the front can't serve under it
+    validate: Callable[[bytes], tuple[str, ...]]  # returns why the front can't serve under the document
     apply: Callable[[bytes], str]  # returns why it failed
 
 
@@ -40,14 +40,14 @@
         participant = ChangeParticipant(clock(), config.serves_when_cut_off)
         super().__init__(participant, config.group, config.replicas, name, clock)
         self._hooks = hooks
-        self.rejected = 0  # requests that came while there was no valid lease
+        self.rejected = 0  # requests rejected because there was no version to serve under
 
     # Queries of the front -------------------------------------------------------------------------
 
     def decisions_paused_for(self) -> float:
         """Returns 0 while this front may serve; else the seconds after which a client may retry.
 
-        In the second case the call counts as a rejected request.
+        If this front may not serve, the call adds one to the number of rejected requests.
         """
         now = self.clock()
         if self.participant.serving_version(now):
@@ -71,8 +71,9 @@
     def figures(self) -> dict[str, float]:
         """Returns the values for STATS and metrics.
 
-        `version` is the one served under (0 for none), `lease` the seconds that are left of the lease, and
-        `refused` the number of requests that were rejected without one.
+        `version` is the version that this front serves under (0 if it may not serve), `lease` the seconds
+        until its lease expires, and `refused` the number of requests that were rejected because there was no
+        version to serve under.
         """
         now = self.clock()
         return {
@@ -91,7 +92,7 @@
             await self.leader.run()
 
     def carry_out(self) -> None:
-        """Carries out the participant's actions, and the further ones that their results lead to."""
+        """Carries out the participant's actions, then those that result from them, until none are left."""
         while True:
             actions = self.participant.take_actions()
             for message in actions.messages:
--- a/zincladder/policy/linked_fronts.py
+++ b/zincladder/policy/linked_fronts.py
@@ -18,7 +18,7 @@
     name: str
     process: str
     renewed_at: float
-    deferred_renewal: RenewPolicyLease | None = None  # latest request, until a lease can be granted
+    deferred_renewal: RenewPolicyLease | None = None  # latest request that no lease was granted for yet
     validation_requested_version: int = 0  # version that it was last asked to validate
     validation: DocumentValidated | None = None
     applied_document: str = ""
@@ -44,10 +44,10 @@
     all_answered: bool  # whether every connected front has answered
 
     def suffices(self, min_share: float) -> bool:
-        """Whether more than this share of the expected fronts agree.
+        """Whether more than this share of the expected fronts agree, or no front is expected.
 
-        Fronts that have not validated a document may turn out unable to serve under it, so a change that most
-        fronts never saw must not be activated.
+        Fronts that have not validated a document may turn out unable to serve under it. So a change must not
+        be activated before enough fronts have validated it.
         """
         return self.agreed > min_share * self.expected or not self.expected
 
@@ -55,7 +55,7 @@
 def count_agreement(fronts: Collection[LinkedFront], expected_fronts: frozenset[str]) -> Agreement:
     """Counts the fronts that agree. A connected front that agrees counts as an expected one.
 
-    The caller has made sure that no front objects.
+    Every front that has answered counts as agreeing: the caller has made sure that none objects.
     """
     agreed = {front.name for front in fronts if front.validation}
     expected = expected_fronts | agreed
--- a/zincladder/policy/model.py
+++ b/zincladder/policy/model.py
@@ -23,11 +23,11 @@
 MAX_ABSENT_NAMES = 100
 MAX_RECORD_BYTES = 200 << 10  # a larger record loses the oldest entries of its change log
 MAX_RETAINED_DOCUMENT_BYTES = 4 << 20  # above it the documents of the oldest log entries are deleted
-MAX_TEXT_LENGTH = 200  # in characters, of an author, a note or a reason
+MAX_TEXT_LENGTH = 200  # characters of an author, a note or a reason
 
 
 def document_id(content: bytes) -> str:
-    """Returns the id of a document, which is a hash of its content: an id never stands for two contents."""
+    """Returns the id of a document, a hash of its content, so that no two contents share an id."""
     return hashlib.sha256(content).hexdigest()[:32]
 
 
@@ -96,7 +96,7 @@
 
 
 class DocumentValidated(msgspec.Struct, frozen=True, array_like=True, tag="checked"):
-    """Tells whether this front can serve under a document."""
+    """Reports whether this front can serve under a document."""
 
     version: int
     document: str
@@ -104,7 +104,7 @@
 
 
 class PolicyLeaseReleased(msgspec.Struct, frozen=True, array_like=True, tag="released"):
-    """Tells that this process has stopped serving and ignores the leases requested up to `serial`."""
+    """Reports that this process has stopped serving and ignores the leases requested up to `serial`."""
 
     version: int
     serial: int
@@ -132,13 +132,13 @@
 
 
 class RenewalDeferred(msgspec.Struct, frozen=True, array_like=True, tag="waits"):
-    """Confirms the request with this serial, which is answered as soon as a lease can be granted."""
+    """Confirms that the request with this serial arrived. The lease is granted as soon as it can be."""
 
     serial: int
 
 
 class ValidateDocument(msgspec.Struct, frozen=True, array_like=True, tag="check"):
-    """Asks a front whether it can serve under a document."""
+    """Requests a validation: the front reports whether it can serve under a document."""
 
     version: int
     document: str
@@ -146,7 +146,7 @@
 
 
 class RevokePolicyLease(msgspec.Struct, frozen=True, array_like=True, tag="release"):
-    """Asks a front to release its lease at once, so that the given version can be activated."""
+    """Requests that a front releases its lease at once, so that the given version can be activated."""
 
     version: int
 
--- a/zincladder/policy/participant.py
+++ b/zincladder/policy/participant.py
@@ -1,8 +1,8 @@
-"""A front's part in the fleet's policy: tells under which version it may serve now. No I/O.
+"""A front's part in the fleet's policy: determines under which version it may serve now. No I/O.
 
 The host passes in the leader's messages, the results of the front's validation, and the time, and carries out
-the actions. Before each decision it calls `serving_version`: if the process was suspended past the expiry of
-its lease, that call shows it, even before any message arrives.
+the actions. Before each decision it calls `serving_version`, which compares the clock with the expiry of the
+lease: so a process that was suspended past the expiry detects it even before any message arrives.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     ValidateDocument,
 )
 
-MAX_CACHED_DOCUMENTS = 4  # beside the one that is applied
+MAX_CACHED_DOCUMENTS = 4  # the oldest are dropped; the one that is applied may be among them
 MIN_RETRY_AFTER_SECONDS = 0.05
 
 
@@ -47,10 +47,10 @@
     def __init__(self, now: float, serves_when_cut_off: bool = False) -> None:
         self._serves_when_cut_off = serves_when_cut_off
         self.renewals = RenewalSchedule(now)
-        self.version = 0  # of the latest lease
+        self.version = 0  # version that the latest lease is for
         self.lease_expires_at = -float("inf")
         self.applied_document = ""  # id of the document that the front has applied
-        self.failed_documents: dict[str, str] = {}  # why a document can't be applied, by id
+        self.failed_documents: dict[str, str] = {}  # why applying the latest document failed, by id
         self.linked = False
         self.released = False  # whether it has released its lease and got no other one since
         self._leased_document = ""  # id of the document that the latest lease is for
@@ -94,7 +94,7 @@
         return self.renewals.next_at if self.linked else float("inf")
 
     def link_changed(self, up: bool, now: float) -> None:
-        """Records that the link to the leader is up, or is down and has lost all messages in transit."""
+        """Records that the link to the leader was opened, or was lost with all messages in transit."""
         self.linked, self.renewals.next_at, self._requested_document = up, now, ""
         self._actions = ParticipantActions(apply=self._actions.apply)
 
@@ -124,7 +124,7 @@
             case DocumentContent(document, content):
                 self._document_arrived(document, content)
             case NotLeaderReply() | RenewalDeferred():
-                pass  # the host handles them: it connects to the leader, or takes it as a sign of life
+                pass  # the host connects to the leader; any message restarts its timeout for silence
 
     def _granted(self, granted: PolicyLeaseGranted, now: float) -> None:
         requested_at = self.renewals.answered(granted.serial)
@@ -176,13 +176,13 @@
     # Results of the host's actions ----------------------------------------------------------------
 
     def validated(self, request: ValidateDocument, reasons: tuple[str, ...]) -> None:
-        """Reports to the leader whether this front can serve under a document; without `reasons` it can."""
+        """Reports to the leader why this front can't serve under a document; empty `reasons` mean it can."""
         self._send(DocumentValidated(request.version, request.document, reasons))
 
     def applied(self, document: str, failure: str = "") -> None:
-        """Records that the front has applied a document, or why it failed.
+        """Records that the front has applied a document, or why that failed.
 
-        After a failure the front serves under no version that has this document.
+        After a failure the front rejects requests as long as its lease is for this document.
         """
         if failure:
             self.failed_documents = {document: failure}
--- a/zincladder/tasks/context.py
+++ b/zincladder/tasks/context.py
@@ -1,4 +1,4 @@
-"""What a running singleton task works with: its fencing token, its checkpoint and the counters. On anyio."""
+"""Gives a running singleton task its fencing token, its checkpoint and the counters. Uses anyio."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class TaskContext:
-    """One run of a task under a lease."""
+    """The argument of a task function, by which one run of the task reads and writes the group's state."""
 
     def __init__(self, host: TaskHost, task: str) -> None:
         self._host, self.task = host, task
@@ -55,7 +55,7 @@
     async def load_checkpoint(self) -> tuple[int, bytes]:
         """Returns the version and the content of the task's checkpoint; (0, b"") if there is none.
 
-        Any lease holder may have stored it. Raises LeaseLostError if the lease is not valid now.
+        An earlier lease holder may have stored it. Raises LeaseLostError if the lease is not valid now.
         """
         self.token()
         key = checkpoint_key(self.task)
@@ -65,8 +65,9 @@
     async def store_checkpoint(self, expected_version: int, data: bytes) -> int:
         """Stores a checkpoint and returns its version.
 
-        Raises LeaseLostError if the lease is not held any more when the group applies the write, and
-        CheckpointTooLargeError.
+        Raises LeaseLostError if the lease is not valid now, if the task's assignment has changed before the
+        group applies the write, or if the stored checkpoint has another version than the expected one. Raises
+        CheckpointTooLargeError if the group can't store the checkpoint.
         """
         swap = write_checkpoint(self.task, self.token(), expected_version, data)
         while True:
@@ -83,8 +84,8 @@
                 case CapacityExceeded(reason):
                     raise CheckpointTooLargeError(reason)
                 case VersionMismatch(version) if version != expected_version:
-                    # An earlier attempt may have succeeded and its reply been lost. Then the stored content
-                    # is the same, as no other process writes under this token.
+                    # An earlier attempt may have succeeded although its reply was lost. Then the stored
+                    # content is the same, as no other process writes under this token.
                     if (await self.load_checkpoint()) == (version, data):
                         return version
                     raise LeaseLostError(self.task)
@@ -92,7 +93,7 @@
             await anyio.sleep(RETRY_SECONDS)
 
     def rejected_by_fence(self, where: str) -> None:
-        """Records that `where` rejected a write because a newer lease holder has written there."""
+        """Records that a write to `where` was rejected because its fencing token is outdated."""
         self._host.fenced += 1
         log.warning("write of a task rejected: fencing token outdated", task=self.task, rejected_by=where)
 
--- a/zincladder/tasks/counter_sums.py
+++ b/zincladder/tasks/counter_sums.py
@@ -1,9 +1,10 @@
-"""Sums up the counters of many processes, so that the sums never fall when processes or leaders end. No I/O.
+"""Sums up the counters of many processes. The totals never fall when a process or a leader ends. No I/O.
 
-A process reports its counters since its start. A leader adds up how much they have grown since the first
-report that it received from each process. What was counted before is in the sums of the former leader, and
-what was counted between the last report to it and the first one to the new leader is lost. So nothing is
-counted twice, and a change of leader or lease holder loses one report interval at most.
+A process reports what it has counted since its start. A leader adds up how much these counters have grown
+since the first report that it received from each process. What was counted before is in the sums of the
+former leader, and what was counted between the last report to that leader and the first one to the new leader
+is lost. So nothing is counted twice, and a change of leader or lease holder loses one report interval at
+most.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 MAX_SERIES = 4096
 MAX_PROCESSES = 4096  # 2,048 fronts, each of which has a second process during an upgrade
 MAX_COUNTERS_PER_PROCESS = 2048
-MAX_NAME_LENGTH = 200  # in characters, of a counter's name
+MAX_NAME_LENGTH = 200  # characters of a counter's name
 MAX_COUNTER_VALUE = 1e18
 
 
@@ -27,7 +28,7 @@
     def __init__(self) -> None:
         self.totals: Counter[str] = Counter()
         self._latest: dict[tuple[str, str], Mapping[str, float]] = {}
-        self.dropped = 0  # number of reported values that did not fit within the limits
+        self.dropped = 0  # values left out because of MAX_COUNTERS_PER_PROCESS or MAX_SERIES
 
     def reported(self, name: str, process: str, counters: Mapping[str, float]) -> None:
         """Adds the growth of the counters of one process since its last report."""
@@ -44,7 +45,7 @@
                 self.totals[series] += max(0.0, growth)  # type: ignore[assignment]  # Counter is typed as int
 
     def _accepted(self, counters: Mapping[str, float]) -> dict[str, float]:
-        """Returns the counters within the limits: a process may report any number of names and any value."""
+        """Returns the counters within the limits. A faulty process could report any names and values."""
         if len(counters) > MAX_COUNTERS_PER_PROCESS:
             self.dropped += len(counters) - MAX_COUNTERS_PER_PROCESS
             counters = dict(list(counters.items())[:MAX_COUNTERS_PER_PROCESS])
@@ -68,7 +69,7 @@
     totals: dict[str, float] = {}
 
     def advanced(self, epoch: str, sums: Mapping[str, float], at: int) -> FleetTotals:
-        """Returns the totals plus the growth of a leader's sums. The sums of a new epoch started at 0."""
+        """Returns the totals plus the growth of a leader's sums. In each epoch the sums start at 0."""
         before = self.seen if epoch == self.epoch else {}
         totals = dict(self.totals)
         for series, value in sums.items():
--- a/zincladder/tasks/host.py
+++ b/zincladder/tasks/host.py
@@ -1,6 +1,6 @@
 """The replicas' side of singleton tasks: runs the lease manager on the leader, and sums up counters.
 
-On anyio.
+Uses anyio.
 """
 
 from __future__ import annotations
@@ -135,14 +135,14 @@
             self.sums.reported(runner.name, runner.process, message.counters)
 
     def link_closed(self, number: int) -> None:
-        """Removes the counters that were reported on a closed link."""
+        """Drops the latest report of the process whose link has closed. The sums are not reduced."""
         if number in self._reporters:
             self.sums.forget(*self._reporters.pop(number))
 
     def collect(self) -> rpc.CollectedCounters:
-        """Returns the sums of this leader's term, which started at 0.
+        """Returns the sums of this leader's term. They were 0 when the term began.
 
-        Raises BusyError while this replica leads no term: the sums of an earlier term would be counted twice.
+        Raises BusyError while there is no term state: the sums of an earlier term would be counted twice.
         """
         if self.term_state is None:
             raise BusyError("this keeper has only just begun to lead")
@@ -155,8 +155,8 @@
     def figures(self) -> dict[str, float]:
         """Returns the leader's metrics; empty if this replica doesn't lead.
 
-        `duties` is the number of assigned tasks, and `orphans` that of tasks without a lease holder which are
-        not paused.
+        `duties` is the number of tasks with a lease holder, and `orphans` the number of tasks that have none
+        and are not paused.
         """
         term_state = self.term_state
         if term_state is None:
--- a/zincladder/tasks/lease_holder.py
+++ b/zincladder/tasks/lease_holder.py
@@ -1,7 +1,7 @@
-"""A process's part: which singleton tasks are assigned to it, and whether it may act on one now. No I/O.
+"""A runner's side of the leases: which tasks are assigned to it, and whether it may act on one now. No I/O.
 
 The host calls `active_token` right before each write of a task, after the last await. A process can be
-suspended for an hour between any two lines, so a token that was read before an await may have expired.
+suspended for an hour between any two lines, so the lease may have expired since an earlier call.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     Revoke,
 )
 
-IDLE_INTERVAL_FACTOR = 5  # a process without an assignment multiplies its renewal interval by this
+IDLE_INTERVAL_FACTOR = 5  # multiplies the renewal interval of a process without an assignment
 
 
 @dataclass(slots=True)
@@ -83,7 +83,7 @@
         return min(self.renewals.next_at if self.linked else float("inf"), *expiries, float("inf"))
 
     def link_changed(self, up: bool, now: float) -> None:
-        """Records that the link to the leader is up, or is down and has lost all messages in transit."""
+        """Records that the link to the leader was opened, or was lost with all messages in transit."""
         self.linked, self.renewals.next_at = up, now
         self._actions.messages.clear()
         if up:
@@ -118,7 +118,7 @@
                 if lease is None or lease.token <= token:
                     self.release(task, token)
             case NotLeaderReply():
-                pass  # the host handles it: it connects to the leader
+                pass  # the host connects to the leader
 
     def _assigned(self, task: str, token: int, now: float) -> None:
         lease = self.leases.get(task)
@@ -136,7 +136,7 @@
         tokens, expires_at = dict(granted.granted), requested_at + granted.valid_seconds
         for task, lease in list(self.leases.items()):
             if lease.assigned_after_serial >= granted.serial:
-                continue  # the request was sent before the task was assigned
+                continue  # the request was sent before the assignment arrived
             if tokens.get(task) != lease.token:
                 self._drop(task)
             elif expires_at > lease.expires_at:
--- a/zincladder/tasks/lease_manager.py
+++ b/zincladder/tasks/lease_manager.py
@@ -1,9 +1,9 @@
-"""The leader's part: assigns singleton tasks to runners, and grants leases on them. No I/O.
+"""The leader's side of singleton tasks: assigns them to runners, and grants leases on them. No I/O.
 
 The assignments are stored in the group's key-value state and replaced by compare and swap. The leases are in
 the leader's memory only: before a new leader assigns a task to another runner, it waits until all leases that
-its predecessor may have granted have expired. Meanwhile the present lease holder can renew its own. Before
-the host passes on a message, a majority confirms that this replica still leads.
+its predecessor may have granted have expired. Meanwhile the present lease holder can renew its own. The host
+passes a runner's message to the manager only after a majority has confirmed that this replica still leads.
 """
 
 from __future__ import annotations
@@ -41,11 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """The latest notification of a runner that a task is assigned to it."""
+    """The latest message by which a runner was notified that a task is assigned to it."""
 
     token: int
     link: int  # number of the link that it was sent on
-    sent_at: float
+    sent_at: float  # or when a repetition was due last, and not needed because the lease was valid
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
         self.assignments: dict[str, tuple[TaskAssignment, int]] = {}  # by task, with the token
         self.has_read_state = False  # whether the state has been read in this term
         self.leases: dict[str, TaskLease] = {}  # latest lease of each task, valid or not
-        # By then all leases that an earlier leader may have granted have expired.
+        # The time by which all leases that an earlier leader may have granted have expired.
         self._former_leases_expire_at = now + lease_timing.expiry_seconds
         self._announced: dict[str, Announcement] = {}  # by task
         self._pending_writes: set[str] = set()  # tasks whose assignment is being written
@@ -87,7 +87,7 @@
     # Queries --------------------------------------------------------------------------------------
 
     def reassignable_at(self, task: str) -> float:
-        """Returns the time from which no process can act on a task, unless its lease is renewed before."""
+        """Returns the time from which no process can act on a task if no other lease is granted before."""
         lease = self.leases.get(task)
         return lease.expires_at if lease else self._former_leases_expire_at
 
@@ -162,7 +162,7 @@
         self._advance(now)
 
     def message_received(self, number: int, message: FromRunner, now: float) -> None:
-        """Handles a runner's message. A majority has confirmed since its arrival that this replica leads."""
+        """Handles a runner's message. Since it arrived, a majority has confirmed that this replica leads."""
         runner = self.runners.get(number)
         if runner is None:
             return
@@ -200,7 +200,7 @@
         assignment, current_token = self.assignment(task)
         lease = self.leases.get(task)
         if token == current_token and runner.holds(assignment):
-            # No other process holds a lease: the token was issued after all older leases had expired.
+            # No other process holds a lease: the token was issued after all older leases had ended.
             self.leases[task] = TaskLease(token, now)
             if task not in self._pending_writes:
                 vacancy_reason = f"given back by {runner.name}"
@@ -208,7 +208,7 @@
                     task, TaskAssignment(changed_at=assignment.changed_at, vacancy_reason=vacancy_reason)
                 )
         elif lease is not None and token == lease.token:
-            self.leases[task] = TaskLease(token, now)  # released by the holder that a command took it from
+            self.leases[task] = TaskLease(token, now)  # by a holder that no longer has the task
 
     # Assignments ----------------------------------------------------------------------------------
 
@@ -235,7 +235,7 @@
                 self._reassign(task, assignment, number, now)
 
     def _announce(self, task: str, number: int, token: int, now: float) -> None:
-        """Notifies the holder of its assignment, and repeats that as long as it requests no lease."""
+        """Notifies the holder of its assignment, and repeats that while it has no valid lease."""
         if not number:
             self._announced.pop(task, None)
             return
@@ -250,7 +250,7 @@
     def _reassign(self, task: str, assignment: TaskAssignment, holder_link: int, now: float) -> None:
         """Assigns a task without a valid lease to another runner.
 
-        Without a candidate the holder keeps the task if it is connected; else the task becomes vacant.
+        If no other runner offers the task, the holder keeps it if it is connected; else it becomes vacant.
         """
         if task not in self.assignments and len(self.assignments) + len(self._pending_writes) >= MAX_TASKS:
             return
--- a/zincladder/tasks/model.py
+++ b/zincladder/tasks/model.py
@@ -18,13 +18,13 @@
 CHECKPOINT_PREFIX = "progress/"  # followed by a task's name: the key of its checkpoint
 MAX_TASKS = 64
 MAX_RUNNERS = 2048
-MAX_NAME_LENGTH = 40  # in characters, of a task's name
+MAX_NAME_LENGTH = 40  # characters of a task's name
 
 
 class TaskAssignment(msgspec.Struct, frozen=True, array_like=True):
     """The value of a task's key.
 
-    `lease_holder` is empty if the task was released, moved or paused, or never assigned.
+    `lease_holder` is empty while the task waits to be assigned, or is paused.
     """
 
     lease_holder: str = ""  # name of the runner that the task is assigned to
@@ -67,7 +67,7 @@
 
 
 class ReleaseLease(msgspec.Struct, frozen=True, array_like=True, tag="gives_back"):
-    """Tells that this process has stopped acting under the token and ignores further leases for it."""
+    """Reports that this process has stopped acting under the token and ignores further leases for it."""
 
     task: str
     token: int
@@ -85,7 +85,7 @@
 
 
 class Assigned(msgspec.Struct, frozen=True, array_like=True, tag="yours"):
-    """Tells that a task is assigned to this process, which may run it once it has a lease."""
+    """Notifies a process that a task is assigned to it. The process may run it once it has a lease."""
 
     task: str
     token: int
@@ -94,7 +94,8 @@
 class LeaseGranted(msgspec.Struct, frozen=True, array_like=True, tag="lent"):
     """Grants the leases that were requested with this serial.
 
-    A task that was requested and is not granted is no longer assigned to this process.
+    The process stops a task that was in the request and is not in `granted`: that task is no longer assigned
+    to it, or its assignment is being replaced.
     """
 
     serial: int
@@ -104,7 +105,7 @@
 
 
 class Revoke(msgspec.Struct, frozen=True, array_like=True, tag="stop"):
-    """Asks a lease holder to stop a task and release its lease at once."""
+    """Requests that a lease holder stops a task and releases its lease at once."""
 
     task: str
     token: int
--- a/zincladder/tasks/runner.py
+++ b/zincladder/tasks/runner.py
@@ -1,6 +1,6 @@
 """A process's part in the fleet's singleton tasks: its link to the leader, and the tasks that it runs.
 
-On anyio. Imported only if the operator's file has `[duties]`.
+Uses anyio. Imported only if the operator's file has `[duties]`.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from zincladder.tasks.lease_holder import LeaseHolder
 from zincladder.tasks.model import FromLeaseManager, ReportCounters
 
-MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.2, 5.0  # before a failed task is started again
+MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.2, 5.0  # before a task that failed or returned is started again
 REPORT_INTERVAL_SECONDS = 2.0
 log = structlog.get_logger()
 
@@ -44,7 +44,7 @@
         self._functions, self._counters = dict(functions), counters
         lease_holder = LeaseHolder(self._functions, clock())
         super().__init__(lease_holder, config.group, config.replicas, name, clock)
-        self._scopes: dict[str, anyio.CancelScope] = {}  # of running tasks
+        self._scopes: dict[str, anyio.CancelScope] = {}  # one for each running task, by its name
         self._tasks: anyio.abc.TaskGroup | None = None
         self.failures = self.fenced = 0
 
@@ -80,7 +80,7 @@
     # Running --------------------------------------------------------------------------------------
 
     async def run(self, stopping: anyio.Event) -> None:
-        """Runs until it is cancelled. Once `stopping` is set it releases every task and takes on no other."""
+        """Runs until it is cancelled. Once `stopping` is set it releases all leases and offers no task."""
         async with anyio.create_task_group() as self._tasks:
             self._tasks.start_soon(self.renew_when_due)
             self._tasks.start_soon(self._report_counters)
@@ -113,7 +113,7 @@
             self._tasks.start_soon(self._run_task, task, scope)
 
     async def _run_task(self, task: str, scope: anyio.CancelScope) -> None:
-        """Runs a task as long as this process holds its lease; starts it again when it fails."""
+        """Runs a task as long as this process holds its lease; starts it again when it fails or returns."""
         log.info("task started", task=task, token=self.active_token(task))
         backoff = MIN_BACKOFF_SECONDS
         with scope:
--- a/zincladder/tasks/runner_selection.py
+++ b/zincladder/tasks/runner_selection.py
@@ -30,9 +30,9 @@
     """Returns the runner that gets a task; None if no candidate offers to run it.
 
     Runners that let a lease expire come last. Of the others the preferred runner is chosen, else the one with
-    the fewest tasks; a hash of the names breaks ties. So every replica makes the same choice, no matter in
-    which order the runners connect, and the tasks are spread. If the first offer decided, one front would run
-    all tasks after a restart of the whole fleet.
+    the fewest tasks; a hash of the names breaks ties. So every replica makes the same choice, whatever the
+    order in which the runners connect, and the tasks are spread. If the runner that offers first got a task,
+    one front would run all tasks after a restart of the whole fleet.
     """
     holders = [(a.lease_holder, a.process) for a in assignments if a.lease_holder]
 
