--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,11 +1,11 @@
-"""Fixtures of all tests."""
+"""Fixtures and logging setup shared by all tests."""
 
 from __future__ import annotations
 
 import pytest
 import structlog
 
-# As the daemon logs: a traceback drawn in colours takes half a second of the event loop.
+# Formats tracebacks as the daemon does: the coloured default blocks the event loop for half a second.
 structlog.configure(processors=[structlog.processors.format_exc_info, structlog.processors.LogfmtRenderer()])
 
 
--- a/tests/smoke.py
+++ b/tests/smoke.py
@@ -1,4 +1,4 @@
-"""Runs the `sim` command of deploy/balancer.toml the way the operators do and checks its reply."""
+"""Runs the `sim` command of deploy/balancer.toml as operators do, and checks its reply."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 def main() -> int:
-    """0 if the command starts, decides one request and ends with its input."""
+    """Returns 0 if the command starts, decides one request and exits at the end of its input, else 1."""
     root = Path(__file__).resolve().parent.parent
     deploy = tomllib.loads((root / "deploy/balancer.toml").read_text())
-    fleet = endpoints(
+    endpoint_records = endpoints(
         endpoint_entry(CACHE_ID, 0, 1), endpoint_entry(b"parent", 1, 0), endpoint_entry(b"origin", 2, 0)
     )
-    data = frame(1, instance_started(), fleet) + frame(2, request_record())
+    input_frames = frame(1, instance_started(), endpoint_records) + frame(2, request_record())
     done = subprocess.run(
-        ["/bin/sh", "-c", deploy["sim"]], cwd=root, input=data, capture_output=True, check=False
+        ["/bin/sh", "-c", deploy["sim"]], cwd=root, input=input_frames, capture_output=True, check=False
     )
-    good = done.returncode == 0 and CACHE_ID + b"parent" in done.stdout and not done.stderr
-    print("smoke test of sim:", "ok" if good else f"FAILED {done}")
-    return 0 if good else 1
+    succeeded = done.returncode == 0 and CACHE_ID + b"parent" in done.stdout and not done.stderr
+    print("smoke test of sim:", "ok" if succeeded else f"FAILED {done}")
+    return 0 if succeeded else 1
 
 
 if __name__ == "__main__":
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The shape of the package: imports run downwards, no circles, small modules, and the field's terms."""
+"""Checks the structure of the package: layers, import cycles, sizes of modules and functions, and terms."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 PACKAGE = Path(__file__).resolve().parent.parent / "zincladder"
 MODULES = sorted(PACKAGE.rglob("*.py"))
-# From top to bottom. A package may import those below its own layer, and no other package of its layer.
+# From the top layer to the bottom. A package may import packages of lower layers, but none of its own layer.
 LAYERS = (
     ("__main__",),
     ("wiring", "cli"),
@@ -30,8 +30,8 @@
 LAYER_OF = {package: level for level, packages in enumerate(reversed(LAYERS)) for package in packages}
 MAX_MODULE_LINES = 400
 MAX_FUNCTION_LINES = 50
-LONG_FUNCTIONS = frozenset(("read_settings",))  # reads one key a line, without a branch
-# Words of former names that have a usual term in the field; docs/glossary.md maps them.
+LONG_FUNCTIONS = frozenset(("read_settings",))  # one line for each key, without branches
+# Words of former names. docs/glossary.md gives the usual term that replaces each.
 FORMER_WORDS = frozenset(
     (
         "aim",
@@ -80,8 +80,8 @@
         "yours",
     )
 )
-# Where the wire, files and commands of running installations keep their spelling: mapped once, there.
-EDGES = frozenset(
+# These modules map the names of the wire, of files and of commands, which keep their former spelling.
+BOUNDARY_MODULES = frozenset(
     (
         "cli/__init__.py",
         "cli/replica.py",
@@ -104,12 +104,12 @@
 
 
 def is_type_checking(node: ast.AST) -> bool:
-    """Whether a statement is an `if TYPE_CHECKING:`, whose imports do not run."""
+    """Whether a statement is an `if TYPE_CHECKING:`, whose imports are not executed."""
     return isinstance(node, ast.If) and "TYPE_CHECKING" in ast.unparse(node.test)
 
 
 def imports_of(node: ast.AST) -> Iterator[str]:
-    """The modules of the package that run as a module is imported or a function of it is called."""
+    """The modules of the package that are imported when a module is imported or its functions are called."""
     for child in ast.iter_child_nodes(node):
         if is_type_checking(child):
             continue
@@ -117,8 +117,8 @@
             yield from (alias.name for alias in child.names if alias.name in NAMES)
         elif isinstance(child, ast.ImportFrom) and (child.module or "") in NAMES:
             for alias in child.names:
-                inner = f"{child.module}.{alias.name}"
-                yield inner if inner in NAMES else str(child.module)
+                submodule = f"{child.module}.{alias.name}"
+                yield submodule if submodule in NAMES else str(child.module)
         else:
             yield from imports_of(child)
 
@@ -128,7 +128,7 @@
 
 
 def package_of(name: str) -> str:
-    """The package of a module's dotted name; a module at the root stands for itself."""
+    """The package of a module's dotted name; for a module at the root, the module itself."""
     return name.split(".")[1] if "." in name else ""
 
 
@@ -140,42 +140,42 @@
 def test_imports_run_downwards(path: Path) -> None:
     package = package_of(name_of(path))
     if not package:
-        return  # the package's own surface names the Router
+        return  # zincladder/__init__.py exports the Router
     others = {package_of(name) for name in imported_by(path)} - {package, ""}
     assert not [other for other in others if LAYER_OF[other] >= LAYER_OF[package]]
 
 
-def test_no_module_imports_itself_in_a_circle() -> None:
-    graph = {name_of(path): imported_by(path) - {name_of(path)} for path in MODULES}
-    assert len(list(TopologicalSorter(graph).static_order())) == len(MODULES)
+def test_imports_have_no_cycles() -> None:
+    imports_by_module = {name_of(path): imported_by(path) - {name_of(path)} for path in MODULES}
+    assert len(list(TopologicalSorter(imports_by_module).static_order())) == len(MODULES)
 
 
 @pytest.mark.parametrize("path", MODULES, ids=name_of)
 def test_modules_and_functions_are_small(path: Path) -> None:
     source = path.read_text()
     assert len(source.splitlines()) <= MAX_MODULE_LINES
-    long = [
+    long_functions = [
         node.name
         for node in ast.walk(ast.parse(source))
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
         and (node.end_lineno or 0) - node.lineno >= MAX_FUNCTION_LINES
         and node.name not in LONG_FUNCTIONS
     ]
-    assert not long
+    assert not long_functions
 
 
 def words_of(path: Path) -> Iterator[tuple[str, int]]:
-    """The words of names, comments and doc comments, with their lines; other strings hold outside words."""
+    """The words of names, comments and docstrings with their lines; other strings may hold external names."""
     for token in tokenize.generate_tokens(io.StringIO(path.read_text()).readline):
-        of_names = token.type == tokenize.NAME
-        if of_names or token.type == tokenize.COMMENT or token.string.startswith('"""'):
-            text = re.sub(r"`[^`]*`|\[[^]]*\]", "", token.string)  # without spellings of files and keys
+        is_name = token.type == tokenize.NAME
+        if is_name or token.type == tokenize.COMMENT or token.string.startswith('"""'):
+            text = re.sub(r"`[^`]*`|\[[^]]*\]", "", token.string)  # drops quoted names of files and keys
             for word in re.findall(r"[a-z]+|[A-Z][a-z]*", text):
                 yield word.lower(), token.start[0]
 
 
 @pytest.mark.parametrize("path", MODULES, ids=name_of)
 def test_names_and_comments_use_the_terms_of_the_field(path: Path) -> None:
-    if str(path.relative_to(PACKAGE)) in EDGES:
+    if str(path.relative_to(PACKAGE)) in BOUNDARY_MODULES:
         return
     assert not [(word, line) for word, line in words_of(path) if word in FORMER_WORDS]
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""Both deployments at the wire: the same stories under the settings of each. A third site is a third row."""
+"""Runs the same tests over sockets under the settings of each deployment that DEPLOYMENTS lists."""
 
 from __future__ import annotations
 
@@ -29,21 +29,24 @@
 
 pytestmark = pytest.mark.anyio
 SECOND_REPORT = {"how": "inline", "names": ["busy", "rif", "x1", "x0"]}
-KEY_32 = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+IDEMPOTENCY_KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
 @dataclass(frozen=True)
-class Site:
-    """What a deployment's settings state, and the names of its classes."""
+class Deployment:
+    """The settings of a deployment, its request classes used here, and fields of its clients."""
 
     settings: dict[str, Any]
-    read: str  # a class that is kept
-    write: str  # the class that runs at the origin
-    fields: dict[str, str]  # what its clients send beside the usual
+    read: str  # a request class that caches keep
+    write: str  # the request class that runs at the origin only
+    fields: dict[str, str]  # additional fields that its clients send
 
 
-def _second() -> dict[str, Any]:
-    """Keyed writes, sizes told, reports in answers, listed weights, two hubs, no probes, no second copies."""
+def _second_settings() -> dict[str, Any]:
+    """Writes with idempotency keys, sizes of objects, load reports in answers, listed weights and two hubs.
+
+    No health checks and no second copies.
+    """
     found = copy.deepcopy(SETTINGS)
     found["categories"][1] |= {"name": "asset", "onTime": 0.25}
     found["categories"][2] |= {"name": "topup", "effect": "deduplicated", "keyScope": "all", "window": 6.0}
@@ -56,216 +59,235 @@
     return found | {"weightSource": "rough"}
 
 
-SITES = {
-    "first": Site(SETTINGS, "page", "booking", {}),
-    "second": Site(_second(), "asset", "topup", {"nonce": KEY_32, "size": "412.5"}),
+DEPLOYMENTS = {
+    "first": Deployment(SETTINGS, "page", "booking", {}),
+    "second": Deployment(_second_settings(), "asset", "topup", {"nonce": IDEMPOTENCY_KEY, "size": "412.5"}),
 }
-both = pytest.mark.parametrize("site", SITES.values(), ids=SITES)
-second = SITES["second"]
+each_deployment = pytest.mark.parametrize("deployment", DEPLOYMENTS.values(), ids=DEPLOYMENTS)
+second = DEPLOYMENTS["second"]
 
 
-@both
-async def test_what_names_a_request_is_passed_on_with_every_attempt(site: Site) -> None:
-    async def lacks(_: StubCache, fetch: Fetch) -> None:
-        await fetch.answer(404)  # it never ran, so it goes out again
+@each_deployment
+async def test_every_attempt_carries_name_body_and_key_of_its_request(deployment: Deployment) -> None:
+    async def answer_not_found(_: StubCache, fetch: Fetch) -> None:
+        await fetch.answer(404)  # says that the write did not run, so it is retried
 
-    async with world(serve, origin=lacks, settings=site.settings) as w, client(w) as c:
-        await c.ask(b"order", **({"route": site.write} | site.fields))
+    async with world(serve, origin=answer_not_found, settings=deployment.settings) as w, client(w) as c:
+        await c.ask(b"order", **({"route": deployment.write} | deployment.fields))
         assert (await c.reply()).kind == "Throttled"
         sent = w.caches[-1].fetches
         assert len(sent) > 1
         assert {(f.name, f.body, f.fields["item"]) for f in sent} == {
             (f"{1:016x}", b"order", "7f3a9c21e0b4d655")
         }
-        assert {f.fields.get("nonce") for f in sent} == {site.fields.get("nonce")}
+        assert {f.fields.get("nonce") for f in sent} == {deployment.fields.get("nonce")}
 
 
 @pytest.mark.parametrize("nonce", [None, "", "a,up=s-1", "x" * 65])
-async def test_a_keyed_write_without_a_key_that_can_be_used_is_not_passed_on(nonce: str | None) -> None:
-    # guards rule 2: nothing would drop its repeats; and a comma would add fields of the client's choice
+async def test_a_keyed_write_without_a_valid_key_is_rejected(nonce: str | None) -> None:
+    # Rule 2: without a valid key the origin could not drop repeats. A comma in the key would let the client
+    # add fields to the message for the cache.
     fields = {} if nonce is None else {"nonce": nonce}
     async with world(serve, settings=second.settings) as w, client(w) as c:
         await c.ask(b"order", **({"route": "topup"} | fields))
         assert (await c.reply()).kind == "application"
-        await c.ask(b"order", route="topup", nonce=KEY_32)
+        await c.ask(b"order", route="topup", nonce=IDEMPOTENCY_KEY)
         assert (await c.reply()).kind == "served" and len(w.caches[-1].fetches) == 1
 
 
 @pytest.fixture
-def told(monkeypatch: pytest.MonkeyPatch) -> list[api.Event]:
-    """The events that the front gives its module."""
+def router_events(monkeypatch: pytest.MonkeyPatch) -> list[api.Event]:
+    """The events that the front passes to its Router, in order."""
     events: list[api.Event] = []
 
-    class Recording(Router):
+    class RecordingRouter(Router):
         def handle(self, event: api.Event, now: float) -> list[api.Action]:
             events.append(event)
             return super().handle(event, now)
 
-    monkeypatch.setattr("zincladder.core.engine.Router", Recording)
+    monkeypatch.setattr("zincladder.core.engine.Router", RecordingRouter)
     return events
 
 
-def ends(told: list[api.Event]) -> list[api.AttemptEnded]:
-    return [e for e in told if isinstance(e, api.AttemptEnded)]
+def attempt_ends(router_events: list[api.Event]) -> list[api.AttemptEnded]:
+    return [e for e in router_events if isinstance(e, api.AttemptEnded)]
 
 
-@both
-async def test_the_time_that_a_cache_waited_for_its_source_reaches_the_module(
-    site: Site, told: list[api.Event]
+@each_deployment
+async def test_the_fill_wait_of_an_answer_reaches_the_router(
+    deployment: Deployment, router_events: list[api.Event]
 ) -> None:
-    # guards healthy parents: taken for the source's own pace, the wait made each look slow
-    async def fills(_: StubCache, fetch: Fetch) -> None:
+    # Healthy parents looked slow when the wait for a source was counted as their own latency.
+    async def answer_after_fill(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(200, "tell=pulled,rev=aa,since=1,fill=250.5", b"x")
 
-    async with world(fills, settings=site.settings) as w, client(w) as c:
-        await c.ask(route=site.read)
+    async with world(answer_after_fill, settings=deployment.settings) as w, client(w) as c:
+        await c.ask(route=deployment.read)
         assert (await c.reply()).kind == "served"
-    assert [(e.fill_outcome, e.fill_wait) for e in ends(told)] == [(api.FillOutcome.FILLED, 0.2505)]
+    assert [(e.fill_outcome, e.fill_wait) for e in attempt_ends(router_events)] == [
+        (api.FillOutcome.FILLED, 0.2505)
+    ]
 
 
 @pytest.mark.parametrize("wait", ["-1", "nan", "inf", "soon", ""])
-async def test_a_wait_that_is_none_ends_its_connection(wait: str, told: list[api.Event]) -> None:
-    async def spoilt(_: StubCache, fetch: Fetch) -> None:
+async def test_an_invalid_fill_wait_ends_the_connection(wait: str, router_events: list[api.Event]) -> None:
+    async def answer_with_invalid_wait(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(200, f"tell=pulled,rev=aa,since=1,fill={wait}", b"x")
 
-    async with world(spoilt, origin=spoilt, settings=second.settings) as w, client(w) as c:
-        w.caches[1].script = spoilt
+    async with (
+        world(answer_with_invalid_wait, origin=answer_with_invalid_wait, settings=second.settings) as w,
+        client(w) as c,
+    ):
+        w.caches[1].script = answer_with_invalid_wait
         await c.ask(route="asset", patience="500")
         assert (await c.reply()).kind != "served"
-    assert {e.outcome for e in ends(told)} == {api.AttemptOutcome.RESET}
+    assert {e.outcome for e in attempt_ends(router_events)} == {api.AttemptOutcome.RESET}
 
 
-@both
-async def test_the_size_of_a_part_reaches_the_module_where_it_is_told(
-    site: Site, told: list[api.Event]
+@each_deployment
+async def test_the_size_of_a_part_reaches_the_router_if_clients_send_it(
+    deployment: Deployment, router_events: list[api.Event]
 ) -> None:
-    async with world(serve, settings=site.settings) as w, client(w) as c:
-        await c.ask(route=site.read, **site.fields)
+    async with world(serve, settings=deployment.settings) as w, client(w) as c:
+        await c.ask(route=deployment.read, **deployment.fields)
         assert (await c.reply()).kind == "served"
-        assert "size" not in w.caches[0].fetches[0].fields  # the caches know it
-    sizes = [e.size_kb for e in told if isinstance(e, api.Request)]
-    assert sizes == [float(site.fields.get("size", 0))]
+        assert "size" not in w.caches[0].fetches[0].fields  # it is not sent to caches, which know it
+    sizes = [e.size_kb for e in router_events if isinstance(e, api.Request)]
+    assert sizes == [float(deployment.fields.get("size", 0))]
 
 
 @pytest.mark.parametrize("size", ["0", "-3", "nan", "inf", "1e12", "large", ""])
-async def test_a_size_that_is_none_fails_its_request_only(size: str, told: list[api.Event]) -> None:
-    # guards the mean sending times, on which the guards of links and cold members rest
+async def test_an_invalid_size_fails_only_its_request(size: str, router_events: list[api.Event]) -> None:
+    # An invalid size would corrupt the mean transfer times, on which the protection of links and of cold
+    # endpoints relies.
     async with world(serve, settings=second.settings) as w, client(w) as c:
         await c.ask(route="asset", size=size)
         assert (await c.reply()).kind == "application"
         await c.ask(route="asset", size="12.5")
         assert (await c.reply()).kind == "served"
-    assert [e.size_kb for e in told if isinstance(e, api.Request)] == [12.5]
+    assert [e.size_kb for e in router_events if isinstance(e, api.Request)] == [12.5]
 
 
-# What each site's rules allow ----------------------------------------------------------------------
+# Limits of each deployment's settings --------------------------------------------------------------
 
 
-def allowing(site: Site, attempts: int) -> dict[str, Any]:
-    return site.settings | {"ceilings": site.settings["ceilings"] | {"attemptsCap": attempts}}
+def with_attempts_cap(deployment: Deployment, attempts: int) -> dict[str, Any]:
+    return deployment.settings | {"ceilings": deployment.settings["ceilings"] | {"attemptsCap": attempts}}
 
 
-@both
+@each_deployment
 @pytest.mark.parametrize("attempts", [2, 6, 8])
-@pytest.mark.parametrize("word", [404, 500, 503, 0])
+@pytest.mark.parametrize("status", [404, 500, 503, 0])
 async def test_one_attempt_at_a_time_and_no_more_than_the_settings_allow(
-    site: Site, attempts: int, word: int
+    deployment: Deployment, attempts: int, status: int
 ) -> None:
-    # 0: its connection ends without an answer
-    out, most, made = Counter[str](), Counter[str](), Counter[str]()
+    # Status 0: the cache closes the connection without an answer.
+    in_flight, most_in_flight, attempts_made = Counter[str](), Counter[str](), Counter[str]()
 
-    async def fails(_: StubCache, fetch: Fetch) -> None:
-        made[fetch.name] += 1
-        out[fetch.name] += 1
-        most[fetch.name] = max(most[fetch.name], out[fetch.name])
+    async def answer_with_error(_: StubCache, fetch: Fetch) -> None:
+        attempts_made[fetch.name] += 1
+        in_flight[fetch.name] += 1
+        most_in_flight[fetch.name] = max(most_in_flight[fetch.name], in_flight[fetch.name])
         await anyio.sleep(0.01)
-        out[fetch.name] -= 1
-        await (fetch.answer(word) if word else fetch.stream.aclose())
-
-    async with world(fails, fails, origin=fails, settings=allowing(site, attempts)) as w, client(w) as c:
-        w.caches[-2].script = fails
+        in_flight[fetch.name] -= 1
+        await (fetch.answer(status) if status else fetch.stream.aclose())
+
+    async with (
+        world(
+            answer_with_error,
+            answer_with_error,
+            origin=answer_with_error,
+            settings=with_attempts_cap(deployment, attempts),
+        ) as w,
+        client(w) as c,
+    ):
+        w.caches[-2].script = answer_with_error
         for n in range(6):
-            route = site.write if n == 5 else site.read
-            await c.ask(entity=f"{n:016x}", patience="1500", **({"route": route} | site.fields))
+            route = deployment.write if n == 5 else deployment.read
+            await c.ask(entity=f"{n:016x}", patience="1500", **({"route": route} | deployment.fields))
         for _ in range(6):
             assert (await c.reply()).kind != "served"
-    assert len(made) == 6 and set(most.values()) == {1}
-    assert max(made.values()) <= attempts and max(made.values()) > 1
+    assert len(attempts_made) == 6 and set(most_in_flight.values()) == {1}
+    assert max(attempts_made.values()) <= attempts and max(attempts_made.values()) > 1
 
 
-@both
+@each_deployment
 @pytest.mark.parametrize("as_source", [False, True], ids=["asked", "source"])
-async def test_from_the_moment_a_drain_is_told_nothing_goes_there(
-    site: Site, as_source: bool, told: list[api.Event]
+async def test_a_draining_endpoint_gets_no_request_and_is_no_source(
+    deployment: Deployment, as_source: bool, router_events: list[api.Event]
 ) -> None:
-    async with world(serve, serve, settings=site.settings) as w, client(w) as c:
+    async with world(serve, serve, settings=deployment.settings) as w, client(w) as c:
         drained = w.caches[-2 if as_source else 0]
 
-        async def named(first: int) -> int:
+        async def requests_involving_drained(first: int) -> int:
+            """Sends 24 requests; counts all fetches so far that reached the endpoint or had it as source."""
             for n in range(first, first + 24):
-                await c.ask(entity=f"{n:016x}", **({"route": site.read} | site.fields))
+                await c.ask(entity=f"{n:016x}", **({"route": deployment.read} | deployment.fields))
                 assert (await c.reply()).kind == "served"
-            all_of_them = [f for cache in w.caches for f in cache.fetches]
-            return len(drained.fetches) + sum(f.fields.get("up") == drained.name for f in all_of_them)
+            fetches = [f for cache in w.caches for f in cache.fetches]
+            return len(drained.fetches) + sum(f.fields.get("up") == drained.name for f in fetches)
 
-        before = await named(0)
+        before = await requests_involving_drained(0)
         assert before
         await w.coordinator.tell(2, drained.record(1))
         with anyio.fail_after(5):
-            while sum(isinstance(e, api.EndpointUpdate) for e in told) < 2:
+            while sum(isinstance(e, api.EndpointUpdate) for e in router_events) < 2:
                 await anyio.sleep(0.002)
-        assert await named(100) == before
+        assert await requests_involving_drained(100) == before
 
 
-@both
-async def test_a_refusal_names_a_time_within_what_the_settings_allow(site: Site) -> None:
-    async def lacks(_: StubCache, fetch: Fetch) -> None:
+@each_deployment
+async def test_the_retry_time_of_a_rejection_is_within_the_configured_maximum(deployment: Deployment) -> None:
+    async def answer_not_found(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(404)
 
-    async with world(lacks, origin=lacks, settings=site.settings) as w, client(w) as c:
-        await c.ask(b"order", **({"route": site.write} | site.fields))
+    async with (
+        world(answer_not_found, origin=answer_not_found, settings=deployment.settings) as w,
+        client(w) as c,
+    ):
+        await c.ask(b"order", **({"route": deployment.write} | deployment.fields))
         reply = await c.reply()
     assert reply.kind == "Throttled"
-    assert 0 < int(reply.fields["pause"]) <= 1000 * site.settings["ceilings"]["maxRetryAfter"]
+    assert 0 < int(reply.fields["pause"]) <= 1000 * deployment.settings["ceilings"]["maxRetryAfter"]
 
 
-@both
-async def test_objects_are_shared_out_by_weight_where_the_settings_say_that_it_is_listed(site: Site) -> None:
+@each_deployment
+async def test_objects_are_distributed_by_weight_if_the_settings_list_weights(deployment: Deployment) -> None:
     heavy, light = StubCache("s-00000001", 0, weight=3), StubCache("s-00000002", 0)
     endpoints = [heavy, light, StubCache("s-000000a0", 1), StubCache("s-000000b0", 2)]
-    async with world(endpoints=endpoints, settings=site.settings) as w, client(w) as c:
+    async with world(endpoints=endpoints, settings=deployment.settings) as w, client(w) as c:
         for n in range(160):
-            await c.ask(entity=f"{n * 7919:016x}", **({"route": site.read} | site.fields))
+            await c.ask(entity=f"{n * 7919:016x}", **({"route": deployment.read} | deployment.fields))
             assert (await c.reply()).kind == "served"
     share = len(heavy.fetches) / 160
-    assert (0.65 < share < 0.85) if "weightSource" in site.settings else (0.35 < share < 0.65)
+    assert (0.65 < share < 0.85) if "weightSource" in deployment.settings else (0.35 < share < 0.65)
 
 
-@both
-async def test_an_objects_fills_meet_at_one_parent_whatever_the_location_and_its_hub(site: Site) -> None:
-    homes = []
-    for zone in range(2):  # with two hubs, each location is tied to another
+@each_deployment
+async def test_fills_of_an_object_from_all_locations_use_the_same_parent(deployment: Deployment) -> None:
+    parents_by_object = []
+    for zone in range(2):  # with two hubs, each location is attached to a different one
         parents = [StubCache(f"s-{n + 160:08x}", 1, zone=ZONES[n % 2]) for n in range(3)]
         endpoints = [StubCache("s-00000001", 0, zone=ZONES[zone]), *parents, StubCache("s-000000b0", 2)]
-        settings = site.settings | {"az": zone}
+        settings = deployment.settings | {"az": zone}
         settings["domain"] = settings["domain"] | {"seatsByZone": [1, 1]}
         async with world(endpoints=endpoints, settings=settings) as w, client(w) as c:
             for n in range(40):
-                await c.ask(entity=f"{n:016x}", **({"route": site.read} | site.fields))
+                await c.ask(entity=f"{n:016x}", **({"route": deployment.read} | deployment.fields))
                 assert (await c.reply()).kind == "served"
-        homes.append({f.fields["item"]: f.fields["up"] for f in endpoints[0].fetches})
-    assert homes[0] == homes[1] and len(set(homes[0].values())) == 3
+        parents_by_object.append({f.fields["item"]: f.fields["up"] for f in endpoints[0].fetches})
+    assert parents_by_object[0] == parents_by_object[1] and len(set(parents_by_object[0].values())) == 3
 
 
 # The protocol, field by field -----------------------------------------------------------------------
 
-# As the operators' page lists them, with two values that mean different things.
+# The fields that the operators' documentation lists, each with two values of different meaning.
 CLIENT_FIELDS = {
     "route": ("video", "asset"),
     "trace": ("a" * 16, "b" * 16),
     "patience": ("400", "900"),
     "redo": ("1", None),
-    "nonce": (KEY_32, "0" * 32),
+    "nonce": (IDEMPOTENCY_KEY, "0" * 32),
     "entity": ("a" * 16, "b" * 16),
     "slice": ("1", "2"),
     "set": ("1", "2"),
@@ -280,7 +302,7 @@
     "rev": ("aa", "bb"),
 }
 FETCH_FIELDS = {"cls", "item", "chunk", "limit", "nonce", "up", "store", "cap", "do", "inm"}
-NOTES = [
+FILL_OUTCOMES = [
     "local",
     "pulled",
     "pulled_far",
@@ -294,50 +316,55 @@
 ]
 
 
-async def seen_of(said: dict[str, str], told: list[api.Event]) -> list[Any]:
-    """What caches and module see of one request, but for what time alone changes."""
-    told.clear()
+async def received_for(client_fields: dict[str, str], router_events: list[api.Event]) -> list[Any]:
+    """What the caches and the Router receive for one request; the limit is rounded, as it varies."""
+    router_events.clear()
     async with world(serve, settings=second.settings) as w, client(w) as c:
-        await c.ask(**said)
+        await c.ask(**client_fields)
         assert (await c.reply()).kind == "served"
         (sent,) = [f for cache in w.caches for f in cache.fetches]
-    (request,) = [e for e in told if isinstance(e, api.Request)]
+    (request,) = [e for e in router_events if isinstance(e, api.Request)]
     fields = sent.fields | {"limit": int(sent.fields["limit"]) // 300}
     return [sent.name, fields, request.object, request.group, request.part, request.request_class,
             request.size_kb, request.repeat]  # fmt: skip
 
 
 @pytest.mark.parametrize("field", CLIENT_FIELDS)
-async def test_each_field_of_a_client_changes_what_caches_or_module_see(
-    field: str, told: list[api.Event]
+async def test_each_client_field_changes_what_caches_or_router_receive(
+    field: str, router_events: list[api.Event]
 ) -> None:
-    # 'nonce' and 'size' fell through for as long as no site sent them, and nothing noticed
+    # 'nonce' and 'size' were dropped unnoticed while no deployment used them.
     assert [row.name for row in protocol.REQUEST_FIELDS] == list(CLIENT_FIELDS)
     base = {name: values[0] for name, values in CLIENT_FIELDS.items()}
     one, two = CLIENT_FIELDS[field]
     other = {k: v for k, v in (base | {field: two or ""}).items() if v}
-    assert await seen_of(base | {field: one or ""}, told) != await seen_of(other, told)
+    assert await received_for(base | {field: one or ""}, router_events) != await received_for(
+        other, router_events
+    )
 
 
-@both
+@each_deployment
 @pytest.mark.parametrize("value", ["nan", "inf", "-inf", "-1", "1e999", "much", ""])
-async def test_a_load_report_that_holds_no_load_tells_nothing_and_its_answer_stands(
-    site: Site, value: str, told: list[api.Event]
+async def test_an_invalid_load_report_is_ignored_and_its_answer_is_used(
+    deployment: Deployment, value: str, router_events: list[api.Event]
 ) -> None:
-    # guards what is judged by a mean over all caches: one NaN in it is a NaN for all
-    async def ill(_: StubCache, fetch: Fetch) -> None:
-        said = f"tell=local,rev=aa,since=1,meter=util:0.5;inflight:{value};x1:0.5;x0:0.5"
-        await fetch.answer(200, said, b"x")
-
-    async with world(ill, settings=site.settings | {"report": SECOND_REPORT}) as w, client(w) as c:
-        await c.ask(route=site.read)
+    # A single NaN would make the mean load over all caches NaN.
+    async def answer_with_invalid_report(_: StubCache, fetch: Fetch) -> None:
+        response_fields = f"tell=local,rev=aa,since=1,meter=util:0.5;inflight:{value};x1:0.5;x0:0.5"
+        await fetch.answer(200, response_fields, b"x")
+
+    async with (
+        world(answer_with_invalid_report, settings=deployment.settings | {"report": SECOND_REPORT}) as w,
+        client(w) as c,
+    ):
+        await c.ask(route=deployment.read)
         assert (await c.reply()).kind == "served"
-    assert [(e.outcome, e.report) for e in ends(told)] == [(api.AttemptOutcome.OK, ())]
+    assert [(e.outcome, e.report) for e in attempt_ends(router_events)] == [(api.AttemptOutcome.OK, ())]
 
 
 @pytest.mark.parametrize("field", ANSWER_FIELDS)
-async def test_each_field_of_an_answer_reaches_the_module_or_says_why_not(
-    field: str, told: list[api.Event]
+async def test_each_answer_field_reaches_the_router_or_has_a_reason_not_to(
+    field: str, router_events: list[api.Event]
 ) -> None:
     rows = {row.name: row for row in protocol.RESPONSE_FIELDS}
     assert rows.keys() == ANSWER_FIELDS.keys()
@@ -349,105 +376,112 @@
         async def answers(_: StubCache, fetch: Fetch, text: str = text) -> None:
             await fetch.answer(200, text, b"x")
 
-        told.clear()
+        router_events.clear()
         async with world(answers, settings=second.settings) as w, client(w) as c:
             await c.ask(route="asset")
             assert (await c.reply()).kind == "served"
-        (end,) = ends(told)
+        (end,) = attempt_ends(router_events)
         found.append((end.outcome, end.fill_outcome, end.fill_wait, end.report))
     assert (found[0] != found[1]) == (not rows[field].reason_unused)
 
 
-def test_each_field_of_an_attempt_is_written_where_it_is_ordered() -> None:
+def test_each_field_of_an_attempt_is_written_if_it_is_set() -> None:
     assert protocol.ATTEMPT_FIELDS.keys() == FETCH_FIELDS
-    ask = ClientRequest("a" * 16, 0, 7, None, 3, 1.0)
-    bare = protocol.write_fetch(AttemptRequest(ask, b"s-1"), "video", 0.5)
-    assert bare == f"cls=video,item={7:016x},limit=500"
-    ask = ClientRequest("a" * 16, 0, 7, 2, 3, 1.0, tag="aa", key=KEY_32)
-    order = AttemptRequest(ask, b"s-1", b"s-2", 1, 1.5, True, True, True, True)
-    assert protocol.write_fetch(order, "video", 0.5) == (
-        f"cls=video,item={7:016x},chunk=2,limit=500,nonce={KEY_32},up=s-2,store=1,cap=1500,"
+    request = ClientRequest("a" * 16, 0, 7, None, 3, 1.0)
+    minimal = protocol.write_fetch(AttemptRequest(request, b"s-1"), "video", 0.5)
+    assert minimal == f"cls=video,item={7:016x},limit=500"
+    request = ClientRequest("a" * 16, 0, 7, 2, 3, 1.0, tag="aa", key=IDEMPOTENCY_KEY)
+    attempt = AttemptRequest(request, b"s-1", b"s-2", 1, 1.5, True, True, True, True)
+    assert protocol.write_fetch(attempt, "video", 0.5) == (
+        f"cls=video,item={7:016x},chunk=2,limit=500,nonce={IDEMPOTENCY_KEY},up=s-2,store=1,cap=1500,"
         "do=join+held+nocopy+renew,inm=aa"
     )
 
 
-@pytest.mark.parametrize("fill_outcome", NOTES)
-@pytest.mark.parametrize("word", [200, 404, 500, 503])
-async def test_each_note_reaches_the_module_as_the_wire_numbers_it(
-    fill_outcome: str, word: int, told: list[api.Event]
+@pytest.mark.parametrize("fill_outcome", FILL_OUTCOMES)
+@pytest.mark.parametrize("status", [200, 404, 500, 503])
+async def test_each_fill_outcome_reaches_the_router_by_its_number_on_the_wire(
+    fill_outcome: str, status: int, router_events: list[api.Event]
 ) -> None:
     async def answers(_: StubCache, fetch: Fetch) -> None:
-        await fetch.answer(word, f"tell={fill_outcome},fill=1")
+        await fetch.answer(status, f"tell={fill_outcome},fill=1")
 
     async with world(answers, settings=second.settings) as w, client(w) as c:
         for endpoint in w.caches:
             endpoint.script = answers
         await c.ask(route="asset", patience="500")
         reply = await c.reply()
-    assert (reply.kind == "served") == (word == 200)
-    assert {e.fill_outcome for e in ends(told)} == {api.FillOutcome(NOTES.index(fill_outcome) + 1)}
-
-
-# What the settings state ----------------------------------------------------------------------------
-
-# Each key of the settings that no decision and no host reads, and why.
-UNREAD = {
-    "answer_slack": "every answer is owed by the client's own time, without the slack",
-    "hedged_requests": "the module never has two attempts of a request out",
-    "retry_after": "a refusal names a time to come back wherever the settings name the longest",
-    "instance": "what a front spreads out comes from its seed",
-    "hub_of_zone": "an object's fills meet at one parent from all hubs, as the design has it",
-    "link_kb_per_s": "links are judged by the reports; neither site tells their size",
-    "origin_overload_factor": "the origin's budget is far under it",
-    "origin_overload_seconds": "the same",
-    "subscribe_within": "a front on sockets is told without asking; the simulator's asks at once",
-    "clients_mark_retries": "a client's repeat is decided as any other request",
-    "priority_weight": "requests are refused by what they need, not by their worth",
-    "late_weight": "the same",
-    "stale_weight": "a stale copy is served only where the origin failed: then any worth is more than none",
-    "streamed": "neither site has answers in streams, and WIRE tells of them by an event that is passed over",
-    "partitioned": "parts are kept each by itself, so each has its home",
+    assert (reply.kind == "served") == (status == 200)
+    assert {e.fill_outcome for e in attempt_ends(router_events)} == {
+        api.FillOutcome(FILL_OUTCOMES.index(fill_outcome) + 1)
+    }
+
+
+# Keys of the settings -------------------------------------------------------------------------------
+
+# Settings that the front does not read, each with the reason.
+UNREAD_SETTINGS = {
+    "answer_slack": "answers are due at the client's deadline, without additional slack",
+    "hedged_requests": "a request never has two attempts in flight",
+    "retry_after": "a rejection has a retry time whenever the settings have a maximum for it",
+    "instance": "the random choices of a front come from its seed",
+    "hub_of_zone": "by design, fills of an object from all hubs use the same parent",
+    "link_kb_per_s": "links are judged by load reports; neither deployment states their capacity",
+    "origin_overload_factor": "the origin's request budget is far below it",
+    "origin_overload_seconds": "the origin's request budget is far below its overload limit",
+    "subscribe_within": "a front on sockets needs no subscription; the simulator's subscribes at once",
+    "clients_mark_retries": "a retry by the client is decided like any other request",
+    "priority_weight": "requests are rejected by the resources they need, not by their value",
+    "late_weight": "requests are rejected by the resources they need, not by the value of a late answer",
+    "stale_weight": "a stale copy is served only if the origin failed, when any value is better than none",
+    "streamed": "neither deployment streams answers, and the event for it in the wire protocol is ignored",
+    "partitioned": "each part is cached by itself and assigned to its own caches",
 }
 
 
-def test_every_key_of_the_settings_is_read_or_says_why_not() -> None:
-    # the next site states what this one leaves out: a key that nobody reads must be a decision
+def test_every_setting_is_read_or_has_a_reason_not_to_be() -> None:
+    # Another deployment may set keys that these leave out, so each unused key needs a reason.
     read: set[str] = set()
     for path in [*Path("zincladder").rglob("*.py")]:
         if path.parent.name == "config" or path.name == "interface.py":
             continue
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Attribute):
-                of = node.value
+                value = node.value
                 owner = (
-                    of.id if isinstance(of, ast.Name) else of.attr if isinstance(of, ast.Attribute) else ""
+                    value.id
+                    if isinstance(value, ast.Name)
+                    else value.attr
+                    if isinstance(value, ast.Attribute)
+                    else ""
                 )
                 if owner in ("s", "settings", "request_class", "rules", "request"):
                     read.add(node.attr)
     keys = {f.name for kind in (api.Settings, api.RequestClass) for f in dataclasses.fields(kind)}
-    assert keys - read == UNREAD.keys()
+    assert keys - read == UNREAD_SETTINGS.keys()
 
 
-# The front on sockets beside its decisions by themselves --------------------------------------------
+# The front on sockets compared with a Router on its own ---------------------------------------------
 
 
-@both
-def test_the_front_tells_and_does_what_its_decisions_do_by_themselves(site: Site) -> None:
-    found = difference(site.settings, seed=1, steps=400)
+@each_deployment
+def test_the_front_handles_events_as_a_router_on_its_own(deployment: Deployment) -> None:
+    found = difference(deployment.settings, seed=1, steps=400)
     assert isinstance(found, int) and found > 400, found
 
 
-def test_a_stall_of_the_process_has_no_part_in_the_comparison(monkeypatch: pytest.MonkeyPatch) -> None:
-    # On a busy machine the process stood still for 0.116 s while an answer was under way. The core leaves its
-    # own stalls out of an attempt's latency; the Router by itself has no process that could stall.
-    monkeypatch.setattr("zincladder.core.loop_monitor.STALL_SECONDS", 0.0)  # each late tick counts as a stall
-    found = difference(SITES["first"].settings, seed=1, steps=100)
+def test_a_stall_of_the_process_does_not_affect_the_comparison(monkeypatch: pytest.MonkeyPatch) -> None:
+    # On a busy machine the process stalled for 0.116 s while an answer was in flight. The core subtracts its
+    # own stalls from the latency of an attempt; the Router on its own has no process that could stall.
+    # Every late tick counts as a stall.
+    monkeypatch.setattr("zincladder.core.loop_monitor.STALL_SECONDS", 0.0)
+    found = difference(DEPLOYMENTS["first"].settings, seed=1, steps=100)
     assert isinstance(found, int) and found > 100, found
 
 
 @pytest.mark.parametrize("dropped", ["fill_wait", "size_kb", "fill_outcome", "repeat"])
-def test_what_the_network_code_leaves_out_is_named(dropped: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    # each on purpose once: the first two are what the second site lost most by
+def test_a_field_that_the_network_code_drops_is_named(dropped: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    # Each field is dropped on purpose. The loss of fill_wait and size_kb hurt the second deployment most.
     if dropped in ("fill_wait", "fill_outcome"):
         rows = tuple(
             dataclasses.replace(r, attribute="") if r.attribute == dropped else r
@@ -465,60 +499,67 @@
 # A keyed write --------------------------------------------------------------------------------------
 
 
-class DescriptorBudget:
-    """The core platform: runs a write, drops its repeats by their key for a while, loses first answers."""
+class KeyedOrigin:
+    """An origin that drops repeats of a write by their key for `window` seconds.
+
+    It closes the connection instead of answering the first `lost` requests.
+    """
 
     def __init__(self, window: float = 6.0, lost: int = 1) -> None:
         self.window, self.lost = window, lost
-        self.ran: dict[str, float] = {}
-        self.runs: list[str] = []
-        self.came: list[str] = []
+        self.last_run_at: dict[str, float] = {}
+        self.executed_keys: list[str] = []
+        self.received_keys: list[str] = []
 
     async def serve(self, _: StubCache, fetch: Fetch) -> None:
         key, now = fetch.fields["nonce"], time.monotonic()
-        self.came.append(key)
-        if now - self.ran.get(key, -self.window) >= self.window:
-            self.ran[key] = now
-            self.runs.append(key)
-        if len(self.came) <= self.lost:
+        self.received_keys.append(key)
+        if now - self.last_run_at.get(key, -self.window) >= self.window:
+            self.last_run_at[key] = now
+            self.executed_keys.append(key)
+        if len(self.received_keys) <= self.lost:
             await anyio.sleep(0.1)
             return await fetch.stream.aclose()
         await fetch.answer(200, "tell=pulled_far,rev=aa,since=1", b"done")
 
 
 @pytest.mark.parametrize(
-    ("window", "kind", "came"), [(6.0, "served", 2), (0.05, "Throttled", 1)], ids=["within", "after"]
+    ("window", "kind", "received"), [(6.0, "served", 2), (0.05, "Throttled", 1)], ids=["within", "after"]
 )
-async def test_a_keyed_write_is_repeated_only_while_its_repeats_are_dropped(
-    window: float, kind: str, came: int
+async def test_a_keyed_write_is_retried_only_while_the_origin_drops_repeats(
+    window: float, kind: str, received: int
 ) -> None:
-    core = DescriptorBudget(window)
+    keyed_origin = KeyedOrigin(window)
     settings = copy.deepcopy(second.settings)
     settings["categories"][2]["window"] = window
-    async with world(serve, origin=core.serve, settings=settings) as w, client(w) as c:
-        await c.ask(b"order", route="topup", nonce=KEY_32)
+    async with world(serve, origin=keyed_origin.serve, settings=settings) as w, client(w) as c:
+        await c.ask(b"order", route="topup", nonce=IDEMPOTENCY_KEY)
         assert (await c.reply()).kind == kind
-    assert (len(core.came), core.runs) == (came, [KEY_32])
+    assert (len(keyed_origin.received_keys), keyed_origin.executed_keys) == (received, [IDEMPOTENCY_KEY])
 
 
 @pytest.mark.parametrize("killed", [True, False])
-async def test_a_clients_repeat_at_another_front_runs_nothing_twice(killed: bool) -> None:
-    # a front that is killed, or cut off from its client, has sent the write; it comes again with its key
-    core, life = DescriptorBudget(lost=0), anyio.CancelScope()
-
-    async def other(config: Config, *, task_status: anyio.abc.TaskStatus[ListeningAddresses]) -> None:
-        with life:
+async def test_a_clients_retry_at_another_front_runs_a_write_once(killed: bool) -> None:
+    # A front is killed or cut off from its client after it sent the write. The client retries with its key.
+    keyed_origin, front_scope = KeyedOrigin(lost=0), anyio.CancelScope()
+
+    async def run_second_front(
+        config: Config, *, task_status: anyio.abc.TaskStatus[ListeningAddresses]
+    ) -> None:
+        with front_scope:
             await run_front(config, Operator(), anyio.Event(), task_status=task_status)
 
-    async with world(serve, origin=core.serve, settings=second.settings) as w, client(w) as c:
+    async with world(serve, origin=keyed_origin.serve, settings=second.settings) as w, client(w) as c:
         data = configuration([m.endpoint() for m in w.caches], settings=second.settings)
-        listening = await w.tasks.start(other, parse_config(data | {"name": "n1"}))
+        listening = await w.tasks.start(run_second_front, parse_config(data | {"name": "n1"}))
         async with await anyio.connect_tcp(*listening.clients) as stream:
-            await Client(stream).ask(b"order", route="topup", nonce=KEY_32, trace="b" * 16)
-            while not core.came:
+            await Client(stream).ask(b"order", route="topup", nonce=IDEMPOTENCY_KEY, trace="b" * 16)
+            while not keyed_origin.received_keys:
                 await w.caches[-1].came.wait()
             if killed:
-                life.cancel()
-        await c.ask(b"order", route="topup", nonce=KEY_32, redo="1")
+                front_scope.cancel()
+        await c.ask(b"order", route="topup", nonce=IDEMPOTENCY_KEY, redo="1")
         assert (await c.reply()).kind == "served"
-    assert core.came == [KEY_32] * 2 and core.runs == [KEY_32]
+    assert keyed_origin.received_keys == [IDEMPOTENCY_KEY] * 2 and keyed_origin.executed_keys == [
+        IDEMPOTENCY_KEY
+    ]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: what it passes over, and what it does not."""
+"""Checks of the `--known-red` option: only listed tests may fail, and a wrong list fails the run."""
 
 from __future__ import annotations
 
@@ -17,44 +17,54 @@
 @pytest.mark.parametrize("n", [1, 2])
 def test_each(n): assert n == 1
 """
-WRONG = "test_some.py::test_wrong | sums are wrong | issue 1\n"
-SECOND = "test_some.py::test_each[2] | two is not one | issue 2\n"
+FAILURE = "test_some.py::test_wrong | sums are wrong | issue 1\n"
+FAILURE_2 = "test_some.py::test_each[2] | two is not one | issue 2\n"
 
 
-ALL_GREEN = "KNOWN RED: test_some.py::test_wrong is known to fail: sums are wrong (issue 1)"
-PASSES = "test_some.py::test_right | none | issue 3\n"
-AT_TIMES = PASSES.strip() + " | intermittent"
-GONE = "test_some.py::test_gone | none | issue 3\n"
+REPORTED = "KNOWN RED: test_some.py::test_wrong is known to fail: sums are wrong (issue 1)"
+PASSING = "test_some.py::test_right | none | issue 3\n"
+INTERMITTENT = PASSING.strip() + " | intermittent"
+MISSING = "test_some.py::test_gone | none | issue 3\n"
 
 
 @pytest.mark.parametrize(
-    ("listed", "workers", "green", "said"),
+    ("listed", "workers", "succeeds", "output"),
     [
-        (WRONG + SECOND, 0, True, ALL_GREEN),
-        (WRONG + SECOND, 2, True, ALL_GREEN),
-        (WRONG, 2, False, "test_each[2]"),  # another failure still fails
+        (FAILURE + FAILURE_2, 0, True, REPORTED),
+        (FAILURE + FAILURE_2, 2, True, REPORTED),
+        (FAILURE, 2, False, "test_each[2]"),  # a failure that is not listed fails the run
         ("", 0, False, "2 failed"),
-        (WRONG + SECOND + PASSES, 2, False, "test_right"),
-        (WRONG + SECOND + GONE, 2, False, "test_gone does not exist"),
-        (WRONG + SECOND + GONE, 0, False, "test_gone does not exist"),
-        (WRONG + SECOND + "a.py::a | b | c\nb.py::b | c | d\n", 0, False, "4 tests are listed, 3 at most"),
-        (WRONG + "test_some.py::test_each[2]\n", 0, False, "a line is 'test | cause | issue'"),
-        (WRONG + WRONG, 0, False, "is listed twice"),
-        (WRONG + SECOND + AT_TIMES, 2, True, "test_right is known to fail at times"),  # it passed
-        (SECOND + WRONG.strip() + " | intermittent", 0, True, "test_wrong is known to fail at times"),
-        (WRONG + SECOND + GONE.strip() + " | intermittent", 0, False, "test_gone does not exist"),
-        (WRONG + SECOND + PASSES.strip() + " | sometimes", 0, False, "a line is 'test | cause | issue'"),
+        (FAILURE + FAILURE_2 + PASSING, 2, False, "test_right"),
+        (FAILURE + FAILURE_2 + MISSING, 2, False, "test_gone does not exist"),
+        (FAILURE + FAILURE_2 + MISSING, 0, False, "test_gone does not exist"),
+        (
+            FAILURE + FAILURE_2 + "a.py::a | b | c\nb.py::b | c | d\n",
+            0,
+            False,
+            "4 tests are listed, 3 at most",
+        ),
+        (FAILURE + "test_some.py::test_each[2]\n", 0, False, "a line is 'test | cause | issue'"),
+        (FAILURE + FAILURE, 0, False, "is listed twice"),
+        (FAILURE + FAILURE_2 + INTERMITTENT, 2, True, "test_right is known to fail at times"),  # it may pass
+        (FAILURE_2 + FAILURE.strip() + " | intermittent", 0, True, "test_wrong is known to fail at times"),
+        (FAILURE + FAILURE_2 + MISSING.strip() + " | intermittent", 0, False, "test_gone does not exist"),
+        (
+            FAILURE + FAILURE_2 + PASSING.strip() + " | sometimes",
+            0,
+            False,
+            "a line is 'test | cause | issue'",
+        ),
     ],
 )
-def test_what_is_listed_is_passed_over_and_nothing_else(
-    listed: str, workers: int, green: bool, said: str, tmp_path: Path
+def test_only_listed_tests_may_fail(
+    listed: str, workers: int, succeeds: bool, output: str, tmp_path: Path
 ) -> None:
     (tmp_path / "test_some.py").write_text(TESTS)
     (tmp_path / "pytest.ini").write_text("[pytest]\n")
     (tmp_path / "KNOWN-RED.txt").write_text(listed)
-    plugins = ["-p", "xdist.plugin", "-p", "tests.known_red"]  # the others cost seconds of each start
+    plugins = ["-p", "xdist.plugin", "-p", "tests.known_red"]  # other plugins make each start seconds slower
     command = [sys.executable, "-m", "pytest", "-q", *plugins, "-n", str(workers)]
-    ran = subprocess.run(
+    result = subprocess.run(
         [*command, "--known-red", "KNOWN-RED.txt"],
         cwd=tmp_path,
         env=os.environ | {"PYTHONPATH": str(ROOT), "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"},
@@ -62,9 +72,11 @@
         text=True,
         timeout=60,
     )
-    assert (ran.returncode == 0) == green and said in ran.stdout + ran.stderr, ran.stdout + ran.stderr
+    assert (result.returncode == 0) == succeeds and output in result.stdout + result.stderr, (
+        result.stdout + result.stderr
+    )
 
 
-def test_the_whole_suite_is_run_with_the_list() -> None:
+def test_ci_runs_the_whole_suite_with_the_list() -> None:
     assert "--known-red KNOWN-RED.txt" in (ROOT / ".ci" / "run").read_text()
     assert (ROOT / "KNOWN-RED.txt").exists()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""What the core may import, and how many fronts and endpoints the fleet may have."""
+"""Limits on what the core imports, and lower bounds on the number of fronts and endpoints of a fleet."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from zincladder.tasks import model as tasks
 
 
-def test_the_core_knows_no_wire_and_no_front() -> None:
+def test_the_core_imports_no_network_code_and_no_front() -> None:
     for path in (PACKAGE / "core").glob("*.py"):
-        ours = {n for n in imported(f"core/{path.name}") if n.startswith("zincladder")}
-        assert ours <= {
+        own_imports = {n for n in imported(f"core/{path.name}") if n.startswith("zincladder")}
+        assert own_imports <= {
             "zincladder.routing.interface",
             "zincladder.routing.router",
             "zincladder.routing.retry",
@@ -37,22 +37,19 @@
             "zincladder.support.rate_limited_log",
         }
         assert not {"socket", "struct", "h11", "dns"} & imported(f"core/{path.name}")
-    for file in (
-        "routing/purges.py",
-        "discovery/freshness.py",
-        "support/rate_limited_log.py",
-    ):  # what it may use knows none either
+    # These modules, which the core may import, have no network code either.
+    for file in ("routing/purges.py", "discovery/freshness.py", "support/rate_limited_log.py"):
         assert not {n for n in imported(file) if n.startswith(("zincladder", "socket", "anyio"))}
 
 
 def test_no_cap_on_fronts_or_servers_is_under_1024() -> None:
-    caps = (server.MAX_LINKS, counter_sums.MAX_PROCESSES, coordinator.MAX_FRONTS, tasks.MAX_RUNNERS)
-    assert min(caps) >= 1024 and server.MAX_LINKS >= 2 * coordinator.MAX_FRONTS
+    limits = (server.MAX_LINKS, counter_sums.MAX_PROCESSES, coordinator.MAX_FRONTS, tasks.MAX_RUNNERS)
+    assert min(limits) >= 1024 and server.MAX_LINKS >= 2 * coordinator.MAX_FRONTS
 
 
-def test_the_sums_take_what_1500_fronts_tell() -> None:
-    added = counter_sums.CounterSums()
-    for _ in range(2):  # the first word of a process is where its counting begins
+def test_counter_sums_accept_reports_of_1500_fronts() -> None:
+    sums = counter_sums.CounterSums()
+    for _ in range(2):  # the first report of a process sets the base of its counters
         for n in range(1500):
-            added.reported(f"front{n}", "1", {"served": float(len(added.totals))})
-    assert len(added._latest) == 1500
+            sums.reported(f"front{n}", "1", {"served": float(len(sums.totals))})
+    assert len(sums._latest) == 1500
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -1,4 +1,7 @@
-"""What people's dashboards, scripts and files hang on: these names are compared with a fixture, exactly."""
+"""Compares published names with fixtures, since users' dashboards, scripts and files depend on them.
+
+The names are those of metrics, alerts, replies, commands, exit codes, and keys of files.
+"""
 
 from __future__ import annotations
 
@@ -44,7 +47,7 @@
 from zincladder.metrics import front_metrics
 from zincladder.metrics.exposition import Sample
 from zincladder.metrics.registry import Registry
-from zincladder.metrics.replica import NAMES as NAMES_OF_A_REPLICA
+from zincladder.metrics.replica import NAMES as REPLICA_METRIC_NAMES
 from zincladder.metrics.replica import ReplicaRegistry
 from zincladder.policy.host import PolicyLeaderService
 from zincladder.policy.lease_client import FleetPolicy, PolicyHooks
@@ -66,7 +69,7 @@
 
 
 def counting_core() -> Core:
-    """A core in which everything that it counts has happened once."""
+    """A core in which every event that it counts has occurred once."""
     core = Core(settings(), 1, None, classes=RequestClasses(("video", "page"), settings().classes))  # type: ignore[arg-type]
     core.update_endpoints(api.UpdateKind.FULL, 1, FLEET)
     core.statistics.retain_classes(("video", "page"), ())
@@ -88,7 +91,7 @@
 
 
 def series(samples: Iterator[Sample]) -> list[str]:
-    """The samples' names with their labels, without values."""
+    """The names and labels of the samples, without values."""
     return [s.name + "{" + ",".join(f"{k}={v}" for k, v in s.labels) + "}" for s in samples]
 
 
@@ -122,23 +125,26 @@
     store = ReplicaStore(config.directory, config.group, config.name, Membership(config.founders))
     replica = ReplicaServer(config, store)
     lease = config.lease
-    terms = LeaseTiming(lease.seconds, lease.renew_s, lease.drift, lease.check_s, lease.clear_s, lease.least,
-                  lease.patient_s, lease.act_s)  # fmt: skip
-    coordinating, assigning = PolicyLeaderService(replica, terms), TaskLeaderService(replica, terms)
-    registry = ReplicaRegistry(replica, coordinating, assigning)
+    lease_timing = LeaseTiming(lease.seconds, lease.renew_s, lease.drift, lease.check_s, lease.clear_s,
+                               lease.least, lease.patient_s, lease.act_s)  # fmt: skip
+    policy_service, task_service = (
+        PolicyLeaderService(replica, lease_timing),
+        TaskLeaderService(replica, lease_timing),
+    )
+    registry = ReplicaRegistry(replica, policy_service, task_service)
     found = {"follows": series(registry.samples())}
     async with anyio.create_task_group() as tasks:
         await tasks.start(replica.run)
-        tasks.start_soon(coordinating.run)
-        tasks.start_soon(assigning.run)
+        tasks.start_soon(policy_service.run)
+        tasks.start_soon(task_service.run)
         with anyio.fail_after(10):
-            while {sample.name for sample in registry.samples()} != NAMES_OF_A_REPLICA:
+            while {sample.name for sample in registry.samples()} != REPLICA_METRIC_NAMES:
                 await anyio.sleep(0.01)
         found["leads"] = series(registry.samples())
         found["types and help"] = [line for line in registry.text().splitlines() if line[0] == "#"]
         tasks.cancel_scope.cancel()
     store.close()
-    found["names"] = sorted(NAMES_OF_A_REPLICA)
+    found["names"] = sorted(REPLICA_METRIC_NAMES)
     assert_matches("published/replica_metrics.json", found)
 
 
@@ -152,7 +158,7 @@
     assert_matches("published/alerts.json", rules)
 
 
-def test_answers_of_the_operators_address() -> None:
+def test_replies_of_the_control_address() -> None:
     core = counting_core()
     ready, settled, stopping = [0], [False], [True]
     missing = [""]
@@ -188,29 +194,31 @@
     assert_matches("published/admission.json", found)
 
 
-PARAMETER = ("param_type_name", "opts", "secondary_opts", "type", "required", "nargs", "multiple", "default",
-             "is_flag", "count", "hidden")  # fmt: skip
+PARAMETER_KEYS = ("param_type_name", "opts", "secondary_opts", "type", "required", "nargs", "multiple",
+                  "default", "is_flag", "count", "hidden")  # fmt: skip
 
 # The command line ---------------------------------------------------------------------------------
 
 
-def described(command: click.Command) -> dict[str, Any]:
-    """A command's options and arguments, and its commands."""
+def command_interface(command: click.Command) -> dict[str, Any]:
+    """The options and arguments of a command, and its subcommands."""
     found: dict[str, Any] = {"parameters": []}
     for parameter in command.params:
         assert parameter.name is not None
         info = parameter.to_info_dict()
-        shown = {key: info[key] for key in PARAMETER if info.get(key)}
-        if "default" in shown:
-            shown["default"] = getattr(shown["default"], "__name__", repr(shown["default"]))
-        found["parameters"].append(shown)
+        properties = {key: info[key] for key in PARAMETER_KEYS if info.get(key)}
+        if "default" in properties:
+            properties["default"] = getattr(properties["default"], "__name__", repr(properties["default"]))
+        found["parameters"].append(properties)
     if isinstance(command, click.Group):
-        found["commands"] = {name: described(inner) for name, inner in sorted(command.commands.items())}
+        found["commands"] = {
+            name: command_interface(inner) for name, inner in sorted(command.commands.items())
+        }
     return found
 
 
 def test_commands_with_their_options() -> None:
-    assert_matches("published/commands.json", described(main))
+    assert_matches("published/commands.json", command_interface(main))
 
 
 COMMAND_LINES = (
@@ -233,7 +241,7 @@
     assert_matches("published/exit_codes.json", found)
 
 
-def test_exit_code_of_a_front_that_cannot_be_configured(tmp_path: Path) -> None:
+def test_exit_code_of_a_front_with_an_invalid_configuration(tmp_path: Path) -> None:
     found = []
     for environ in ({}, {"RELAY_CONFIG": "/nowhere"}):
         ended = subprocess.run(
@@ -245,7 +253,7 @@
 
 
 def test_exit_code_of_a_replica_without_its_file() -> None:
-    # in a process of its own: it sets up the logging of the whole process
+    # Runs in a process of its own, since the command configures logging for the whole process.
     ended = subprocess.run(
         [sys.executable, "-m", "zincladder", "keep", "/nowhere"], cwd=ROOT, capture_output=True
     )
@@ -256,7 +264,7 @@
 
 
 def fields_of(kind: msgspec.inspect.Type) -> Any:
-    """What a field of a file may hold: for a table its keys, else a line on its type and bounds."""
+    """The values that a field of a file may have: the keys of a table, else its type and bounds."""
     if isinstance(kind, msgspec.inspect.Metadata):
         return fields_of(kind.type)
     if isinstance(kind, msgspec.inspect.StructType):
@@ -289,42 +297,45 @@
     assert_matches("published/replicas_file.json", found)
 
 
-class Recorder(dict[str, Any]):
-    """An object of the configuration that notes the paths of the keys that are asked for."""
+class KeyRecorder(dict[str, Any]):
+    """A configuration object that records the path of each key that is read."""
 
-    def __init__(self, data: dict[str, Any], seen: dict[str, None], path: str = "") -> None:
+    def __init__(self, data: dict[str, Any], keys_read: dict[str, None], path: str = "") -> None:
         super().__init__(
-            {key: self._wrapped(value, seen, f"{path}.{key}" if path else key) for key, value in data.items()}
+            {
+                key: self._wrap(value, keys_read, f"{path}.{key}" if path else key)
+                for key, value in data.items()
+            }
         )
-        self._seen, self._path = seen, path
+        self._keys_read, self._path = keys_read, path
 
     @classmethod
-    def _wrapped(cls, value: Any, seen: dict[str, None], path: str) -> Any:
+    def _wrap(cls, value: Any, keys_read: dict[str, None], path: str) -> Any:
         if isinstance(value, dict):
-            return cls(value, seen, path)
+            return cls(value, keys_read, path)
         if isinstance(value, list):
-            return [cls._wrapped(item, seen, f"{path}[]") for item in value]
+            return [cls._wrap(item, keys_read, f"{path}[]") for item in value]
         return value
 
-    def _note(self, key: str) -> None:
-        self._seen[f"{self._path}.{key}" if self._path else key] = None
+    def _record(self, key: str) -> None:
+        self._keys_read[f"{self._path}.{key}" if self._path else key] = None
 
     def get(self, key: str, default: Any = None) -> Any:
-        self._note(key)
+        self._record(key)
         return super().get(key, default)
 
     def __getitem__(self, key: str) -> Any:
-        self._note(key)
+        self._record(key)
         return super().__getitem__(key)
 
     def __contains__(self, key: object) -> bool:
-        self._note(str(key))
+        self._record(str(key))
         return super().__contains__(key)
 
 
 def test_keys_of_the_fronts_configuration() -> None:
     from tests.config.test_reading import FULL
 
-    seen: dict[str, None] = {}
-    assert isinstance(parse_config(Recorder(FULL, seen)), Config)
-    assert_matches("published/configuration.json", sorted(seen))
+    keys_read: dict[str, None] = {}
+    assert isinstance(parse_config(KeyRecorder(FULL, keys_read)), Config)
+    assert_matches("published/configuration.json", sorted(keys_read))
--- a/tests/test_restart_soak.py
+++ b/tests/test_restart_soak.py
@@ -1,7 +1,8 @@
-"""A front that is killed, started, stopped and cut off from the coordinator while members begin to drain.
+"""Restarts, stops and disconnects a front from the coordinator while endpoints begin to drain.
 
-One seed is one history of faults on a real process. The members judge: no request, and no source of a fill,
-later than the grace after the front counts as told. `SOAK_SEEDS=50` plays more of them by hand.
+Each seed is one history of faults on a real front process. The stub endpoints check that no request reaches
+them, and no fill names them as its source, later than the grace period after the front was notified of their
+drain. `SOAK_SEEDS=50` runs more seeds by hand.
 """
 
 from __future__ import annotations
@@ -31,41 +32,41 @@
 
 pytestmark = pytest.mark.anyio
 SEEDS = range(int(os.environ.get("SOAK_FROM", "0")), int(os.environ.get("SOAK_SEEDS", "4")))
-GRACE = 0.5 + 0.05  # the settings' and what every limit grows by
-STARTS, FAULTS_EACH = 3, 4
-PATIENCE, OVERDUE = 2.0, 0.5  # of the clients, and what an answer may be late by
+GRACE_SECONDS = 0.5 + 0.05  # drainGrace of the settings, and a tolerance
+PROCESS_STARTS, FAULTS_PER_PROCESS = 3, 4
+CLIENT_TIMEOUT_SECONDS, MAX_LATENESS_SECONDS = 2.0, 0.5  # an answer may be late by the second
 CLIENTS = 3
-STARTUP = 0.1  # seconds: less than any process takes to listen
+STARTUP_SECONDS = 0.1  # shorter than any front process takes until it listens
 DRAINING = 1
 
 
 @dataclass
-class Told:
-    """One drain: when the coordinator held it, and from when on the running process counts as told."""
+class Drain:
+    """A drain of an endpoint, and since when the running process counts as notified of it."""
 
     endpoint: str
-    at: float
-    counts_from: float | None
+    at: float  # when the coordinator began to hold it
+    notified_at: float | None  # None: the running process has had no chance to learn of it
 
 
 @dataclass
-class Sent:
-    """One request that reached a member."""
+class ReceivedRequest:
+    """One request that reached a stub endpoint."""
 
     at: float
-    names: tuple[str, ...]  # the member, and the source of the fill
+    names: tuple[str, ...]  # the endpoint, and the source of the fill if any
 
 
 @dataclass
-class CrowdedCoordinator(Coordinator):
-    """Answers each question after a delay of its own, and remembers when it was asked."""
+class SlowCoordinator(Coordinator):
+    """Answers each subscription after a random delay, and notes when each drain counts as notified."""
 
     random: Random = field(default_factory=Random)
-    followed_since: float | None = None  # by a watch that has been answered and still stands
-    drains: list[Told] = field(default_factory=list)
+    followed_since: float | None = None  # when the open subscription was answered
+    drains: list[Drain] = field(default_factory=list)
     note: Callable[[str], None] = print
     started_at: float = 0.0
-    heard: bool = False  # the running process has been answered once
+    process_answered: bool = False  # whether the running process has received the events once
 
     async def _connection(self, stream: anyio.abc.ByteStream) -> None:
         if self.down:
@@ -74,132 +75,139 @@
         try:
             await stream.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError):
-            return  # the process was killed between its connect and its question
-        asked, process = monotonic(), self.started_at
-        self.note("asked")
-        for told in self.drains:
-            if told.counts_from is None:
-                told.counts_from = asked
+            return  # the process was killed after it connected, before it subscribed
+        subscribed_at, started_at = monotonic(), self.started_at
+        self.note("process subscribed")
+        for drain in self.drains:
+            if drain.notified_at is None:
+                drain.notified_at = subscribed_at
         with contextlib.suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):
             await anyio.sleep(self.random.choice((0.0, 0.0, 0.3, 0.8)))
-            if self.started_at != process:  # it has been killed meanwhile
+            if self.started_at != started_at:  # the process was replaced in the meantime
                 return await stream.aclose()
             async with self.turn:
                 for number, kind, payload in self.events:
                     await stream.send(frame(number, kind, payload))
                 self.streams.append(stream)
-                self.heard = True
-                self.note("answered")
+                self.process_answered = True
+                self.note("subscription answered")
             while True:
                 async with self.turn:
                     await stream.send(frame(0, 0, b""))
                 await anyio.sleep(0.3)
 
     async def drain(self, endpoint: StubCache) -> None:
-        """A process that follows is told at once, and so is one that has had no chance to ask yet.
+        """Begins a drain of `endpoint`.
 
-        One that was turned away counts as told when it asks again.
+        A connected process counts as notified at once, and so does one that has not subscribed yet. A process
+        whose connection was refused counts as notified when it subscribes again.
         """
         at = monotonic()
-        told = at if self.streams or not (self.heard or self.turned_away) else None
-        self.drains.append(Told(endpoint.name, at, told))
-        with contextlib.suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):  # it asks again
+        notified_at = at if self.streams or not (self.process_answered or self.turned_away) else None
+        self.drains.append(Drain(endpoint.name, at, notified_at))
+        # If the connection has ended, the process subscribes again.
+        with contextlib.suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):
             await self.tell(2, endpoint.record(DRAINING))
 
     async def go_down(self) -> None:
-        """What a process that has not asked yet was owed counts once it asks."""
+        """Refuses connections. A process that was not answered yet is notified when it subscribes."""
         self.down = True
-        for told in self.drains:
-            if not self.heard and told.at > self.started_at:
-                told.counts_from = None
+        for drain in self.drains:
+            if not self.process_answered and drain.at > self.started_at:
+                drain.notified_at = None
         await self.break_off()
 
     async def break_off(self) -> None:
+        """Closes the connections of all subscribers."""
         streams, self.streams = self.streams, []
         for stream in streams:
             await stream.aclose()
 
 
 class History:
-    """What one seed does to a front, and what came of it."""
+    """The faults of one seed, the front that they happen to, and the violations found."""
 
     def __init__(self, seed: int, folder: Path) -> None:
         self.random, self.folder = Random(seed), folder
         self.caches = [StubCache(f"s-{n:08x}", 0, self.script) for n in range(1, 7)]
         self.parents = [StubCache(f"s-{n:08x}", 1, self.script) for n in range(0xA0, 0xA4)]
         self.origin = StubCache("s-000000b0", 2, self.script)
-        self.coordinator = CrowdedCoordinator(random=self.random, note=self.note)
-        self.where = ("127.0.0.1", free_port())
-        self.sent: list[Sent] = []
+        self.coordinator = SlowCoordinator(random=self.random, note=self.note)
+        self.address = ("127.0.0.1", free_port())
+        self.received: list[ReceivedRequest] = []
         self.front: FrontProcess | None = None
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.answered = self.unanswered = 0
-        self.killed = 0  # how often
-        self.story: list[str] = []  # what was done and asked, with times since the start of the process
-        self.lag = 0.0  # the worst lateness of this process's own loop
+        self.kills = 0
+        self.fault_log: list[str] = []  # faults and subscriptions, in seconds since the start of the process
+        self.lag = 0.0  # recent worst lag of the event loop of this test process, in seconds
 
     async def script(self, stub: StubCache, fetch: Fetch) -> None:
         names = (stub.name, *(v for k, v in fetch.fields.items() if k == "up"))
-        self.judge(Sent(monotonic(), names))
+        self.check_request(ReceivedRequest(monotonic(), names))
         await serve(stub, fetch)
 
-    def judge(self, sent: Sent) -> None:
-        self.sent.append(sent)
-        if sent.at - self.coordinator.started_at < STARTUP:
-            return  # of the process before, which was killed
-        for told in self.coordinator.drains:
-            if told.endpoint not in sent.names or told.counts_from is None:
+    def check_request(self, received: ReceivedRequest) -> None:
+        self.received.append(received)
+        if received.at - self.coordinator.started_at < STARTUP_SECONDS:
+            return  # sent by the process before, which was killed
+        for drain in self.coordinator.drains:
+            if drain.endpoint not in received.names or drain.notified_at is None:
                 continue
-            late = sent.at - told.counts_from - GRACE - self.lag
-            if late > 0:
-                start = sent.at - self.coordinator.started_at
-                self.broken.append(
-                    f"{told.endpoint}: {late:.3f} s past the grace, {start:.3f} s after the start"
+            lateness = received.at - drain.notified_at - GRACE_SECONDS - self.lag
+            if lateness > 0:
+                start = received.at - self.coordinator.started_at
+                self.violations.append(
+                    f"{drain.endpoint}: {lateness:.3f} s past the grace, {start:.3f} s after the start"
                 )
 
-    async def measure(self) -> None:
+    async def measure_lag(self) -> None:
+        """Keeps `lag` up to date; an old peak decays by a tenth every 10 ms."""
         while True:
             before = monotonic()
             await anyio.sleep(0.01)
             self.lag = max(0.9 * self.lag, monotonic() - before - 0.01)
 
-    async def client(self) -> None:
+    async def run_client(self) -> None:
+        """Sends one request after the other until it is cancelled, and checks that answers come in time."""
         while True:
-            killed, open_now = self.killed, False
+            kills, open_now = self.kills, False
             try:
-                async with await anyio.connect_tcp(*self.where) as stream:
+                async with await anyio.connect_tcp(*self.address) as stream:
                     c = Client(stream)
                     while True:
                         open_now, began = True, monotonic()
                         entity = f"{self.random.getrandbits(48):016x}"
                         trace = f"{self.random.getrandbits(60):016x}"
-                        await c.ask(entity=entity, trace=trace, patience=str(round(PATIENCE * 1000)))
+                        await c.ask(
+                            entity=entity, trace=trace, patience=str(round(CLIENT_TIMEOUT_SECONDS * 1000))
+                        )
                         await c.reply()
                         self.answered, open_now = self.answered + 1, False
-                        if monotonic() - began > PATIENCE + OVERDUE + self.lag:
-                            self.broken.append(f"an answer after {monotonic() - began:.3f} s")
+                        if monotonic() - began > CLIENT_TIMEOUT_SECONDS + MAX_LATENESS_SECONDS + self.lag:
+                            self.violations.append(f"an answer after {monotonic() - began:.3f} s")
                         await anyio.sleep(0.01)
             except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
-                self.unanswered += open_now and killed == self.killed
+                self.unanswered += open_now and kills == self.kills
                 await anyio.sleep(0.02)
 
     def config(self) -> dict[str, Any]:
-        drained = {told.endpoint for told in self.coordinator.drains}
+        drained = {drain.endpoint for drain in self.coordinator.drains}
         listed = [
             stub.endpoint("draining" if stub.name in drained else "up")
             for stub in (*self.caches, *self.parents, self.origin)
         ]
-        return configuration(listed, self.coordinator.port, listen=f"{self.where[0]}:{self.where[1]}")
+        return configuration(listed, self.coordinator.port, listen=f"{self.address[0]}:{self.address[1]}")
 
     async def start(self) -> None:
         c = self.coordinator
         c.events.clear()
         c.streams.clear()
-        c.started_at, c.heard, c.turned_away = monotonic(), False, 0
-        for told in c.drains:
-            told.counts_from = told.at  # it stands in the configuration
+        c.started_at, c.process_answered, c.turned_away = monotonic(), False, 0
+        for drain in c.drains:
+            drain.notified_at = drain.at  # the configuration lists the endpoint as draining
         self.front = FrontProcess(self.folder, self.config())
-        self.note("started")
+        self.note("process started")
 
     async def fault(self) -> None:
         front, random = self.front, self.random
@@ -227,31 +235,31 @@
         await anyio.sleep(random.uniform(0.0, 0.5))
 
     def note(self, what: str) -> None:
-        self.story.append(f"{monotonic() - self.coordinator.started_at:.3f} {what}")
+        self.fault_log.append(f"{monotonic() - self.coordinator.started_at:.3f} {what}")
 
     async def drain_one(self) -> None:
-        drained = {told.endpoint for told in self.coordinator.drains}
-        kin = self.random.choice((self.caches, self.parents))
-        left = [stub for stub in kin if stub.name not in drained]
-        if len(left) > 1:
-            endpoint = self.random.choice(left)
+        drained = {drain.endpoint for drain in self.coordinator.drains}
+        candidates = self.random.choice((self.caches, self.parents))
+        remaining = [stub for stub in candidates if stub.name not in drained]
+        if len(remaining) > 1:
+            endpoint = self.random.choice(remaining)
             self.note(f"{endpoint.name} drains")
             await self.coordinator.drain(endpoint)
 
-    async def play(self) -> None:
+    async def run_history(self) -> None:
         async with anyio.create_task_group() as tasks:
             for stub in (*self.caches, *self.parents, self.origin, self.coordinator):
                 await tasks.start(stub.run)  # type: ignore[attr-defined]
-            tasks.start_soon(self.measure)
+            tasks.start_soon(self.measure_lag)
             for _ in range(CLIENTS):
-                tasks.start_soon(self.client)
+                tasks.start_soon(self.run_client)
             try:
-                for _ in range(STARTS):
+                for _ in range(PROCESS_STARTS):
                     await self.start()
                     before = self.answered
-                    for _ in range(FAULTS_EACH):
+                    for _ in range(FAULTS_PER_PROCESS):
                         await self.fault()
-                    # Each process answers again after its faults, however slowly it started.
+                    # The process must answer requests again after its faults, however slowly it started.
                     await until(lambda before=before: self.answered >= before + 8)  # type: ignore[misc]
                     self.kill()
             finally:
@@ -260,18 +268,20 @@
 
     def kill(self) -> None:
         if self.front is not None:
-            self.killed += 1
+            self.kills += 1
             self.front.process.kill()
             self.front.process.wait()
             self.front = None
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-async def test_no_history_of_restarts_sends_work_past_the_grace(seed: int, tmp_path: Path) -> None:
+async def test_restarts_send_no_request_to_an_endpoint_past_its_drain_grace(
+    seed: int, tmp_path: Path
+) -> None:
     history = History(seed, tmp_path)
-    await history.play()
+    await history.run_history()
     logs = [json.loads(line) for log in sorted(tmp_path.glob("log*")) for line in log.open()]
-    assert not history.broken, "\n".join([*history.broken, *history.story, *map(str, logs)])
-    assert history.answered > 20 and len(history.sent) > 20
+    assert not history.violations, "\n".join([*history.violations, *history.fault_log, *map(str, logs)])
+    assert history.answered > 20 and len(history.received) > 20
     assert not history.unanswered
     assert not [line for line in logs if line["level"] == "error"], logs
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -1,7 +1,7 @@
-"""The bytes of the front's wires, of what it exports and of what it stores, compared with fixtures.
+"""Compares the bytes that a front sends, receives, exports and stores with fixtures.
 
-Built by position, so that a name that changes where no byte does leaves these tests as they are. A line of a
-fixture is what went in with what came out of it.
+Values are compared by position, without the names of their fields, so that a rename which changes no byte
+needs no change here. Each line of a fixture holds an input and its output.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def outcome(read: Callable[[], Any], errors: type[Exception], with_text: bool = False) -> Any:
-    """What is read, or that it was found faulty; `with_text` where the peer is told the text."""
+    """The value read, or that it is faulty; `with_text` adds the error text if it is sent to the peer."""
     try:
         return positional(read())
     except errors as fault:
@@ -52,37 +52,44 @@
 # Clients ------------------------------------------------------------------------------------------
 
 
-def text(value: str) -> bytes:
+def thrift_string(value: str) -> bytes:
     return struct.pack(">i", len(value.encode())) + value.encode()
 
 
-def texts(fields: dict[str, str]) -> bytes:
-    entries = b"".join(text(key) + text(value) for key, value in fields.items())
+def thrift_map(fields: dict[str, str]) -> bytes:
+    entries = b"".join(thrift_string(key) + thrift_string(value) for key, value in fields.items())
     return struct.pack(">BBi", 11, 11, len(fields)) + entries
 
 
-def message(verb: str, kind: int, number: int, arguments: bytes) -> bytes:
-    return struct.pack(">I", 0x80010000 | kind) + text(verb) + struct.pack(">i", number) + arguments + b"\0"
+def call_message(method: str, kind: int, number: int, arguments: bytes) -> bytes:
+    return (
+        struct.pack(">I", 0x80010000 | kind)
+        + thrift_string(method)
+        + struct.pack(">i", number)
+        + arguments
+        + b"\0"
+    )
 
 
-def handle(fields: dict[str, str], body: bytes = b"") -> bytes:
-    return b"\x0d\0\1" + texts(fields) + b"\x0b\0\2" + struct.pack(">i", len(body)) + body
+def handle_arguments(fields: dict[str, str], body: bytes = b"") -> bytes:
+    return b"\x0d\0\1" + thrift_map(fields) + b"\x0b\0\2" + struct.pack(">i", len(body)) + body
 
 
 def test_calls_of_clients() -> None:
-    newer = b"\x0c\0\x09\x0f\0\1\x08\0\0\0\1\0\0\0\7\0" + b"\x02\0\x0a\1"  # a struct of a list, and a flag
-    whole = message("handle", 1, 7, handle(CALL_FIELDS, b"body"))
+    # A struct that holds a list, and a flag: fields of a newer client.
+    unknown_fields = b"\x0c\0\x09\x0f\0\1\x08\0\0\0\1\0\0\0\7\0" + b"\x02\0\x0a\1"
+    complete = call_message("handle", 1, 7, handle_arguments(CALL_FIELDS, b"body"))
     calls = [
-        whole,
-        message("handle", 1, 8, newer + handle({"route": "page"})),
-        message("withdraw", 4, 9, b"\x08\0\1" + struct.pack(">i", 7)),
-        message("status", 1, 10, b""),
-        message("other", 1, 11, b"\x0b\0\1" + text("x")),
-        whole[:-9],
-        whole + b"\0",
-        b"\0\0\0\1" + whole[4:],
-        message("handle", 1, 1, b"\x0d\0\1" + struct.pack(">BBi", 8, 11, 1)),
-        message("handle", 1, 1, b"\x63\0\1"),
+        complete,
+        call_message("handle", 1, 8, unknown_fields + handle_arguments({"route": "page"})),
+        call_message("withdraw", 4, 9, b"\x08\0\1" + struct.pack(">i", 7)),
+        call_message("status", 1, 10, b""),
+        call_message("other", 1, 11, b"\x0b\0\1" + thrift_string("x")),
+        complete[:-9],
+        complete + b"\0",
+        b"\0\0\0\1" + complete[4:],
+        call_message("handle", 1, 1, b"\x0d\0\1" + struct.pack(">BBi", 8, 11, 1)),
+        call_message("handle", 1, 1, b"\x63\0\1"),
     ]
     framed = b"".join(struct.pack(">i", len(c)) + c for c in (calls[0], calls[2], calls[2], calls[3]))
     found = [
@@ -130,16 +137,16 @@
 
 
 def test_fields_of_a_fetch() -> None:
-    plain = ClientRequest("00000000000000a1", 0, 0x7F3A9C21E0B4D655, None, 17, 9.0)
+    minimal = ClientRequest("00000000000000a1", 0, 0x7F3A9C21E0B4D655, None, 17, 9.0)
     full = ClientRequest("00000000000000a2", 1, 5, 3, 17, 9.0, True, True, "tag-1", "k-1_Z", b"body", 12.5)
     source = b"s-000000a0"
     attempts = [
-        AttemptRequest(plain, b"s-00000001"),
+        AttemptRequest(minimal, b"s-00000001"),
         AttemptRequest(full, b"s-00000001", source, 2, 1.5, True, True, True, True, 8.0),
-        AttemptRequest(plain, b"s-00000001", source, 1, 0.0, True, False, False, False, 8.0),
-        AttemptRequest(plain, b"s-00000001", source, 0, float("inf"), False, True, False, False, 8.0),
-        AttemptRequest(plain, b"s-00000001", None, 0, 0.0004, False, False, True, False, 8.0),
-        AttemptRequest(plain, b"s-00000001", source, 0, 31.2345, False, False, False, True, 8.0),
+        AttemptRequest(minimal, b"s-00000001", source, 1, 0.0, True, False, False, False, 8.0),
+        AttemptRequest(minimal, b"s-00000001", source, 0, float("inf"), False, True, False, False, 8.0),
+        AttemptRequest(minimal, b"s-00000001", None, 0, 0.0004, False, False, True, False, 8.0),
+        AttemptRequest(minimal, b"s-00000001", source, 0, 31.2345, False, False, False, True, 8.0),
     ]
     found = [
         protocol.write_fetch(o, name, left)
@@ -219,14 +226,14 @@
     queries.append(dns.message.make_query(*QUESTIONS[0], id=4712, use_edns=0, payload=1232).to_wire())
     queries.append(dns.message.make_query(*QUESTIONS[0], id=4712, use_edns=1).to_wire())
     update = bytearray(queries[0])
-    update[2] |= 5 << 3  # another opcode
+    update[2] |= 5 << 3  # opcode UPDATE
     queries += [bytes(update), queries[0][:-2], queries[0][:8], queries[0][:2] + b"\x80" + queries[0][3:]]
     found = []
     for query in queries:
         now = core.clock.now()
-        whole, late = answers.respond(query, now), answers.respond(query, now - 1.0)
+        complete, late = answers.respond(query, now), answers.respond(query, now - 1.0)
         cut = answers.truncated(query)
-        found.append([positional(part) for part in (query, whole, late, cut)])
+        found.append([positional(part) for part in (query, complete, late, cut)])
     assert_matches("wires/dns.json", found)
 
 
@@ -239,7 +246,7 @@
     return struct.pack("<HBfHdH", 2, state, 4.5, 3, 1.25, 1) + ID
 
 
-def ended(result: int, note: int) -> bytes:
+def attempt_ended(result: int, note: int) -> bytes:
     head = struct.pack("<IQH", 3, 9, 1) + ID + struct.pack("<HdBBd", result, 0.25, 1, note, 0.5)
     return head + struct.pack("<B2f", 2, 0.5, 1.5)
 
@@ -254,8 +261,8 @@
     (20, struct.pack("<IQHd", 3, 0, 5, 1.5)),
     (30, struct.pack("<IQI", 3, 9, len(SETTINGS)) + SETTINGS),
     (30, struct.pack("<IQI", 3, 9, 1) + b"{"),
-    *((40, ended(result, 1)) for result in range(10)),
-    *((40, ended(1, note)) for note in range(12)),
+    *((40, attempt_ended(result, 1)) for result in range(10)),
+    *((40, attempt_ended(1, note)) for note in range(12)),
     (50, struct.pack("<IQffBQBfHd", 3, 1, 11.0, 641.5, 7, 77, 1, 3.0, 6, 4.5)),
     (50, struct.pack("<IQffBQBfHd", 3, 1, 11.0, 641.5, 0, 77, 1, 3.0, 6, 4.5)),
     (60, struct.pack("<IQH", 3, 9, 1) + ID + struct.pack("<d", 0.25)),
@@ -336,10 +343,10 @@
 
 
 def write_spool(folder: Path) -> None:
-    """Five batches, of which the first two have been sent."""
+    """Writes a spool of five batches, of which the first two are acknowledged."""
     spool = Spool(folder, 1 << 20)
-    for stamp, payload in BATCHES:
-        spool.append(stamp, payload)
+    for timestamp_ms, payload in BATCHES:
+        spool.append(timestamp_ms, payload)
     for _ in range(2):
         first = spool.oldest()
         assert first is not None
@@ -347,21 +354,21 @@
     spool.close()
 
 
-def test_a_spool_is_written_as_the_fixture_was(tmp_path: Path) -> None:
+def test_a_spool_is_written_like_the_fixture(tmp_path: Path) -> None:
     write_spool(tmp_path / "spool")
     found = {path.name: path.read_bytes() for path in (tmp_path / "spool").iterdir()}
     assert found == {path.name: path.read_bytes() for path in SPOOL.iterdir()} and len(found) == 2
 
 
-def test_the_spool_of_the_fixture_is_opened_sent_and_written_on(tmp_path: Path) -> None:
+def test_the_spool_of_the_fixture_can_be_read_and_appended_to(tmp_path: Path) -> None:
     folder = tmp_path / "spool"
     shutil.copytree(SPOOL, folder)
     spool = Spool(folder, 1 << 20)
     assert (len(spool), spool.lost_batches, spool.foreign_files) == (3, 0, [])
     spool.append(1_700_000_000_005, b"one more")
-    for number, (stamp, payload) in enumerate([*BATCHES[2:], (1_700_000_000_005, b"one more")], 3):
+    for number, (timestamp_ms, payload) in enumerate([*BATCHES[2:], (1_700_000_000_005, b"one more")], 3):
         first = spool.oldest()
-        assert first is not None and positional(first) == [number, stamp, payload.hex()]
+        assert first is not None and positional(first) == [number, timestamp_ms, payload.hex()]
         spool.acknowledge(first)
     assert spool.oldest() is None
     spool.close()
