--- a/zincladder/core/arrival.py
+++ b/zincladder/core/arrival.py
@@ -1,9 +1,9 @@
 """Estimates when a message arrived on a socket. No I/O; times are seconds of one monotonic clock.
 
-A client's time for a request starts when it sends the request. If a process that stalls, or reads late,
-counted from when it read the request, it would count on time that the client no longer has. Not every
-operating system reports when a byte arrived. What is always known is when the event loop, or a reader, last
-found that a socket had no unread bytes.
+A client's timeout runs from the moment at which it sends the request. A process that stalls or reads late
+must not measure the timeout from its own read, or it would work on requests whose clients no longer wait. Not
+every operating system reports when a byte arrived, so the arrival is bounded instead: it came after the event
+loop, or a reader, last found that the socket had no unread bytes.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 from collections import deque
 from collections.abc import Callable
 
-# A message that was unread for less counts as read at once; its deadline is later by up to this much.
+# A message that was unread for at most this long counts as read at once; its deadline may be late by as much.
 PROMPT_READ_SECONDS = 0.05
-# The newest iteration may be that of the poll that reported the bytes, and the one before it the iteration in
-# which the loop slept until they arrived. Only the oldest of three was surely recorded before they arrived.
+# The newest iteration may be the one whose poll reported the bytes, and the one before it may have slept
+# until they arrived. Only the oldest of three was certainly recorded before they arrived.
 ITERATIONS_KEPT = 3
 
 
@@ -43,7 +43,7 @@
         self.arrived_after = self._drained_at = self._waiting_since = arrived_after
 
     def reader_waits(self, now: float) -> None:
-        """Records that the reader waits in the event loop; until now it may not have looked at the socket."""
+        """Records that the reader begins to wait for bytes; until now it may have been busy elsewhere."""
         self._waiting_since = now
 
     def reader_woke(self, now: float) -> None:
@@ -63,7 +63,7 @@
         """Returns for how many seconds a message was unread when it was noticed, or an upper bound for it.
 
         `newest_byte_age` returns the age in seconds that the newest byte had when the message was noticed, or
-        None if that age says nothing about this message. Without it the longest possible time is returned: a
+        None if that age does not apply to this message. Without it the longest possible time is returned: a
         shorter one would let endpoints work for clients that no longer wait.
         """
         longest = noticed_at - self.arrived_after
--- a/zincladder/core/attempt.py
+++ b/zincladder/core/attempt.py
@@ -103,7 +103,7 @@
     endpoint: api.EndpointId
     source: api.EndpointId | None = None  # where a miss is filled from; None: it is not filled
     cache_rank: int = 0
-    max_age: float = 0.0  # seconds, of a copy that may be served; 0: any fresh copy
+    max_age: float = 0.0  # maximum seconds, for a served copy; 0: any fresh copy
     coalesce: bool = False  # may join a fill that is in progress
     cached_only: bool = False  # the source serves cached copies only
     parent_proxies: bool = False  # the source does not cache a copy
--- a/zincladder/core/attempt_end.py
+++ b/zincladder/core/attempt_end.py
@@ -33,7 +33,7 @@
     PEER_STALLED = "stalled"  # the peer sent part of a message and no more, or stopped reading
 
 
-# REJECTED, UNREACHABLE, NOT_SENT and MISS state that the request did not run. A reason may map to one of them
+# REJECTED, UNREACHABLE, NOT_SENT and MISS mean that the request did not run. A reason may map to one of them
 # only if no byte of the request was written, or the endpoint stated that it did not run. Otherwise a retry
 # could run a write twice.
 OUTCOME_OF_END: dict[EndReason, api.AttemptOutcome] = {
--- a/zincladder/core/direct_routing.py
+++ b/zincladder/core/direct_routing.py
@@ -20,7 +20,7 @@
         """Returns a number that no request had before."""
 
     def paused_seconds(self, request_class: int) -> float:
-        """Returns the seconds for which requests of this class must not be decided; 0: they may be."""
+        """Returns for how many seconds requests of this class must not be routed; 0: they may be."""
 
     def handle(self, event: api.Event) -> list[api.Action]:
         """Passes an event to the router and returns its actions."""
@@ -43,7 +43,7 @@
     def route_only(self, request: ClientRequest) -> api.EndpointId | None:
         """Returns the endpoint that the client is to connect to, or None if the request is rejected.
 
-        The front never learns how the request ends, so the router is notified that the attempt was not sent.
+        How the request ends is not reported to the front, so the router is notified that no attempt was sent.
         """
         current = self._endpoint_list.is_current()
         if not current or self._decisions.paused_seconds(request.request_class):
--- a/zincladder/core/endpoint_list.py
+++ b/zincladder/core/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as this front knows it, and the wait until it is current enough for routing decisions."""
+"""The endpoint list of this front, and the wait until it is current enough for routing decisions."""
 
 from __future__ import annotations
 
--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -36,8 +36,8 @@
 from zincladder.routing.router import Router
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-LIST_WAIT_FRACTION = 0.45  # of a request's time, to wait for a current list; its client can still retry
-ATTEMPT_LIST_WAIT_SECONDS = 0.2  # the same wait for a retry; less than timeouts that count against endpoints
+LIST_WAIT_FRACTION = 0.45  # of a request's remaining time; a client rejected after this wait can still retry
+ATTEMPT_LIST_WAIT_SECONDS = 0.2  # before an attempt; shorter than timeouts that count against endpoints
 CANCEL_SCOPE_MARGIN_SECONDS = 0.001  # from the deadline of an attempt to its cancellation
 REPLACED_CLASS_RETRY_AFTER_SECONDS = 0.05  # sent to a client whose request was read under replaced settings
 log = structlog.get_logger()
@@ -68,9 +68,9 @@
         self.purges = Purges()
         self.open_requests: dict[int, RequestContext] = {}
         self.loop_monitor = LoopMonitor()
-        # Called at each tick, for timers of a front that the router does not know of.
+        # Called at each tick, for timers that belong to a front and not to the router.
         self.on_tick: Callable[[], None] | None = None
-        # Returns the seconds for which no request may be decided, or 0. It is called for each request; the
+        # Returns for how many seconds no request may be routed, or 0. It is called for each request; the
         # result is never cached. If set, a request whose class was replaced after it was read is rejected.
         self.decisions_paused_for: Callable[[], float] | None = None
         self.health_checks = HealthChecks(
@@ -140,9 +140,9 @@
         return self._last_request_number
 
     def paused_seconds(self, request_class: int) -> float:
-        """Returns the seconds for which requests with this class number must not be decided; 0: they may be.
+        """Returns for how many seconds requests with this class number must not be routed; 0: they may be.
 
-        A request that was read just before new settings were applied has a number that stands for old rules.
+        The class number of a request that was read just before new settings were applied refers to old rules.
         """
         if self.decisions_paused_for is None:
             return 0.0
@@ -174,8 +174,8 @@
     async def _wait_for_change(self, context: RequestContext) -> bool:
         """Waits for the end of an attempt or for an answer; False if the request's deadline passes first."""
         context.changed = anyio.Event()
-        # An attempt in flight ends by its own deadline. If there is none, the scope ends the wait, so that
-        # every request is answered.
+        # An attempt in flight ends by its own deadline. Without an attempt in flight, the scope ends the wait
+        # at the request's deadline, so that every request is answered.
         with anyio.CancelScope() as wait_scope:
             if not context.in_flight:
                 left = context.request.deadline - self.clock.now()
@@ -193,14 +193,14 @@
                 context.running_attempt.cancel()
 
     def _close_request(self, number: int) -> None:
-        """Removes a request. Attempts in flight are cancelled, so the router is notified of each end once."""
+        """Removes a request, cancels its attempts in flight, and notifies the router once of each end."""
         context = self.open_requests.pop(number)
         if context.answer is None:
             self.counts[WITHDRAWN_REQUESTS] += 1
             self._notify_router(api.ClientDisconnected(number))
         for in_flight in context.in_flight.values():
-            # Attempts are in flight here only if the client disconnected. The Router makes one attempt at a
-            # time; several are handled all the same.
+            # Attempts are in flight here only if the client disconnected, or if `fail_open_requests` answered
+            # the request. The Router makes one attempt at a time; several are handled all the same.
             in_flight.cancel()
             end = AttemptEnd(EndReason.CANCELLED)
             self._notify_router(self._attempt_ended(number, in_flight, end, answered=True))
@@ -238,7 +238,8 @@
             log.exception("transport raised an exception during an attempt", trace=attempt.request.trace)
             end = AttemptEnd(EndReason.SERVER_ERROR, detail="the transport raised an exception")
         if scope.cancelled_caught:
-            # A late timer does not prove that the endpoint timed out: its answer may have arrived unread.
+            # A late timer does not prove that the endpoint timed out: an answer may have arrived and still be
+            # unread.
             timed_out = 0.0 <= self.clock.now() - attempt.deadline <= STALL_SECONDS
             end = AttemptEnd(EndReason.TIMED_OUT if timed_out else EndReason.CANCELLED, detail="timeout")
         in_flight.end = end
@@ -252,7 +253,7 @@
         context.changed.set()
 
     async def _send_once_current(self, context: RequestContext, attempt: AttemptRequest) -> AttemptEnd:
-        """Sends an attempt once the endpoint list is current, or ends it if the list takes too long."""
+        """Sends an attempt once the endpoint list is current; ends it if that takes too long."""
         if await self.endpoint_list.wait_until_current(context, ATTEMPT_LIST_WAIT_SECONDS):
             return await self.transport.send(attempt)
         return AttemptEnd(EndReason.DEADLINE_EXCEEDED, detail=AbortReason.LIST_OUT_OF_DATE.description)
@@ -320,7 +321,7 @@
         self._notify_router(api.EndpointUpdate(kind, version, endpoints))
 
     def purge(self, object_id: int | None, group: int, purged_at: float) -> None:
-        """Records a purge at a Unix time, of one object or (`object_id` is None) of a whole group."""
+        """Records a purge, at a Unix time, of one object, or of a whole group if `object_id` is None."""
         now = self.clock.now()
         self.purges.record(object_id, group, purged_at, now, self.settings.purge_done)
         self._notify_router(api.Purged(object_id, group, max(0.0, now - purged_at)))
--- a/zincladder/core/loop_monitor.py
+++ b/zincladder/core/loop_monitor.py
@@ -10,7 +10,9 @@
 from zincladder.core.arrival import LoopTurns
 
 TICK_SECONDS = 0.01  # from tick to tick; the core fires timers at each tick
-STALL_SECONDS = 0.1  # a process that is later counts as stalled; its timeouts prove nothing about endpoints
+# A tick or a timeout that is later than this shows a stall of the process; such a timeout proves nothing
+# about the endpoint.
+STALL_SECONDS = 0.1
 # Iterations of the event loop from the arrival of an answer to the router's event: poll the socket, read the
 # answer, resume the task of the attempt, notify the router.
 CATCH_UP_ITERATIONS = 4
--- a/zincladder/core/request_context.py
+++ b/zincladder/core/request_context.py
@@ -19,7 +19,7 @@
     number: int  # from 0, within its request
     attempt: AttemptRequest
     scope: anyio.CancelScope
-    sent_at: float  # on the core's clock
+    sent_at: float  # when the router decided it, on the core's clock
     end: AttemptEnd | None = None
 
     def cancel(self) -> None:
@@ -35,7 +35,7 @@
     request: ClientRequest
     attempts_started: int = 0
     in_flight: dict[int, InFlightAttempt] = field(default_factory=dict)  # by number
-    ended_attempts: list[InFlightAttempt] = field(default_factory=list)  # the router does not know yet
+    ended_attempts: list[InFlightAttempt] = field(default_factory=list)  # the router is not notified yet
     next_attempt: InFlightAttempt | None = None  # to be run in the request's own task
     running_attempt: InFlightAttempt | None = None  # runs in the request's own task
     # End of the deduplication window, for a request with an idempotency key that may have run: a retry that
--- a/zincladder/core/statistics.py
+++ b/zincladder/core/statistics.py
@@ -21,8 +21,8 @@
     )
 )
 NOT_SENT_ENDS = frozenset((EndReason.LOST_BEFORE_SEND, EndReason.DRAINING))
-MAX_CLASSES = 64  # for which statistics are kept, removed classes included
-SILENCE_EXPIRY_SECONDS = 30.0  # after the last message to an endpoint, when its silence no longer counts
+MAX_CLASSES = 64  # with statistics; above it the oldest unused classes are dropped
+SILENCE_EXPIRY_SECONDS = 30.0  # without a message to an endpoint; then its silence no longer counts
 
 
 @dataclass(slots=True)
@@ -40,7 +40,7 @@
 
 
 class Statistics:
-    """Statistics of all classes, and of all endpoints; an endpoint's are dropped when it leaves the list."""
+    """Statistics of classes and endpoints; those of an endpoint are dropped when it leaves the list."""
 
     def __init__(self) -> None:
         self.endpoints: dict[api.EndpointId, EndpointStatistics] = {}
--- a/zincladder/discovery/freshness.py
+++ b/zincladder/discovery/freshness.py
@@ -1,7 +1,7 @@
 """Tracks whether a front's endpoint list and purges are current. No I/O.
 
-The coordinator counts an event as delivered even if it has not reached the front, at the latest when the
-front requests the events after the last one that it has received (a catch-up request). Until that request is
+The coordinator may count an event as delivered before it has reached the front; it does so at the latest when
+the front sends a catch-up request, for all events after the last one received. Until that request is
 answered, the front's list, purges and start times may be out of date, and its decisions may send requests to
 a draining endpoint. All times are in seconds on one monotonic clock.
 
@@ -20,14 +20,14 @@
 import math
 from enum import Enum
 
-# Data is stale this long after the last frame: by then the events after a broken watch count as delivered.
+# Data is stale this long after the last frame: by then, later events may already count as delivered.
 STALE_AFTER_SECONDS = 2.0
-# Longest wait for the first frame, so that two connections in a row without a frame keep no front out of
-# service.
+# Longest wait for the first frame: two connections in a row on which no frame arrives must not keep a front
+# out of service.
 INITIAL_SYNC_SECONDS = 3.0
 RESYNC_SECONDS = 1.6  # longest wait for a later frame: a stalled coordinator must not stop the whole fleet
 MAX_FAILED_ATTEMPTS = 3  # in a row: a connect may fail briefly, and a watch may be interrupted once
-# Share of the minimum grace during which a front still decides by its previous data after a catch-up request.
+# Share of the minimum grace for which a front still uses its previous data after a catch-up request.
 MAX_GRACE_SHARE = 0.5
 
 
@@ -36,12 +36,12 @@
 
     STARTING = "starting"  # no frame has arrived since the process started
     FOLLOWING = "following"  # frames are arriving
-    RECONNECTING = "reconnecting"  # the watch was interrupted and has not failed to reconnect repeatedly
-    UNREACHABLE = "unreachable"  # attempts to connect failed repeatedly; the front decides by the data it has
+    RECONNECTING = "reconnecting"  # the watch was interrupted and is being restored
+    UNREACHABLE = "unreachable"  # attempts to connect failed repeatedly; the front uses the data it has
 
 
 class Freshness:
-    """Receives the watch's events, and says how long a decision has to wait for current data."""
+    """Tracks the watch's events, and returns how long a decision has to wait for current data."""
 
     def __init__(self, min_grace_seconds: float) -> None:
         """`min_grace_seconds` is the shortest time in the settings between an event and its effect."""
@@ -73,10 +73,10 @@
         self._failed_attempts, self._timed_out = 0, False
 
     def watch_failed(self, now: float, timed_out: bool = False) -> None:
-        """The connection failed or ended; `timed_out` says that it was open but received no frame in time.
+        """The connection failed or ended; `timed_out` is true if it was open but received no frame in time.
 
-        Decisions do not wait again for a coordinator that timed out; one that closes connections costs no
-        time and may have recovered.
+        In UNREACHABLE, decisions do not wait again for a coordinator that timed out. They do for one that
+        closed the connection: this costs no time, and the coordinator may have recovered.
         """
         if self.phase is WatchPhase.FOLLOWING:
             self._enter(WatchPhase.RECONNECTING, now)
--- a/zincladder/handover/host.py
+++ b/zincladder/handover/host.py
@@ -67,7 +67,7 @@
     # As the new process ---------------------------------------------------------------------------
 
     def take_over(self) -> socket.socket | None:
-        """Returns the listening socket of the running process, or None if there is none or it cannot be had.
+        """Returns the listening socket of the running process, or None if there is none or it cannot be used.
 
         Blocks for up to EXCHANGE_TIMEOUT_SECONDS, so it must be called before the event loop serves requests.
         """
@@ -132,7 +132,7 @@
                     )
                     return
                 try:
-                    # Returns when a new process that replaced the path has ended; then it is published again.
+                    # Returns once a new process that replaced the path has ended; it is then published again.
                     await self._accept_new_processes(server, listener, tasks)
                 finally:
                     server.close()
--- a/zincladder/routing/budgets.py
+++ b/zincladder/routing/budgets.py
@@ -18,7 +18,7 @@
 ORIGIN_FILLS_PER_REQUEST = 0.1  # while parents are listed but none is available
 MAX_SAVED_ORIGIN_FILLS = 3.0
 # An endpoint in slow start is sent this share of the load that would overload it. The rest is reserved for
-# routers that learn of its start later.
+# routers whose endpoint lists show its start later.
 SLOW_START_SHARE = 0.5
 # Outcomes that load may have caused; a miss, a lost connection or an error does not indicate load.
 CHARGED_OUTCOMES = (api.AttemptOutcome.REJECTED, api.AttemptOutcome.TIMED_OUT, api.AttemptOutcome.CANCELLED)
@@ -82,8 +82,8 @@
     """Limits the work that one router sends to an endpoint during its slow start, as a leaky bucket.
 
     Requests sent add their transfer seconds to the backlog. The backlog drains at the router's equal share of
-    the rate that slow start currently allows for the endpoint. It starts at a random part of a request, so
-    that many routers, each with a share of less than one request, do not all send one at the same time.
+    the rate that slow start currently allows for the endpoint. The initial backlog is a random part of a
+    request; otherwise many routers, each with a share of less than one request, would all send one at once.
     """
 
     def __init__(self, backlog_seconds: float, now: float) -> None:
--- a/zincladder/routing/capacity.py
+++ b/zincladder/routing/capacity.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-MIN_BUSY_SHARE, MAX_BUSY_SHARE = 0.25, 0.8  # load reports with another share of cores in use are ignored
+MIN_BUSY_SHARE, MAX_BUSY_SHARE = 0.25, 0.8  # load reports with fewer or more cores in use are ignored
 MIN_REPORTS = 3  # the estimate is unknown before: a single report is noise
 # Weights of a report of more cores than estimated, and of fewer; the estimate is biased low on purpose.
 INCREASE_EWMA_WEIGHT, DECREASE_EWMA_WEIGHT = 0.02, 0.1
--- a/zincladder/routing/fill_throttle.py
+++ b/zincladder/routing/fill_throttle.py
@@ -14,9 +14,9 @@
 from zincladder.routing import interface as api
 
 # Each overloaded fill takes off this part of the admitted share: multiplicative decrease, as in AIMD. It is
-# large because a router of a large fleet sees about one fill a second, and has to react within one or two.
+# large because a router of a large fleet has about one fill a second, and has to react within one or two.
 OVERLOAD_DECREASE = 0.75
-# Fills in a recovery time above which each one counts for less, as the share is then known to within a tenth.
+# With more fills in a recovery time each counts for less: the share is then known to within a tenth.
 MANY_FILLS = 20.0
 # Share of overloaded fills that leaves the admitted share unchanged. Some fills are always slow, and without
 # announced sizes one in nine takes twice the mean because of its size alone (lognormal, spread 1).
@@ -28,9 +28,9 @@
 )
 # Weight of an overloaded fill while no other source is overloaded: the source itself may be the cause.
 UNCONFIRMED_WEIGHT = 0.5
-# A fill is overloaded if it waits longer than this share of its slack (the part of the latency objective that
-# its transfer does not need). The share is lower if fills are few, because the next fill, which would show a
-# longer queue, comes only a second later.
+# A fill counts as overloaded if it waits longer than this share of its slack (the part of the latency
+# objective that its transfer does not need). The share is lower if fills are few, because the next fill,
+# which would show a longer queue, comes only a second later.
 SLACK_SHARE_FEW_FILLS, SLACK_SHARE_MANY_FILLS = 0.5, 0.75
 MIN_ADMITTED_SHARE = 0.05  # admitted even under the worst overload, to detect its end
 OVERLOADED_BELOW_SHARE = 0.5  # a source counts as overloaded if its admitted share is lower
@@ -48,8 +48,8 @@
     """The share of the fills from one resource that is admitted.
 
     Each overloaded fill decreases it and each timely one increases it, by less if fills are many. The
-    throttled share decays with the time constant `recovery_seconds`, the longest time for which clients retry
-    rejected requests.
+    throttled share (the rest) decays with the time constant `recovery_seconds`, the longest time for which
+    clients retry rejected requests.
     """
 
     def __init__(self, recovery_seconds: float) -> None:
@@ -148,7 +148,7 @@
 ) -> bool | None:
     """Whether an attempt's end shows that its source is overloaded; `None` if it shows nothing about a fill.
 
-    `cache_at_fault` says that a rejection came from the cache itself and not from its source. A fill is
+    `cache_at_fault` is true if a rejection came from the cache itself and not from its source. A fill is
     overloaded if it takes more than `slack_share` of the time that the latency objective leaves beside the
     transfer.
     """
--- a/zincladder/routing/outcomes.py
+++ b/zincladder/routing/outcomes.py
@@ -60,7 +60,8 @@
 def record_fill(state: RouterState, attempt: Attempt, overloaded: bool, now: float) -> None:
     """Records a fill with the throttle of its source.
 
-    An overloaded fill is counted only once; a timely one is counted only if it was not throttled itself.
+    An overloaded fill is counted only once. A timely one is not counted if the throttle had limited its
+    request to cached copies.
     """
     at_origin = attempt.target == state.endpoints.origin_id
     from_source = attempt.source != attempt.target and attempt.source not in state.endpoints.caches.ids
--- a/zincladder/routing/outlier_ejection.py
+++ b/zincladder/routing/outlier_ejection.py
@@ -41,7 +41,8 @@
 def attribute_failure(state: RouterState, event: api.AttemptEnded, attempt: Attempt) -> api.EndpointIds:
     """Returns the endpoints at fault if the attempt failed: the cache, its source, or both if it is unclear.
 
-    Otherwise a source that rejects fills, without its caches reporting it, would get all its caches ejected.
+    If only the cache were blamed, a source whose rejections the caches do not report would get all of them
+    ejected.
     """
     missed_at_sibling = event.outcome is api.AttemptOutcome.MISS and state.endpoints.is_sibling_fill(
         attempt.target, attempt.source
@@ -67,7 +68,7 @@
     """Counts a success or a failure of an endpoint, and ejects or reinstates the endpoint.
 
     All failures count alike, whether the endpoint was silent, returned errors or rejected requests.
-    `fails_fast` says that the failure was immediate.
+    `fails_fast` is true if the failure was immediate.
     """
     if stats is None:
         return
@@ -123,8 +124,8 @@
     """Updates the slowdown of the endpoint that sent the content of a successful answer.
 
     `transfer_times` is the duration of the answer in transfer times. `filling_cache` is the cache through
-    which a fill source was measured; if that is a slow outlier, its slowdown is divided out. `sized` says
-    that the size of the answer was announced.
+    which a fill source was measured; if that is a slow outlier, its slowdown is divided out. `sized` is
+    true if the size of the answer was announced.
     """
     endpoints = state.endpoints
     slowdowns = [max(1.0, endpoints.stats[i].slowdown) for i in endpoints.caches.ids]
--- a/zincladder/routing/router.py
+++ b/zincladder/routing/router.py
@@ -63,7 +63,7 @@
         """Handles one event and returns the resulting actions; `now` is in seconds on the caller's clock."""
         self._actions = []
         if not self._probing and are_probes_wanted(self.state.settings):
-            self._probe()  # no event announces such settings, so the next event of any kind starts the probes
+            self._probe()  # the first event of any kind after such settings were applied starts the probes
         match event:
             case api.Request():
                 self._on_request(event, now)
@@ -275,7 +275,7 @@
             self._set_timer(silence_timeout(pending), key)
 
     def _probe(self) -> None:
-        """Probes the next cache and sets the timer of the next probe, while the settings ask for probes."""
+        """Probes the next cache and sets the timer of the next probe, while the settings require probes."""
         self._probing = are_probes_wanted(self.state.settings)
         if not self._probing:
             return
--- a/zincladder/routing/selection.py
+++ b/zincladder/routing/selection.py
@@ -171,9 +171,10 @@
 ) -> EndpointStats | None:
     """Returns the cache of the location that probably has a copy if the selected one has none.
 
-    If the selected cache is not the first in ring order (after a spillover or an ejection), that is the
-    first; if it is the first and in slow start, that is the second. A sibling is returned with a probability
-    that equals the recent hit share of fills from siblings. `None` means that no sibling should be asked.
+    The sibling is the first cache in ring order if another one was selected (after a spillover or an
+    ejection), and the second if the first was selected and is in slow start. It is returned with a
+    probability that equals the recent hit share of fills from siblings. `None` means that no sibling should
+    be asked.
     """
     settings, endpoints = state.settings, state.endpoints
     if settings.peer_fill is api.PeerFill.OFF or state.random.random() > state.sibling_hit_share:
--- a/zincladder/routing/slow_start.py
+++ b/zincladder/routing/slow_start.py
@@ -13,8 +13,8 @@
 ) -> bool:
     """Whether this router may send an endpoint a request of `transfer_seconds`.
 
-    The full share of its ring would overload an endpoint with an empty cache, so its limit grows with its
-    age until the duration of its slow start is over. The origin has no slow start.
+    An endpoint with an empty cache would be overloaded by its full share of the requests, so its limit grows
+    with its age until its slow start is over. The origin has no slow start.
     """
     started_at = stats.endpoint.started_at
     if started_at <= 0 or stats.role is Role.ORIGIN:
--- a/zincladder/simulator/wire.py
+++ b/zincladder/simulator/wire.py
@@ -26,7 +26,7 @@
 
 
 class WireError(Exception):
-    """The input violates the protocol; the text says how."""
+    """The input violates the protocol; the error text describes the violation."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/zincladder/support/lingering_close.py
+++ b/zincladder/support/lingering_close.py
@@ -6,14 +6,14 @@
 
 import anyio
 
-LINGER_SECONDS = 0.5  # to wait for the peer's end; many round trips
+LINGER_SECONDS = 0.5  # longest wait until the peer closes; many round trips
 NO_LINGER_SECONDS = 0.0  # if the descriptor is needed at once: reads only what has already arrived
 MAX_DISCARDED_BYTES = 1 << 20
 READ_BYTES = 1 << 16  # per call of recv
 
 
 async def lingering_close(sock: socket.socket, linger_seconds: float) -> None:
-    """Shuts down sending, then reads and discards until the peer ends or a limit of time or bytes is reached.
+    """Shuts down sending, then discards input until the peer closes or a limit of time or bytes is reached.
 
     The caller closes the socket. Closing it with unread bytes would send a reset, on which the peer's system
     drops the last answers if its application has not read them yet (RFC 9112 section 9.6).
--- a/zincladder/support/rate_limited_log.py
+++ b/zincladder/support/rate_limited_log.py
@@ -22,7 +22,7 @@
 
 
 class RateLimitedLog:
-    """Logs each event at most once per interval; the next line has the number suppressed as `suppressed`."""
+    """Logs each event at most once per interval; the next line counts the others as `suppressed`."""
 
     def __init__(self, min_interval_seconds: float = MIN_INTERVAL_SECONDS) -> None:
         self._min_interval_seconds = min_interval_seconds
--- a/zincladder/wiring/coordinator.py
+++ b/zincladder/wiring/coordinator.py
@@ -45,7 +45,7 @@
 
 
 def min_grace_seconds(settings: api.Settings) -> float:
-    """Returns the shortest time in seconds from an event of the coordinator until a front must obey it."""
+    """Returns the shortest time in seconds from an event of the coordinator until it must take effect."""
     return min(settings.drain_grace, settings.purge_grace)
 
 
@@ -54,7 +54,7 @@
 ) -> CoordinatorWatch:
     """Builds the watch, which receives the events that follow event number `last_event`.
 
-    From now on the core decides requests only while its endpoint list is current.
+    From then on the core routes requests only while its endpoint list is current.
     """
     rate_limited_log = RateLimitedLog(LOG_INTERVAL_SECONDS)
 
@@ -84,6 +84,6 @@
 
 
 def follow_coordinator(watch: CoordinatorWatch, config: Config) -> None:
-    """Follows the coordinator of a reloaded configuration, or still the old one if it names none."""
+    """Follows the coordinator of a reloaded configuration, or stays with the old one if it names none."""
     if config.coordinator:
         watch.follow(config.coordinator)
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -248,8 +248,9 @@
 ) -> None:
     """Runs a front until `stopping` is set and all accepted requests are answered.
 
-    Reports the listening addresses through `task_status` once the front is ready. Raises an exception group
-    with a ConfigError if a part cannot use what its configuration names.
+    Reports the listening addresses through `task_status` once the front is ready. Raises ConfigError if a
+    known event in the configuration is invalid, and an exception group with a ConfigError if a spool cannot
+    be used.
     """
     front = Front(config, operator, reload or Reload(config), rendezvous_directory)
     await front.run(stopping, task_status)
--- a/zincladder/wiring/metrics.py
+++ b/zincladder/wiring/metrics.py
@@ -41,7 +41,7 @@
 
 
 def build_exporter(listen: Address, registry: Registry, admission: Admission) -> MetricsExporter:
-    """Returns the HTTP endpoint for metrics; its `run` listens and answers."""
+    """Returns the HTTP server for metrics; its `run` listens and answers."""
     from zincladder.metrics.exporter import MetricsExporter
 
     return MetricsExporter(listen, registry, admission)
--- a/zincladder/wiring/policy.py
+++ b/zincladder/wiring/policy.py
@@ -1,4 +1,4 @@
-"""Connects the fleet's policy to a front: to its configuration, and to its core, which needs a lease."""
+"""Connects the fleet's policy to a front's configuration, and its lease to the front's core."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def follow_policy(policy_config: PolicyConfig, config: Config, reload: Reload, core: Core) -> FleetPolicy:
-    """Makes a front follow the fleet's policy; from now on it decides requests only while it has a lease."""
+    """Makes a front follow the fleet's policy; from then on it routes requests only while it has a lease."""
     overlay = PolicyOverlay(config, _read_operator_file())
 
     def validate(content: bytes) -> tuple[str, ...]:
--- a/zincladder/wiring/process.py
+++ b/zincladder/wiring/process.py
@@ -15,7 +15,8 @@
 def run_process(config: Config, operator: Operator) -> None:
     """Runs a front until SIGTERM or SIGINT stops it.
 
-    Raises an exception group with a ConfigError if a part cannot use what the configuration names.
+    Raises an exception group with a ConfigError if a known event in the configuration is invalid, or if a
+    spool cannot be used.
     """
     # uvloop, because a front has to serve 950 requests per second on a fraction of a CPU core.
     anyio.run(_run, config, operator, backend_options={"use_uvloop": True})
