--- a/zincladder/admission/connection_admission.py
+++ b/zincladder/admission/connection_admission.py
@@ -1,4 +1,7 @@
-"""Admission by connection, with an equal share for each, for platforms whose clients share addresses."""
+"""Admission by connection, for platforms whose clients share addresses.
+
+Open requests are shared equally among connections, whatever their addresses.
+"""
 
 from __future__ import annotations
 
@@ -23,8 +26,8 @@
 class ConnectionAdmission:
     """Implements `Admission` without regard to source addresses.
 
-    While there is no descriptor left, connections wait in the kernel's accept queue. Requests of a connection
-    that has more than an equal share open are rejected.
+    While there is no descriptor left, connections wait in the kernel's accept queue. While many requests
+    are open, further requests of a connection that already has an equal share are rejected (see `may_open`).
     """
 
     def __init__(self, bounds: RequestBounds, descriptors: DescriptorBudget) -> None:
@@ -44,11 +47,11 @@
 
         Connections that have sent nothing are evicted first, then the one that has been idle longest. A
         connection that was just opened or answered is not evicted, because its next request may be on its
-        way, nor is one with an open request, which would be lost.
+        way. Nor is one with an open request, because that request would be lost.
         """
         if self.descriptors.available(DescriptorUse.CLIENTS) > 0:
             return ADMITTED
-        if self._evicting_count:  # a descriptor becomes free once that connection has closed
+        if self._evicting_count:  # a descriptor becomes free once an evicted connection has closed
             return Decision(Verdict.WAIT)
         for idle in (self._idle_unused, self._idle_used):
             for slot, idle_since in idle.items():
@@ -113,10 +116,10 @@
     def may_open(self, slot: ConnectionSlot, now: float) -> RejectionReason:
         """Decide whether a request may be opened; NONE means that it may.
 
-        Once half of all requests that may be open are open, each connection is limited to an equal share, but
-        may always have one request open. This protects open requests from a rate that exceeds this process's
-        part of a CPU core: a rejection costs far less than a request, and a request that had to wait would
-        miss its deadline.
+        Once half of the allowed open requests are in use, each connection is limited to an equal share, which
+        is at least one request. The excess is rejected to protect the open requests when more arrive than
+        this process can serve with its part of a CPU core: a rejection costs far less than a request, and a
+        request that had to wait would miss its deadline.
         """
         slot.has_sent_message = True
         reason, max_open = RejectionReason.NONE, self.bounds.max_open
@@ -174,11 +177,11 @@
         """Do nothing, because admission by connection does not use costs."""
 
     def open_connection(self, use: DescriptorUse, host: str, now: float) -> RejectionReason:
-        """Admit a connection to another listener if a descriptor is available."""
+        """Admit a connection to a listener that does not serve clients if a descriptor is available."""
         return RejectionReason.NONE if self.descriptors.acquire(use) else RejectionReason.NO_CAPACITY
 
     def close_connection(self, use: DescriptorUse, host: str) -> None:
-        """Release the descriptor of a connection to another listener."""
+        """Release the descriptor of a connection to a listener that does not serve clients."""
         self.descriptors.release(use)
 
     def judge_datagram(self, host: str, now: float) -> DatagramVerdict:
--- a/zincladder/admission/connection_control.py
+++ b/zincladder/admission/connection_control.py
@@ -37,7 +37,7 @@
         self._descriptors, self._slots_by_lane = state.descriptors, state.slots_by_lane
 
     def may_accept(self, now: float) -> Decision:
-        """Accept every connection, because its source is known only then.
+        """Accept every connection, because its source is not known before it is accepted.
 
         A spare descriptor is kept so that a connection can be accepted and rejected when no other is left.
         """
@@ -137,7 +137,7 @@
         return Decision(REJECT, reason, key, lane)
 
     def record_expired(self, decision: Decision) -> None:
-        """Count as rejected a connection that could not be kept pending or was pending for too long."""
+        """Count a connection as rejected that was pending for too long, or found too many others pending."""
         rejected = self._state.counters.rejected_connections
         rejected[decision.reason.value] = rejected.get(decision.reason.value, 0) + 1
 
@@ -162,7 +162,7 @@
         return slot
 
     def release_slot(self, slot: ConnectionSlot, now: float) -> None:
-        """Release the slot of a connection that was closed and has no message waiting."""
+        """Release the slot of a closed connection, which must not be in the read queue any more."""
         state, source = self._state, slot.source
         state.descriptors.release(DescriptorUse.CLIENTS)
         state.idle_slots.remove(slot)
--- a/zincladder/admission/connection_rates.py
+++ b/zincladder/admission/connection_rates.py
@@ -10,7 +10,7 @@
 LIMITED_CONNECTIONS_PER_SECOND = 4.0  # rate of one source under a penalty
 KNOWN_RATE_FACTOR = 4  # ratio of a known address's rate to a new address's
 WIDE_NETWORK_RATE_FACTOR = 4  # ratio of a /16's rate to a /24's
-LIMITED_KEY_FLAG = 1 << 80  # a bit above all bits of source keys, for a separate rate of the same source
+LIMITED_KEY_FLAG = 1 << 80  # marks the key of a source's separate rate; above all bits of source keys
 
 
 class ConnectionRates:
@@ -30,7 +30,11 @@
     def conforms(
         self, key: int, lane: PriorityLane, listed_network: ListedNetwork | None, now: float
     ) -> bool:
-        """Return whether one more connection conforms to the rates that apply, and count it if it does."""
+        """Return whether one more connection conforms to the rates that apply, and count it if it does.
+
+        A new address's connection that exceeds only the rate of a network is still counted for the address
+        and for any smaller network.
+        """
         limits, limiter = self._limits, self._limiter
         if lane is NEW:
             # The body of `network_key_of`, inlined because this runs for every connection of a flood.
@@ -50,7 +54,8 @@
                 key, now, 1 / KNOWN_RATE_FACTOR / limits.rate, KNOWN_RATE_FACTOR * limits.burst
             )
         if lane is LIMITED:
-            # A separate rate: if the source's earlier overuse counted here, the limit would act as a ban.
+            # Connections under a penalty are counted separately: if the source's earlier overuse counted
+            # here, the limit would act as a ban.
             return limiter.conforms(
                 key | LIMITED_KEY_FLAG, now, 1 / LIMITED_CONNECTIONS_PER_SECOND, MAX_LIMITED_SLOTS
             )
--- a/zincladder/admission/connection_slots.py
+++ b/zincladder/admission/connection_slots.py
@@ -14,8 +14,8 @@
     """The slots that may be evicted, in two lists per lane: those whose client has sent nothing, and others.
 
     In each lane, connections that have sent nothing are evicted first. Each list is ordered by idle time,
-    longest first, so that only its first slot has to be examined. A slot with an open request or an unread
-    answer is in no list and is never evicted.
+    longest first: if its first slot has not been idle for long enough, no other has. Only the first slot of
+    each list is examined. A slot with an open request or an unread answer is in no list and is never evicted.
     """
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
         ]
 
     def add(self, slot: ConnectionSlot, now: float) -> None:
-        """Add a slot that becomes idle now, or move it to the end of its list if it was used while idle."""
+        """Add a slot that becomes idle now; if it is in a list already, its idle time starts again."""
         if slot.evicting:
             return
         idle = self._by_lane[slot.lane][slot.has_sent_message]
@@ -46,8 +46,9 @@
     def choose_victim(self, lane: PriorityLane, now: float, fair_share: int) -> ConnectionSlot | None:
         """Return the slot to evict for a new connection in `lane`, or None if no slot may be evicted for it.
 
-        Slots in lanes with a higher value are evicted first. In the same lane, a slot is evicted only if its
-        client has sent nothing or if its source has more than `fair_share` slots.
+        Slots in lanes with a higher value are evicted first. A slot in `lane` itself is evicted only if its
+        client has sent nothing or if its source has more than `fair_share` slots. Slots in lanes with a lower
+        value are not evicted.
         """
         for other_lane, idle in self._eviction_order:
             if other_lane < lane:
--- a/zincladder/admission/descriptor_budget.py
+++ b/zincladder/admission/descriptor_budget.py
@@ -17,13 +17,13 @@
     CONTROL = "control"  # operators' commands
 
 
-# For the standard streams, the event loop, the listeners, the coordinator's connection, and a spare with
-# which a connection can be accepted and closed at once when no other descriptor is left.
+# Descriptors kept for the standard streams, the event loop, the listeners, the coordinator's connection, and
+# a spare one, with which a connection can be accepted and closed at once when no other descriptor is left.
 OWN_DESCRIPTORS = 24
 
 
 class PoolShare(NamedTuple):
-    """The fractions of all descriptors that one use is guaranteed and may have at most."""
+    """The fraction of all descriptors that one use is guaranteed, and the most that it may have."""
 
     guaranteed: float
     maximum: float
@@ -39,15 +39,16 @@
 
 
 class DescriptorBudget:
-    """Grants each use descriptors that no other use has or is guaranteed, up to the use's own maximum.
+    """Divides the descriptors among the uses.
 
+    A use may take any descriptor that no other use has taken or is guaranteed, up to a maximum of its own.
     The budget keeps the process from running out of descriptors and one use from starving the others.
     """
 
     def __init__(
         self, total: int, shares: dict[DescriptorUse, PoolShare], own: int = OWN_DESCRIPTORS
     ) -> None:
-        """Create a budget of `total` descriptors, of which `own` are kept for the process and in no pool."""
+        """Create a budget of `total` descriptors, of which `own` are kept for the process itself."""
         self._shares, self._own = shares, own
         self.pools = {use: DescriptorPool(0, 0) for use in shares}
         self.total = 0
@@ -92,7 +93,10 @@
         return True
 
     def force_acquire(self, use: DescriptorUse) -> None:
-        """Take one descriptor even if none is available, as another of this use is about to be released."""
+        """Take one descriptor without checking whether one is available.
+
+        The caller has checked that one is available, or that another of this use is about to be released.
+        """
         self._change_used(self.pools[use], 1)
 
     def release(self, use: DescriptorUse) -> None:
--- a/zincladder/admission/interface.py
+++ b/zincladder/admission/interface.py
@@ -1,4 +1,7 @@
-"""The interface between the listeners and admission, which works by source or by connection alone."""
+"""The interface between the listeners and admission.
+
+Admission works either by source or, without regard to addresses, by connection.
+"""
 
 from __future__ import annotations
 
--- a/zincladder/admission/loop_costs.py
+++ b/zincladder/admission/loop_costs.py
@@ -1,4 +1,4 @@
-"""Costs of operations in seconds of event loop time, as benchmarks/admission.py measures them.
+"""Costs of operations in seconds of event loop time, as measured with benchmarks/admission.py.
 
 `WeightedFairQueue.pace` scales these costs to the machine.
 """
--- a/zincladder/admission/lrfu.py
+++ b/zincladder/admission/lrfu.py
@@ -3,9 +3,9 @@
 The count of an item is the sum of 2^(t/h) over the times t of its accesses, where h is the half-life. Its
 binary logarithm is kept as the item's score ("forward decay": Cormode, Shkapenyuk, Srivastava, Xu, ICDE
 2009). Scores of different times can be compared directly, so no periodic sweep is needed, and an item moves
-only when it is accessed. Items are kept in buckets, each as wide as half a doubling of the count; the oldest
-item of the lowest bucket is removed first. An item that makes up more than one in `size` of the accesses
-within a half-life is accessed again before it can be removed.
+only when it is accessed. Items are kept in buckets, each of which spans half a doubling of the count; the
+item that has been in the lowest bucket for longest is removed first. An item that receives more than one in
+`size` of the accesses within a half-life is accessed again before its turn to be removed comes.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     from zincladder.admission.model import Source
 
 BUCKETS_PER_DOUBLING = 2.0
-MAX_SCORE_GAP = 30.0  # doublings between two counts beyond which the smaller does not affect their sum
+MAX_SCORE_GAP = 30.0  # the sum of two counts that are this many doublings apart ignores the smaller one
 
 
 class LrfuSet:
--- a/zincladder/admission/operator_lists.py
+++ b/zincladder/admission/operator_lists.py
@@ -60,9 +60,9 @@
         self._blocked_until[net], self.has_blocked_networks = until, True
 
     def unblock(self, net: str) -> bool:
-        """Remove a block by command; a block in the operator's file stays.
+        """Remove a block that was set by command; a block in the operator's file stays.
 
-        Returns False if there was no block by command of exactly this network.
+        Returns False if exactly this network was not blocked by command.
         """
         was_blocked = self._blocked_until.pop(net, None) is not None
         self._rebuild()
--- a/zincladder/admission/other_listeners.py
+++ b/zincladder/admission/other_listeners.py
@@ -12,7 +12,7 @@
 
 
 class OtherListeners:
-    """Admits connections and datagrams by the blocked networks, the lanes and the rates of their sources."""
+    """Judges connections and datagrams by blocked networks and by the lanes and rates of their sources."""
 
     def __init__(
         self, state: AdmissionState, reputation: Reputation, rates: ConnectionRates, seed: int
--- a/zincladder/admission/rate_limiter.py
+++ b/zincladder/admission/rate_limiter.py
@@ -6,7 +6,7 @@
 
 CELLS = 1 << 12  # cells per row; has to be a power of two because of CELL_MASK
 CELL_MASK = CELLS - 1
-SECOND_ROW_SHIFT = 40  # the second row is indexed by these higher bits of the hash, the first by its lowest
+SECOND_ROW_SHIFT = 40  # the lowest bits of the hash index the first row; those from here, the second
 INITIAL_ROW = [float("-inf")] * CELLS
 
 
@@ -38,7 +38,7 @@
         self.clear()
 
     def clear(self) -> None:
-        """Reset all rates.
+        """Discard all counted events.
 
         This is needed after the clock has stepped back, which leaves the times of all cells in the future.
         """
--- a/zincladder/admission/read_control.py
+++ b/zincladder/admission/read_control.py
@@ -8,7 +8,7 @@
 from zincladder.admission.reputation import Reputation
 from zincladder.admission.state import AdmissionState
 
-# How long a message may wait to be read before its connection is evicted, which has to be closed within 3 s.
+# A connection is evicted once its message has waited this long to be read; it has to be closed within 3 s.
 MAX_WAIT_SECONDS = 2.0
 # A source that has messages waiting for this long without a break sends more than its share.
 OVERUSE_AFTER_SECONDS = 0.25
@@ -65,7 +65,7 @@
             slot.source.waiting_messages -= 1
 
     def dispatch(self, result: TickResult, now: float) -> None:
-        """Add to `result` the slots that may read their next message now."""
+        """Add to `result` the slots whose next message may be read now."""
         for slot in self._state.read_queue.dispatch(now, self._state.loop_lag):
             del self.waiting_slots[slot]
             source = slot.source
--- a/zincladder/admission/request_control.py
+++ b/zincladder/admission/request_control.py
@@ -57,8 +57,9 @@
     def _judge(self, slot: ConnectionSlot) -> RejectionReason:
         """Return why a request may not be opened, or NONE.
 
-        Once half of the allowed open requests or unread bytes are in use, each source is limited to an equal
-        share. The reserve is available to known and listed sources only.
+        Once half of the allowed open requests are in use, each source is limited to an equal share of them.
+        Once half of the allowed unread bytes are in use, it is limited to half an equal share of those. The
+        reserve is available to known and listed sources only.
         """
         state = self._state
         source, lane, bounds = slot.source, slot.lane, state.bounds
@@ -86,8 +87,8 @@
         ):
             return OVER_SHARE
         if state.loop_lag > MAX_LOOP_LAG_SECONDS and lane is not LISTED:
-            # The cost of reading has been charged already, so the loop lags for another reason. The sources
-            # that use the most loop time are rejected first.
+            # Reads are limited by their cost already, so the loop lags for another reason. The sources that
+            # use the most loop time are rejected first.
             fair_use = LOOP_USE_HALF_LIFE_SECONDS / log(2) * state.read_queue.rate / sharing_sources
             too_late_for_new = lane is NEW and state.loop_lag > MAX_LOOP_LAG_FOR_NEW_SECONDS
             if lane is LIMITED or source.loop_seconds > fair_use or too_late_for_new:
--- a/zincladder/admission/source_key.py
+++ b/zincladder/admission/source_key.py
@@ -25,7 +25,9 @@
 
 
 def key_of(host: str) -> int:
-    """Return the source key of an IP address: that of an IPv4 address or of an IPv6 /64 (RFC 4291, 2.5.4).
+    """Return the source key of an IP address.
+
+    It is the key of the address itself for IPv4, and of the /64 that holds it for IPv6 (RFC 4291, 2.5.4).
 
     Raises:
         ValueError: `host` is not an address.
--- a/zincladder/admission/source_report.py
+++ b/zincladder/admission/source_report.py
@@ -33,7 +33,7 @@
         }
 
     def top(self, now: float, max_rows: int) -> list[dict[str, object]]:
-        """Describe the sources with the most recent loop time, or the most connections if that is equal."""
+        """Describe at most `max_rows` sources, sorted by recent use of loop time, then by connections."""
 
         def loop_usage(source: Source) -> tuple[float, int]:
             return self._reputation.loop_utilization(source, now), source.slot_count
--- a/zincladder/admission/source_table.py
+++ b/zincladder/admission/source_table.py
@@ -16,8 +16,9 @@
     """A table of at most `max_sources` sources, or of all that have slots if these are more.
 
     Sources without a slot are in one of three sets, each with its own bound: known sources, sources under a
-    penalty, and all others, which are transient. A new source replaces a transient source as long as there is
-    one. A source with a slot is in no set and is never removed.
+    penalty, and all others, which are transient. Once the table is full, a new source replaces a transient
+    one; if there is none, a known one, or else one under a penalty. A source with a slot is in no set and is
+    never removed.
     """
 
     def __init__(self, max_sources: int) -> None:
--- a/zincladder/admission/state.py
+++ b/zincladder/admission/state.py
@@ -64,7 +64,7 @@
         self.evictions: list[Eviction] = []  # evictions that the next tick returns
 
     def apply_limits(self, limits: AdmissionLimits) -> None:
-        """Change the limits; connections and requests that exceed a lowered cap stay until answered."""
+        """Change the limits; a lowered cap ends no connection or request that is already open."""
         self.limits = limits
         self.sources.max_sources = limits.max_sources
         self.read_queue.set_shares(limits.known_share, limits.new_share)
--- a/zincladder/net/cache_answers.py
+++ b/zincladder/net/cache_answers.py
@@ -74,7 +74,7 @@
     """
     fields = _read_fields(head.fields)
     reason = protocol.END_REASONS[head.word]
-    # The client's copy may be declared current only if the cache repeats the tag that it was sent.
+    # The client's copy may be declared current only if the answer repeats the tag from the request.
     repeats_copy_tag = reason is not EndReason.NOT_MODIFIED or (
         copy_tag != "" and fields.get("rev") == copy_tag
     )
--- a/zincladder/net/cache_connection.py
+++ b/zincladder/net/cache_connection.py
@@ -18,9 +18,10 @@
 from zincladder.net.write_queue import QueuedWrite, WriteQueue
 from zincladder.support.lingering_close import LINGER_SECONDS, lingering_close
 
-WRITE_STALL_SECONDS = 10.0  # a cache that reads nothing for so long loses its connection
-ANSWER_STALL_SECONDS = 0.3  # without a byte inside an answer; caches send one in one piece, in under 50 ms
-ID_REUSE_SECONDS = 10.0  # an id is not reused on its connection before that; longer than any deadline
+WRITE_STALL_SECONDS = 10.0  # a connection to a cache that reads nothing for this long is closed
+# The longest time without a byte in the middle of an answer; caches send one in one piece, in under 50 ms.
+ANSWER_STALL_SECONDS = 0.3
+ID_REUSE_SECONDS = 10.0  # an id is not reused on its connection for this long, which exceeds any deadline
 
 
 @dataclass(slots=True, eq=False)
@@ -67,7 +68,8 @@
         self.sock, self._report_names, self._on_idle = sock, report_names, on_idle
         self.read_buffer, self.write_queue = ReadBuffer(sock), WriteQueue(sock)
         self.open: dict[bytes, PendingExchange] = {}
-        # When each id was last used. It is not reused soon: a duplicate answer would match the new exchange.
+        # When each id was last used. An id is not reused soon, because a duplicate of the first exchange's
+        # answer would match the new exchange.
         self.recent_ids: dict[bytes, float] = {}
         self.closed = self.retired = self.closing = False
         self.reserved = False  # promised to a request that has not begun an exchange here yet
@@ -116,7 +118,7 @@
         if reason in (EndReason.CLOSED_BY_PEER, EndReason.IDLE_CLOSED):
             lost_reason = EndReason.CONNECTION_LOST
         for exchange in list(self.open.values()):
-            # Only an exchange of which no byte was written is certain never to have run.
+            # The cache has certainly not run a request only if no byte of it was written.
             unwritten = exchange.write is not None and not exchange.write.started
             exchange.finish(
                 AttemptEnd(EndReason.LOST_BEFORE_SEND if unwritten else lost_reason, detail=detail)
@@ -127,7 +129,7 @@
             self.reading = False
             await self.read_buffer.wait_for()
             self.reading = True
-            # The timeout protects all open exchanges: while an answer is incomplete, none after it is read.
+            # The timeout protects all open exchanges: no other answer can be read while one is incomplete.
             line = await self.read_buffer.read_line(MAX_HEAD_BYTES, ANSWER_STALL_SECONDS)
             if not line:
                 continue
--- a/zincladder/net/cache_exchange.py
+++ b/zincladder/net/cache_exchange.py
@@ -12,7 +12,9 @@
 from zincladder.net.write_queue import QueuedWrite
 from zincladder.routing import interface as api
 
-SILENT_CACHE_SECONDS = 0.8  # a connection on which no byte of a due answer arrives for so long is retired
+# If an exchange is abandoned after it has waited longer than this without any byte arriving on its
+# connection, the connection is retired.
+SILENT_CACHE_SECONDS = 0.8
 MIN_RETRANSMIT_SECONDS = 0.2  # the earliest time at which TCP retransmits unacknowledged bytes
 
 END_REASON_OF_ABORT = {
@@ -27,7 +29,7 @@
 
 
 def abort_before_send(attempt: AttemptRequest, reason: AbortReason) -> AttemptEnd:
-    """Ends an attempt that may not be sent any more, because the state it was decided on has changed."""
+    """Ends an attempt that may not be sent any more, because the state that led to it has changed."""
     attempt.guard.aborted_before_send(attempt, reason)
     fill_outcome = api.FillOutcome.NONE
     if reason is AbortReason.SOURCE_NOT_READY:
@@ -43,7 +45,7 @@
 ) -> AttemptEnd:
     """Sends one message and waits for its answer.
 
-    If the call is cancelled, the cache is sent an abort, or the rest of the message is not sent.
+    If the call is cancelled, a message of which nothing is written is dropped; a written attempt is aborted.
 
     Args:
         connection: The connection to send on.
@@ -59,11 +61,11 @@
         if attempt is not None and written:
             attempt.guard.written()
         elif attempt is not None:
-            # `may_start` refused the attempt just before it was written; no answer will end the exchange.
+            # `may_start` refused the attempt, so no answer will come, and the exchange has to be ended here.
             reason = attempt.abort_reason() or AbortReason.ENDPOINT_NOT_READY
             exchange.finish(abort_before_send(attempt, reason))
 
-    # Serialized only when the first byte is written, so that the cache gets the time that is really left.
+    # Each message is serialized just before its first byte is written, so that it states the time left then.
     write = exchange.write = connection.write_queue.put(
         (), attempt.may_start if attempt else None, on_done, serialize
     )
@@ -75,8 +77,8 @@
         if connection.open.get(exchange_id) is exchange:  # cancelled, or refused before it was sent
             del connection.open[exchange_id]
         if exchange.end is None:
-            # If an answer has begun to arrive, the answer to the next request would have to wait for its
-            # rest, however long that takes.
+            # The connection is retired if an answer has begun to arrive: the answer to the next request would
+            # have to wait for the rest of it, however long that takes.
             connection.retired |= connection.reading
             if not connection.closed and not connection.write_queue.cancel(write):
                 if attempt is not None:
@@ -88,17 +90,19 @@
 
 
 def _abandon(connection: CacheConnection, exchange_id: bytes, write: QueuedWrite) -> None:
+    """Sends an abort, or closes the connection if the message is incomplete and no other exchange is open."""
     if write.parts and not connection.open:
-        # The cache has not received the complete request, so it never ran. Sending the rest would make the
-        # cache run it after all.
+        # The cache has not received the complete request and therefore has not run it. Sending the rest would
+        # make the cache run it after all.
         connection.close()
     else:
         connection.write_queue.put([b"abort " + exchange_id + b"\r\n"])
 
 
 def _retire_if_cut_off(connection: CacheConnection, started_at: float, received_before: int) -> None:
-    # A connection to a machine that the network has cut off stays open and silent. A request sent on it may
-    # have run, whereas one whose new connection fails to open has certainly not run.
+    # A connection to a machine that the network has cut off stays open and silent. If a request is sent on
+    # it, it remains unknown whether the request has run. If a new connection is tried instead and fails to
+    # open, the request has certainly not run.
     is_silent = connection.read_buffer.received == received_before
     waited_seconds = monotonic() - started_at
     connection.retired |= is_silent and waited_seconds > SILENT_CACHE_SECONDS
--- a/zincladder/net/cache_pool.py
+++ b/zincladder/net/cache_pool.py
@@ -26,8 +26,8 @@
 IDLE_TIMEOUT_SHARE = 0.7
 IDLE_CHECK_INTERVAL_SECONDS = 1.0
 DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.4  # if the settings state none
-DESCRIPTORS_TO_FREE = 4  # by admission, when the system has no descriptor left
-DESCRIPTOR_WAIT_SECONDS = 0.03  # before the next attempt to connect, while these are freed
+DESCRIPTORS_TO_FREE = 4  # how many admission has to free when the system has no descriptor left
+DESCRIPTOR_WAIT_SECONDS = 0.03  # delay before connecting again, in which they are freed
 log = structlog.get_logger()
 
 
@@ -107,9 +107,9 @@
         """Returns a connection for one more exchange: an idle or a new one, else the least busy one.
 
         Exchanges share a connection only when there is no descriptor for another one, because one malformed
-        answer or reset ends all exchanges of its connection. Each waiting exchange opens its own connection,
-        so those to an unreachable endpoint wait at the same time; a connection that becomes idle first is
-        used instead.
+        answer or reset ends all exchanges of its connection. Each exchange that finds no idle connection
+        opens one of its own, so that several for an unreachable endpoint wait at the same time and not one
+        after another. If another connection becomes idle before the new one is open, it is used instead.
 
         Raises:
             OSError: There is no usable connection, and none could be opened.
@@ -134,7 +134,7 @@
             connection = self._add(endpoint, sock)
             if waiter.connection is None:
                 return connection
-            self._offer_idle(endpoint, connection)  # another one became idle at the same time, and is used
+            self._offer_idle(endpoint, connection)  # another one became idle meanwhile and is used instead
         assert waiter.connection is not None
         waiter.connection.reserved = False
         if waiter.connection.closed or waiter.connection.closing:
@@ -148,7 +148,8 @@
 
         Returns None if another connection became idle first; `waiter.connection` is that connection then.
         """
-        # May exceed the maximum for a moment: a connection that was closed to make room is still counted.
+        # The pool may exceed its maximum for a moment, because a connection that was closed to make room is
+        # still counted.
         self._descriptors.force_acquire(DescriptorUse.CACHES)
         sock: socket.socket | None = None
         self._waiters.setdefault(endpoint, []).append(waiter)
@@ -181,9 +182,10 @@
     def _offer_idle(self, endpoint: api.EndpointId, connection: CacheConnection) -> None:
         """Gives a connection that has become idle to the exchange that has waited longest.
 
-        Runs after an answer, and for a new connection that is not needed, but not after a request was
-        abandoned. Such a connection may lead to a machine that the network has cut off. A request sent on it
-        may have run, whereas one whose new connection fails to open has certainly not run.
+        Runs after an answer, and for a connection that turned out not to be needed, but not after a request
+        was abandoned: the connection of that request may lead to a machine that the network has cut off. If
+        another request were sent on it, it would remain unknown whether that one has run. If a new connection
+        is tried instead and fails to open, the request has certainly not run.
         """
         connection.reserved = False
         for waiter in self._waiters.get(endpoint, ()):
@@ -201,8 +203,8 @@
             if fault.errno not in (errno.EMFILE, errno.ENFILE):
                 raise
         # The limit of descriptors was lowered, or the system has none left. The smaller budget makes
-        # admission close idle clients: by source at the next tick, by connection when the next client
-        # connects.
+        # admission close connections of idle clients: admission by source does so at the next tick, admission
+        # by connection when the next client connects.
         self._rate_limited_log.warning(
             "no file descriptor for a connection to a cache", descriptors_used=self._descriptors.used
         )
--- a/zincladder/net/client_calls.py
+++ b/zincladder/net/client_calls.py
@@ -32,7 +32,7 @@
 UNREAD_CHECK_INTERVAL_SECONDS = 0.1
 FRAME_LENGTH_BYTES = 4  # size of the length that precedes each message
 MESSAGES_PER_TURN = 32  # read from one client before other tasks may run
-SUCCESSOR_RETRY_AFTER_SECONDS = 0.05  # retry delay while this process shuts down: another one takes over
+SUCCESSOR_RETRY_AFTER_SECONDS = 0.05  # retry delay sent while this process shuts down and another takes over
 log = structlog.get_logger()
 
 
@@ -72,13 +72,13 @@
             # In this order, a stall between the two calls makes the request appear older, never newer.
             noticed_on_core_clock, noticed_at = self._core.clock.now(), monotonic()
             if not self._admission.may_read(client.slot, noticed_at):
-                # Requests beyond the source's share must not load the event loop. They stay unread until the
-                # socket buffers are full and TCP flow control stops the client.
+                # Requests beyond the source's share must not load the event loop, so they are not read yet.
+                # If the client goes on sending, the socket buffers fill up and TCP flow control stops it.
                 client.may_read = anyio.Event()
                 await client.may_read.wait()
             client.message_started_at = monotonic()
-            # Takes the length only once it is complete, because `ClientConnection.is_waiting_for` parses
-            # the unread bytes ahead of this task and has to find the start of a frame.
+            # The length is consumed only once it is complete, because `ClientConnection.is_waiting_for`
+            # parses the bytes that this task has not consumed and has to find where a frame starts.
             await read_buffer.wait_for(FRAME_LENGTH_BYTES)
             size = int.from_bytes(await read_buffer.read_exactly(FRAME_LENGTH_BYTES), "big")
             if not 0 < size <= thrift.MAX_FRAME_BYTES:
@@ -122,8 +122,8 @@
             # With two requests under one sequence number the client could not tell their answers apart.
             raise _protocol_error(f"sequence number {call.seq} is not above the previous one, {last_seq}")
         if len(client.open_requests) >= MAX_OPEN_REQUESTS:
-            # Protects the other clients: this connection is closed, its open requests are answered as failed
-            # and their attempts are cancelled.
+            # The error protects the other clients: this connection is closed, its open requests are answered
+            # as failed and their attempts are cancelled.
             raise _protocol_error(f"client has more than {MAX_OPEN_REQUESTS} requests open")
 
     def _unread_seconds(self, client: ClientConnection, noticed_at: float) -> float:
@@ -189,8 +189,8 @@
         self, client: ClientConnection, seq: int, request: ClientRequest, reason: RejectionReason
     ) -> None:
         # Load shedding keeps the process within its memory limit, which covers open requests and their
-        # bodies, and keeps the event loop responsive. The configured maximum of open requests is enforced
-        # here because the Router does not limit them.
+        # bodies, and keeps the event loop responsive. Admission enforces the configured maximum of open
+        # requests, because the Router does not limit them.
         self._rate_limited_log.warning(
             "request shed",
             reason=reason.value,
@@ -209,7 +209,7 @@
         served, size = False, 0
         try:
             if open_request.withdrawn or client.closed:
-                return  # the core never sees a request that was withdrawn, or whose connection was closed
+                return  # withdrawn, or its connection closed, before it was passed to the core
             open_request.started = True
             with open_request.scope:
                 answer = await self._core.serve(request)
--- a/zincladder/net/client_connection.py
+++ b/zincladder/net/client_connection.py
@@ -46,7 +46,7 @@
     may_read: anyio.Event = field(default_factory=anyio.Event)  # set when admission allows reading again
     closed: bool = False
     has_sent_message: bool = False  # the client has sent at least one complete message
-    message_started_at: float = 0.0  # when the incomplete message began to arrive; 0 if there is none
+    message_started_at: float = 0.0  # when reading of an incomplete message began; 0 if there is none
     withdrawn_before_start: int = 0  # requests withdrawn before their start since the last answer
     linger_seconds: float | None = None  # time to flush and to wait for the client's close; None: no wait
     linger_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)  # cancel to end that wait
@@ -60,8 +60,8 @@
     def is_waiting_for(self, open_request: OpenRequest) -> bool:
         """Returns whether the client still waits for the answer to this request.
 
-        Also looks for a `withdraw` or a close among the bytes that are not read yet, because the read task
-        may run late when the event loop lags.
+        Also looks for a `withdraw` among the bytes that are not read yet, and for a close after them, because
+        the read task may run late when the event loop lags.
         """
         if self.closed or open_request.withdrawn:
             return False
--- a/zincladder/net/client_listener.py
+++ b/zincladder/net/client_listener.py
@@ -26,10 +26,11 @@
 
 BACKLOG = 1024  # connections in the kernel's listen queue
 CONNECTIONS_PER_TURN = 64  # accepted before other tasks may run
-SHORTAGE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # accept(2) lacks resources
+# Errors of accept(2) that report a lack of file descriptors or memory.
+SHORTAGE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 # After a shortage the listener pauses; the pause is doubled while the shortage lasts.
 MIN_SHORTAGE_PAUSE_SECONDS, MAX_SHORTAGE_PAUSE_SECONDS = 0.01, 0.2
-DESCRIPTORS_TO_FREE = 4  # after a shortage: for connections to caches and to the coordinator
+DESCRIPTORS_TO_FREE = 4  # freed after a shortage for connections to caches and to the coordinator
 ACCEPT_RETRY_SECONDS = 0.005  # delay after a rejection, and while there is no room for a connection
 MAX_PENDING_SECONDS = 0.5  # for which an accepted connection may wait for a slot
 REJECT = Verdict.REJECT
@@ -58,7 +59,7 @@
 
 
 def reject_connection(sock: socket.socket) -> None:
-    """Resets a connection, the cheapest way to end it: it leaves no socket in TIME_WAIT."""
+    """Resets a connection, which is the cheapest way to end it and leaves no socket in TIME_WAIT."""
     try:  # noqa: SIM105  (avoids the cost of a context manager for each connection of a flood)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     except OSError:
@@ -99,7 +100,7 @@
                 monotonic time after which the client connected.
             evict: Closes the connection of a slot, for a reason.
             turns: Records the turns of the event loop.
-            listening: The listening socket of another process of this front.
+            listening: The listening socket of another process of this front; None opens one.
         """
         self._arrival = ArrivalBound(turns, monotonic())
         self.listener = listening or open_listener(address)
@@ -190,7 +191,8 @@
         """Applies the decision of admission to a connection."""
         sock, decision = pending.sock, pending.decision
         if decision.verdict is Verdict.ADMIT:
-            # Must come before any read: a blocking read of an accepted socket would stall the whole process.
+            # The socket has to be made non-blocking before any read: a blocking read of an accepted socket
+            # would stall the whole process.
             sock.setblocking(False)
             self._on_connection(sock, decision, pending.connected_after)
         elif decision.verdict is REJECT:
@@ -245,8 +247,8 @@
         """Recovers from a lack of file descriptors or memory in accept(2).
 
         Shrinks the descriptor budget, resets connections in the listen queue with the help of the spare
-        descriptor, and pauses. The pause grows as long as the shortage lasts; without it the listener, which
-        stays readable, would keep the event loop busy.
+        descriptor, and pauses. The pause grows as long as the shortage lasts. Without a pause the listening
+        socket, which stays readable, would keep the event loop busy.
         """
         descriptors, counters = self._admission.descriptors, self._admission.counters
         self._rate_limited_log.warning(
--- a/zincladder/net/client_requests.py
+++ b/zincladder/net/client_requests.py
@@ -38,7 +38,7 @@
     if request_class is None:
         raise InvalidFieldsError(f"'route' names no class: {class_name[:20]!r}")
     rules, timeout = core.settings.classes[request_class], attributes["deadline"] / 1000
-    # Bounds the time for which a request occupies memory: twice the timeout of its class.
+    # A request may occupy memory for twice the timeout of its class at most.
     if timeout > 2 * rules.timeout:
         raise InvalidFieldsError(
             f"'patience' must be {2000 * rules.timeout:g} at most, not {fields['patience']!r}"
@@ -56,7 +56,8 @@
     }
     request = ClientRequest(**attributes)
     if request.trace in open_traces:
-        # Caches match answers to requests by the trace id, so two open requests must not share one.
+        # The answer of a cache is matched to its request by the trace id, so two open requests must not
+        # share one.
         raise InvalidFieldsError(f"'trace' is the id of a request that is open: {request.trace}")
     return request
 
--- a/zincladder/net/client_server.py
+++ b/zincladder/net/client_server.py
@@ -29,7 +29,8 @@
 from zincladder.support.lingering_close import LINGER_SECONDS, NO_LINGER_SECONDS, lingering_close
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-FIRST_MESSAGE_TIMEOUT_SECONDS = 2.2  # until the first complete message; the platform requires a close in 3 s
+# Until the first complete message; the platform requires a connection without one to be closed within 3 s.
+FIRST_MESSAGE_TIMEOUT_SECONDS = 2.2
 STALL_TIMEOUT_SECONDS = 2.2  # for the rest of an incomplete message, or for a client to read its answers
 IDLE_TIMEOUT_SECONDS = 5.0  # without a request; regular clients close their idle connections after 4 s
 SWEEP_INTERVAL_SECONDS = 0.2  # between two checks of these timeouts
@@ -37,8 +38,9 @@
 # The platform lets clients connect until 0.6 s after SIGTERM, and expects an answer to every request that
 # arrives until 0.7 s after it.
 ACCEPT_AFTER_STOP_SECONDS = 0.65
-# The platform sends SIGKILL 0.7 s after the longest request timeout, of which it counts 3 s at most. Requests
-# that are open shortly before that are answered as failed, early enough for the answers to be sent.
+# After SIGTERM the platform waits for the longest request timeout, but for 3 s at most, and then 0.7 s before
+# it sends SIGKILL. Requests that are still open shortly before that are answered as failed, early enough for
+# the answers to be sent.
 MAX_COUNTED_TIMEOUT_SECONDS = 3.0
 FAIL_REQUESTS_AFTER_SECONDS = 0.55  # after the longest timeout
 SEND_ANSWERS_SECONDS = 0.1  # to send these answers
@@ -113,11 +115,11 @@
             self._tasks.start_soon(self._sweep)
             await self._listener.run(self._accepting)
             await self._drain(self._fail_requests_at)
-            # Time is up: the requests that are still open are answered as failed.
+            # The requests that are still open at this time are answered as failed.
             self._core.fail_open_requests()
             await self._drain(self._fail_requests_at + SEND_ANSWERS_SECONDS)
             for client in self._clients.values():
-                # If the process ended over unread input, the system would send a reset instead of a close.
+                # If the process ended with unread input, the system would send a reset instead of a close.
                 self._closer.close(client, NO_LINGER_SECONDS)
             await self._drain(self._fail_requests_at + SEND_ANSWERS_SECONDS + FINISH_CLOSING_SECONDS)
             self._tasks.cancel_scope.cancel()
@@ -167,7 +169,7 @@
         """Closes a connection that admission chose.
 
         The eviction is cancelled if a request is open on the connection. An eviction that is to make room for
-        another connection is also cancelled if this one is not idle any more.
+        another connection is also cancelled if the chosen connection is not idle any more.
         """
         client = self._clients.get(slot)
         if client is None:
--- a/zincladder/net/read_buffer.py
+++ b/zincladder/net/read_buffer.py
@@ -1,4 +1,4 @@
-"""A buffered reader of a socket, which parses messages inside its buffer."""
+"""A buffered reader of a socket, which returns lines and byte strings of a given size."""
 
 from __future__ import annotations
 
--- a/zincladder/net/sockets.py
+++ b/zincladder/net/sockets.py
@@ -1,4 +1,4 @@
-"""Opens connections, and asks the system for their unread and unsent bytes and for the peer's close."""
+"""Opens connections, and queries their unread and unsent bytes and whether the peer has closed them."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Returns whether the peer has closed or reset the connection, as far as the system knows."""
+    """Returns whether the peer's close or reset of the connection has arrived."""
     return peek_unread(sock, 1).closed_by_peer
 
 
--- a/zincladder/net/write_queue.py
+++ b/zincladder/net/write_queue.py
@@ -1,4 +1,4 @@
-"""A queue of messages to a socket: writes them in order, and may drop one just before its first byte."""
+"""A queue of messages to a socket: writes them in order, unless one is dropped before its first byte."""
 
 from __future__ import annotations
 
@@ -79,8 +79,8 @@
     def notify(self, written: bool) -> None:
         """Calls `on_done` once and drops it.
 
-        The callback refers to the message. Kept, this reference cycle would hold an answer in memory until
-        the next garbage collection.
+        The callback refers to the message. If it were kept, the reference cycle would hold an answer in
+        memory until the next garbage collection.
         """
         on_done, self.on_done = self.on_done, None
         if on_done:
@@ -143,7 +143,7 @@
         return write
 
     def _write_at_once(self, write: QueuedWrite) -> bool:
-        """Writes a message while the queue is empty; returns whether it was written completely, as usual."""
+        """Writes a message while the queue is empty, usually all of it; returns whether all was written."""
         if self.error or not _check_promptly(write.prepare) or not write.parts:
             return False
         try:
