--- a/zincladder/config/check.py
+++ b/zincladder/config/check.py
@@ -1,7 +1,7 @@
 """Finds all errors in configuration files, for the command `check`; the daemon stops at the first one.
 
-After each error the faulty value is replaced by a valid one, or removed, and the data is parsed again, which
-brings up the next error.
+After each error, the faulty value is replaced by a valid one (in a front's configuration) or removed (from an
+operator's file). Then the data is parsed again, up to the next error.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 # The text of a ConfigError: group 1 is the key, group 2 says what the value must be.
 ERROR_TEXT_PATTERN = re.compile(r"'([^']+)' (?:is missing: it )?must be (.*?)(?:, not .*)?$", re.DOTALL)
 PATH_STEP_PATTERN = re.compile(r"[^.\[\]]+")  # one key or list index of a path
-# A valid value for each prefix of the text that says what a value must be.
+# The first words of an error text that state what is required, each with a value that meets the requirement.
 VALID_VALUES: tuple[tuple[str, Any], ...] = (
     ("a number", 1),
     ("a list", []),
@@ -52,7 +52,7 @@
 
 
 def _valid_value(expected: str) -> Any:
-    """Returns a value that fits the text of an error; a text that lists the allowed words gives the first."""
+    """Returns a value that the text `expected` allows; if it lists the allowed words, the first of them."""
     for prefix, value in VALID_VALUES:
         if expected.startswith(prefix):
             return copy.copy(value)
@@ -60,7 +60,7 @@
 
 
 def _set_value(data: Any, path: str, value: Any) -> bool:
-    """Sets the value at a path; returns False if the path cannot be followed."""
+    """Sets the value at a path; returns False if there is no such path, or if it ends at a list item."""
     parent, steps = data, PATH_STEP_PATTERN.findall(path)
     for step in steps[:-1]:
         try:
@@ -97,7 +97,7 @@
 
 
 def _remove_value(data: dict[str, Any], path: str) -> bool:
-    """Removes the value at a path; returns False if there is none."""
+    """Removes the value at a path; returns False if there is none, or if it is a list item."""
     parent: Any = data
     steps = PATH_STEP_PATTERN.findall(path)
     for step in steps[:-1]:
--- a/zincladder/config/environment.py
+++ b/zincladder/config/environment.py
@@ -38,7 +38,7 @@
 
 
 def load_operator(names: Names, environ: Mapping[str, str] = os.environ) -> Operator:
-    """Reads the file named by ZINCLADDER_OPERATOR; if it is not set, all optional features are off.
+    """Reads the file named by ZINCLADDER_OPERATOR; without that variable, all optional features are off.
 
     Raises ConfigError if the file cannot be read or is invalid.
     """
--- a/zincladder/config/model.py
+++ b/zincladder/config/model.py
@@ -10,12 +10,12 @@
 
 Address = tuple[str, int]  # host and port
 
-MAX_BODY_BYTES = 240_000  # of one answer of a cache, which holds one part of an object
+MAX_BODY_BYTES = 240_000  # limit of a cache's answer, which holds one part of an object
 
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """The names in the settings; the file refers to a name by its number, which is its index in the list."""
+    """The names that the settings list; the rest of the file refers to a name by its index in its list."""
 
     classes: tuple[str, ...]
     zones: tuple[str, ...]
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration of one front, as its file has it."""
+    """The configuration of one front, as read from its file."""
 
     name: str
     listen: Address
     coordinator: Address | None
-    control: Address | None  # the TCP address that answers READY and STATS
+    control: Address | None  # the TCP address at which READY and STATS are answered
     seed: int
     memory_mb: int
     sockets: int
@@ -38,7 +38,7 @@
     idle_close_seconds: float  # an idle connection to a cache is closed after this time
     max_streams: int  # maximum number of open requests on one connection to a cache
     max_open_requests: int
-    max_unread_bytes: int  # maximum of answer bytes that all clients together leave unread
+    max_unread_bytes: int  # limit on the answer bytes that all clients together have not read yet
     known_events: dict[str, Any]  # the coordinator's events up to the start of the front
     raw: dict[str, Any] = field(default_factory=dict, repr=False, compare=False)  # the file without 'known'
 
@@ -74,7 +74,7 @@
     max_memory_bytes: int = 1 << 20
     spool_folder: str | None = None  # None: batches are queued in memory only
     max_spool_bytes: int = 64 << 20
-    version: int = 2  # of the remote-write protocol with which the sender starts
+    version: int = 2  # version of the remote-write protocol that the sender uses first
     replay_bytes_per_s: float = 1e6
 
 
--- a/zincladder/config/node.py
+++ b/zincladder/config/node.py
@@ -80,7 +80,7 @@
         return self.list_of(key, number, "numbers", [])
 
     def choice(self, key: str, choices: Mapping[str, T], default: T | None = None) -> T:
-        """Returns the value in `choices` of the word that the key holds."""
+        """Returns the value to which `choices` maps the word that the key holds."""
         return self.read(key, choices.__getitem__, " or ".join(choices), default)
 
     def child(self, key: str) -> Node:
@@ -93,7 +93,7 @@
 
 
 def parse_json(data: bytes, name: str) -> Any:
-    """Returns the value of a JSON text; raises ConfigError, with `name` for the text, if it is not JSON."""
+    """Returns the value of a JSON text; if it is not JSON, raises a ConfigError that begins with `name`."""
     try:
         return json.loads(data)
     except (ValueError, RecursionError) as error:
--- a/zincladder/config/operator.py
+++ b/zincladder/config/operator.py
@@ -1,7 +1,8 @@
 """Validates the operator's file and converts it to an Operator.
 
-Imported only if such a file is named (`environment.load_operator` says why). An invalid file raises
-ConfigError, whose text names the faulty key by its path from the top of the file.
+A front imports this module only if an operator's file is named; the reason is in a comment in
+`environment.load_operator`. An invalid file raises ConfigError, whose text names the faulty key by its path
+from the top of the file.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 )
 
 DEFAULT_HTTP_PORT = 80
-MAX_COMBINED_SHARE = 0.99  # of known and new sources together; the rest is left for sources under a penalty
+MAX_COMBINED_SHARE = 0.99  # limit of known_share plus new_share; the rest is left for sources under a penalty
 MAX_SHOWN_LENGTH = 40  # characters of a faulty value in an error text
 
 
@@ -169,7 +170,7 @@
 
 
 def _admission_limits(table: AdmissionTable) -> AdmissionLimits:
-    # One line for each field, which makes this function longer than most.
+    # This function is longer than most, because it has one line for each field.
     _check_admission(table)
     return AdmissionLimits(
         max_per_address=table.per_address,
--- a/zincladder/config/operator_tables.py
+++ b/zincladder/config/operator_tables.py
@@ -1,4 +1,4 @@
-"""The tables of the operator's file as msgspec structs, and the faulty key of a validation error."""
+"""Defines the tables of the operator's file as msgspec structs, and finds the key that makes one invalid."""
 
 from __future__ import annotations
 
@@ -135,7 +135,7 @@
 
 
 def read_table(data: dict[str, Any], name: str, table_type: type[T]) -> T | None:
-    """Returns the table `name` of a file; None if there is none. Raises ConfigError with the faulty key."""
+    """Returns the table `name` of a file; None if there is none. Raises ConfigError if it is invalid."""
     if name not in data:
         return None
     try:
--- a/zincladder/config/reload.py
+++ b/zincladder/config/reload.py
@@ -15,7 +15,7 @@
 from zincladder.config.limits import divide_limits
 from zincladder.config.model import Config, Operator
 
-# Keys of the counters, by group and label, which the metrics and STATS publish.
+# Keys of two counters, each a group and a label value; the metrics and STATS publish the counts.
 RELOADS_APPLIED = ("reloads", "applied")
 RELOADS_REJECTED = ("reloads", "rejected")  # the previous configuration stays in force
 
--- a/zincladder/config/replica.py
+++ b/zincladder/config/replica.py
@@ -1,4 +1,4 @@
-"""Reads and validates a replica's configuration file. Only the commands import this module."""
+"""Reads and validates a replica's configuration file. A front does not import this module."""
 
 from __future__ import annotations
 
@@ -14,9 +14,11 @@
 
 MS_PER_SECOND = 1000
 MIN_RENEWALS_PER_LEASE = 3
-MIN_RENEWALS_BEFORE_ACTION = 2  # in the part of a lease that is left after clock drift and 'act_s'
+MIN_RENEWALS_BEFORE_ACTION = 2  # in what is left of a lease after subtracting clock drift and 'act_s'
 MIN_HEARTBEATS_PER_ELECTION = 4
-FOUNDER_COUNTS = (0, 1, 3, 5, 7)  # an even number of voters tolerates no more failures than one voter less
+# Allowed numbers of members of a new group; 0 for a replica that joins a running group. An even number is not
+# allowed, because it tolerates no more failures than the odd number below it.
+FOUNDER_COUNTS = (0, 1, 3, 5, 7)
 T = TypeVar("T")
 Identifier = Annotated[str, Meta(pattern=r"^[0-9A-Za-z_.-]{1,64}$")]
 AddressText = Annotated[str, Meta(min_length=3)]
@@ -86,7 +88,7 @@
 
 
 def _check_lease(lease: LeaseTable) -> None:
-    """Raises ConfigError for times with which a lease could expire between two renewals."""
+    """Raises ConfigError if a lease leaves too little time for its renewals."""
     if lease.seconds < MIN_RENEWALS_PER_LEASE * lease.renew_s:
         raise ConfigError("'lease.seconds' must be at least three times 'renew_s'")
     if lease.seconds * (1 - lease.drift) - lease.act_s < MIN_RENEWALS_BEFORE_ACTION * lease.renew_s:
--- a/zincladder/control/accept_loop.py
+++ b/zincladder/control/accept_loop.py
@@ -1,4 +1,4 @@
-"""Accepts operators' connections, which are few and must not wait."""
+"""Accepts operators' connections: there are few of them, and they must not be kept waiting."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 import anyio
 import anyio.lowlevel
 
-# The delay after a failed accept: the system is out of descriptors, and one may be freed soon.
+# The delay before a failed accept is retried: the system is out of descriptors, and one may be freed soon.
 ACCEPT_RETRY_SECONDS = 0.05
 
 
 class LogWarning(Protocol):
-    """A function that logs a warning, with a rate limit, so that a peer cannot flood the log."""
+    """A function that logs a warning. One with a rate limit keeps a peer from flooding the log."""
 
     def __call__(self, event: str, *, reason: str) -> None:
         """Logs one warning."""
--- a/zincladder/control/command_server.py
+++ b/zincladder/control/command_server.py
@@ -30,7 +30,7 @@
 
 
 def bind(path: str, replaces: bool = False) -> socket.socket:
-    """Returns a socket that listens at a path, and replaces a socket file that a dead front left there.
+    """Returns a socket that listens at a path, and replaces a socket file left by a front that has ended.
 
     With `replaces`, at an upgrade, the socket of the old process is replaced atomically. Raises
     ControlSocketError if another file or the socket of a running front is at the path, or on a system error.
@@ -49,7 +49,7 @@
 
 
 def _remove_stale_socket(path: str, replaces: bool) -> None:
-    """Removes the socket file of a dead front.
+    """Removes the socket file of a front that has ended.
 
     Raises ControlSocketError for a file that is not a socket, and for the socket of another running front.
     """
--- a/zincladder/control/commands.py
+++ b/zincladder/control/commands.py
@@ -51,7 +51,7 @@
 
 
 class AdmissionCommands:
-    """The commands for admission by source. Each takes a request and the time of the monotonic clock."""
+    """The commands for admission by source. Each takes a request and the monotonic time."""
 
     def __init__(self, admission: Admission) -> None:
         self._admission = admission
@@ -107,7 +107,7 @@
         return {}
 
     def trust(self, request: CommandRequest, now: float) -> dict[str, object]:
-        """Treats a network as known until the front stops."""
+        """Lists a network, as the operator's file can, until the process ends."""
         self._by_source.trust(request.text("network"))
         return {}
 
--- a/zincladder/control/model.py
+++ b/zincladder/control/model.py
@@ -10,7 +10,7 @@
 
     sources: list[dict[str, object]]  # sorted by usage, the highest first
     recorded: int  # number of sources that are tracked
-    rate: float  # maximum of event loop seconds that are admitted per second
+    rate: float  # limit on the admitted work, in seconds of event loop time per second
     pace: float  # measured cost divided by modelled cost
     waiting: int  # messages that wait to be read
     descriptors: dict[str, int]  # descriptors in use, by purpose
--- a/zincladder/control/readiness.py
+++ b/zincladder/control/readiness.py
@@ -12,7 +12,7 @@
         ready_endpoints: Returns the number of endpoints that can serve.
         has_synced: Returns whether the endpoint list has been usable at some moment since the start.
         stopping: Returns whether the process is draining.
-        policy_missing: Returns what the fleet's policy lacks for the front to serve; "" if it lacks nothing.
+        policy_missing: Returns why the fleet's policy does not let the front serve; "" if it does.
     """
 
     def __init__(
--- a/zincladder/control/status_calls.py
+++ b/zincladder/control/status_calls.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable, Iterable
 
 MAX_LINE_BYTES = 256
-MAX_SHOWN_BYTES = 20  # of an unknown call that the answer repeats
+MAX_SHOWN_BYTES = 20  # part of an unknown call that is quoted in the answer
 READY, STATS = b"READY", b"STATS"
 
 Statistics = Iterable[tuple[str, int]]
 
 
 class StatusCalls:
-    """Answers the calls.
+    """Answers READY, STATS and unknown calls.
 
     Args:
         missing: Returns why this process is not ready; "" if it is ready.
@@ -50,7 +50,7 @@
     def feed(self, data: bytes) -> bytes | None:
         """Adds received bytes; returns the line without its line end once it is complete, None until then.
 
-        Raises ValueError for a line of more than MAX_LINE_BYTES; its text is sent to the operator.
+        Raises ValueError for a line of more than MAX_LINE_BYTES; the error's text is sent to the operator.
         """
         searched = len(self._data)
         self._data += data
--- a/zincladder/dns/answers.py
+++ b/zincladder/dns/answers.py
@@ -165,7 +165,7 @@
     ) -> None:
         """Answers with one address of one endpoint.
 
-        A client that got a second address would retry there, and a write may run only once.
+        A client with a second address would retry a failed call there, but a write may run only once.
         """
         endpoint = self._route(target, arrived_at + self._timeout_seconds)
         address = self._address_of(endpoint) if endpoint is not None else None
@@ -180,7 +180,10 @@
         response.additional.extend(records[1:])
 
     def _route(self, target: Target, deadline: float) -> api.EndpointId | None:
-        """Returns the endpoint for a request; None if its deadline has passed or the router rejects it."""
+        """Returns the endpoint for a request.
+
+        Returns None if the request's class was removed, its deadline has passed, or the router rejects it.
+        """
         now = self._core.clock.now()
         request_class = self._core.classes.number_of(target.request_class, now)
         if request_class is None or now >= deadline:
--- a/zincladder/export/batch_store.py
+++ b/zincladder/export/batch_store.py
@@ -19,10 +19,10 @@
 class BatchStore(Protocol):
     """A queue of batches with a limit in bytes. The oldest batches are dropped if the limit is exceeded."""
 
-    lost_batches: int  # that were dropped or became unreadable before they were sent
+    lost_batches: int  # number of batches that were dropped or became unreadable before they were sent
 
     def __len__(self) -> int:
-        """Returns the number of batches that wait."""
+        """Returns the number of batches that wait to be sent."""
 
     def append(self, unix_ms: int, payload: bytes) -> None:
         """Adds a batch. Raises OSError if it cannot be stored; the store is unchanged then."""
@@ -46,7 +46,7 @@
         self._last_number = 0
 
     def __len__(self) -> int:
-        """Returns the number of batches that wait."""
+        """Returns the number of batches that wait to be sent."""
         return len(self._batches)
 
     def append(self, unix_ms: int, payload: bytes) -> None:
--- a/zincladder/export/delivery.py
+++ b/zincladder/export/delivery.py
@@ -1,4 +1,4 @@
-"""Decides when a batch is sent, retried or dropped, by the remote write specifications.
+"""Decides when a batch is sent, retried or dropped, according to the remote write specifications.
 
 There is one Delivery for each receiver. At most one batch is in flight, and batches are sent in order, so
 that the samples of a series arrive in the order of their times. Performs no I/O; callers pass the time.
@@ -25,8 +25,8 @@
 class DeliveryRules:
     """The protocol, backoff and rate with which batches are sent to a receiver."""
 
-    version: int = 2  # of the protocol, for the first push
-    may_fall_back: bool = True  # to version 1.0, if the receiver does not support 2.0
+    version: int = 2  # protocol version of the first push
+    may_fall_back: bool = True  # change to version 1.0 if the receiver does not support 2.0
     min_backoff_seconds: float = 0.5  # before the first retry; doubles with each further one
     max_backoff_seconds: float = 30.0
     max_retry_after_seconds: float = 300.0
@@ -45,11 +45,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PushResponse:
-    """A receiver's response to a push; without a status, a push that got no response."""
+    """A receiver's response to a push; its status is NO_RESPONSE if none arrived."""
 
     status: int = NO_RESPONSE
     retry_after_seconds: float | None = None
-    written_samples: int | None = None  # None if the response does not tell
+    written_samples: int | None = None  # None if the response has no valid count
 
     @property
     def accepted(self) -> bool:
@@ -105,7 +105,7 @@
         return PushOutcome.REJECTED
 
     def _charge_replay_rate(self, body_bytes: int, now: float) -> None:
-        """Counts a push against the replay rate, also a failed one, which costs the front as much."""
+        """Counts a push against the replay rate; a failed push too, since it costs the front as much."""
         rate = self._rules.replay_bytes_per_s
         cost_seconds = body_bytes / rate if rate < UNLIMITED_RATE else 0.0
         self._next_replay_at = max(now, self._next_replay_at) + cost_seconds
--- a/zincladder/export/fleet_metrics.py
+++ b/zincladder/export/fleet_metrics.py
@@ -23,7 +23,7 @@
 from zincladder.tasks.context import TaskContext
 from zincladder.tasks.counter_sums import FleetTotals, decode_totals, encode_totals, next_sample_at
 
-# Its value is "TASK TOKEN". A receiver that supports it keeps the highest token of each task.
+# The value of this header is "TASK TOKEN". A receiver that supports it keeps the highest token of each task.
 FENCE_HEADER = "X-Zincladder-Fence"
 HTTP_FENCED = 409  # the response of such a receiver to an older token
 PUSH_TIMEOUT_SECONDS = 5.0
@@ -38,7 +38,10 @@
 
 
 def samples(totals: dict[str, float]) -> list[Sample]:
-    """Returns the samples of a push, without counters that this version does not know."""
+    """Returns the samples of a push.
+
+    Counters that do not match LABELS are left out: fronts of another version may report such counters.
+    """
     known_samples = []
     for name, value in sorted(totals.items()):
         metric, *label_values = name.split("\0")
@@ -77,7 +80,8 @@
         push = messages.push_body(batch.payload, self._config.version)
 
         def fencing_header() -> list[tuple[str, str]]:
-            # The token is read after the last await: the lease may have ended while the task waited.
+            # The token is read after the last await before the request is sent, because the lease may have
+            # ended while the task waited.
             return [(FENCE_HEADER, f"{context.task} {context.token()}")]
 
         response = PushResponse()
--- a/zincladder/export/messages.py
+++ b/zincladder/export/messages.py
@@ -131,7 +131,8 @@
     Args:
         samples: The samples of the batch.
         unix_ms: The time of the samples, in Unix milliseconds.
-        created_ms: When the counters started, which is the front's start, in Unix milliseconds.
+        created_ms: When the counters started, in Unix milliseconds. This is the front's start for the
+            counters of a front. The value 0 is not encoded, and means that the time is unknown.
     """
     request, symbols, sample_count = Request(), SymbolTable(), 0
     for sample in samples:
@@ -189,7 +190,7 @@
 
 
 def push_body(payload: bytes, version: int) -> PushBody:
-    """Returns the body and headers that push a batch with version 1 or 2 of the protocol.
+    """Returns the body and headers for pushing a batch with version 1 or 2 of the protocol.
 
     Raises:
         MalformedRequestError: The version is 1, and the payload is not a valid 2.0 request.
--- a/zincladder/export/sender.py
+++ b/zincladder/export/sender.py
@@ -24,7 +24,7 @@
 
 PUSH_TIMEOUT_SECONDS = 10.0
 FINISH_POLL_SECONDS = 0.02
-MAX_SAMPLES_IN_A_ROW = 200  # then other tasks can run
+MAX_SAMPLES_IN_A_ROW = 200  # after these, other tasks can run before the next one is collected
 MAX_LOGGED_FILES = 10
 OVERFLOWED = "overflowed"  # label value for lost batches, beside those of PushOutcome
 # After one of these outcomes a batch is removed and not sent again.
@@ -90,7 +90,7 @@
     async def finish(self, timeout_seconds: float) -> None:
         """Collects the front's last samples and waits until all batches are sent. `run` has to be running.
 
-        Batches that the receiver does not accept within the timeout are lost, unless there is a spool.
+        Batches that are still in memory after the timeout are lost; those in the spool are kept.
         """
         await self.collect()
         with anyio.move_on_after(timeout_seconds):
--- a/zincladder/export/spool.py
+++ b/zincladder/export/spool.py
@@ -1,6 +1,6 @@
 """A store of unsent batches in segment files, which stay readable after a crash.
 
-All methods block. The sender calls those that access files in a worker thread, one at a time.
+All methods block. The sender calls `append`, `oldest` and `acknowledge` in a worker thread, one at a time.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 class Spool:
     """A BatchStore in segment files, with a cursor file that holds the number of the last acknowledged batch.
 
-    The cursor is written before the next batch is sent. A process that is killed at any point therefore
-    loses at most the batch that it was writing, and after a restart sends at most the batch that was in
-    flight a second time, never one before it.
+    The cursor is written before the next batch is sent. If the process is killed, at whatever point, at most
+    the batch that it was writing is lost. After a restart only the batch that was in flight can be sent a
+    second time, never one before it.
     """
 
     def __init__(self, folder: Path, max_bytes: int) -> None:
@@ -46,7 +46,7 @@
             SpoolError: The folder cannot be used.
         """
         self.lost_batches = 0
-        self.foreign_files: list[str] = []  # files that are not part of the spool; not read or removed
+        self.foreign_files: list[str] = []  # files that are not part of the spool; they are left as they are
         self._folder = folder
         self._max_bytes = max_bytes
         self._max_segment_bytes = max(MIN_SEGMENT_BYTES, max_bytes // SEGMENTS_OF_FULL_SPOOL)
@@ -64,7 +64,7 @@
             raise SpoolError(f"{folder}: {error.strerror or error}") from None
 
     def __len__(self) -> int:
-        """Returns the number of batches that wait."""
+        """Returns the number of batches that wait to be sent."""
         return self._next_number - 1 - self._acknowledged
 
     @property
@@ -85,8 +85,8 @@
         if cursor is not None:
             self._cursor_generation, self._acknowledged = cursor
         else:
-            # It is unknown which batches the receiver has, and it must not get old samples after newer
-            # ones. So all stored batches are given up.
+            # Without a valid cursor it is unknown which batches were sent, and the receiver must not get old
+            # samples after newer ones. So all stored batches are given up.
             self._acknowledged = last
             self.lost_batches = 0 if first is None else last - first + 1
         if first is not None:
@@ -235,7 +235,8 @@
             if record.number >= next_to_send:
                 self._read_ahead.append(SpooledBatch(record.number, record.stamp, record.payload))
         if not self._read_ahead or self._read_ahead[0].number != next_to_send:
-            # The segment was corrupted after it was written: give up the rest and continue with the next one.
+            # The segment was corrupted after it was written. Its other batches are given up, and reading
+            # continues with the next segment.
             later_firsts = (first for first in self._segment_bytes if first > next_to_send)
             following = min(later_firsts, default=self._next_number)
             self.lost_batches += following - next_to_send
--- a/zincladder/metrics/front_metrics.py
+++ b/zincladder/metrics/front_metrics.py
@@ -1,7 +1,7 @@
 """The metrics of a front.
 
 Dashboards and alert rules of running installations depend on the names, labels and help texts, so these must
-not change. The keys of a table are the keys under which the registry reads its values.
+not change. The keys of each table are internal: the registry finds a value and its metric by the same key.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from zincladder.metrics.exposition import Metric, counter, gauge
 
-# The counters of the core, by the group of the count.
+# The metrics of the core's counters, by the first part of a counter's key in `Core.counts`.
 COUNTERS: Final[Mapping[str, Metric]] = {
     "answers": counter(
         "zincladder_answers_total", "Answers: served, refused, failed, withdrawn, unusable.", "kind"
--- a/zincladder/metrics/replica.py
+++ b/zincladder/metrics/replica.py
@@ -1,4 +1,4 @@
-"""The metrics of a replica: the state of its group, and on the leader of the fleet's policy and tasks."""
+"""The metrics of a replica: its group's state and, on the leader, the fleet's policy and singleton tasks."""
 
 from __future__ import annotations
 
--- a/zincladder/plugin/transport.py
+++ b/zincladder/plugin/transport.py
@@ -21,18 +21,20 @@
 from thrift.transport.TTransport import TTransportBase, TTransportException
 
 MAX_ANSWER_AGE_SECONDS = 0.25  # clients have to leave a draining endpoint within 500 ms
-QUERY_TIMEOUT_SECONDS = 0.25  # then the query is repeated, until the deadline of the call
+QUERY_TIMEOUT_SECONDS = 0.25  # an unanswered query is repeated after this time, until the call's deadline
 Address = tuple[str, int]
 
 
 class SteeredTransport(TTransportBase):  # type: ignore[misc]
     """A byte transport to the endpoint that the front selects for a host.
 
-    If the connection ends before any byte of the reply, a read is sent once more, to the endpoint that the
-    front then selects. A write that may have run is never sent again, to this endpoint or to another.
+    The constructor's argument `write` sets whether calls are reads or writes. If the connection ends before
+    any byte of the reply, a read is sent once more, to the endpoint that the front then selects. A write that
+    may have run is never sent again, to this endpoint or to another.
 
     Every method that contacts the front or an endpoint raises TTransportException: NOT_OPEN if there is no
-    connection, TIMED_OUT at the deadline, END_OF_FILE if a call may have run but its reply is missing.
+    connection or none can be opened in time, TIMED_OUT if the deadline passes during a wait for the front or
+    for the reply, END_OF_FILE if a call may have run but its reply is missing.
     """
 
     def __init__(self, host: str, front: Address, deadline: float = 2.5, write: bool = False) -> None:
@@ -80,7 +82,8 @@
     def flush(self) -> None:
         """Sends one call to the endpoint that the front selects.
 
-        The front is queried again if its last answer is older than MAX_ANSWER_AGE_SECONDS.
+        The front is queried again if its last answer is older than MAX_ANSWER_AGE_SECONDS, or if there is no
+        connection.
         """
         self._start_deadline()
         self._retryable_call, self._write_buffer = bytes(self._write_buffer), bytearray()
@@ -174,7 +177,11 @@
         return self._socket.recv(max_bytes)
 
     def _retry(self, cause: OSError) -> None:
-        """Sends a read once more after its connection was lost. Raises for a write, which may have run."""
+        """Sends the last call once more after its connection was lost.
+
+        Raises TTransportException if the deadline has passed, if the call is a write, which may have run, if
+        its reply has begun, or if it was sent once more already.
+        """
         self.close()
         if isinstance(cause, TimeoutError):
             raise TTransportException(
