--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,7 +1,7 @@
-"""Several real processes of the program, with a relay on each link between them and faults on both.
+"""Runs replicas and fronts as real processes, with a TCP relay on each link, and injects faults into both.
 
-Nothing here waits for a time: `until` waits for a state that can be seen, and fails with all logs where it
-doesn't come. Processes are ended by their ids when the rig ends.
+Tests wait for an observable state with `Rig.until`, not for a fixed time; it fails with the logs of all
+processes if the state does not occur. All processes that the rig started are killed when it ends.
 """
 
 from __future__ import annotations
@@ -38,16 +38,17 @@
 from zincladder.policy.errors import ChangeRejectedError
 from zincladder.policy.model import POLICY_KEY, ChangeLogEntry, ChangeOutcome, PolicyRecord, document_id
 
-BOUND = 20.0  # seconds for anything that is waited for
+BOUND = 20.0  # the longest wait for a state
 GROUP = "test"
 BEAT_MS, ELECTION_MS = 40, 250
 LEASE = {"seconds": 1.5, "renew_s": 0.25, "check_s": 1.0, "clear_s": 0.3, "act_s": 0.1, "patient_s": 4.0}
 
 
 class Relay:
-    """One way to connect from one process to another: both directions of it pass, or don't.
+    """A TCP relay for the connections that one process makes to another.
 
-    `held` says which directions stand still ("to", "back"): what is sent then waits, as behind a cut cable.
+    `held` names the directions that are blocked: "to" the target, "back" from it, or both. Data sent in a
+    blocked direction is held and forwarded once it is unblocked, as TCP does when the network was down.
     """
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -55,8 +56,10 @@
         self.port = 0
         self.held: set[str] = set()
         self.delay = 0.0
-        self.waiting = 0  # pieces that stand still
-        self.tear = -1  # bytes that still pass in the direction "to" before the connection is reset
+        self.waiting = 0  # chunks that are held in a blocked direction
+        # If the next chunk in direction "to" is longer than this, only so many of its bytes are forwarded and
+        # the connection is reset. -1: off.
+        self.tear = -1
         self._streams: set[anyio.abc.SocketStream] = set()
         self._changed = anyio.Event()
 
@@ -66,18 +69,19 @@
         self._tasks.start_soon(listener.serve, self._relay)
 
     def hold(self, *directions: str) -> None:
+        """Blocks these directions and unblocks the others."""
         self.held = set(directions)
         self._changed.set()
         self._changed = anyio.Event()
 
     async def reset(self) -> None:
-        """Ends all connections with a reset, wherever in a message they are."""
+        """Resets all connections, even in the middle of a message."""
         for stream in list(self._streams):
             await self._abort(stream)
 
     @staticmethod
     async def _abort(stream: anyio.abc.SocketStream) -> None:
-        with contextlib.suppress(OSError, ValueError, AttributeError):  # closed meanwhile
+        with contextlib.suppress(OSError, ValueError, AttributeError):  # already closed
             sock = stream.extra(anyio.abc.SocketAttribute.raw_socket)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         await anyio.aclose_forcefully(stream)
@@ -124,7 +128,7 @@
 
 @dataclass
 class Process:
-    """One process of the program, which can be started again on the same files."""
+    """One process of the program, which can be restarted with the same files."""
 
     name: str
     folder: Path
@@ -149,7 +153,7 @@
             )  # fmt: skip
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        """Lines of this life's log with that event."""
+        """Returns the log lines with that event since the process was last started."""
         found = []
         for line in self.log_path.read_text().splitlines():
             with contextlib.suppress(ValueError):
@@ -163,6 +167,7 @@
         self.popen.send_signal(number)
 
     def stop(self) -> None:
+        """Pauses the process with SIGSTOP; `go_on` resumes it."""
         self.send(signal.SIGSTOP)
         self.stopped = True
 
@@ -177,7 +182,7 @@
             self.popen = None
 
     async def ended(self) -> int:
-        """Its status, once it has ended by itself."""
+        """Waits until the process exits by itself, and returns its exit status."""
         assert self.popen is not None
         with anyio.fail_after(BOUND):
             while self.popen.poll() is None:
@@ -188,11 +193,12 @@
 
 
 class Rig:
-    """Keepers, and what a test does to them."""
+    """Replicas and fronts as processes, with the faults and commands that tests apply to them."""
 
     def __init__(self, folder: Path, tasks: anyio.abc.TaskGroup, drift: float = 0.0) -> None:
         self._folder, self._tasks = folder, tasks
-        self.drift = drift  # fronts' clocks run slow by it and keepers' fast, and times of day jump
+        # If not 0, fronts' clocks run slow and replicas' clocks fast by this share, and times of day jump.
+        self.drift = drift
         self.processes: dict[str, Process] = {}
         self.ports: dict[str, int] = {}
         self.controls: dict[str, int] = {}
@@ -203,7 +209,10 @@
         return ("tests.support.jumping_clocks", str(drift)) if drift else ("zincladder",)
 
     async def until(self, what: str, good: Callable[[], Any]) -> Any:
-        """Waits for a state; its value. Fails with all logs after BOUND seconds."""
+        """Waits until `good` returns a true value, and returns that value.
+
+        Raises AssertionError with the logs of all processes after BOUND seconds.
+        """
         with anyio.move_on_after(BOUND):
             while True:
                 found = good()
@@ -212,16 +221,17 @@
                 if found:
                     return found
                 await anyio.sleep(0.02)
-        raise AssertionError(f"not in {BOUND} s: {what}\n{self.logs()}")
+        raise AssertionError(f"not reached within {BOUND} s: {what}\n{self.logs()}")
 
     def logs(self) -> str:
         return "\n".join(
-            f"--- {p.name}, life {p.lives}\n{p.log_path.read_text()[-3000:]}"
+            f"--- {p.name}, start {p.lives}\n{p.log_path.read_text()[-3000:]}"
             for p in self.processes.values()
             if p.log_path.exists()
         )
 
     async def relay(self, a: str, b: str) -> Relay:
+        """Returns the relay for connections from a to b, and starts it if it is new."""
         if (a, b) not in self.relays:
             self.relays[a, b] = Relay(self._tasks)
             await self.relays[a, b].start()
@@ -238,16 +248,17 @@
         duties: Sequence[str] = (),
         **settings: Any,
     ) -> Process:
-        """A front that reaches each keeper through a relay. Started, not ready.
+        """Starts a front that reaches each replica through a relay; it listens, but may not be ready yet.
 
-        It is under the group's policy, unless it takes part in duties: then these lines stand in its file.
+        The front follows the group's policy. If `duties` has lines, they become its [duties] table, and it
+        takes part in singleton tasks instead.
         """
         folder = self._folder / name
         (folder / "tmp").mkdir(parents=True)
         where = f"127.0.0.1:{port}"
         data = configuration([c.endpoint() for c in caches], name=name, listen=where, control="127.0.0.1:0")
-        # A purge of an hour ago, within its time: each attempt then says the oldest copy that will do, which
-        # is the class's fresh time, and so under which policy it was decided.
+        # A purge one hour ago that may still be incomplete makes each attempt carry the maximum age of an
+        # acceptable copy. That is the class's fresh time, which shows under which policy it was decided.
         data["settings"] = merged(SETTINGS, settings)
         data["settings"]["domain"] = data["settings"]["domain"] | {"goneEverywhere": 80_000.0}
         hour_ago = int((time.time() - 3600) * 1000)
@@ -270,7 +281,7 @@
         return process
 
     async def start_front(self, name: str) -> None:
-        """Starts a front; it listens when this returns, and serves once it has learned the policy."""
+        """Starts a front and waits until it listens; it serves once it has received the policy."""
         process = self.processes[name]
         process.start()
         (said, *_) = await self.until(f"{name} listens", lambda: process.events("ready"))
@@ -279,9 +290,10 @@
         self.controls[name] = said["operators"][1]
 
     def _reserve(self, port: int) -> None:
-        """Keeps a front's port from others while the front is down: clients still go there.
+        """Reserves a front's port while the front is down, because clients still connect to it.
 
-        Without SO_REUSEADDR here the system gives it to no listener of another test, as it had done.
+        SO_REUSEADDR is not set on this socket, so that the system does not give the port to a listener of
+        another test, which has happened.
         """
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -289,11 +301,11 @@
         self.reserved.append(sock)
 
     async def ready(self, name: str) -> str:
-        """What a front says to READY."""
+        """Returns a front's reply to READY."""
         return (await self.told(name, b"READY\n")).strip()
 
     async def told(self, name: str, line: bytes) -> str:
-        """What a front says at its operators' address; nothing if it doesn't answer."""
+        """Sends a line to a front's control address and returns the reply, or "" if there is none."""
         try:
             async with await anyio.connect_tcp("127.0.0.1", self.controls[name]) as stream:
                 await stream.send(line)
@@ -303,7 +315,7 @@
             return ""
 
     async def serving(self, *names: str) -> None:
-        """Waits until these fronts say that they can serve."""
+        """Waits until these fronts report that they are ready."""
         for name in names:
 
             async def good(name: str = name) -> bool:
@@ -312,7 +324,10 @@
             await self.until(f"{name} is ready", good)
 
     def cut_front(self, name: str, *ways: str) -> None:
-        """Holds what a front says ("to"), what it is told ("back"), or both; nothing: lets all through."""
+        """Blocks what a front sends to replicas ("to"), what they send to it ("back") or both.
+
+        Without a direction it unblocks both.
+        """
         for (a, _), relay in self.relays.items():
             if a == name:
                 relay.hold(*ways)
@@ -326,7 +341,10 @@
         return self.client(*(n for n in self.ports if n.startswith("k") and not self.processes[n].stopped))
 
     async def propose(self, mark: int, **settings: Any) -> tuple[int, str]:
-        """Proposes a policy whose mark shows in each answer; its version, or 0 and why not."""
+        """Proposes a policy whose mark is visible in each answer.
+
+        Returns the proposed version and "", or 0 and the reason why the proposal was rejected.
+        """
         client = self.client_of_replicas()
         data = canonical({"settings": merged(marked(mark), settings)})
         found = change_log.read(await client.get(""))
@@ -339,11 +357,11 @@
         for swap in (change_log.write_document(data), change_log.write_record(found.record_version, new)):
             said = await client.compare_and_swap(swap.key, swap.expected, swap.data)
             if isinstance(said, VersionMismatch) and swap.key == POLICY_KEY:
-                return 0, "another came first"
+                return 0, "another proposal was stored first"
         return new.open_change.version, ""
 
     async def outcome(self, version: int) -> ChangeLogEntry:
-        """How a change has ended, once it has."""
+        """Waits until a change has ended, and returns its entry in the change log."""
 
         async def ended() -> ChangeLogEntry | None:
             try:
@@ -352,11 +370,11 @@
                 return None
             return next((p for p in record.log if p.version == version), None)
 
-        found: ChangeLogEntry = await self.until(f"version {version} comes to an end", ended)
+        found: ChangeLogEntry = await self.until(f"the change to version {version} ends", ended)
         return found
 
     async def change(self, mark: int, **settings: Any) -> ChangeLogEntry:
-        """Proposes as often as it takes to be heard, and waits for the end."""
+        """Proposes a change until a proposal is stored, waits until it ends, and returns its log entry."""
         while True:
             try:
                 version, _ = await self.propose(mark, **settings)
@@ -372,7 +390,7 @@
             await anyio.sleep(0.05)
 
     async def insist(self, mark: int) -> ChangeLogEntry:
-        """Proposes a change until it holds: one that too few fronts have heard of comes to nothing."""
+        """Repeats a change until it is activated, since one that too few fronts confirm is withdrawn."""
         with anyio.fail_after(2 * BOUND):
             while (past := await self.change(mark)).outcome is not ChangeOutcome.ACTIVATED:
                 await anyio.sleep(0.1)
@@ -381,7 +399,7 @@
     # Replicas -------------------------------------------------------------------------------------
 
     async def replica(self, name: str, founders: list[str], others: list[str]) -> Process:
-        """A replica that reaches each other one through a relay; its file is written, it isn't started."""
+        """Writes the file of a replica that reaches each other replica through a relay; does not start it."""
         folder = self._folder / name
         folder.mkdir()
         lines = [
@@ -400,7 +418,7 @@
         return process
 
     async def replicas(self, count: int, spare: int = 0) -> list[str]:
-        """Starts a group of so many; the spare ones have files, and are not started."""
+        """Starts a group of `count` replicas, and writes files for `spare` more without starting them."""
         names = [f"k{n}" for n in range(1, count + spare + 1)]
         for name in names:
             await self.replica(name, names[:count] if name in names[:count] else [], names)
@@ -409,13 +427,13 @@
         return names
 
     async def start(self, name: str) -> None:
-        """Starts a replica, and returns once it listens."""
+        """Starts a replica and waits until it listens."""
         process = self.processes[name]
         process.start()
         started = await self.until(
             f"{name} listens", lambda: process.events("replica started") or self._dead(process)
         )
-        assert started is not True, f"{name} has ended\n{self.logs()}"
+        assert started is not True, f"{name} exited before it listened\n{self.logs()}"
         self.ports[name] = started[0]["port"]
         for (_, to), relay in self.relays.items():
             if to == name:
@@ -430,9 +448,9 @@
         await self.start(name)
 
     def cut(self, name: str, *, heard: bool = True, hears: bool = True) -> None:
-        """Cuts a keeper off from the others: what it says (`heard`), what they say (`hears`), or both."""
+        """Blocks what a replica sends to the others (`heard`), what they send to it (`hears`), or both."""
         for (a, b), relay in self.relays.items():
-            # What `a` tells `b` goes over the link that `a` made; "back" there is the greeting only.
+            # Messages from a to b use the connection that a opened; only b's handshake goes "back" on it.
             if a == name and heard:
                 relay.hold("to", "back")
             if b == name and hears:
@@ -455,7 +473,7 @@
         return said
 
     async def leader(self, *but: str) -> str:
-        """Whoever leads a majority: all that can be reached agree on it."""
+        """Waits until a replica leads with a majority of the voters reachable, and returns its name."""
 
         async def led() -> str:
             for name, process in self.processes.items():
@@ -469,7 +487,10 @@
         return str(await self.until("a leader", led))
 
     async def write(self, key: str, data: bytes, *names: str) -> int:
-        """Sets a register that only this caller writes, however often it has to ask; the version it got."""
+        """Sets a register, retrying until it succeeds, and returns its version.
+
+        Only this caller may write the register.
+        """
         client = self.client(*names)
         while True:
             try:
@@ -484,7 +505,7 @@
 
 
 def free_port() -> int:
-    """A port for processes that are to find each other there: free, and none that the system gives out."""
+    """Returns a free port below the system's ephemeral range, which it gives to no other socket by itself."""
     while True:
         port = random.SystemRandom().randrange(10_000, 30_000)
         with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
@@ -492,18 +513,21 @@
 
 
 def marked(mark: int) -> dict[str, Any]:
-    """Settings that show under which policy a request was decided: `cap`, which the caches give back."""
+    """Returns settings whose mark shows under which policy a request was decided.
+
+    The mark raises the class's fresh time, which the front sends as `cap` and the caches return.
+    """
     return {"domain": {"freshFor": [0.0, 1000.0 + mark, 0.0]}}
 
 
 async def marking(_: StubCache, fetch: Fetch) -> None:
-    """A cache whose answers say under which policy they were asked for."""
+    """A cache that answers with the request's `cap`, which shows the policy that it was decided under."""
     await fetch.answer(200, "tell=local,rev=aa,since=1", fetch.fields.get("cap", "0").encode())
 
 
 @dataclass
 class Asked:
-    """One request of a client, and what came of it."""
+    """One request of a client and its result."""
 
     front: str
     began: float
@@ -513,10 +537,10 @@
 
 
 class Traffic:
-    """Clients that go on asking every front, one request after the other on each connection.
+    """Clients that send requests to every front, one at a time on each connection.
 
-    Each BOOKING-th one is a booking, which has to run once at most. What crosses the close of a connection
-    is sent once more on a new one, as the platform's clients do.
+    Every BOOKING-th request is a booking, which must run at most once. A request whose connection was closed
+    before the answer is retried once on a new connection, as the platform's clients do.
     """
 
     BOOKING = 8
@@ -532,7 +556,7 @@
                 tasks.start_soon(self._client, name)
 
     async def _client(self, name: str) -> None:
-        number = again = 0  # of the request that is to be sent, and whether it is for the second time
+        number = again = 0  # the request to send (0: a new one), and whether this is its retry
         while self.going:
             began = anyio.current_time()
             try:
@@ -565,16 +589,17 @@
                 await anyio.sleep(0.03)
 
     def served(self, name: str, mark: int) -> bool:
-        """Whether a front has served under that mark lately."""
+        """Returns whether one of the last 400 requests was served by the front under that mark."""
         return any(a.front == name and a.mark == mark for a in self.history[-400:])
 
     def since(self, name: str, when: float) -> list[Asked]:
-        """What a front was asked from that time on."""
+        """Returns the requests that were sent to a front after that time."""
         return [a for a in self.history if a.front == name and a.began > when]
 
     def judge(self) -> None:
-        """One answer to each request, and linearizable versions: whoever asks after an answer gets no older
-        one, at whichever front.
+        """Checks that each request has one answer and that versions are linearizable.
+
+        A request that begins after an answer has arrived is never served under an older policy, at any front.
         """
         assert {a.kind for a in self.history} <= {"served", "booked", "Throttled", "Broken", "lost"}
         served = sorted((a for a in self.history if a.kind == "served"), key=lambda a: a.ended)
@@ -584,12 +609,12 @@
             while following is not None and following.ended < asked.began:
                 newest, following = max(newest, following.mark), next(done, None)
             if asked.mark < newest:
-                raise AssertionError(f"served under {asked.mark} after {newest} was in force: {asked}")
+                raise AssertionError(f"served under {asked.mark} after {newest} was active: {asked}")
 
 
 @contextlib.asynccontextmanager
 async def rig(folder: Path, drift: float = 0.0) -> AsyncIterator[Rig]:
-    """A rig whose processes all end with the block."""
+    """Provides a rig, and kills all its processes when the block ends."""
     async with anyio.create_task_group() as tasks:
         found = Rig(folder, tasks, drift)
         try:
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -1,4 +1,4 @@
-"""Admission by source for tests, and what clients do to it."""
+"""Builds admission by source for tests, and drives it as clients' connections and requests do."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def become_known(admission: SourceAdmission, host: str, now: float, seconds: int = 5) -> float:
-    """A source that is served once a second until it is known."""
+    """Serves a request of this source once every 1.1 s until it is known; returns the time afterwards."""
     for _ in range(seconds):
         now += 1.1
         slot = admit(admission, host, now)
--- a/tests/support/cache_scripts.py
+++ b/tests/support/cache_scripts.py
@@ -1,4 +1,4 @@
-"""Scripts of caches that answer late, wrongly or not at all."""
+"""Scripts for stub caches that answer in pieces, with errors or malformed data, or not at all."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 async def hold(_: StubCache, fetch: Fetch) -> None:
-    """A cache that takes requests and answers none."""
+    """Accepts the fetch and never answers it."""
 
 
 async def cut(_: StubCache, fetch: Fetch) -> None:
--- a/tests/support/cache_wire.py
+++ b/tests/support/cache_wire.py
@@ -1,4 +1,4 @@
-"""A connection to a cache whose side a test plays."""
+"""A connection between a front and a cache whose side the test plays."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from zincladder.net.cache_pool import CachePool
 from zincladder.net.cache_transport import CacheTransport
 
-LARGE = 1 << 20  # bytes: more than the systems of both sides hold between them
+LARGE = 1 << 20  # bytes: more than the socket buffers of both ends hold together
 
 
 @contextlib.contextmanager
 def pair() -> Any:
-    """Both ends of a TCP connection whose systems hold little: the front's, the member's."""
+    """Yields both ends of a TCP connection with small socket buffers: the front's end, then the cache's."""
     with socket.socket() as listener, socket.socket() as ours:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
@@ -45,7 +45,7 @@
 
 
 class Wire:
-    """A connection to a member, whose side is played by hand."""
+    """A front's connection to a cache, with the cache's end in the hands of the test."""
 
     def __init__(
         self,
@@ -64,13 +64,13 @@
         self.ends: list[AttemptEnd] = []
 
     async def send(self, message: bytes, outgoing: AttemptRequest) -> anyio.CancelScope:
-        """Begins an attempt; its end is added to `ends`, and cancelling what is given back gives it up."""
+        """Starts an attempt, and returns the scope that cancels it; its end is appended to `ends`."""
         return await self.attempt(outgoing.request.trace, lambda: [message], outgoing)
 
     async def attempt(
         self, name: str, write: Callable[[], Sequence[bytes]], outgoing: AttemptRequest
     ) -> anyio.CancelScope:
-        """The same with a message that is written down as it goes."""
+        """Starts an attempt like `send`, but `write` builds the message when it is about to be sent."""
         scope = anyio.CancelScope()
 
         async def attempt() -> None:
@@ -82,7 +82,7 @@
         return scope
 
     async def answer(self, data: bytes) -> None:
-        """Sends this, and waits until the front has read it and done what follows from it."""
+        """Sends data from the cache, and waits until the front has read and processed it."""
         whole = self.link.read_buffer.received + len(data)
         self.endpoint.sendall(data)
         with anyio.fail_after(5):
@@ -91,7 +91,10 @@
         await anyio.wait_all_tasks_blocked()
 
     async def read(self, until: Callable[[bytes], bool]) -> bytes:
-        """What the member reads until this holds, or until the front's end: b'' is its last word."""
+        """Reads at the cache's end until `until` holds for the data or the front has closed the connection.
+
+        Returns all data that was read.
+        """
         found = b""
         with anyio.fail_after(5):
             while not until(found):
@@ -101,7 +104,7 @@
                     await anyio.wait_readable(self.endpoint)
                     continue
                 except ConnectionResetError:
-                    break  # the front's end too: what its system had not sent is dropped
+                    break  # the front closed the connection, and its unsent data was dropped
                 if not got:
                     break
                 found += got
--- a/tests/support/coordinator_frames.py
+++ b/tests/support/coordinator_frames.py
@@ -1,4 +1,4 @@
-"""Frames of the coordinator as bytes, and a wait for what they cause."""
+"""Encodes frames of the coordinator, and waits for their effects."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def purge(number: int) -> bytes:
-    """Event `number`, a purge of the group of that number."""
+    """Encodes event `number`: a purge of the group with the same number."""
     return frame(number, 4, struct.pack(">HQ", number, 1000))
 
 
--- a/tests/support/fleet_judge.py
+++ b/tests/support/fleet_judge.py
@@ -1,4 +1,4 @@
-"""The rules that hold for a policy in a simulated fleet, whatever fails."""
+"""The invariants of a policy in a simulated fleet, which must hold under all faults."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 
 
 class FleetJudge:
-    """What has been seen of all processes; each method raises Broken where a rule is."""
+    """Records what all processes did; each method raises InvariantError if an invariant is violated."""
 
     def __init__(self, min_agreeing_share: float) -> None:
         self.min_agreeing_share = min_agreeing_share
-        self.agreed: set[tuple[str, str]] = set()  # fronts and documents
-        self.objections_heard: set[tuple[str, int, str]] = set()  # by a leader in its term, of a document
-        self.decided: dict[int, str] = {}  # documents by version
-        self.expected_at_proposal: dict[int, int] = {}  # expected fronts when a change was proposed
+        self.agreed: set[tuple[str, str]] = set()  # (front, document) where the front accepted the document
+        self.objections_heard: set[tuple[str, int, str]] = set()  # (leader, its term, document objected to)
+        self.decided: dict[int, str] = {}  # version -> document
+        self.expected_at_proposal: dict[int, int] = {}  # version -> expected fronts when it was proposed
         self.in_force = 0  # the highest version that was served
 
     def serving(self, versions: Mapping[str, int]) -> None:
-        """The versions that fronts serve under at one moment."""
+        """Checks the versions under which fronts serve at one moment, by front."""
         if len(set(versions.values())) > 1:
-            raise InvariantError(f"two versions in force: {versions}")
+            raise InvariantError(f"fronts serve under two versions: {versions}")
         for version in set(versions.values()):
             if version < self.in_force:
-                raise InvariantError(f"version {version} is served after {self.in_force} was")
+                raise InvariantError(f"version {version} is served after version {self.in_force}")
             self.in_force = version
             if version not in self.decided:
-                raise InvariantError(f"version {version} is served and was never decided")
+                raise InvariantError(f"version {version} is served but was never decided")
 
     def leader_writes(self, leader: str, term: int, change: PolicyChange | None) -> None:
-        """A leader is about to write its open change."""
+        """Checks the open change that a leader is about to write."""
         if change is None or change.phase is not ChangePhase.DECIDED or self.decided.get(change.version):
             return
         if (leader, term, change.document) in self.objections_heard:
             raise InvariantError(f"version {change.version} is decided against a front's objection")
 
     def record_applied(self, stored: ChangeLog) -> None:
-        """The group has changed the policy's record."""
+        """Checks the policy record after the group has applied a change to it."""
         change = stored.record.open_change
         if change is not None:
             self.expected_at_proposal.setdefault(change.version, len(stored.expected_fronts))
@@ -47,11 +47,13 @@
                 self._decided(change)
         for entry in stored.record.log:
             if entry.version in self.decided and entry.outcome is ChangeOutcome.WITHDRAWN:
-                raise InvariantError(f"version {entry.version} was decided and withdrawn")
+                raise InvariantError(f"version {entry.version} was decided and then withdrawn")
 
     def _decided(self, change: PolicyChange) -> None:
         self.decided[change.version] = change.document
         agreed = {front for front, document in self.agreed if document == change.document}
         expected = self.expected_at_proposal.get(change.version, 0)
         if expected and len(agreed) <= self.min_agreeing_share * expected:
-            raise InvariantError(f"version {change.version} was decided with {len(agreed)} of {expected}")
+            raise InvariantError(
+                f"version {change.version} was decided, but only {len(agreed)} of {expected} fronts agreed"
+            )
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -1,4 +1,4 @@
-"""Fronts beside a simulated group: leases and changes of policy on given clocks, with faults by seed."""
+"""Simulates fronts and a replica group on drifting clocks, with leases, policy changes and seeded faults."""
 
 from __future__ import annotations
 
@@ -39,7 +39,10 @@
 
 @dataclass
 class FrontLink:
-    """A link between a front and a replica: in order, each way by itself, until it breaks."""
+    """A link between a front and a replica, which delivers messages in order until it breaks.
+
+    `free_at` is, for each direction, the time at which the last message sent will arrive.
+    """
 
     number: int
     front: str
@@ -51,7 +54,7 @@
 
 @dataclass
 class SimulatedFront:
-    """A front's process."""
+    """A front with its clock, its link and the state machine that takes part in policy changes."""
 
     name: str
     clock_rate: float
@@ -60,12 +63,12 @@
     process: int = 0
     paused: bool = False
     link: FrontLink | None = None
-    objects_to: set[str] = field(default_factory=set)  # documents that it can't serve under
+    objects_to: set[str] = field(default_factory=set)  # documents that it cannot serve under
     undelivered: list[tuple[FrontLink, FromCoordinator]] = field(default_factory=list)
 
 
 class FleetWorld(SimulatedGroup):
-    """A group of replicas with fronts; the judge looks after every event."""
+    """A group of replicas with fronts; the invariants are checked whenever a front has acted."""
 
     def __init__(
         self, seed: int, voters: int = 3, fronts: int = 4, lease_timing: LeaseTiming = TERMS
@@ -79,7 +82,7 @@
         self.link_numbers = itertools.count(1)
         self.rules = FleetJudge(lease_timing.min_agreeing_share)
         self.proposals = itertools.count()
-        self.isolated: dict[str, set[str]] = {}  # directions that are cut, by front
+        self.isolated: dict[str, set[str]] = {}  # front -> directions in which messages are lost
         super().__init__(seed, voters)
         self.figures |= {
             "activated": 0,
@@ -139,7 +142,7 @@
         front.participant.link_changed(True, self.front_clock(front))
 
     def break_link(self, link: FrontLink | None) -> None:
-        """Each side learns of it at a time of its own."""
+        """Breaks a link; each side notices it after a random delay of up to 2 s."""
         if link is None or not link.up:
             return
         link.up = False
@@ -185,9 +188,9 @@
     # Links ----------------------------------------------------------------------------------------
 
     def _transmit(self, link: FrontLink, way: str, message: FromParticipant | FromCoordinator) -> None:
-        """In order, as a connection does; what is under way when it breaks may still come."""
+        """Sends a message in order; a message in transit may still arrive after the link has broken."""
         if way in self.isolated.get(link.front, ()):
-            return None  # nobody learns of it
+            return None  # the message is lost and neither side notices
         if (link.front, link.replica) in self.cut and way == "to_leader":
             return self.break_link(link)
         if (link.replica, link.front) in self.cut and way == "to_front":
@@ -215,7 +218,7 @@
     def confirm_leadership_first(
         self, process: SimulatedReplica, link: FrontLink, message: FromParticipant
     ) -> None:
-        """What a front says is handed in once a majority has confirmed that this keeper leads."""
+        """Queues a front's message until a majority has confirmed that this replica leads."""
         assert process.node is not None
         ticket = next(self._tickets)
         try:
@@ -237,7 +240,7 @@
         self.carry_out(front)
         self.judge()
 
-    # Keepers --------------------------------------------------------------------------------------
+    # Replicas -------------------------------------------------------------------------------------
 
     def restore(self, process: SimulatedReplica, snapshot: Snapshot) -> None:
         process.index = snapshot.index
@@ -258,7 +261,7 @@
         process.index += 1
         first = self.log.setdefault(process.index, entry)
         if first != entry:
-            raise InvariantError(f"{process.name} applies another entry at {process.index}")
+            raise InvariantError(f"{process.name} applies a different entry at index {process.index}")
         if entry.kind is EntryKind.DATA:
             self.registers[process.name].apply(process.index, entry.data)
             registers = self.registers[process.name]
@@ -355,7 +358,7 @@
         process = self.leader()
         if process is None or process.node is None:
             return
-        found = change_log.read(self.registers[process.name].with_prefix(""))  # perhaps an old one
+        found = change_log.read(self.registers[process.name].with_prefix(""))  # possibly stale
         data = b"policy %d" % next(self.proposals)
         if self.random.random() < 0.2:
             self.random.choice(list(self.fronts.values())).objects_to.add(document_id(data))
@@ -394,21 +397,21 @@
         self.isolated.pop(front.name, None)
 
     def read(self, process: SimulatedReplica) -> None:
-        """Fronts ask here, not clients."""
+        """Does nothing: here fronts send requests, not clients."""
 
     def write(self, process: SimulatedReplica) -> None:
-        """What is written here are records."""
+        """Does nothing: here the policy's records are written, not clients' values."""
 
     def wake_front(self, front: SimulatedFront) -> None:
         if front.participant is None or not front.paused:
             return
         front.paused = False
-        self.judge()  # before it has heard anything
+        self.judge()  # before it receives the messages that arrived while it was paused
         undelivered, front.undelivered = front.undelivered, []
         for link, message in undelivered:
             self._deliver_to_front(link, message)
 
-    # The judge ------------------------------------------------------------------------------------
+    # Checks ---------------------------------------------------------------------------------------
 
     def judge(self) -> None:
         serving = {}
@@ -446,7 +449,8 @@
                 break
         else:
             raise InvariantError(
-                f"no version everywhere {80} s after all was mended: {versions}, {record.open_change}"
+                f"fronts did not settle on one version within {80} s after all faults ended: "
+                f"{versions}, {record.open_change}"
             )
         self.figures["activated"] += sum(p.outcome is ChangeOutcome.ACTIVATED for p in record.log)
         self.figures["withdrawn"] += sum(p.outcome is ChangeOutcome.WITHDRAWN for p in record.log)
--- a/tests/support/front_configuration.py
+++ b/tests/support/front_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of a front that talks to stand-ins."""
+"""The configuration of a front that uses stub caches and a stub coordinator."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def configuration(endpoints: list[dict[str, Any]], coordinator: int = 0, **more: Any) -> dict[str, Any]:
-    """What a front is told, on a port of the system's choice."""
+    """Returns the configuration of a front that listens on a port chosen by the system."""
     lists = {"index": 1, "snapshot": True, "endpoints": endpoints}
     data = {"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "settings": SETTINGS,
             "known": {"index": 1, "updates": [{"index": 1, "endpoints": lists}]}, **more}  # fmt: skip
--- a/tests/support/front_hooks.py
+++ b/tests/support/front_hooks.py
@@ -14,7 +14,7 @@
 
 
 def cores_of(monkeypatch: pytest.MonkeyPatch) -> list[Core]:
-    """The cores of the fronts that are started from now on."""
+    """Returns a list to which the core of each front started from now on is appended."""
     made: list[Core] = []
     init = Core.__init__
 
@@ -27,7 +27,7 @@
 
 
 def on_connect(monkeypatch: pytest.MonkeyPatch, act: Callable[[int], None]) -> None:
-    """Calls `act` with the connection's number when one to a member has come up, before anything is sent."""
+    """Calls `act` with a running number when a connection to a cache is open, before anything is sent."""
     made = 0
 
     async def connecting(host: str, port: int) -> socket.socket:
--- a/tests/support/front_process.py
+++ b/tests/support/front_process.py
@@ -1,4 +1,4 @@
-"""Runs a front as a real process."""
+"""Runs a front as a separate process."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FrontProcess:
-    """A front in a process of its own, on addresses of its own."""
+    """A front that runs in its own process, with a free port as its control address."""
 
     def __init__(self, folder: Path, config: dict[str, Any], **environ: str) -> None:
         path = folder / "config.json"
@@ -41,13 +41,14 @@
         )
 
     def ask(self, line: bytes) -> bytes:
+        """Sends a line to the control address, and returns the whole reply."""
         host, _, port = self.control.partition(":")
         with socket.create_connection((host, int(port)), 1.0) as sock:
             sock.sendall(line)
-            said = b""
-            while got := sock.recv(4096):
-                said += got
-        return said
+            reply = b""
+            while data := sock.recv(4096):
+                reply += data
+        return reply
 
     def ready(self) -> bool:
         try:
@@ -55,11 +56,13 @@
         except OSError:
             return False
 
-    async def until(self, true: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
+        """Waits until the condition holds; raises TimeoutError after 10 seconds."""
         with anyio.fail_after(10):
-            while not await anyio.to_thread.run_sync(true):
+            while not await anyio.to_thread.run_sync(condition):
                 await anyio.sleep(0.02)
 
     async def ended(self) -> int:
+        """Waits until the process exits, and returns its exit status."""
         with anyio.fail_after(10):
             return await anyio.to_thread.run_sync(self.process.wait)
--- a/tests/support/front_world.py
+++ b/tests/support/front_world.py
@@ -1,4 +1,4 @@
-"""A running front with its stand-ins."""
+"""A front that runs in the test's process, with stub caches and a stub coordinator."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class World:
-    """A running front with its stand-ins."""
+    """A running front with its stub caches and stub coordinator."""
 
     caches: list[StubCache]
     coordinator: Coordinator
@@ -38,7 +38,7 @@
     operator: dict[str, Any] | None = None,
     **more: Any,
 ) -> AsyncIterator[World]:
-    """A front with a cache for each script, one parent and the origin (the last two of `caches`)."""
+    """Runs a front with one cache for each script, one parent and the origin (the last two of `caches`)."""
     caches = [StubCache(f"s-{i + 1:08x}", 0, script) for i, script in enumerate(scripts)]
     caches += [StubCache("s-000000a0", 1), StubCache("s-000000b0", 2, origin)]
     caches = endpoints or caches
@@ -48,7 +48,9 @@
             await tasks.start(cache.run)
         await tasks.start(coordinator.run)
         config = parse_config(configuration([c.endpoint() for c in caches], coordinator.port, **more))
-        known = [h for h in DNS_HOSTS if h["class"] in config.names.classes]  # another site names others
+        known = [
+            h for h in DNS_HOSTS if h["class"] in config.names.classes
+        ]  # a test may configure other classes
         table = ({"dns": DNS | {"host": known + (hosts or [])}} if known else {}) | (operator or {})
         stopping = anyio.Event()
         listening = await tasks.start(run_front, config, parse_operator(table, config.names), stopping)
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -1,7 +1,7 @@
-"""Fixtures that hold what the program published or wrote when they were made, and the comparison with them.
+"""Compares values with fixtures: JSON files under tests/data/ with what the program published or stored.
 
-A fixture is JSON under tests/data/. With ZINCLADDER_WRITE_FIXTURES=1 in the environment a test writes what
-it sees instead, and fails: a change of a fixture is a change for users, and is read before it is committed.
+With ZINCLADDER_WRITE_FIXTURES=1 in the environment a test writes its value to the fixture and fails. A change
+to a fixture is a change for users and has to be reviewed before it is committed.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 
 
 def assert_matches(name: str, value: Any) -> None:
-    """Compares a value with the fixture `name`, and shows where they differ."""
+    """Asserts that a value equals the fixture `name`, and shows the lines that differ."""
     path = DATA / name
     text = json.dumps(value, indent=1, ensure_ascii=True) + "\n"
     if os.environ.get(WRITE_VARIABLE):
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_text(text)
-        raise AssertionError(f"{path} has been written")
+        raise AssertionError(f"fixture {path} was written, not compared")
     assert text.splitlines() == path.read_text().splitlines()
 
 
 def positional(value: Any) -> Any:
-    """A value as JSON without the names of its fields and members, which may change where nothing else does.
+    """Converts a value to JSON types without the names of fields and enum members, which may be renamed.
 
-    Dataclasses become lists of their fields, members of an enumeration their place in it or their number,
-    and bytes hex digits.
+    A dataclass becomes the list of its fields, an IntEnum member its number, another enum member its position
+    in the enum, and bytes a hex string.
     """
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         return [positional(getattr(value, field.name)) for field in dataclasses.fields(value)]
@@ -52,4 +52,4 @@
         return str(value)
     if value is None or isinstance(value, bool | int | float | str):
         return value
-    raise TypeError(f"{type(value).__name__} has no place in a fixture")
+    raise TypeError(f"a value of type {type(value).__name__} cannot be written to a fixture")
--- a/tests/support/imports.py
+++ b/tests/support/imports.py
@@ -1,4 +1,4 @@
-"""What a module of the package imports, read from its source."""
+"""Reads which modules a file of the package imports from its source."""
 
 from __future__ import annotations
 
@@ -6,11 +6,14 @@
 from pathlib import Path
 
 PACKAGE = Path(__file__).resolve().parents[2] / "zincladder"
-PARENTS = ("zincladder", "zincladder.routing")  # packages from which modules are imported by name
+PARENTS = (
+    "zincladder",
+    "zincladder.routing",
+)  # packages whose modules are imported with `from PACKAGE import`
 
 
 def imported(name: str) -> set[str]:
-    """The modules that a file of the package imports, also inside functions."""
+    """Returns the modules that a file of the package imports, including imports inside functions."""
     found: set[str] = set()
     for node in ast.walk(ast.parse((PACKAGE / name).read_text())):
         if isinstance(node, ast.Import):
--- a/tests/support/jumping_clocks.py
+++ b/tests/support/jumping_clocks.py
@@ -1,7 +1,7 @@
-"""Runs the program on clocks that go wrong: python -m tests.support.jumping_clocks DRIFT [ARGUMENT ...]
+"""Runs the program with faulty clocks: python -m tests.support.jumping_clocks DRIFT [ARGUMENT ...]
 
-The time of day jumps by up to a day at each look but the one by which a front sets its clock; the clock that
-leases are counted on runs faster by DRIFT (slower, where it is below 0).
+Each reading of the time of day is off by up to a day, except the one with which a front sets its own clock.
+The clock that measures leases (CLOCK_BOOTTIME) runs fast by the share DRIFT, or slow if DRIFT is negative.
 """
 
 from __future__ import annotations
@@ -10,35 +10,35 @@
 import sys
 import time
 
-drift, began = float(sys.argv.pop(1)), time.clock_gettime(time.CLOCK_BOOTTIME)
-of_day, gettime = time.time, time.clock_gettime
+drift, started_at = float(sys.argv.pop(1)), time.clock_gettime(time.CLOCK_BOOTTIME)
+time_of_day, real_clock_gettime = time.time, time.clock_gettime
 
 
-def jumps() -> float:
-    return of_day() + random.uniform(-86_400, 86_400)
+def jumping_time() -> float:
+    return time_of_day() + random.uniform(-86_400, 86_400)
 
 
-def drifts(which: int) -> float:
-    now = gettime(which)
-    return began + (now - began) * (1 + drift) if which == time.CLOCK_BOOTTIME else now
+def drifting_clock_gettime(clock_id: int) -> float:
+    now = real_clock_gettime(clock_id)
+    return started_at + (now - started_at) * (1 + drift) if clock_id == time.CLOCK_BOOTTIME else now
 
 
-time.time, time.clock_gettime = jumps, drifts
+time.time, time.clock_gettime = jumping_time, drifting_clock_gettime
 
-from zincladder.__main__ import main  # noqa: E402  # what it loads is to find the clocks changed
+from zincladder.__main__ import main  # noqa: E402  # imported after the clocks are replaced
 from zincladder.core.clock import Clock  # noqa: E402
 
-set_up = Clock.__init__
+real_init = Clock.__init__
 
 
-def set_once(self: Clock) -> None:
-    time.time = of_day
+def init_with_real_time(self: Clock) -> None:
+    time.time = time_of_day
     try:
-        set_up(self)
+        real_init(self)
     finally:
-        time.time = jumps
+        time.time = jumping_time
 
 
-Clock.__init__ = set_once  # type: ignore[method-assign]
+Clock.__init__ = init_with_real_time  # type: ignore[method-assign]
 
 raise SystemExit(main())
--- a/tests/support/policy_fleet.py
+++ b/tests/support/policy_fleet.py
@@ -1,4 +1,4 @@
-"""Real replicas and fronts under a policy, with stub caches and clients at every front."""
+"""Runs real replicas and fronts under a policy, with stub caches and with clients at every front."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PolicyFleet:
-    """A rig with replicas, stub caches and fronts that serve under version 1."""
+    """A rig with replicas, stub caches and fronts that follow the policy."""
 
     def __init__(self, r: Rig, caches: list[StubCache], tasks: anyio.abc.TaskGroup) -> None:
         self.r, self.caches, self._tasks = r, caches, tasks
@@ -40,7 +40,10 @@
     begun: bool = True,
     drift: float = 0.0,
 ) -> AsyncIterator[PolicyFleet]:
-    """Replicas, fronts and caches; at the end no booking may have run twice."""
+    """Starts replicas, fronts and caches, and checks at the end that no booking ran twice.
+
+    With `begun`, the fronts serve under policy version 1 when the block starts.
+    """
     async with rig(folder, drift) as r, anyio.create_task_group() as tasks:
         caches = [StubCache(f"s-{n:08x}", 0, marking) for n in (1, 2)]
         caches += [StubCache("s-000000a0", 1, marking), StubCache("s-000000b0", 2, marking)]
@@ -57,11 +60,11 @@
         yield f
         tasks.cancel_scope.cancel()
         written = Counter(e.name for cache in caches for e in cache.fetches if e.fields["cls"] == "booking")
-        assert not [name for name, times in written.items() if times > 1]  # no booking ran twice
+        assert not [name for name, times in written.items() if times > 1]
 
 
 def longest_pause(traffic: Traffic) -> float:
-    """The longest time for which a front that serves again had rejected every request, in seconds."""
+    """Returns the longest time, in seconds, in which a front served no request before it served again."""
     longest, since = 0.0, dict[str, float]()
     for asked in sorted(traffic.history, key=lambda a: a.ended):
         if asked.kind == "served":
--- a/tests/support/policy_states.py
+++ b/tests/support/policy_states.py
@@ -1,4 +1,4 @@
-"""The policy at small scope: a coordinator and a few participants, few changes, few faults."""
+"""A small state space of the policy: a coordinator and a few participants, with few changes and faults."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class PolicyStateSpace(StateSpace):
-    """All fronts serve under version 1 at the start."""
+    """The states of a coordinator and its fronts, all of which serve under version 1 at the start."""
 
     def __init__(self, scope: Scope, fronts: int = 2) -> None:
         self.record, self.record_version, self.in_force = PolicyRecord(1, "d1"), 1, 1
@@ -99,18 +99,18 @@
     def judge(self) -> None:
         serving = {version for p in self.processes if (version := p.participant.serving_version(self.time))}
         if len(serving) > 1:
-            raise InvariantError(f"two versions in force: {serving}")
+            raise InvariantError(f"fronts serve under two versions: {serving}")
         for version in serving:
             if version < self.in_force:
-                raise InvariantError(f"version {version} is served after {self.in_force} was")
+                raise InvariantError(f"version {version} is served after version {self.in_force}")
             self.in_force = version
         if self.record.version < self.in_force:
-            raise InvariantError(f"version {self.in_force} is served before it is in force")
+            raise InvariantError(f"version {self.in_force} is served before it is active")
         change = self.record.open_change
         if change and change.version <= self.record.version and change.phase is not ChangePhase.CHECKING:
             raise InvariantError(f"version {change.version} is decided twice")
 
 
 def in_force(state: PolicyStateSpace) -> bool:
-    """Whether a change has come into force."""
+    """Returns whether any front has served under a changed policy."""
     return state.in_force > 1
--- a/tests/support/raft_simulation.py
+++ b/tests/support/raft_simulation.py
@@ -1,6 +1,7 @@
-"""A group of Raft nodes in one process on a simulated clock, with faults by seed and checked invariants.
+"""Simulates a group of Raft nodes in one process, with a simulated clock and faults drawn from a seed.
 
-Checked: one leader a term, the same entry at an index everywhere, no acknowledged entry lost, no stale read.
+Checked invariants: at most one leader per term, the same entry at an index on all replicas, no acknowledged
+entry lost, no entry applied twice, no stale read.
 """
 
 from __future__ import annotations
@@ -30,16 +31,18 @@
 from zincladder.consensus.raft_state import RaftTiming, Role
 
 TIMING = RaftTiming(heartbeat_seconds=0.5, election_timeout_seconds=2.0)
-snapshot_transfer.SNAPSHOT_CHUNK_BYTES = 24  # snapshots go in several chunks, and the log goes on meanwhile
+snapshot_transfer.SNAPSHOT_CHUNK_BYTES = (
+    24  # small enough to split snapshots into several chunks, between which the log grows
+)
 
 
 class InvariantError(AssertionError):
-    """An invariant does not hold; the text says which."""
+    """An invariant is violated; the message says which."""
 
 
 @dataclass
 class SimulatedDisk:
-    """What a node has written, as its journal would return it."""
+    """What a node has written, in the form in which its journal would return it."""
 
     hard_state: HardState
     snapshot: Snapshot
@@ -74,11 +77,16 @@
     clock_offset: float = 0.0
     delayed_messages: list[tuple[str, Message]] = field(default_factory=list)
     open_proposals: dict[tuple[int, int], str] = field(default_factory=dict)  # (index, term) -> value
-    open_reads: dict[int, frozenset[str]] = field(default_factory=dict)  # ticket -> acknowledged before
+    open_reads: dict[int, frozenset[str]] = field(
+        default_factory=dict
+    )  # ticket -> values acknowledged before
 
 
 class SimulatedGroup:
-    """Replicas, links between them, a client that sends requests, and the checks."""
+    """Replicas, the links between them, a client that sends requests, and the checks of the invariants.
+
+    `spare` is the number of replicas that are not members at first and can be added.
+    """
 
     def __init__(self, seed: int, voters: int = 3, spare: int = 0) -> None:
         self.random = random.Random(seed)
@@ -106,18 +114,18 @@
     # The clock ------------------------------------------------------------------------------------
 
     def at(self, delay: float, action: Callable[[], None]) -> None:
-        """Schedules an action, in seconds from now."""
+        """Schedules an action after a delay in seconds."""
         heapq.heappush(self._events, (self.now + delay, next(self._order), action))
 
     def run(self, until: float) -> None:
-        """Runs all actions that are due by then."""
+        """Runs all actions that are due by the time `until`."""
         while self._events and self._events[0][0] <= until:
             self.now, _, action = heapq.heappop(self._events)
             action()
         self.now = until
 
     def clock(self, process: SimulatedReplica) -> float:
-        """The replica's own clock, which drifts."""
+        """Returns the time on the replica's own clock, which drifts."""
         return self.now * process.clock_rate + process.clock_offset
 
     # Processes ------------------------------------------------------------------------------------
@@ -156,7 +164,7 @@
             self.at(max(0.01, wait), lambda: self._wake(process, incarnation))
 
     def settle(self, process: SimulatedReplica) -> None:
-        """What the server does after each event; a crash may come between any two steps."""
+        """Carries out the node's output as the server does; a crash may come before or after the write."""
         node = process.node
         assert node is not None
         output = node.take_output()
@@ -177,17 +185,17 @@
             self.ready(process, ticket)
         if node.role is Role.LEADER and self.leaders.setdefault(node.term, process.name) != process.name:
             raise InvariantError(
-                f"two leaders in term {node.term}: {self.leaders[node.term]}, {process.name}"
+                f"term {node.term} has two leaders: {self.leaders[node.term]}, {process.name}"
             )
 
     def ready(self, process: SimulatedReplica, ticket: int) -> None:
-        """A read that is answered now."""
+        """Answers a read, and checks that it returns every value acknowledged before it began."""
         before = process.open_reads.pop(ticket)
         self.figures["reads"] += 1
         if missing := before - set(process.state):
-            raise InvariantError(f"a read at {process.name} lacks {sorted(missing)}")
+            raise InvariantError(f"a stale read at {process.name} lacks {sorted(missing)}")
 
-    crash_probability = 0.0  # at each step
+    crash_probability = 0.0  # at each point where the replica may crash
 
     def crashes_now(self, process: SimulatedReplica) -> bool:
         if self.crash_probability and self.random.random() < self.crash_probability:
@@ -201,7 +209,7 @@
         process.index += 1
         first = self.log.setdefault(process.index, entry)
         if first != entry:
-            raise InvariantError(f"{process.name} applies another entry at {process.index}")
+            raise InvariantError(f"{process.name} applies a different entry at index {process.index}")
         if entry.kind is EntryKind.DATA:
             process.state.append(entry.data.decode())
         value = process.open_proposals.pop((process.index, entry.term), None)
@@ -232,13 +240,13 @@
     # Clients and operators ------------------------------------------------------------------------
 
     def leader(self) -> SimulatedReplica | None:
-        """A replica that takes itself for the leader, whether it leads or not."""
+        """Returns a replica that considers itself the leader, even if another one leads by now, or None."""
         running = [p for p in self.processes.values() if p.node and not p.paused]
         leaders = [p for p in running if p.node and p.node.role is Role.LEADER]
         return self.random.choice(leaders) if leaders else None
 
     def ask(self) -> None:
-        """One request of a client or an operator, drawn at random."""
+        """Issues one random request: a client's write or read, or an operator's transfer of leadership."""
         process = self.leader()
         if process is None or process.node is None:
             return
@@ -257,7 +265,7 @@
         self.settle(process)
 
     def write(self, process: SimulatedReplica) -> None:
-        """A client's entry, to a replica that may lead."""
+        """Proposes a new value at this replica on behalf of a client, if it considers itself the leader."""
         value = f"v{next(self._values)}"
         if process.node is None or process.node.role is not Role.LEADER:
             return
@@ -266,7 +274,7 @@
             self.settle(process)
 
     def read(self, process: SimulatedReplica) -> None:
-        """A client's read, of a replica that may lead."""
+        """Starts a read at this replica on behalf of a client, if it considers itself the leader."""
         ticket = next(self._tickets)
         if process.node is None or process.node.role is not Role.LEADER:
             return
@@ -276,7 +284,7 @@
             self.settle(process)
 
     def change(self) -> None:
-        """An operator adds or removes a member."""
+        """Adds a replica as a learner or removes a voter, as an operator does."""
         process = self.leader()
         if process is None or process.node is None:
             return
@@ -300,7 +308,9 @@
     # Faults ---------------------------------------------------------------------------------------
 
     def inject_fault(self) -> None:
-        """A crash, a pause, a partition, message loss, a compaction or a change of members, at random."""
+        """Causes one random event: a crash, pause, partition, its end, message loss, compaction or membership
+        change.
+        """
         r, names = self.random, sorted(self.processes)
         process = self.processes[r.choice(names)]
         kind = r.randrange(8)
@@ -331,7 +341,7 @@
             return
         process.paused = False
         delayed_messages, process.delayed_messages = process.delayed_messages, []
-        if self.random.random() < 0.5:  # its links were reset while it was paused, and clients are quicker
+        if self.random.random() < 0.5:  # its links were reset during the pause, and clients reconnect first
             delayed_messages.clear()
             self.read(process)
             self.write(process)
@@ -339,7 +349,7 @@
             self.deliver(sender, process.name, message)
 
     def play(self, seconds: float, every: float = 0.5) -> None:
-        """Requests and faults for so long; then all faults end, and the invariants are checked."""
+        """Issues requests and faults about every `every` seconds for `seconds`, then heals and checks."""
         end = self.now + seconds
         while self.now < end:
             self.run(self.now + self.random.uniform(0, 2 * every))
@@ -349,7 +359,7 @@
         self.heal_and_check()
 
     def heal_and_check(self) -> None:
-        """Ends all faults; the group has to commit again, and to have lost nothing."""
+        """Ends all faults, and checks that the group commits again and has lost nothing."""
         self.cut.clear()
         self.loss = self.crash_probability = 0.0
         for process in self.processes.values():
@@ -364,12 +374,12 @@
             if len(self.acknowledged) > acknowledged and voters and len({p.index for p in voters}) == 1:
                 break
         else:
-            raise InvariantError("nothing is committed a minute after all faults ended")
+            raise InvariantError("the group did not converge within 60 s after all faults ended")
         states = [p.state for p in voters]
         if any(state != states[0] for state in states):
-            raise InvariantError("states differ at the same index")
+            raise InvariantError("replicas' states differ at the same index")
         if lost := self.acknowledged - set(states[0]):
-            raise InvariantError(f"acknowledged and lost: {sorted(lost)}")
+            raise InvariantError(f"acknowledged values were lost: {sorted(lost)}")
         if len(states[0]) != len(set(states[0])):
             raise InvariantError("an entry was applied twice")
 
--- a/tests/support/raw_client.py
+++ b/tests/support/raw_client.py
@@ -1,4 +1,4 @@
-"""A client of the front's service whose bytes are written and read one by one."""
+"""A client of the front's service that writes and reads raw bytes on a socket."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @contextlib.contextmanager
 def plain(w: World) -> Iterator[socket.socket]:
-    """A client's socket itself: what is done with it is done before the front runs again."""
+    """Yields a client's non-blocking socket; calls on it take effect before the front's loop runs again."""
     with socket.create_connection(w.listening.clients) as sock:
         sock.setblocking(False)
         yield sock
@@ -40,14 +40,14 @@
 
 
 async def some(sock: socket.socket) -> bytes:
-    """What comes next."""
+    """Waits for data, and returns the next chunk."""
     with anyio.fail_after(5):
         await anyio.wait_readable(sock)
     return sock.recv(1 << 16)
 
 
 async def rest(sock: socket.socket) -> bytes:
-    """All that still comes until the peer's end; ConnectionResetError where it was reset."""
+    """Reads until the front closes the connection; raises ConnectionResetError if it resets it."""
     found = b""
     with anyio.fail_after(5):
         while True:
--- a/tests/support/resolver.py
+++ b/tests/support/resolver.py
@@ -11,7 +11,10 @@
 
 
 class Resolver:
-    """A caching resolver: asks over UDP and keeps each answer for its TTL, or longer if it is told to."""
+    """A caching resolver that queries over UDP, and keeps each answer for its TTL but at least `least_ttl`.
+
+    `asked` counts the queries sent for each name.
+    """
 
     def __init__(self, where: tuple[str, int], least_ttl: float = 0.0) -> None:
         self._where, self._least = where, least_ttl
@@ -39,7 +42,7 @@
 
 
 def places(answer: dns.message.Message) -> list[tuple[str, int]]:
-    """The addresses and ports that an answer to an SRV query names, each pair once."""
+    """Returns every pair of an address and a port in the answer to an SRV query."""
     hosts = [rd.address for rr in answer.additional if rr.rdtype == dns.rdatatype.A for rd in rr]
     ports = [rd.port for rr in answer.answer if rr.rdtype == dns.rdatatype.SRV for rd in rr]
     return [(host, port) for host in hosts for port in ports]
--- a/tests/support/routing.py
+++ b/tests/support/routing.py
@@ -1,4 +1,4 @@
-"""Settings, endpoint lists, and a driver that plays the answers of a fleet by hand."""
+"""Settings and endpoints for tests of the router, and a driver that ends its attempts as a test says."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def settings(**changes: Any) -> api.Settings:
-    """Those of a location with two routers out of four, with all that the platform may permit."""
+    """Returns the settings of a location that has two of four routers, with every permission granted."""
     values: dict[str, Any] = {
         "classes": (IDEMPOTENT, FRESH, WITH_KEY, NOT_IDEMPOTENT),
         "zone": 1,
@@ -57,12 +57,12 @@
 
 
 def cache(n: int, **changes: Any) -> api.Endpoint:
-    """Cache n of the location."""
+    """Returns cache n in the router's location."""
     return api.Endpoint(**{"id": b"cache%d" % n, "kind": CACHE, "zone": 1, "weight": 8.0, **changes})
 
 
 def parent(n: int, **changes: Any) -> api.Endpoint:
-    """Parent n, at the hub."""
+    """Returns parent n, in zone 0."""
     return api.Endpoint(**{"id": b"paren%d" % n, "kind": PARENT, "zone": 0, "weight": 40.0, **changes})
 
 
@@ -71,7 +71,7 @@
 
 
 class Driver:
-    """A router, its clock and shorthand for the events."""
+    """A router and its clock, with a method for each common event."""
 
     def __init__(self, endpoints: Iterable[api.Endpoint] = FLEET, seed: int = 1, **changes: Any) -> None:
         self.router = Router(settings(**changes), seed)
@@ -118,7 +118,7 @@
         return self.handle(api.AttemptEnded(request, attempt, endpoint, outcome, 0.1, closed, **more))
 
     def serve(self, request: int, key: int = 7, **more: Any) -> api.Fetch:
-        """A request that is answered at once with a hit; gives its attempt."""
+        """Sends a request, answers its only attempt with a hit, and returns that attempt."""
         sent = only_fetch(self.request(request, key, **more))
         self.end_attempt(
             request, 0, sent.endpoint, api.AttemptOutcome.OK, True, fill_outcome=api.FillOutcome.HIT
@@ -127,18 +127,18 @@
 
 
 def only_fetch(actions: list[api.Action]) -> api.Fetch:
-    """The one Fetch among the actions."""
+    """Returns the Fetch among the actions, of which there must be exactly one."""
     (found,) = [a for a in actions if isinstance(a, api.Fetch)]
     return found
 
 
 def final_answers(actions: list[api.Action]) -> list[api.Action]:
-    """The final answers among the actions."""
+    """Returns the rejections and failures among the actions."""
     return [a for a in actions if isinstance(a, api.Reject | api.Fail)]
 
 
 def attempts_in(actions: list[api.Action]) -> list[api.Fetch | api.Lookup]:
-    """The attempts among the actions."""
+    """Returns the attempts among the actions."""
     return [a for a in actions if isinstance(a, api.Fetch | api.Lookup)]
 
 
@@ -147,7 +147,7 @@
 
 
 def set_in_flight(driver: Driver, count: int) -> None:
-    """As if this router had so many attempts in flight at each cache."""
+    """Sets the router's count of attempts in flight at each cache."""
     for i in driver.endpoints.caches.ids:
         driver.endpoints.track_in_flight(
             driver.endpoints.stats[i], count - driver.endpoints.stats[i].in_flight
@@ -167,7 +167,7 @@
 
 
 def driver_without_sizes_and_weights(cores: int = 4) -> Driver:
-    """A router without sizes and weights, after hits of a tenth of a second and some load reports."""
+    """Returns a driver whose router knows no sizes and weights, after hits of 0.1 s and some load reports."""
     driver = Driver(**NOT_ANNOUNCED)
     for n in range(1000, 1040):
         driver.serve(n, key=n, kb=0.0)
@@ -178,7 +178,10 @@
 def attempts_while_parents_reject(
     driver: Driver, requests: range, request_class: int = 0
 ) -> list[api.Fetch | api.Lookup]:
-    """All attempts of the requests; parents reject, whoever asks, and the origin serves."""
+    """Runs the requests while parents reject every attempt and fill and the origin serves.
+
+    Returns all attempts.
+    """
     made: list[api.Fetch | api.Lookup] = []
     for n in requests:
         actions, attempt = driver.request(n, key=n, request_class=request_class), 0
--- a/tests/support/scripted_transport.py
+++ b/tests/support/scripted_transport.py
@@ -1,4 +1,4 @@
-"""A transport whose attempts end as a test says."""
+"""A transport whose attempts end when and how the test says."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ScriptedTransport:
-    """Keeps each attempt in flight until the test ends it."""
+    """Keeps each attempt in flight until the test ends it; health checks time out at once."""
 
     def __init__(self) -> None:
         self.attempts: list[AttemptRequest] = []
--- a/tests/support/service_client.py
+++ b/tests/support/service_client.py
@@ -1,4 +1,4 @@
-"""A client of the front that speaks its service over one connection."""
+"""A client of the front's service that uses one connection."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 @dataclass
 class Reply:
-    """What came back: 'served', 'Throttled', 'Broken' or 'application'."""
+    """A reply of the front; `kind` is 'served', 'Throttled', 'Broken' or 'application'.
+
+    'Throttled' and 'Broken' are the service's exceptions; 'application' is Thrift's own exception.
+    """
 
     seq: int
     kind: str
@@ -27,7 +30,7 @@
 
 
 class Client:
-    """Speaks the service over one connection."""
+    """Calls the service over one connection. Replies may arrive in another order than the calls."""
 
     def __init__(self, stream: anyio.abc.SocketStream) -> None:
         self.stream, self.seq, self._data = stream, 0, b""
@@ -39,6 +42,7 @@
         return self.seq
 
     async def ask(self, body: bytes = b"", /, **fields: str) -> int:
+        """Sends a request with these fields over the defaults, and returns its sequence number."""
         said = {"route": "page", "trace": f"{self.seq + 1:016x}", "patience": "2000", "entity": KEY,
                 "slice": "0", "set": "17"} | fields  # fmt: skip
         args = b"\x0d\0\1" + thrift._texts(said) + b"\x0b\0\2" + struct.pack(">i", len(body)) + body
--- a/tests/support/state_space.py
+++ b/tests/support/state_space.py
@@ -1,9 +1,9 @@
-"""All orders of events at small scope: one leader after the other, a few processes on links, one register.
+"""Explores all orders of events in a small model: successive leaders, processes with links, and registers.
 
-What the group decides is held here as registers whose writes succeed one at a time, or are lost with their
-leader; that a group is as good as that is shown elsewhere. Links keep their order and lose all that is
-under way when they break. From each state every event that is possible is tried, and no state twice; the
-judge looks at every state. A step of the clock is a second, and there is no drift, so that deadlines
+The replica group is modelled as registers whose writes are applied one at a time or are lost with their
+leader; other tests show that a real group behaves so. Links deliver messages in order and lose those in
+transit when they break. From each state every possible event is tried, no state is visited twice, and the
+invariants are checked in every state. The clock advances by one second without drift, so that deadlines
 coincide.
 """
 
@@ -20,19 +20,19 @@
 
 @dataclass(frozen=True)
 class Scope:
-    """What may happen how often, and until when."""
+    """How many events of each kind may still happen, and the last second of the clock."""
 
     changes: int = 1
-    leaders: int = 0  # further ones
+    leaders: int = 0  # changes of leader
     kills: int = 0
-    breaks: int = 0
+    breaks: int = 0  # of links
     until: int = 5
-    noise: int = 0  # entries of the log that concern nobody here
+    noise: int = 0  # log entries that do not change the registers of the model
 
 
 @dataclass
 class ProcessState:
-    """A process with its link, whose number is 0 for none and below 0 for one to a former leader."""
+    """A process and its link: 0 if there is none, and a negative number if it leads to a former leader."""
 
     participant: Any
     generation: int = 1
@@ -45,55 +45,55 @@
 
 
 class StateSpace(ABC):
-    """One state, changed by one event at a time."""
+    """One state of the model; events change it in place."""
 
     def __init__(self, scope: Scope, processes: int) -> None:
         self.now, self.links, self.term = 0, 0, 0
         self.remaining = scope
-        self.pending: list[Any] = []  # the leader's writes that have neither succeeded nor failed
-        self.lost_links: list[int] = []  # links that the leader has not yet noticed to be gone
+        self.pending: list[Any] = []  # the leader's writes that are neither applied nor lost yet
+        self.lost_links: list[int] = []  # broken links that the leader still considers open
         self.leader: Any = self.new_leader(-10.0)
         self.processes = [ProcessState(self.new_participant(0.0)) for _ in range(processes)]
 
-    # Of each space ------------------------------------------------------------------------------
+    # Defined by each model ------------------------------------------------------------------------
 
     @abstractmethod
     def new_leader(self, since: float) -> Any:
-        """The deciding part of a leader."""
+        """Returns the state machine of a leader that has led since that time."""
 
     @abstractmethod
     def new_participant(self, now: float) -> Any:
-        """The deciding part of a process."""
+        """Returns the state machine of a process that starts now."""
 
     @abstractmethod
     def read_registers(self) -> None:
-        """Tells the leader what the registers hold."""
+        """Passes the contents of the registers to the leader."""
 
     @abstractmethod
     def apply_write(self, write: Any) -> None:
-        """Applies a write, if it names the version that stands."""
+        """Applies a write if it expects the current version."""
 
     @abstractmethod
     def leader_actions(self) -> tuple[list[tuple[int, Any]], list[Any]]:
-        """The messages and writes that the leader has decided on."""
+        """Takes the leader's messages, each with the number of its link, and the leader's writes."""
 
     @abstractmethod
     def carry_out(self, process: ProcessState) -> None:
-        """Carries out what a process has decided."""
+        """Carries out the actions of a process."""
 
     @abstractmethod
     def judge(self) -> None:
-        """Raises Broken where a rule is."""
+        """Raises InvariantError if this state violates an invariant."""
 
     @abstractmethod
     def key(self) -> Any:
-        """What tells this state from others."""
+        """Returns a value that is equal for equal states only."""
 
     def own_events(self) -> Iterator[Event]:
-        """Further events of this space."""
+        """Yields the events that only this model has."""
         yield from ()
 
-    # Hosts ------------------------------------------------------------------------------------------
+    # Clock, messages and limits -------------------------------------------------------------------
 
     def copy(self) -> Self:
         found: Self = pickle.loads(pickle.dumps(self, pickle.HIGHEST_PROTOCOL))
@@ -113,6 +113,7 @@
         self.pending += writes
 
     def spend(self, **changes: int) -> None:
+        """Adds the changes, which are negative, to the numbers of events that may still happen."""
         spent = {name: getattr(self.remaining, name) + count for name, count in changes.items()}
         self.remaining = replace(self.remaining, **spent)
 
@@ -143,7 +144,7 @@
         self.advance_leader()
 
     def write_applied(self, write: Any) -> None:
-        """Tells the leader that its write has been applied, where it has to know."""
+        """Reports the applied write to the leader, in models whose leader needs it."""
         del write
 
     def unrelated_entry_applied(self) -> None:
@@ -186,21 +187,21 @@
         self.advance_leader()
 
     def next_leader(self, surviving_writes: int) -> None:
-        """So many of the writes under way are in the new leader's log; the others are nowhere."""
+        """Replaces the leader; its log has the first `surviving_writes` pending writes, and no others."""
         self.spend(leaders=-1)
         for write in self.pending[:surviving_writes]:
             self.apply_write(write)
         self.pending, self.lost_links = [], []
         self.term += 1
         self.leader = self.new_leader(self.time)
-        for process in self.processes:  # messages of the old one may come still
+        for process in self.processes:  # messages from the former leader may still arrive
             process.to_leader.clear()
             process.link = -abs(process.link)
         self.read_registers()
         self.advance_leader()
 
     def events(self) -> Iterator[Event]:
-        """Each thing that may happen next."""
+        """Yields each event that can happen next."""
         if self.now < self.remaining.until:
             yield type(self).second_passes
         if self.remaining.noise:
@@ -227,9 +228,10 @@
 
 
 def search(first: StateSpace, max_states: int = 10**9, good: Callable[[Any], bool] = bool) -> tuple[int, int]:
-    """States looked at, and how many of them are `good`; Broken at a fault. It ends at `max_states`.
+    """Visits all reachable states depth first, none of them twice, until `max_states` have been found.
 
-    Depth first, and no state is entered twice.
+    Returns the number of states and how many of them are `good`. Raises InvariantError if one violates an
+    invariant.
     """
     first.judge()
     seen, stack, count = {hash(first.key())}, [first], 0
@@ -248,7 +250,10 @@
 
 
 def walk(first: StateSpace, seed: int, steps: int) -> None:
-    """One random history, at any scope; the judge looks after every event. Time passes slowly in some."""
+    """Runs one random sequence of at most `steps` events, and checks the invariants after each of them.
+
+    With some seeds the clock advances less often.
+    """
     generator = random.Random(seed)
     skip_time = generator.choice((0.0, 0.5, 0.8, 0.95))
     for _ in range(steps):
--- a/tests/support/stub_cache.py
+++ b/tests/support/stub_cache.py
@@ -1,4 +1,4 @@
-"""A cache, parent or origin on loopback that answers by a script."""
+"""A stub cache, parent or origin on loopback whose answers come from a script."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class Fetch:
-    """One `fetch` as it came in, and the connection to answer it on."""
+    """A `fetch` message that has arrived, and the connection on which it is answered."""
 
     name: str
     fields: dict[str, str]
@@ -34,13 +34,13 @@
 
 
 async def serve(_: StubCache, fetch: Fetch) -> None:
-    """What a healthy cache does."""
+    """Answers a fetch with a hit, as a healthy cache does."""
     await fetch.answer(200, "tell=local,rev=aa,since=1", fetch.fields["item"].encode())
 
 
 @dataclass
 class StubCache:
-    """A cache, parent or origin that answers by a script."""
+    """A cache, parent or origin that runs `script` for each fetch."""
 
     name: str
     kind: int
@@ -50,19 +50,19 @@
     aborts: list[str] = field(default_factory=list)
     came: anyio.Event = field(default_factory=anyio.Event)
     connections: int = 0
-    open: int = 0  # connections
-    mute: bool = False  # cut off: not even probes are answered
+    open: int = 0  # the number of open connections
+    mute: bool = False  # probes get no answer
     weight: int = 1
-    zone: str = ""  # by its kind, if it is not said
+    zone: str = ""  # if empty, the zone follows from the kind
 
     def endpoint(self, status: str = "up", since: int = 0) -> dict[str, Any]:
-        where = f"127.0.0.1:{self.port}"
+        address = f"127.0.0.1:{self.port}"
         zone = self.zone or ZONES[self.kind == 0]
-        return {"name": self.name, "address": where, "zone": zone, "type": MODELS[self.kind], "group": 0,
+        return {"name": self.name, "address": address, "zone": zone, "type": MODELS[self.kind], "group": 0,
                 "status": status, "weight": self.weight, "since_ms": since}  # fmt: skip
 
     def record(self, state: int) -> bytes:
-        """The member as a line of the coordinator's list: 0 ready, 1 draining, 2 gone."""
+        """Encodes the endpoint for the coordinator's list; states are 0 ready, 1 draining and 2 removed."""
         host, zone = socket.inet_aton("127.0.0.1"), int(self.kind == 0)
         number = int(self.name[2:], 16)
         return struct.pack(">I4sHBBBHIQ", number, host, self.port, state, zone, self.kind, 0, 1000, 0)
@@ -103,6 +103,6 @@
                     came, self.came = self.came, anyio.Event()
                     came.set()
         except* (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            self.open -= 1  # the front, or the script, closed it
+            self.open -= 1  # the front or the script closed the connection
             came, self.came = self.came, anyio.Event()
             came.set()
--- a/tests/support/stub_coordinator.py
+++ b/tests/support/stub_coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator on loopback that holds events and streams them on."""
+"""A stub coordinator on loopback that stores events and streams them to fronts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 @dataclass
 class Coordinator:
-    """Holds events and streams them on; `after` are the numbers that followers began from."""
+    """Stores events and streams them to each front that connects.
+
+    `after` has, for each connection, the event number after which the front asked to start.
+    """
 
     port: int = 0
     events: list[tuple[int, int, bytes]] = field(default_factory=list)
@@ -20,9 +23,9 @@
     streams: list[anyio.abc.ByteStream] = field(default_factory=list)
     followed: anyio.Event = field(default_factory=anyio.Event)
     turn: anyio.Lock = field(default_factory=anyio.Lock)
-    down: bool = False  # connections are ended before anything is said on them
+    down: bool = False  # new connections are closed before anything is read or sent
     turned_away: int = 0
-    may_answer: anyio.Event | None = None  # who asks is answered once it is set
+    may_answer: anyio.Event | None = None  # if given, new connections get no events until it is set
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
@@ -53,13 +56,14 @@
                 await anyio.sleep(0.3)
 
     async def go_down(self) -> None:
-        """Ends all that follow, and whoever comes until `down` is taken back."""
+        """Closes all connections, and closes each new one at once until `down` is set to False."""
         self.down = True
         for stream in self.streams:
             await stream.aclose()
         self.streams.clear()
 
     async def tell(self, kind: int, payload: bytes) -> None:
+        """Stores an event under the next number, and sends it on all connections."""
         number = (self.events[-1][0] if self.events else 1) + 1
         self.events.append((number, kind, payload))
         async with self.turn:
--- a/tests/support/task_fleet.py
+++ b/tests/support/task_fleet.py
@@ -1,4 +1,4 @@
-"""Real replicas and fronts that push the fleet's figures to a receiver that knows fences."""
+"""Runs real replicas, and fronts that push the fleet's metrics to a receiver that checks fencing tokens."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass
 class Push:
-    """The content of one push."""
+    """The content of one push; `at` is the timestamp of its samples."""
 
     token: int
     at: int
@@ -34,7 +34,7 @@
 
 @dataclass
 class Receiver:
-    """A stand-in for whoever takes samples; it remembers the highest token of each task."""
+    """A stub remote-write receiver that rejects pushes whose token is lower than one it has seen."""
 
     fence: Fence = field(default_factory=Fence)
     pushes: list[Push] = field(default_factory=list)
@@ -88,17 +88,20 @@
         return sorted({p.token for p in self.accepted})
 
     def judge(self) -> None:
+        """Checks that accepted pushes are ordered by token and time, and that their totals never decrease."""
         seen: list[Push] = self.accepted
-        assert [p.token for p in seen] == sorted(p.token for p in seen), "of two lease holders, interleaved"
+        assert [p.token for p in seen] == sorted(p.token for p in seen), (
+            "pushes of two lease holders are interleaved"
+        )
         times = [p.at for p in seen]
-        assert times == sorted(set(times)), "twice, or out of order"
+        assert times == sorted(set(times)), "pushes are repeated or out of order"
         for before, after in pairwise(seen):
             for series, value in before.totals.items():
-                assert after.totals[series] >= value, f"{series} fell"
+                assert after.totals[series] >= value, f"the total of {series} decreased"
 
 
 class TaskFleet:
-    """A rig with replicas and fronts that all offer to push the fleet's figures."""
+    """A rig with replicas, and fronts that all offer to run the task that pushes the fleet's metrics."""
 
     def __init__(self, r: Rig, receiver: Receiver, caches: list[StubCache]) -> None:
         self.r, self.receiver, self.caches = r, receiver, caches
@@ -113,7 +116,10 @@
         return await self.r.front(name, self.caches, port=port, duties=lines)
 
     async def holder(self, *but: str) -> str:
-        """Whoever says that it holds the lease now."""
+        """Waits until a running front that is not in `but` reports that it holds the lease.
+
+        Returns its name.
+        """
 
         async def found() -> str:
             for name in self.fronts:
@@ -124,17 +130,18 @@
                     return name
             return ""
 
-        return str(await self.r.until("somebody holds the lease", found))
+        return str(await self.r.until("a front holds the lease", found))
 
     async def more(self, count: int = 3, after: int = 0) -> None:
-        """Waits for so many more accepted pushes under a newer token."""
+        """Waits until `count` more pushes with a token higher than `after` have been accepted."""
         wanted = sum(p.token > after for p in self.receiver.accepted) + count
         await self.r.until(
-            "pushes go on", lambda: sum(p.token > after for p in self.receiver.accepted) >= wanted
+            f"{count} more pushes are accepted",
+            lambda: sum(p.token > after for p in self.receiver.accepted) >= wanted,
         )
 
     def vacancies(self) -> list[str]:
-        """Why tasks became vacant, by the replicas' logs."""
+        """Returns the reasons for which tasks became vacant, from the replicas' logs."""
         replicas = [p for n, p in self.r.processes.items() if n.startswith("k")]
         return [
             line["vacancy_reason"]
@@ -149,10 +156,13 @@
 
 @contextlib.asynccontextmanager
 async def task_fleet(folder: Path, fronts: int = 3, drift: float = 0.0) -> AsyncIterator[TaskFleet]:
-    """Three keepers, some fronts, traffic at all of them, and a lease holder that pushes."""
+    """Starts three replicas, and fronts with traffic, one of which holds the lease and pushes.
+
+    Checks the accepted pushes at the end.
+    """
     async with rig(folder, drift) as r, anyio.create_task_group() as tasks:
         receiver = Receiver()
-        # All say the same: where the cache is slow the front goes straight to the parent or the origin.
+        # All of them answer alike, because a front bypasses a slow cache for the parent or the origin.
         caches = [
             StubCache(name, kind, marking)
             for kind, name in enumerate(("s-00000001", "s-000000a0", "s-000000b0"))
--- a/tests/support/task_states.py
+++ b/tests/support/task_states.py
@@ -1,8 +1,7 @@
-"""A singleton task at small scope: a lease manager and lease holders, and effects that arrive at any later
-time.
+"""A small state space of a singleton task: a lease manager, lease holders, and effects that can be delayed.
 
-A lease holder that may act sends an effect, which is then under way for as long as anybody likes: in a
-socket's buffer, or between two lines of a process that sleeps. It arrives at a receiver with a fence.
+A lease holder that may act sends an effect. It can be delayed for any time, as in a socket's buffer or in a
+process that is paused, before it arrives at a receiver that checks fencing tokens.
 """
 
 from __future__ import annotations
@@ -24,16 +23,16 @@
 
 
 class TaskStateSpace(StateSpace):
-    """One task that all processes offer to run; `effects` bounds how many are sent in all."""
+    """The states of one task that all processes offer to run; at most `effects` effects are sent."""
 
     def __init__(self, scope: Scope, processes: int = 2, effects: int = 2, fenced: bool = True) -> None:
         self.register: tuple[TaskAssignment, int] = (TaskAssignment(), 0)
         self.index = 1
         self.effects, self.fenced = effects, fenced
-        self.under_way: list[int] = []  # tokens
+        self.under_way: list[int] = []  # tokens of the effects that were sent and have not arrived
         self.fence = Fence()
-        self.arrived: list[int] = []  # tokens of what was admitted, in order
-        self.acted = 0  # the highest token under which anybody could act
+        self.arrived: list[int] = []  # tokens of the effects that the receiver accepted, in order
+        self.acted = 0  # the highest token under which a process could act
         super().__init__(scope, processes)
         self.read_registers()
         for n in range(processes):
@@ -77,7 +76,7 @@
             self.arrived.append(token)
 
     def moved_by_command(self) -> None:
-        """An operator takes the task from whoever holds it."""
+        """Vacates the task, as an operator's command to move it does."""
         self.spend(changes=-1)
         self.index += 1
         self.register = (TaskAssignment(vacancy_reason="moved"), self.index)
@@ -125,12 +124,12 @@
             raise InvariantError(f"two processes may act on the task: tokens {acting}")
         for token in acting:
             if token < self.acted:
-                raise InvariantError(f"token {token} acts after {self.acted} could")
+                raise InvariantError(f"token {token} may act after the newer token {self.acted}")
             self.acted = token
         if self.arrived != sorted(self.arrived):
-            raise InvariantError(f"effects were admitted in this order: {self.arrived}")
+            raise InvariantError(f"effects were accepted out of token order: {self.arrived}")
 
 
 def taken_over(state: TaskStateSpace) -> bool:
-    """Whether a second lease holder could act."""
+    """Returns whether a second lease holder could act."""
     return state.acted > 2
