--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,7 +1,7 @@
 """Runs replicas and fronts as real processes, with a TCP relay on each link, and injects faults into both.
 
-Tests wait for an observable state with `Rig.until`, not for a fixed time; it fails with the logs of all
-processes if the state does not occur. All processes that the rig started are killed when it ends.
+Tests wait for an observable state with `Rig.until`, not for a fixed time. It fails with the logs
+of all processes if the state does not occur. All processes are killed at the end of a test.
 """
 
 from __future__ import annotations
@@ -38,23 +38,23 @@
 from zincladder.policy.errors import ChangeRejectedError
 from zincladder.policy.model import POLICY_KEY, ChangeLogEntry, ChangeOutcome, PolicyRecord, document_id
 
-BOUND = 20.0  # the longest wait for a state
+WAIT_TIMEOUT_SECONDS = 20.0  # the longest wait for a state
 GROUP = "test"
-BEAT_MS, ELECTION_MS = 40, 250
+HEARTBEAT_MS, ELECTION_TIMEOUT_MS = 40, 250
 LEASE = {"seconds": 1.5, "renew_s": 0.25, "check_s": 1.0, "clear_s": 0.3, "act_s": 0.1, "patient_s": 4.0}
 
 
 class Relay:
     """A TCP relay for the connections that one process makes to another.
 
-    `held` names the directions that are blocked: "to" the target, "back" from it, or both. Data sent in a
-    blocked direction is held and forwarded once it is unblocked, as TCP does when the network was down.
+    `blocked` names the directions in which nothing passes: "to" the target, "back" from it, or both. Data
+    sent in a blocked direction is held and forwarded once it is unblocked, as TCP does after an outage.
     """
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self._tasks, self.target = tasks, 0
         self.port = 0
-        self.held: set[str] = set()
+        self.blocked: set[str] = set()
         self.delay = 0.0
         self.waiting = 0  # chunks that are held in a blocked direction
         # If the next chunk in direction "to" is longer than this, only so many of its bytes are forwarded and
@@ -70,7 +70,7 @@
 
     def hold(self, *directions: str) -> None:
         """Blocks these directions and unblocks the others."""
-        self.held = set(directions)
+        self.blocked = set(directions)
         self._changed.set()
         self._changed = anyio.Event()
 
@@ -86,23 +86,23 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         await anyio.aclose_forcefully(stream)
 
-    async def _relay(self, near: anyio.abc.SocketStream) -> None:
+    async def _relay(self, inbound: anyio.abc.SocketStream) -> None:
         try:
-            async with near, await anyio.connect_tcp("127.0.0.1", self.target) as far:
-                self._streams |= {near, far}
+            async with inbound, await anyio.connect_tcp("127.0.0.1", self.target) as outbound:
+                self._streams |= {inbound, outbound}
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(self._pump, near, far, "to", tasks)
-                    tasks.start_soon(self._pump, far, near, "back", tasks)
+                    tasks.start_soon(self._forward, inbound, outbound, "to", tasks)
+                    tasks.start_soon(self._forward, outbound, inbound, "back", tasks)
         except* (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
         finally:
-            self._streams.discard(near)
+            self._streams.discard(inbound)
 
-    async def _pump(
+    async def _forward(
         self,
         source: anyio.abc.SocketStream,
         sink: anyio.abc.SocketStream,
-        way: str,
+        direction: str,
         tasks: anyio.abc.TaskGroup,
     ) -> None:
         with contextlib.suppress(
@@ -113,10 +113,10 @@
                 if self.delay:
                     await anyio.sleep(self.delay)
                 self.waiting += 1
-                while way in self.held:
+                while direction in self.blocked:
                     await self._changed.wait()
                 self.waiting -= 1
-                if way == "to" and 0 <= self.tear < len(data):
+                if direction == "to" and 0 <= self.tear < len(data):
                     await sink.send(data[: self.tear])
                     self.tear = -1
                     await self._abort(source)
@@ -136,16 +136,16 @@
     environ: dict[str, str] = field(default_factory=dict)
     module: tuple[str, ...] = ("zincladder",)
     popen: subprocess.Popen[bytes] | None = None
-    lives: int = 0
+    start_count: int = 0
     stopped: bool = False
 
     @property
     def log_path(self) -> Path:
-        return self.folder / f"log-{self.lives}.txt"
+        return self.folder / f"log-{self.start_count}.txt"
 
     def start(self) -> None:
         assert self.popen is None
-        self.lives += 1
+        self.start_count += 1
         with self.log_path.open("wb") as log:
             self.popen = subprocess.Popen(
                 [sys.executable, "-m", *self.module, *self.command], stderr=log, stdout=log,
@@ -184,7 +184,7 @@
     async def ended(self) -> int:
         """Waits until the process exits by itself, and returns its exit status."""
         assert self.popen is not None
-        with anyio.fail_after(BOUND):
+        with anyio.fail_after(WAIT_TIMEOUT_SECONDS):
             while self.popen.poll() is None:
                 await anyio.sleep(0.01)
         status = self.popen.returncode
@@ -201,31 +201,31 @@
         self.drift = drift
         self.processes: dict[str, Process] = {}
         self.ports: dict[str, int] = {}
-        self.controls: dict[str, int] = {}
+        self.control_ports: dict[str, int] = {}
         self.relays: dict[tuple[str, str], Relay] = {}
-        self.reserved: list[socket.socket] = []
+        self.reserved_sockets: list[socket.socket] = []
 
     def _module(self, drift: float) -> tuple[str, ...]:
         return ("tests.support.jumping_clocks", str(drift)) if drift else ("zincladder",)
 
-    async def until(self, what: str, good: Callable[[], Any]) -> Any:
-        """Waits until `good` returns a true value, and returns that value.
+    async def until(self, what: str, condition: Callable[[], Any]) -> Any:
+        """Waits until `condition` returns a true value, and returns that value.
 
         Raises AssertionError with the logs of all processes after BOUND seconds.
         """
-        with anyio.move_on_after(BOUND):
+        with anyio.move_on_after(WAIT_TIMEOUT_SECONDS):
             while True:
-                found = good()
+                found = condition()
                 if hasattr(found, "__await__"):
                     found = await found
                 if found:
                     return found
                 await anyio.sleep(0.02)
-        raise AssertionError(f"not reached within {BOUND} s: {what}\n{self.logs()}")
+        raise AssertionError(f"not reached within {WAIT_TIMEOUT_SECONDS} s: {what}\n{self.logs()}")
 
     def logs(self) -> str:
         return "\n".join(
-            f"--- {p.name}, start {p.lives}\n{p.log_path.read_text()[-3000:]}"
+            f"--- {p.name}, start {p.start_count}\n{p.log_path.read_text()[-3000:]}"
             for p in self.processes.values()
             if p.log_path.exists()
         )
@@ -255,8 +255,8 @@
         """
         folder = self._folder / name
         (folder / "tmp").mkdir(parents=True)
-        where = f"127.0.0.1:{port}"
-        data = configuration([c.endpoint() for c in caches], name=name, listen=where, control="127.0.0.1:0")
+        address = f"127.0.0.1:{port}"
+        data = configuration([c.endpoint() for c in caches], name=name, listen=address, control="127.0.0.1:0")
         # A purge one hour ago that may still be incomplete makes each attempt carry the maximum age of an
         # acceptable copy. That is the class's fresh time, which shows under which policy it was decided.
         data["settings"] = merged(SETTINGS, settings)
@@ -265,11 +265,11 @@
         data["known"]["updates"].append({"index": 2, "evict": {"ref": KEY, "shard": 0, "unix_ms": hour_ago}})
         (folder / "config.json").write_text(json.dumps(data))
         replicas = sorted(n for n in self.ports if n.startswith("k"))
-        places = [f'{k} = "127.0.0.1:{(await self.relay(name, k)).port}"' for k in replicas]
+        addresses = [f'{k} = "127.0.0.1:{(await self.relay(name, k)).port}"' for k in replicas]
         for replica in replicas:
             self.relays[name, replica].target = self.ports[replica]
         table, first = ("duties", duties) if duties else ("policy", (f'cut_off = "{cut_off}"',))
-        lines = [f"[{table}]", f'group = "{GROUP}"', *first, f"[{table}.keepers]", *places]
+        lines = [f"[{table}]", f'group = "{GROUP}"', *first, f"[{table}.keepers]", *addresses]
         (folder / "operator.toml").write_text("\n".join(lines))
         environ = {
             "RELAY_CONFIG": str(folder / "config.json"),
@@ -284,10 +284,10 @@
         """Starts a front and waits until it listens; it serves once it has received the policy."""
         process = self.processes[name]
         process.start()
-        (said, *_) = await self.until(f"{name} listens", lambda: process.events("ready"))
-        self.ports[name] = said["clients"][1]
+        (event, *_) = await self.until(f"{name} listens", lambda: process.events("ready"))
+        self.ports[name] = event["clients"][1]
         self._reserve(self.ports[name])
-        self.controls[name] = said["operators"][1]
+        self.control_ports[name] = event["operators"][1]
 
     def _reserve(self, port: int) -> None:
         """Reserves a front's port while the front is down, because clients still connect to it.
@@ -298,7 +298,7 @@
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind(("127.0.0.1", port))
-        self.reserved.append(sock)
+        self.reserved_sockets.append(sock)
 
     async def ready(self, name: str) -> str:
         """Returns a front's reply to READY."""
@@ -307,7 +307,7 @@
     async def told(self, name: str, line: bytes) -> str:
         """Sends a line to a front's control address and returns the reply, or "" if there is none."""
         try:
-            async with await anyio.connect_tcp("127.0.0.1", self.controls[name]) as stream:
+            async with await anyio.connect_tcp("127.0.0.1", self.control_ports[name]) as stream:
                 await stream.send(line)
                 with anyio.fail_after(2):
                     return (await stream.receive()).decode()
@@ -318,10 +318,10 @@
         """Waits until these fronts report that they are ready."""
         for name in names:
 
-            async def good(name: str = name) -> bool:
+            async def is_ready(name: str = name) -> bool:
                 return await self.ready(name) == "SUCCESS"
 
-            await self.until(f"{name} is ready", good)
+            await self.until(f"{name} is ready", is_ready)
 
     def cut_front(self, name: str, *ways: str) -> None:
         """Blocks what a front sends to replicas ("to"), what they send to it ("back") or both.
@@ -355,9 +355,9 @@
             return 0, str(error)
         assert new.open_change is not None
         for swap in (change_log.write_document(data), change_log.write_record(found.record_version, new)):
-            said = await client.compare_and_swap(swap.key, swap.expected, swap.data)
-            if isinstance(said, VersionMismatch) and swap.key == POLICY_KEY:
-                return 0, "another proposal was stored first"
+            result = await client.compare_and_swap(swap.key, swap.expected, swap.data)
+            if isinstance(result, VersionMismatch) and swap.key == POLICY_KEY:
+                return 0, "another proposal came first"
         return new.open_change.version, ""
 
     async def outcome(self, version: int) -> ChangeLogEntry:
@@ -384,14 +384,14 @@
                 return await self.outcome(version)
             record = await self.record()
             done = [p for p in record.log if p.note == f"mark {mark}"]
-            held = next((p for p in done if p.outcome is ChangeOutcome.ACTIVATED), None)
-            if held:
-                return held
+            activated = next((p for p in done if p.outcome is ChangeOutcome.ACTIVATED), None)
+            if activated:
+                return activated
             await anyio.sleep(0.05)
 
     async def insist(self, mark: int) -> ChangeLogEntry:
         """Repeats a change until it is activated, since one that too few fronts confirm is withdrawn."""
-        with anyio.fail_after(2 * BOUND):
+        with anyio.fail_after(2 * WAIT_TIMEOUT_SECONDS):
             while (past := await self.change(mark)).outcome is not ChangeOutcome.ACTIVATED:
                 await anyio.sleep(0.1)
         return past
@@ -405,7 +405,8 @@
         lines = [
             "[lease]", *(f"{key} = {value}" for key, value in LEASE.items()),
             "[keeper]", f'group = "{GROUP}"', f'name = "{name}"', 'listen = "127.0.0.1:0"',
-            f'directory = "{folder / "kept"}"', f"heartbeat_ms = {BEAT_MS}", f"election_ms = {ELECTION_MS}",
+            f'directory = "{folder / "kept"}"',
+            f"heartbeat_ms = {HEARTBEAT_MS}", f"election_ms = {ELECTION_TIMEOUT_MS}",
             "[keeper.members]", *(f'{n} = "127.0.0.1:1"' for n in founders), "[keeper.via]",
         ]  # fmt: skip
         for other in others:
@@ -431,7 +432,7 @@
         process = self.processes[name]
         process.start()
         started = await self.until(
-            f"{name} listens", lambda: process.events("replica started") or self._dead(process)
+            f"{name} listens", lambda: process.events("replica started") or self._has_exited(process)
         )
         assert started is not True, f"{name} exited before it listened\n{self.logs()}"
         self.ports[name] = started[0]["port"]
@@ -440,7 +441,7 @@
                 relay.target = self.ports[name]
 
     @staticmethod
-    def _dead(process: Process) -> bool:
+    def _has_exited(process: Process) -> bool:
         return process.popen is not None and process.popen.poll() is not None
 
     async def restart(self, name: str) -> None:
@@ -461,30 +462,30 @@
             relay.hold()
 
     def client(self, *names: str) -> Client:
-        places = {n: f"127.0.0.1:{p}" for n, p in self.ports.items() if not names or n in names}
-        return Client(GROUP, places, "test")
+        addresses = {n: f"127.0.0.1:{p}" for n, p in self.ports.items() if not names or n in names}
+        return Client(GROUP, addresses, "test")
 
     async def status(self, name: str) -> rpc.ReplicaStatus | None:
         try:
-            said = await self.client().request_from(f"127.0.0.1:{self.ports[name]}", rpc.GetStatus(), 1.0)
+            reply = await self.client().request_from(f"127.0.0.1:{self.ports[name]}", rpc.GetStatus(), 1.0)
         except LINK_ERRORS:
             return None
-        assert isinstance(said, rpc.ReplicaStatus)
-        return said
+        assert isinstance(reply, rpc.ReplicaStatus)
+        return reply
 
-    async def leader(self, *but: str) -> str:
+    async def leader(self, *excluded: str) -> str:
         """Waits until a replica leads with a majority of the voters reachable, and returns its name."""
 
-        async def led() -> str:
+        async def find_leader() -> str:
             for name, process in self.processes.items():
-                if process.popen is None or name in but or name not in self.ports:
+                if process.popen is None or name in excluded or name not in self.ports:
                     continue
                 found = await self.status(name)
                 if found and found.role == "leader" and 2 * len(found.silent_peers) < len(found.voters):
                     return name
             return ""
 
-        return str(await self.until("a leader", led))
+        return str(await self.until("a leader", find_leader))
 
     async def write(self, key: str, data: bytes, *names: str) -> int:
         """Sets a register, retrying until it succeeds, and returns its version.
@@ -497,11 +498,11 @@
                 old = (await client.get(key)).get(key)
                 if old and old.data == data:
                     return old.version
-                said = await client.compare_and_swap(key, old.version if old else 0, data)
+                result = await client.compare_and_swap(key, old.version if old else 0, data)
             except (RequestFailedError, OutcomeUnknownError):
                 continue
-            if hasattr(said, "version") and type(said).__name__ == "Swapped":
-                return int(said.version)
+            if hasattr(result, "version") and type(result).__name__ == "Swapped":
+                return int(result.version)
 
 
 def free_port() -> int:
@@ -549,27 +550,27 @@
     def __init__(
         self, r: Rig, tasks: anyio.abc.TaskGroup, names: Sequence[str], each: int = 2, pause: float = 0.01
     ) -> None:
-        self._rig, self.history = r, list[Asked]()
+        self._cluster, self.history = r, list[Asked]()
         self.going, self._pause = True, pause
         for name in names:
             for _ in range(each):
                 tasks.start_soon(self._client, name)
 
     async def _client(self, name: str) -> None:
-        number = again = 0  # the request to send (0: a new one), and whether this is its retry
+        number = retries = 0  # the request to send (0: a new one), and how often it was retried
         while self.going:
             began = anyio.current_time()
             try:
-                async with await anyio.connect_tcp("127.0.0.1", self._rig.ports[name]) as stream:
-                    speaker = ServiceClient(stream)
+                async with await anyio.connect_tcp("127.0.0.1", self._cluster.ports[name]) as stream:
+                    client = ServiceClient(stream)
                     while self.going:
                         began, number = anyio.current_time(), number or next(self.TRACES)
                         booking = number % self.BOOKING == 0
-                        said = {"route": "booking" if booking else "page", "patience": "2000"}
-                        seq = await speaker.ask(b"order" if booking else b"", trace=f"{number:016x}", **said)
+                        fields = {"route": "booking" if booking else "page", "patience": "2000"}
+                        seq = await client.ask(b"order" if booking else b"", trace=f"{number:016x}", **fields)
                         with anyio.fail_after(6):
-                            reply = await speaker.reply()
-                        number = again = 0
+                            reply = await client.reply()
+                        number = retries = 0
                         kind, mark = reply.kind, 0
                         if kind == "served" and booking:
                             kind = "booked"
@@ -579,13 +580,13 @@
                         self.history.append(Asked(name, began, anyio.current_time(), kind, mark))
                         await anyio.sleep(self._pause)
             except anyio.EndOfStream:
-                if again or not number:
+                if retries or not number:
                     self.history.append(Asked(name, began, anyio.current_time(), "lost"))
                     number = 0
-                again = 1 - again
+                retries = 1 - retries
             except (OSError, TimeoutError, anyio.BrokenResourceError):
                 self.history.append(Asked(name, began, anyio.current_time(), "lost"))
-                number = again = 0
+                number = retries = 0
                 await anyio.sleep(0.03)
 
     def served(self, name: str, mark: int) -> bool:
@@ -614,7 +615,7 @@
 
 @contextlib.asynccontextmanager
 async def rig(folder: Path, drift: float = 0.0) -> AsyncIterator[Rig]:
-    """Provides a rig, and kills all its processes when the block ends."""
+    """Provides the processes of a test, and kills them all when the block ends."""
     async with anyio.create_task_group() as tasks:
         found = Rig(folder, tasks, drift)
         try:
@@ -625,6 +626,6 @@
                     with contextlib.suppress(ProcessLookupError):
                         process.go_on()
                 process.kill()
-            for sock in found.reserved:
+            for sock in found.reserved_sockets:
                 sock.close()
             tasks.cancel_scope.cancel()
--- a/tests/support/cache_scripts.py
+++ b/tests/support/cache_scripts.py
@@ -19,9 +19,9 @@
         await fetch.stream.send(data[i : i + 1])
 
 
-def says(word: int, fields: str = "-", body: bytes = b"") -> Script:
+def says(status: int, fields: str = "-", body: bytes = b"") -> Script:
     async def script(_: StubCache, fetch: Fetch) -> None:
-        await fetch.answer(word, fields, body)
+        await fetch.answer(status, fields, body)
 
     return script
 
--- a/tests/support/cache_wire.py
+++ b/tests/support/cache_wire.py
@@ -27,17 +27,17 @@
 @contextlib.contextmanager
 def pair() -> Any:
     """Yields both ends of a TCP connection with small socket buffers: the front's end, then the cache's."""
-    with socket.socket() as listener, socket.socket() as ours:
+    with socket.socket() as listener, socket.socket() as front_socket:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        ours.connect(listener.getsockname())
-        ours.setblocking(False)
-        theirs, _ = listener.accept()
-        with theirs:
-            theirs.setblocking(False)
-            yield ours, theirs
+        front_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        front_socket.connect(listener.getsockname())
+        front_socket.setblocking(False)
+        cache_socket, _ = listener.accept()
+        with cache_socket:
+            cache_socket.setblocking(False)
+            yield front_socket, cache_socket
 
 
 def attempt_request(trace: str = "a" * 16, **more: Any) -> AttemptRequest:
@@ -50,14 +50,14 @@
     def __init__(
         self,
         config: Config,
-        ours: socket.socket,
+        front_socket: socket.socket,
         endpoint: socket.socket,
         tasks: anyio.abc.TaskGroup,
         now: Callable[[], float],
     ) -> None:
         self.caches = CacheTransport(CachePool(config, DescriptorBudget(100, ELASTIC_POOLS)), now, ["page"])
         self.link, self.endpoint, self._tasks = (
-            CacheConnection(ours, self.caches.pool.report_names),
+            CacheConnection(front_socket, self.caches.pool.report_names),
             endpoint,
             tasks,
         )
@@ -83,10 +83,10 @@
 
     async def answer(self, data: bytes) -> None:
         """Sends data from the cache, and waits until the front has read and processed it."""
-        whole = self.link.read_buffer.received + len(data)
+        expected = self.link.read_buffer.received + len(data)
         self.endpoint.sendall(data)
         with anyio.fail_after(5):
-            while self.link.read_buffer.received < whole:
+            while self.link.read_buffer.received < expected:
                 await anyio.sleep(0.001)
         await anyio.wait_all_tasks_blocked()
 
@@ -95,27 +95,27 @@
 
         Returns all data that was read.
         """
-        found = b""
+        received = b""
         with anyio.fail_after(5):
-            while not until(found):
+            while not until(received):
                 try:
-                    got = self.endpoint.recv(1 << 16)
+                    chunk = self.endpoint.recv(1 << 16)
                 except BlockingIOError:
                     await anyio.wait_readable(self.endpoint)
                     continue
                 except ConnectionResetError:
                     break  # the front closed the connection, and its unsent data was dropped
-                if not got:
+                if not chunk:
                     break
-                found += got
-        return found
+                received += chunk
+        return received
 
 
 @contextlib.asynccontextmanager
 async def wire(config: Config | None = None, now: Callable[[], float] = time.time) -> AsyncIterator[Wire]:
-    with pair() as (ours, theirs):
+    with pair() as (front_socket, cache_socket):
         async with anyio.create_task_group() as tasks:
-            found = Wire(config or parse_config(configuration([])), ours, theirs, tasks, now)
+            found = Wire(config or parse_config(configuration([])), front_socket, cache_socket, tasks, now)
             tasks.start_soon(found.link.run)
             yield found
             tasks.cancel_scope.cancel()
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from tests.support.fleet_judge import FleetJudge
+from tests.support.fleet_judge import PolicyInvariants
 from tests.support.raft_simulation import InvariantError, SimulatedGroup, SimulatedReplica
 from zincladder.consensus.errors import BusyError, NotLeaderError
 from zincladder.consensus.key_value_state import CompareAndSwap, KeyValueState
@@ -48,7 +48,7 @@
     front: str
     replica: str
     replica_generation: int
-    up: bool = True
+    is_open: bool = True
     free_at: dict[str, float] = field(default_factory=lambda: {"to_leader": 0.0, "to_front": 0.0})
 
 
@@ -60,7 +60,7 @@
     clock_rate: float
     clock_offset: float
     participant: ChangeParticipant | None = None
-    process: int = 0
+    generation: int = 0  # counts the starts of the front
     paused: bool = False
     link: FrontLink | None = None
     objects_to: set[str] = field(default_factory=set)  # documents that it cannot serve under
@@ -77,10 +77,10 @@
         self.registers: dict[str, KeyValueState] = {}
         self.coordinators: dict[str, ChangeCoordinator] = {}
         self.unconfirmed: dict[str, deque[tuple[int, FrontLink, FromParticipant | None]]] = {}
-        self.read_at: dict[str, int] = {}
+        self.read_index: dict[str, int] = {}
         self.fronts: dict[str, SimulatedFront] = {}
         self.link_numbers = itertools.count(1)
-        self.rules = FleetJudge(lease_timing.min_agreeing_share)
+        self.invariants = PolicyInvariants(lease_timing.min_agreeing_share)
         self.proposals = itertools.count()
         self.isolated: dict[str, set[str]] = {}  # front -> directions in which messages are lost
         super().__init__(seed, voters)
@@ -106,7 +106,7 @@
 
     def start_front(self, front: SimulatedFront) -> None:
         if front.participant is None:
-            front.process += 1
+            front.generation += 1
             front.participant = self.new_participant(front)
 
     def new_participant(self, front: SimulatedFront) -> ChangeParticipant:
@@ -118,7 +118,7 @@
         self.break_link(front.link)
 
     def _front_loop(self, front: SimulatedFront) -> None:
-        self.at(self.random.uniform(0.05, 0.3), lambda: self._front_loop(front))
+        self.schedule(self.random.uniform(0.05, 0.3), lambda: self._front_loop(front))
         if front.participant is None or front.paused:
             return
         if front.link is None:
@@ -129,7 +129,7 @@
 
     def connect(self, front: SimulatedFront) -> None:
         process = self.processes[self.random.choice(sorted(self.processes))]
-        if process.node is None or process.paused or (front.name, process.name) in self.cut:
+        if process.node is None or process.paused or (front.name, process.name) in self.cut_links:
             return
         if front.name in self.isolated:
             return
@@ -138,16 +138,16 @@
             return
         assert front.participant is not None
         link = front.link = FrontLink(next(self.link_numbers), front.name, process.name, process.incarnation)
-        coordinator.link_opened(link.number, front.name, str(front.process), self.clock(process))
+        coordinator.link_opened(link.number, front.name, str(front.generation), self.clock(process))
         front.participant.link_changed(True, self.front_clock(front))
 
     def break_link(self, link: FrontLink | None) -> None:
         """Breaks a link; each side notices it after a random delay of up to 2 s."""
-        if link is None or not link.up:
+        if link is None or not link.is_open:
             return
-        link.up = False
-        self.at(self.random.uniform(0, 2), lambda: self._front_notices_lost_link(link))
-        self.at(self.random.uniform(0, 2), lambda: self._leader_notices_lost_link(link))
+        link.is_open = False
+        self.schedule(self.random.uniform(0, 2), lambda: self._front_notices_lost_link(link))
+        self.schedule(self.random.uniform(0, 2), lambda: self._leader_notices_lost_link(link))
 
     def _front_notices_lost_link(self, link: FrontLink) -> None:
         front = self.fronts[link.front]
@@ -175,10 +175,10 @@
             for document, _ in actions.apply:
                 participant.applied(document, "it can't" if document in front.objects_to else "")
             for check in actions.validate:
-                no = check.document in front.objects_to
-                if not no:
-                    self.rules.agreed.add((front.name, check.document))
-                participant.validated(check, ("it can't",) if no else ())
+                rejected = check.document in front.objects_to
+                if not rejected:
+                    self.invariants.agreed.add((front.name, check.document))
+                participant.validated(check, ("it can't",) if rejected else ())
             if link is not None:
                 for message in actions.messages:
                     self._transmit(link, "to_leader", message)
@@ -187,23 +187,23 @@
 
     # Links ----------------------------------------------------------------------------------------
 
-    def _transmit(self, link: FrontLink, way: str, message: FromParticipant | FromCoordinator) -> None:
+    def _transmit(self, link: FrontLink, direction: str, message: FromParticipant | FromCoordinator) -> None:
         """Sends a message in order; a message in transit may still arrive after the link has broken."""
-        if way in self.isolated.get(link.front, ()):
+        if direction in self.isolated.get(link.front, ()):
             return None  # the message is lost and neither side notices
-        if (link.front, link.replica) in self.cut and way == "to_leader":
+        if (link.front, link.replica) in self.cut_links and direction == "to_leader":
             return self.break_link(link)
-        if (link.replica, link.front) in self.cut and way == "to_front":
+        if (link.replica, link.front) in self.cut_links and direction == "to_front":
             return self.break_link(link)
         at = max(
-            link.free_at[way],
-            self.now + self.random.choice((0.01, 0.02, 0.05, 0.3, 1.0 if self.loss else 0.05)),
+            link.free_at[direction],
+            self.now + self.random.choice((0.01, 0.02, 0.05, 0.3, 1.0 if self.message_loss else 0.05)),
         )
-        link.free_at[way] = at
-        if way == "to_leader":
-            self.at(at - self.now, lambda: self._deliver_to_leader(link, message))  # type: ignore[arg-type]
+        link.free_at[direction] = at
+        if direction == "to_leader":
+            self.schedule(at - self.now, lambda: self._deliver_to_leader(link, message))  # type: ignore[arg-type]
         else:
-            self.at(at - self.now, lambda: self._deliver_to_front(link, message))  # type: ignore[arg-type]
+            self.schedule(at - self.now, lambda: self._deliver_to_front(link, message))  # type: ignore[arg-type]
         return None
 
     def _deliver_to_leader(self, link: FrontLink, message: FromParticipant) -> None:
@@ -211,7 +211,7 @@
         if process.node is None or process.incarnation != link.replica_generation:
             return
         if process.paused:
-            self.at(0.3, lambda: self._deliver_to_leader(link, message))
+            self.schedule(0.3, lambda: self._deliver_to_leader(link, message))
             return
         self.confirm_leadership_first(process, link, message)
 
@@ -267,13 +267,13 @@
             registers = self.registers[process.name]
             found = registers.get(POLICY_KEY)
             if found is not None and found.version == process.index:
-                self.rules.record_applied(change_log.read(registers.with_prefix("")))
+                self.invariants.check_applied(change_log.read(registers.with_prefix("")))
 
     def settle(self, process: SimulatedReplica) -> None:
         super().settle(process)
         self.advance_coordinator(process)
 
-    def ready(self, process: SimulatedReplica, ticket: int) -> None:
+    def answer_read(self, process: SimulatedReplica, ticket: int) -> None:
         queue = self.unconfirmed.get(process.name, deque())
         while queue and queue[0][0] <= ticket:
             _, link, message = queue.popleft()
@@ -284,13 +284,13 @@
             if message is not None:
                 known = link.number in coordinator.fronts
                 if known and isinstance(message, DocumentValidated) and message.reasons:
-                    self.rules.objections_heard.add((process.name, coordinator.term, message.document))
+                    self.invariants.objections_heard.add((process.name, coordinator.term, message.document))
                 coordinator.message_received(link.number, message, self.clock(process))
 
     def read_registers(self, process: SimulatedReplica, coordinator: ChangeCoordinator) -> None:
         found = change_log.read(self.registers[process.name].with_prefix(""))
-        if self.read_at.get(process.name) != process.index:
-            self.read_at[process.name] = process.index
+        if self.read_index.get(process.name) != process.index:
+            self.read_index[process.name] = process.index
             coordinator.record_read(
                 found.record, found.record_version, found.expected_fronts, found.contents, self.clock(process)
             )
@@ -312,7 +312,7 @@
             coordinator = self.coordinators[process.name] = ChangeCoordinator(
                 self.lease_timing, self.clock(process), member.term
             )
-            self.read_at.pop(process.name, None)
+            self.read_index.pop(process.name, None)
             self.unconfirmed[process.name] = deque()
             ticket = next(self._tickets)
             member.request_read(ticket)
@@ -331,28 +331,28 @@
         swaps = [change_log.write_expected_front(name) for name in actions.expect_fronts]
         if actions.write:
             change = actions.write.record.open_change
-            self.rules.leader_writes(process.name, coordinator.term, change)
+            self.invariants.check_write(process.name, coordinator.term, change)
             swaps.append(change_log.write_record(actions.write.expected_version, actions.write.record))
         for swap in swaps:
-            self.put(process, swap)
+            self.propose_write(process, swap)
         if swaps:
             self.settle(process)
 
-    def put(self, process: SimulatedReplica, swap: CompareAndSwap) -> None:
+    def propose_write(self, process: SimulatedReplica, swap: CompareAndSwap) -> None:
         assert process.node is not None
         try:
             process.node.propose(change_log.encode(swap))
         except (BusyError, NotLeaderError):
             return
 
-    def _wake(self, process: SimulatedReplica, life: int) -> None:
-        super()._wake(process, life)
-        if process.node is not None and process.incarnation == life and not process.paused:
+    def _run_timer(self, process: SimulatedReplica, incarnation: int) -> None:
+        super()._run_timer(process, incarnation)
+        if process.node is not None and process.incarnation == incarnation and not process.paused:
             self.advance_coordinator(process)
 
     # Operators ------------------------------------------------------------------------------------
 
-    def ask(self) -> None:
+    def issue_request(self) -> None:
         if self.random.random() < 0.5:
             return
         process = self.leader()
@@ -368,8 +368,8 @@
         except ChangeRejectedError:
             return
         self.figures["proposed"] += 1
-        self.put(process, change_log.write_document(data))
-        self.put(process, change_log.write_record(found.record_version, proposed))
+        self.propose_write(process, change_log.write_document(data))
+        self.propose_write(process, change_log.write_record(found.record_version, proposed))
         self.settle(process)
 
     def inject_fault(self) -> None:
@@ -380,18 +380,18 @@
         kind = r.randrange(7)
         if kind == 0 and front.participant:
             self.end_front(front)
-            self.at(r.uniform(0.1, 9), lambda: self.start_front(front))
+            self.schedule(r.uniform(0.1, 9), lambda: self.start_front(front))
         elif kind == 1 and front.participant and not front.paused:
             front.paused = True
-            self.at(r.uniform(0.1, 8), lambda: self.wake_front(front))
+            self.schedule(r.uniform(0.1, 8), lambda: self.resume_front(front))
         elif kind == 2:
             self.break_link(front.link)
         elif kind == 4 and front.name not in self.isolated:
             self.isolated[front.name] = r.choice(({"to_leader"}, {"to_front"}, {"to_leader", "to_front"}))
-            self.at(r.uniform(1, 9), lambda: self.reconnect(front))
+            self.schedule(r.uniform(1, 9), lambda: self.reconnect(front))
         elif kind == 3:
             replica = r.choice(sorted(self.processes))
-            self.cut.add(r.choice(((front.name, replica), (replica, front.name))))
+            self.cut_links.add(r.choice(((front.name, replica), (replica, front.name))))
 
     def reconnect(self, front: SimulatedFront) -> None:
         self.isolated.pop(front.name, None)
@@ -402,7 +402,7 @@
     def write(self, process: SimulatedReplica) -> None:
         """Does nothing: here the policy's records are written, not clients' values."""
 
-    def wake_front(self, front: SimulatedFront) -> None:
+    def resume_front(self, front: SimulatedFront) -> None:
         if front.participant is None or not front.paused:
             return
         front.paused = False
@@ -421,17 +421,17 @@
                 if version:
                     serving[front.name] = version
                     self.figures["served"] += 1
-        self.rules.serving(serving)
+        self.invariants.check_serving(serving)
 
     def heal_and_check(self) -> None:
-        self.cut.clear()
+        self.cut_links.clear()
         self.isolated.clear()
-        self.loss = self.crash_probability = 0.0
+        self.message_loss = self.crash_probability = 0.0
         for process in self.processes.values():
-            self.wake_up(process)
+            self.resume(process)
             self.start(process)
         for front in self.fronts.values():
-            self.wake_front(front)
+            self.resume_front(front)
             self.start_front(front)
         for _ in range(80):
             self.run(self.now + 1)
@@ -443,9 +443,11 @@
                 f.participant.serving_version(self.front_clock(f)) if f.participant else 0
                 for f in self.fronts.values()
             }
-            ill = any(record.document in f.objects_to for f in self.fronts.values())
-            done = record.open_change is None and self.rules.decided.keys() <= {p.version for p in record.log}
-            if done and (versions == {record.version} or ill or not record.version):
+            rejected = any(record.document in f.objects_to for f in self.fronts.values())
+            done = record.open_change is None and self.invariants.decided.keys() <= {
+                p.version for p in record.log
+            }
+            if done and (versions == {record.version} or rejected or not record.version):
                 break
         else:
             raise InvariantError(
--- a/tests/support/front_hooks.py
+++ b/tests/support/front_hooks.py
@@ -18,23 +18,23 @@
     made: list[Core] = []
     init = Core.__init__
 
-    def keep(self: Core, *how: Any, **more: Any) -> None:
+    def record_and_init(self: Core, *how: Any, **more: Any) -> None:
         made.append(self)
         init(self, *how, **more)
 
-    monkeypatch.setattr(Core, "__init__", keep)
+    monkeypatch.setattr(Core, "__init__", record_and_init)
     return made
 
 
-def on_connect(monkeypatch: pytest.MonkeyPatch, act: Callable[[int], None]) -> None:
-    """Calls `act` with a running number when a connection to a cache is open, before anything is sent."""
+def on_connect(monkeypatch: pytest.MonkeyPatch, callback: Callable[[int], None]) -> None:
+    """Calls `callback` with a running number when a connection to a cache opens, before anything is sent."""
     made = 0
 
-    async def connecting(host: str, port: int) -> socket.socket:
+    async def connect_and_notify(host: str, port: int) -> socket.socket:
         nonlocal made
         sock = await connect(host, port)
         made += 1
-        act(made)
+        callback(made)
         return sock
 
-    monkeypatch.setattr(cache_pool, "connect", connecting)
+    monkeypatch.setattr(cache_pool, "connect", connect_and_notify)
--- a/tests/support/front_process.py
+++ b/tests/support/front_process.py
@@ -26,17 +26,17 @@
     def __init__(self, folder: Path, config: dict[str, Any], **environ: str) -> None:
         path = folder / "config.json"
         path.write_text(json.dumps(config))
-        more = {
+        environment = {
             "RELAY_CONFIG": str(path),
             "TMPDIR": str(folder),
             "RELAY_CONTROL": f"127.0.0.1:{free_port()}",
         } | environ
-        self.path, self.control = path, more["RELAY_CONTROL"]
+        self.path, self.control = path, environment["RELAY_CONTROL"]
         self.log = folder / f"log{len(list(folder.glob('log*')))}"
         self.process = subprocess.Popen(
             [sys.executable, "-m", "zincladder"],
             cwd=ROOT,
-            env=os.environ | more,
+            env=os.environ | environment,
             stderr=self.log.open("wb"),
         )
 
--- a/tests/support/imports.py
+++ b/tests/support/imports.py
@@ -6,10 +6,8 @@
 from pathlib import Path
 
 PACKAGE = Path(__file__).resolve().parents[2] / "zincladder"
-PARENTS = (
-    "zincladder",
-    "zincladder.routing",
-)  # packages whose modules are imported with `from PACKAGE import`
+# Packages whose modules are imported with `from PACKAGE import MODULE`.
+PARENTS = ("zincladder", "zincladder.routing")
 
 
 def imported(name: str) -> set[str]:
--- a/tests/support/policy_fleet.py
+++ b/tests/support/policy_fleet.py
@@ -16,7 +16,7 @@
 
 
 class PolicyFleet:
-    """A rig with replicas, stub caches and fronts that follow the policy."""
+    """Replicas, stub caches and fronts that follow the policy."""
 
     def __init__(self, r: Rig, caches: list[StubCache], tasks: anyio.abc.TaskGroup) -> None:
         self.r, self.caches, self._tasks = r, caches, tasks
@@ -50,25 +50,25 @@
         for cache in caches:
             await tasks.start(cache.run)
         await r.replicas(replicas)
-        f = PolicyFleet(r, caches, tasks)
+        fleet = PolicyFleet(r, caches, tasks)
         for n in range(fronts):
-            f.fronts.append(f"f{n}")
+            fleet.fronts.append(f"f{n}")
             await r.front(f"f{n}", caches, cut_off)
         if begun:
             assert (await r.change(1)).outcome is ChangeOutcome.ACTIVATED
-            await r.serving(*f.fronts)
-        yield f
+            await r.serving(*fleet.fronts)
+        yield fleet
         tasks.cancel_scope.cancel()
-        written = Counter(e.name for cache in caches for e in cache.fetches if e.fields["cls"] == "booking")
-        assert not [name for name, times in written.items() if times > 1]
+        bookings = Counter(e.name for cache in caches for e in cache.fetches if e.fields["cls"] == "booking")
+        assert not [name for name, count in bookings.items() if count > 1]
 
 
 def longest_pause(traffic: Traffic) -> float:
     """Returns the longest time, in seconds, in which a front served no request before it served again."""
-    longest, since = 0.0, dict[str, float]()
+    longest, rejected_since = 0.0, dict[str, float]()
     for asked in sorted(traffic.history, key=lambda a: a.ended):
         if asked.kind == "served":
-            longest = max(longest, asked.ended - since.pop(asked.front, asked.ended))
+            longest = max(longest, asked.ended - rejected_since.pop(asked.front, asked.ended))
         else:
-            since.setdefault(asked.front, asked.began)
+            rejected_since.setdefault(asked.front, asked.began)
     return longest
--- a/tests/support/policy_states.py
+++ b/tests/support/policy_states.py
@@ -33,7 +33,7 @@
         self.read_registers()
         for n, process in enumerate(self.processes):
             process.participant.applied("d1")
-            self.link(n)
+            self.open_link(n)
             while process.to_leader or process.from_leader:
                 self.deliver_to_leader(n) if process.to_leader else self.deliver_to_process(n)
 
@@ -66,14 +66,14 @@
                 return
 
     def propose(self) -> None:
-        self.spend(changes=-1)
+        self.adjust_remaining(changes=-1)
         document = f"d{self.record.version + 1}"
         self.record = propose_change(self.record, self.record.version, document, "", "", 0.0)
         self.record_version += 1
         self.read_registers()
         self.advance_leader()
 
-    def own_events(self) -> Iterator[Event]:
+    def model_events(self) -> Iterator[Event]:
         if self.record.open_change is None and self.remaining.changes and not self.pending:
             yield type(self).propose
 
--- a/tests/support/raft_simulation.py
+++ b/tests/support/raft_simulation.py
@@ -97,8 +97,8 @@
         self.processes = {
             n: SimulatedReplica(n, SimulatedDisk(HardState(), Snapshot(0, 0, self.founders))) for n in names
         }
-        self.cut: set[tuple[str, str]] = set()
-        self.loss = 0.0
+        self.cut_links: set[tuple[str, str]] = set()
+        self.message_loss = 0.0
         self.leaders: dict[int, str] = {}
         self.log: dict[int, Entry] = {}  # as first applied by any replica
         self.acknowledged: set[str] = set()
@@ -113,7 +113,7 @@
 
     # The clock ------------------------------------------------------------------------------------
 
-    def at(self, delay: float, action: Callable[[], None]) -> None:
+    def schedule(self, delay: float, action: Callable[[], None]) -> None:
         """Schedules an action after a delay in seconds."""
         heapq.heappush(self._events, (self.now + delay, next(self._order), action))
 
@@ -137,7 +137,7 @@
         seed = self.random.getrandbits(32)
         process.node = RaftNode(process.name, process.disk.stored, self.clock(process), seed, TIMING)
         self.restore(process, process.disk.snapshot)
-        self._wake(process, process.incarnation)
+        self._run_timer(process, process.incarnation)
 
     def restore(self, process: SimulatedReplica, snapshot: Snapshot) -> None:
         process.index = snapshot.index
@@ -153,7 +153,7 @@
         process.open_reads.clear()
         self.figures["crashes"] += 1
 
-    def _wake(self, process: SimulatedReplica, incarnation: int) -> None:
+    def _run_timer(self, process: SimulatedReplica, incarnation: int) -> None:
         if process.node is None or process.incarnation != incarnation:
             return
         if not process.paused:
@@ -161,17 +161,17 @@
             self.settle(process)
         if process.node is not None:
             wait = (process.node.next_at - self.clock(process)) / process.clock_rate
-            self.at(max(0.01, wait), lambda: self._wake(process, incarnation))
+            self.schedule(max(0.01, wait), lambda: self._run_timer(process, incarnation))
 
     def settle(self, process: SimulatedReplica) -> None:
         """Carries out the node's output as the server does; a crash may come before or after the write."""
         node = process.node
         assert node is not None
         output = node.take_output()
-        if self.crashes_now(process):
+        if self.maybe_crash(process):
             return
         process.disk.write(output)
-        if self.crashes_now(process):
+        if self.maybe_crash(process):
             return
         for to, message in output.messages:
             self.send(process.name, to, message)
@@ -182,13 +182,13 @@
         for ticket in output.failed_reads:
             process.open_reads.pop(ticket, None)
         for ticket in output.ready_reads:
-            self.ready(process, ticket)
+            self.answer_read(process, ticket)
         if node.role is Role.LEADER and self.leaders.setdefault(node.term, process.name) != process.name:
             raise InvariantError(
                 f"term {node.term} has two leaders: {self.leaders[node.term]}, {process.name}"
             )
 
-    def ready(self, process: SimulatedReplica, ticket: int) -> None:
+    def answer_read(self, process: SimulatedReplica, ticket: int) -> None:
         """Answers a read, and checks that it returns every value acknowledged before it began."""
         before = process.open_reads.pop(ticket)
         self.figures["reads"] += 1
@@ -197,11 +197,11 @@
 
     crash_probability = 0.0  # at each point where the replica may crash
 
-    def crashes_now(self, process: SimulatedReplica) -> bool:
+    def maybe_crash(self, process: SimulatedReplica) -> bool:
         if self.crash_probability and self.random.random() < self.crash_probability:
             self.crash(process)
             max_delay = self.random.choice((0.001, 0.05, 5.0))
-            self.at(self.random.uniform(0, max_delay), lambda: self.start(process))
+            self.schedule(self.random.uniform(0, max_delay), lambda: self.start(process))
             return True
         return False
 
@@ -221,11 +221,11 @@
     # Links ----------------------------------------------------------------------------------------
 
     def send(self, sender: str, to: str, message: Message) -> None:
-        if (sender, to) in self.cut or self.random.random() < self.loss:
+        if (sender, to) in self.cut_links or self.random.random() < self.message_loss:
             return
-        for _ in range(1 + (self.random.random() < self.loss)):
-            delay = self.random.choice((0.01, 0.01, 0.02, 0.05, 0.4 if self.loss else 0.03))
-            self.at(delay, lambda: self.deliver(sender, to, message))
+        for _ in range(1 + (self.random.random() < self.message_loss)):
+            delay = self.random.choice((0.01, 0.01, 0.02, 0.05, 0.4 if self.message_loss else 0.03))
+            self.schedule(delay, lambda: self.deliver(sender, to, message))
 
     def deliver(self, sender: str, to: str, message: Message) -> None:
         process = self.processes[to]
@@ -245,7 +245,7 @@
         leaders = [p for p in running if p.node and p.node.role is Role.LEADER]
         return self.random.choice(leaders) if leaders else None
 
-    def ask(self) -> None:
+    def issue_request(self) -> None:
         """Issues one random request: a client's write or read, or an operator's transfer of leadership."""
         process = self.leader()
         if process is None or process.node is None:
@@ -283,7 +283,7 @@
             process.open_reads[ticket] = frozenset(self.acknowledged)
             self.settle(process)
 
-    def change(self) -> None:
+    def request_membership_change(self) -> None:
         """Adds a replica as a learner or removes a voter, as an operator does."""
         process = self.leader()
         if process is None or process.node is None:
@@ -316,27 +316,27 @@
         kind = r.randrange(8)
         if kind == 0 and process.node:
             self.crash(process)
-            self.at(r.uniform(0.1, 6), lambda: self.start(process))
+            self.schedule(r.uniform(0.1, 6), lambda: self.start(process))
         elif kind == 1 and process.node and not process.paused:
             process.paused = True
-            self.at(r.uniform(0.1, 8), lambda: self.wake_up(process))
+            self.schedule(r.uniform(0.1, 8), lambda: self.resume(process))
         elif kind == 2:
-            self.cut.add((r.choice(names), r.choice(names)))
+            self.cut_links.add((r.choice(names), r.choice(names)))
         elif kind == 3:
             side = set(r.sample(names, r.randrange(1, len(names))))
-            self.cut = {(a, b) for a in names for b in names if (a in side) != (b in side)}
+            self.cut_links = {(a, b) for a in names for b in names if (a in side) != (b in side)}
         elif kind == 4:
-            self.cut.clear()
+            self.cut_links.clear()
         elif kind == 5:
-            self.loss = r.choice((0.0, 0.05, 0.3))
+            self.message_loss = r.choice((0.0, 0.05, 0.3))
         elif kind == 6 and process.node and not process.paused:
             process.node.compact(process.index, self.dump(process))
             self.figures["snapshots"] += 1
             self.settle(process)
         elif kind == 7 and len(names) > len(self.founders.voters):
-            self.change()
+            self.request_membership_change()
 
-    def wake_up(self, process: SimulatedReplica) -> None:
+    def resume(self, process: SimulatedReplica) -> None:
         if process.node is None or not process.paused:
             return
         process.paused = False
@@ -354,22 +354,22 @@
         while self.now < end:
             self.run(self.now + self.random.uniform(0, 2 * every))
             for _ in range(self.random.randrange(4)):
-                self.ask()
+                self.issue_request()
             self.inject_fault()
         self.heal_and_check()
 
     def heal_and_check(self) -> None:
         """Ends all faults, and checks that the group commits again and has lost nothing."""
-        self.cut.clear()
-        self.loss = self.crash_probability = 0.0
+        self.cut_links.clear()
+        self.message_loss = self.crash_probability = 0.0
         for process in self.processes.values():
-            self.wake_up(process)
+            self.resume(process)
             self.start(process)
         acknowledged = len(self.acknowledged)
         for _ in range(60):
             self.run(self.now + 1)
             for _ in range(3):
-                self.ask()
+                self.issue_request()
             voters = self._voters()
             if len(self.acknowledged) > acknowledged and voters and len({p.index for p in voters}) == 1:
                 break
--- a/tests/support/raw_client.py
+++ b/tests/support/raw_client.py
@@ -28,7 +28,7 @@
 
 
 def request(seq: int, **fields: str) -> bytes:
-    said = {
+    defaults = {
         "route": "page",
         "trace": f"{seq:016x}",
         "patience": "2000",
@@ -36,7 +36,7 @@
         "slice": "0",
         "set": "1",
     }
-    return frame("handle", seq, b"\x0d\0\1" + thrift._texts(said | fields) + b"\x0b\0\2\0\0\0\0")
+    return frame("handle", seq, b"\x0d\0\1" + thrift._texts(defaults | fields) + b"\x0b\0\2\0\0\0\0")
 
 
 async def some(sock: socket.socket) -> bytes:
@@ -48,14 +48,14 @@
 
 async def rest(sock: socket.socket) -> bytes:
     """Reads until the front closes the connection; raises ConnectionResetError if it resets it."""
-    found = b""
+    received = b""
     with anyio.fail_after(5):
         while True:
             try:
-                got = sock.recv(1 << 16)
+                chunk = sock.recv(1 << 16)
             except BlockingIOError:
                 await anyio.wait_readable(sock)
                 continue
-            if not got:
-                return found
-            found += got
+            if not chunk:
+                return received
+            received += chunk
--- a/tests/support/resolver.py
+++ b/tests/support/resolver.py
@@ -16,26 +16,26 @@
     `asked` counts the queries sent for each name.
     """
 
-    def __init__(self, where: tuple[str, int], least_ttl: float = 0.0) -> None:
-        self._where, self._least = where, least_ttl
-        self._kept: dict[tuple[str, str], tuple[float, dns.message.Message]] = {}
+    def __init__(self, address: tuple[str, int], least_ttl: float = 0.0) -> None:
+        self._address, self._least_ttl = address, least_ttl
+        self._cached: dict[tuple[str, str], tuple[float, dns.message.Message]] = {}
         self.asked: Counter[str] = Counter()
 
     async def query(self, name: str, kind: str = "") -> dns.message.Message:
         kind = kind or ("SRV" if name.startswith("_") else "A")
-        until, kept = self._kept.get((name, kind), (0.0, None))
-        if kept is not None and time.monotonic() < until:
-            return kept
+        expires_at, cached = self._cached.get((name, kind), (0.0, None))
+        if cached is not None and time.monotonic() < expires_at:
+            return cached
         self.asked[name] += 1
         query = dns.message.make_query(name, kind)
         answer = dns.message.from_wire(await self.raw(query.to_wire()))
         assert answer.id == query.id
-        ttl = max(self._least, min((rr.ttl for rr in answer.answer), default=0))
-        self._kept[name, kind] = (time.monotonic() + ttl, answer)
+        ttl = max(self._least_ttl, min((rr.ttl for rr in answer.answer), default=0))
+        self._cached[name, kind] = (time.monotonic() + ttl, answer)
         return answer
 
     async def raw(self, data: bytes) -> bytes:
-        async with await anyio.create_connected_udp_socket(*self._where) as udp:
+        async with await anyio.create_connected_udp_socket(*self._address) as udp:
             await udp.send(data)
             with anyio.fail_after(3):
                 return await udp.receive()
--- a/tests/support/routing.py
+++ b/tests/support/routing.py
@@ -182,21 +182,26 @@
 
     Returns all attempts.
     """
-    made: list[api.Fetch | api.Lookup] = []
+    attempts: list[api.Fetch | api.Lookup] = []
     for n in requests:
         actions, attempt = driver.request(n, key=n, request_class=request_class), 0
         while attempts_in(actions):
             (sent,) = attempts_in(actions)
-            made.append(sent)
+            attempts.append(sent)
             source = getattr(sent, "source", sent.endpoint)
-            note, result = api.FillOutcome.FILLED_VIA_ORIGIN, api.AttemptOutcome.OK
+            fill_outcome, outcome = api.FillOutcome.FILLED_VIA_ORIGIN, api.AttemptOutcome.OK
             if source.startswith(b"paren") or sent.endpoint.startswith(b"paren"):
-                note, result = api.FillOutcome.SOURCE_REJECTED, api.AttemptOutcome.REJECTED
+                fill_outcome, outcome = api.FillOutcome.SOURCE_REJECTED, api.AttemptOutcome.REJECTED
             elif source == sent.endpoint and sent.endpoint != b"origin":
-                note, result = api.FillOutcome.NONE, api.AttemptOutcome.MISS
+                fill_outcome, outcome = api.FillOutcome.NONE, api.AttemptOutcome.MISS
             actions = driver.end_attempt(
-                n, attempt, sent.endpoint, result, result is api.AttemptOutcome.OK, fill_outcome=note
+                n,
+                attempt,
+                sent.endpoint,
+                outcome,
+                outcome is api.AttemptOutcome.OK,
+                fill_outcome=fill_outcome,
             )
             attempt += 1
         driver.now += 0.1
-    return made
+    return attempts
--- a/tests/support/service_client.py
+++ b/tests/support/service_client.py
@@ -43,9 +43,9 @@
 
     async def ask(self, body: bytes = b"", /, **fields: str) -> int:
         """Sends a request with these fields over the defaults, and returns its sequence number."""
-        said = {"route": "page", "trace": f"{self.seq + 1:016x}", "patience": "2000", "entity": KEY,
+        sent = {"route": "page", "trace": f"{self.seq + 1:016x}", "patience": "2000", "entity": KEY,
                 "slice": "0", "set": "17"} | fields  # fmt: skip
-        args = b"\x0d\0\1" + thrift._texts(said) + b"\x0b\0\2" + struct.pack(">i", len(body)) + body
+        args = b"\x0d\0\1" + thrift._texts(sent) + b"\x0b\0\2" + struct.pack(">i", len(body)) + body
         return await self.send("handle", args)
 
     async def withdraw(self, seq: int) -> None:
--- a/tests/support/state_space.py
+++ b/tests/support/state_space.py
@@ -89,15 +89,15 @@
     def key(self) -> Any:
         """Returns a value that is equal for equal states only."""
 
-    def own_events(self) -> Iterator[Event]:
+    def model_events(self) -> Iterator[Event]:
         """Yields the events that only this model has."""
         yield from ()
 
     # Clock, messages and limits -------------------------------------------------------------------
 
     def copy(self) -> Self:
-        found: Self = pickle.loads(pickle.dumps(self, pickle.HIGHEST_PROTOCOL))
-        return found
+        copied: Self = pickle.loads(pickle.dumps(self, pickle.HIGHEST_PROTOCOL))
+        return copied
 
     @property
     def time(self) -> float:
@@ -112,14 +112,14 @@
                     process.from_leader.append(message)
         self.pending += writes
 
-    def spend(self, **changes: int) -> None:
+    def adjust_remaining(self, **changes: int) -> None:
         """Adds the changes, which are negative, to the numbers of events that may still happen."""
         spent = {name: getattr(self.remaining, name) + count for name, count in changes.items()}
         self.remaining = replace(self.remaining, **spent)
 
     # Events -----------------------------------------------------------------------------------------
 
-    def second_passes(self) -> None:
+    def advance_clock(self) -> None:
         self.now += 1
         for process in self.processes:
             process.participant.tick(self.time)
@@ -136,7 +136,7 @@
         process.participant.message_received(process.from_leader.pop(0), self.time)
         self.carry_out(process)
 
-    def write_lands(self, n: int) -> None:
+    def apply_pending_write(self, n: int) -> None:
         write = self.pending.pop(n)
         self.apply_write(write)
         self.read_registers()
@@ -148,11 +148,11 @@
         del write
 
     def unrelated_entry_applied(self) -> None:
-        self.spend(noise=-1)
+        self.adjust_remaining(noise=-1)
         self.read_registers()
         self.advance_leader()
 
-    def link(self, n: int) -> None:
+    def open_link(self, n: int) -> None:
         process = self.processes[n]
         self.links += 1
         process.link = self.links
@@ -169,15 +169,15 @@
         process.to_leader.clear()
         process.from_leader.clear()
 
-    def breaks(self, n: int) -> None:
+    def break_link(self, n: int) -> None:
         if self.processes[n].link > 0:
-            self.spend(breaks=-1)
+            self.adjust_remaining(breaks=-1)
         self._unlink(self.processes[n])
         self.processes[n].participant.link_changed(False, self.time)
         self.carry_out(self.processes[n])
 
     def kill(self, n: int) -> None:
-        self.spend(kills=-1)
+        self.adjust_remaining(kills=-1)
         self._unlink(self.processes[n])
         self.processes[n] = ProcessState(self.new_participant(self.time), self.processes[n].generation + 1)
 
@@ -186,9 +186,9 @@
         self.leader.link_closed(number, self.time)
         self.advance_leader()
 
-    def next_leader(self, surviving_writes: int) -> None:
+    def change_leader(self, surviving_writes: int) -> None:
         """Replaces the leader; its log has the first `surviving_writes` pending writes, and no others."""
-        self.spend(leaders=-1)
+        self.adjust_remaining(leaders=-1)
         for write in self.pending[:surviving_writes]:
             self.apply_write(write)
         self.pending, self.lost_links = [], []
@@ -203,14 +203,14 @@
     def events(self) -> Iterator[Event]:
         """Yields each event that can happen next."""
         if self.now < self.remaining.until:
-            yield type(self).second_passes
+            yield type(self).advance_clock
         if self.remaining.noise:
             yield type(self).unrelated_entry_applied
         for n in range(len(self.pending)):
-            yield partial(type(self).write_lands, n=n)
+            yield partial(type(self).apply_pending_write, n=n)
         if self.remaining.leaders:
             for surviving in range(len(self.pending) + 1):
-                yield partial(type(self).next_leader, surviving_writes=surviving)
+                yield partial(type(self).change_leader, surviving_writes=surviving)
         for number in self.lost_links:
             yield partial(type(self).leader_notices_lost_link, number=number)
         for n, process in enumerate(self.processes):
@@ -219,12 +219,12 @@
             if process.from_leader:
                 yield partial(type(self).deliver_to_process, n=n)
             if process.link < 0 or (process.link > 0 and self.remaining.breaks):
-                yield partial(type(self).breaks, n=n)
+                yield partial(type(self).break_link, n=n)
             if process.link == 0:
-                yield partial(type(self).link, n=n)
+                yield partial(type(self).open_link, n=n)
             if self.remaining.kills:
                 yield partial(type(self).kill, n=n)
-        yield from self.own_events()
+        yield from self.model_events()
 
 
 def search(first: StateSpace, max_states: int = 10**9, good: Callable[[Any], bool] = bool) -> tuple[int, int]:
@@ -258,7 +258,7 @@
     skip_time = generator.choice((0.0, 0.5, 0.8, 0.95))
     for _ in range(steps):
         events = list(first.events())
-        if len(events) > 1 and events[0] == type(first).second_passes and generator.random() < skip_time:
+        if len(events) > 1 and events[0] == type(first).advance_clock and generator.random() < skip_time:
             del events[0]
         if not events:
             break
--- a/tests/support/stub_cache.py
+++ b/tests/support/stub_cache.py
@@ -27,10 +27,10 @@
     stream: anyio.abc.ByteStream
     turn: anyio.Lock
 
-    async def answer(self, word: int, fields: str = "-", body: bytes = b"") -> None:
+    async def answer(self, status: int, fields: str = "-", body: bytes = b"") -> None:
         end = b"\r\n" if body else b""
         async with self.turn:
-            await self.stream.send(f"{self.name} {word} {fields} {len(body)}\r\n".encode() + body + end)
+            await self.stream.send(f"{self.name} {status} {fields} {len(body)}\r\n".encode() + body + end)
 
 
 async def serve(_: StubCache, fetch: Fetch) -> None:
--- a/tests/support/task_fleet.py
+++ b/tests/support/task_fleet.py
@@ -47,27 +47,27 @@
         await listener.serve(self._connection)
 
     async def _connection(self, stream: anyio.abc.SocketStream) -> None:
-        talk, body, fence = h11.Connection(h11.SERVER), b"", ""
+        http, body, fence = h11.Connection(h11.SERVER), b"", ""
         with contextlib.suppress(anyio.EndOfStream, anyio.BrokenResourceError, h11.RemoteProtocolError):
             async with stream:
                 while True:
-                    event = talk.next_event()
+                    event = http.next_event()
                     if event is h11.NEED_DATA:
-                        talk.receive_data(await stream.receive())
+                        http.receive_data(await stream.receive())
                     elif isinstance(event, h11.Request):
                         fence = dict(event.headers)[b"x-zincladder-fence"].decode()
                     elif isinstance(event, h11.Data):
                         body += bytes(event.data)
                     elif isinstance(event, h11.EndOfMessage):
-                        status = self._take(fence, bytes(cramjam.snappy.decompress_raw(body)))
+                        status = self._record_push(fence, bytes(cramjam.snappy.decompress_raw(body)))
                         answer = h11.Response(status_code=status, headers=[("Content-Length", "0")])
                         parts = (answer, h11.EndOfMessage())
-                        await stream.send(b"".join(talk.send(part) or b"" for part in parts))
+                        await stream.send(b"".join(http.send(part) or b"" for part in parts))
                         return
                     else:
                         return
 
-    def _take(self, fence: str, payload: bytes) -> int:
+    def _record_push(self, fence: str, payload: bytes) -> int:
         task, _, token = fence.partition(" ")
         request = messages.parse_v2(payload)
         symbols = list(request.symbols)
@@ -89,55 +89,55 @@
 
     def judge(self) -> None:
         """Checks that accepted pushes are ordered by token and time, and that their totals never decrease."""
-        seen: list[Push] = self.accepted
-        assert [p.token for p in seen] == sorted(p.token for p in seen), (
+        pushes: list[Push] = self.accepted
+        assert [p.token for p in pushes] == sorted(p.token for p in pushes), (
             "pushes of two lease holders are interleaved"
         )
-        times = [p.at for p in seen]
+        times = [p.at for p in pushes]
         assert times == sorted(set(times)), "pushes are repeated or out of order"
-        for before, after in pairwise(seen):
+        for before, after in pairwise(pushes):
             for series, value in before.totals.items():
                 assert after.totals[series] >= value, f"the total of {series} decreased"
 
 
 class TaskFleet:
-    """A rig with replicas, and fronts that all offer to run the task that pushes the fleet's metrics."""
+    """Replicas, and fronts that all offer to run the task that pushes the fleet's metrics."""
 
     def __init__(self, r: Rig, receiver: Receiver, caches: list[StubCache]) -> None:
         self.r, self.receiver, self.caches = r, receiver, caches
         self.fronts: list[str] = []
 
     async def add(self, name: str, port: int = 0) -> Process:
-        way = await self.r.relay(name, "receiver")
-        way.target = self.receiver.port
-        lines = ['wants = ["figures"]', "[duties.figures]", f'url = "http://127.0.0.1:{way.port}/push"',
+        relay = await self.r.relay(name, "receiver")
+        relay.target = self.receiver.port
+        lines = ['wants = ["figures"]', "[duties.figures]", f'url = "http://127.0.0.1:{relay.port}/push"',
                  f"every_s = {PUSH_INTERVAL_SECONDS}"]  # fmt: skip
         self.fronts.append(name)
         return await self.r.front(name, self.caches, port=port, duties=lines)
 
-    async def holder(self, *but: str) -> str:
-        """Waits until a running front that is not in `but` reports that it holds the lease.
+    async def holder(self, *excluded: str) -> str:
+        """Waits until a running front that is not in `excluded` reports that it holds the lease.
 
         Returns its name.
         """
 
-        async def found() -> str:
+        async def find_holder() -> str:
             for name in self.fronts:
                 process = self.r.processes[name]
-                if name in but or process.popen is None or process.stopped:
+                if name in excluded or process.popen is None or process.stopped:
                     continue
                 if "app.duty_owned=1" in await self.r.told(name, b"STATS\n"):
                     return name
             return ""
 
-        return str(await self.r.until("a front holds the lease", found))
+        return str(await self.r.until("a front holds the lease", find_holder))
 
     async def more(self, count: int = 3, after: int = 0) -> None:
         """Waits until `count` more pushes with a token higher than `after` have been accepted."""
-        wanted = sum(p.token > after for p in self.receiver.accepted) + count
+        expected = sum(p.token > after for p in self.receiver.accepted) + count
         await self.r.until(
-            f"{count} more pushes are accepted",
-            lambda: sum(p.token > after for p in self.receiver.accepted) >= wanted,
+            "more pushes are accepted",
+            lambda: sum(p.token > after for p in self.receiver.accepted) >= expected,
         )
 
     def vacancies(self) -> list[str]:
@@ -171,11 +171,11 @@
         for cache in caches:
             await tasks.start(cache.run)
         await r.replicas(3)
-        c = TaskFleet(r, receiver, caches)
+        fleet = TaskFleet(r, receiver, caches)
         for n in range(fronts):
-            await c.add(f"f{n}")
-        Traffic(r, tasks, c.fronts, each=1, pause=0.05)
-        await c.more()
-        yield c
+            await fleet.add(f"f{n}")
+        Traffic(r, tasks, fleet.fronts, each=1, pause=0.05)
+        await fleet.more()
+        yield fleet
         tasks.cancel_scope.cancel()
         receiver.judge()
--- a/tests/support/task_states.py
+++ b/tests/support/task_states.py
@@ -29,14 +29,14 @@
         self.register: tuple[TaskAssignment, int] = (TaskAssignment(), 0)
         self.index = 1
         self.effects, self.fenced = effects, fenced
-        self.under_way: list[int] = []  # tokens of the effects that were sent and have not arrived
+        self.tokens_in_transit: list[int] = []  # tokens of the effects that were sent and have not arrived
         self.fence = Fence()
-        self.arrived: list[int] = []  # tokens of the effects that the receiver accepted, in order
-        self.acted = 0  # the highest token under which a process could act
+        self.accepted_tokens: list[int] = []  # tokens of the effects that the receiver accepted, in order
+        self.highest_active_token = 0  # the highest token under which a process could act
         super().__init__(scope, processes)
         self.read_registers()
         for n in range(processes):
-            self.link(n)
+            self.open_link(n)
 
     def new_leader(self, since: float) -> LeaseManager:
         return LeaseManager(TERMS, since, self.term)
@@ -66,44 +66,44 @@
 
     # Effects and commands -----------------------------------------------------------------------------
 
-    def sends_effect(self, n: int) -> None:
+    def send_effect(self, n: int) -> None:
         self.effects -= 1
-        self.under_way.append(self.processes[n].participant.active_token(TASK, self.time))
+        self.tokens_in_transit.append(self.processes[n].participant.active_token(TASK, self.time))
 
-    def effect_arrives(self, n: int) -> None:
-        token = self.under_way.pop(n)
+    def deliver_effect(self, n: int) -> None:
+        token = self.tokens_in_transit.pop(n)
         if not self.fenced or not self.fence.admit(TASK, token):
-            self.arrived.append(token)
+            self.accepted_tokens.append(token)
 
-    def moved_by_command(self) -> None:
+    def move_task(self) -> None:
         """Vacates the task, as an operator's command to move it does."""
-        self.spend(changes=-1)
+        self.adjust_remaining(changes=-1)
         self.index += 1
         self.register = (TaskAssignment(vacancy_reason="moved"), self.index)
         self.read_registers()
         self.advance_leader()
 
-    def released(self, n: int) -> None:
-        self.spend(changes=-1)
+    def release_task(self, n: int) -> None:
+        self.adjust_remaining(changes=-1)
         self.processes[n].participant.release(TASK)
         self.carry_out(self.processes[n])
 
-    def own_events(self) -> Iterator[Event]:
+    def model_events(self) -> Iterator[Event]:
         for n, process in enumerate(self.processes):
             if self.effects and process.participant.active_token(TASK, self.time):
-                yield partial(type(self).sends_effect, n=n)
+                yield partial(type(self).send_effect, n=n)
             if self.remaining.changes and TASK in process.participant.leases:
-                yield partial(type(self).released, n=n)
-        for n in range(len(self.under_way)):
-            yield partial(type(self).effect_arrives, n=n)
+                yield partial(type(self).release_task, n=n)
+        for n in range(len(self.tokens_in_transit)):
+            yield partial(type(self).deliver_effect, n=n)
         if self.remaining.changes and self.register[0].lease_holder:
-            yield type(self).moved_by_command
+            yield type(self).move_task
 
     def key(self) -> Any:
         holders = [self._holder_key(process) for process in self.processes]
         return repr((self.now, self.register, self.index, self.pending, self.remaining, self.lost_links,
-                     self.under_way, self.fence.highest, self.arrived, self.acted, self.effects,
-                     self._manager_key(), holders))  # fmt: skip
+                     self.tokens_in_transit, self.fence.highest, self.accepted_tokens,
+                     self.highest_active_token, self.effects, self._manager_key(), holders))  # fmt: skip
 
     def _manager_key(self) -> Any:
         leader = self.leader
@@ -123,13 +123,15 @@
         if len(acting) > 1:
             raise InvariantError(f"two processes may act on the task: tokens {acting}")
         for token in acting:
-            if token < self.acted:
-                raise InvariantError(f"token {token} may act after the newer token {self.acted}")
-            self.acted = token
-        if self.arrived != sorted(self.arrived):
-            raise InvariantError(f"effects were accepted out of token order: {self.arrived}")
+            if token < self.highest_active_token:
+                raise InvariantError(
+                    f"token {token} may act after the newer token {self.highest_active_token}"
+                )
+            self.highest_active_token = token
+        if self.accepted_tokens != sorted(self.accepted_tokens):
+            raise InvariantError(f"effects were accepted out of token order: {self.accepted_tokens}")
 
 
 def taken_over(state: TaskStateSpace) -> bool:
     """Returns whether a second lease holder could act."""
-    return state.acted > 2
+    return state.highest_active_token > 2
