--- a/tests/processes.py
+++ b/tests/processes.py
@@ -182,7 +182,10 @@
             self.popen = None
 
     async def ended(self) -> int:
-        """Waits until the process exits by itself, and returns its exit status."""
+        """Waits until the process exits by itself, and returns its exit status.
+
+        Raises TimeoutError after WAIT_TIMEOUT_SECONDS.
+        """
         assert self.popen is not None
         with anyio.fail_after(WAIT_TIMEOUT_SECONDS):
             while self.popen.poll() is None:
@@ -211,7 +214,7 @@
     async def until(self, what: str, condition: Callable[[], Any]) -> Any:
         """Waits until `condition` returns a true value, and returns that value.
 
-        Raises AssertionError with the logs of all processes after BOUND seconds.
+        Raises AssertionError with the logs of all processes after WAIT_TIMEOUT_SECONDS.
         """
         with anyio.move_on_after(WAIT_TIMEOUT_SECONDS):
             while True:
@@ -347,14 +350,14 @@
         """
         client = self.client_of_replicas()
         data = canonical({"settings": merged(marked(mark), settings)})
-        found = change_log.read(await client.get(""))
-        base = found.record.version
+        stored = change_log.read(await client.get(""))
+        base = stored.record.version
         try:
-            new = propose_change(found.record, base, document_id(data), "test", f"mark {mark}", 0.0)
+            new = propose_change(stored.record, base, document_id(data), "test", f"mark {mark}", 0.0)
         except ChangeRejectedError as error:
             return 0, str(error)
         assert new.open_change is not None
-        for swap in (change_log.write_document(data), change_log.write_record(found.record_version, new)):
+        for swap in (change_log.write_document(data), change_log.write_record(stored.record_version, new)):
             result = await client.compare_and_swap(swap.key, swap.expected, swap.data)
             if isinstance(result, VersionMismatch) and swap.key == POLICY_KEY:
                 return 0, "another proposal came first"
@@ -370,8 +373,8 @@
                 return None
             return next((p for p in record.log if p.version == version), None)
 
-        found: ChangeLogEntry = await self.until(f"the change to version {version} ends", ended)
-        return found
+        entry: ChangeLogEntry = await self.until(f"the change to version {version} ends", ended)
+        return entry
 
     async def change(self, mark: int, **settings: Any) -> ChangeLogEntry:
         """Proposes a change until a proposal is stored, waits until it ends, and returns its log entry."""
@@ -480,8 +483,8 @@
             for name, process in self.processes.items():
                 if process.popen is None or name in excluded or name not in self.ports:
                     continue
-                found = await self.status(name)
-                if found and found.role == "leader" and 2 * len(found.silent_peers) < len(found.voters):
+                status = await self.status(name)
+                if status and status.role == "leader" and 2 * len(status.silent_peers) < len(status.voters):
                     return name
             return ""
 
@@ -617,15 +620,15 @@
 async def rig(folder: Path, drift: float = 0.0) -> AsyncIterator[Rig]:
     """Provides the processes of a test, and kills them all when the block ends."""
     async with anyio.create_task_group() as tasks:
-        found = Rig(folder, tasks, drift)
+        cluster = Rig(folder, tasks, drift)
         try:
-            yield found
+            yield cluster
         finally:
-            for process in found.processes.values():
+            for process in cluster.processes.values():
                 if process.popen is not None:
                     with contextlib.suppress(ProcessLookupError):
                         process.go_on()
                 process.kill()
-            for sock in found.reserved_sockets:
+            for sock in cluster.reserved_sockets:
                 sock.close()
             tasks.cancel_scope.cancel()
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -288,11 +288,15 @@
                 coordinator.message_received(link.number, message, self.clock(process))
 
     def read_registers(self, process: SimulatedReplica, coordinator: ChangeCoordinator) -> None:
-        found = change_log.read(self.registers[process.name].with_prefix(""))
+        stored = change_log.read(self.registers[process.name].with_prefix(""))
         if self.read_index.get(process.name) != process.index:
             self.read_index[process.name] = process.index
             coordinator.record_read(
-                found.record, found.record_version, found.expected_fronts, found.contents, self.clock(process)
+                stored.record,
+                stored.record_version,
+                stored.expected_fronts,
+                stored.contents,
+                self.clock(process),
             )
 
     def advance_coordinator(self, process: SimulatedReplica) -> None:
@@ -358,18 +362,18 @@
         process = self.leader()
         if process is None or process.node is None:
             return
-        found = change_log.read(self.registers[process.name].with_prefix(""))  # possibly stale
+        stored = change_log.read(self.registers[process.name].with_prefix(""))  # possibly stale
         data = b"policy %d" % next(self.proposals)
         if self.random.random() < 0.2:
             self.random.choice(list(self.fronts.values())).objects_to.add(document_id(data))
-        base = found.record.version
+        base = stored.record.version
         try:
-            proposed = propose_change(found.record, base, document_id(data), "op", "", self.now)
+            proposed = propose_change(stored.record, base, document_id(data), "op", "", self.now)
         except ChangeRejectedError:
             return
         self.figures["proposed"] += 1
         self.propose_write(process, change_log.write_document(data))
-        self.propose_write(process, change_log.write_record(found.record_version, proposed))
+        self.propose_write(process, change_log.write_record(stored.record_version, proposed))
         self.settle(process)
 
     def inject_fault(self) -> None:
--- a/tests/support/front_world.py
+++ b/tests/support/front_world.py
@@ -48,9 +48,8 @@
             await tasks.start(cache.run)
         await tasks.start(coordinator.run)
         config = parse_config(configuration([c.endpoint() for c in caches], coordinator.port, **more))
-        known = [
-            h for h in DNS_HOSTS if h["class"] in config.names.classes
-        ]  # a test may configure other classes
+        # The settings of a test may have other classes than the hosts of DNS_HOSTS.
+        known = [h for h in DNS_HOSTS if h["class"] in config.names.classes]
         table = ({"dns": DNS | {"host": known + (hosts or [])}} if known else {}) | (operator or {})
         stopping = anyio.Event()
         listening = await tasks.start(run_front, config, parse_operator(table, config.names), stopping)
--- a/tests/support/raft_simulation.py
+++ b/tests/support/raft_simulation.py
@@ -31,9 +31,8 @@
 from zincladder.consensus.raft_state import RaftTiming, Role
 
 TIMING = RaftTiming(heartbeat_seconds=0.5, election_timeout_seconds=2.0)
-snapshot_transfer.SNAPSHOT_CHUNK_BYTES = (
-    24  # small enough to split snapshots into several chunks, between which the log grows
-)
+# Small enough that a snapshot is sent in several chunks, and the log grows in between.
+snapshot_transfer.SNAPSHOT_CHUNK_BYTES = 24
 
 
 class InvariantError(AssertionError):
@@ -77,9 +76,8 @@
     clock_offset: float = 0.0
     delayed_messages: list[tuple[str, Message]] = field(default_factory=list)
     open_proposals: dict[tuple[int, int], str] = field(default_factory=dict)  # (index, term) -> value
-    open_reads: dict[int, frozenset[str]] = field(
-        default_factory=dict
-    )  # ticket -> values acknowledged before
+    # ticket -> values that were acknowledged before the read
+    open_reads: dict[int, frozenset[str]] = field(default_factory=dict)
 
 
 class SimulatedGroup:
--- a/tests/support/service_client.py
+++ b/tests/support/service_client.py
@@ -54,8 +54,8 @@
     async def _exactly(self, size: int) -> bytes:
         while len(self._data) < size:
             self._data += await self.stream.receive()
-        found, self._data = self._data[:size], self._data[size:]
-        return found
+        data, self._data = self._data[:size], self._data[size:]
+        return data
 
     async def reply(self) -> Reply:
         r = thrift._Reader(await self._exactly(struct.unpack(">i", await self._exactly(4))[0]))
@@ -65,15 +65,15 @@
         if kind == thrift.EXCEPTION:
             return Reply(seq, "application")
         number = r.field()[1]
-        found = Reply(seq, ("served", "Throttled", "Broken")[number])
+        reply = Reply(seq, ("served", "Throttled", "Broken")[number])
         while (inner := r.field())[0] != thrift.STOP:
             if inner[0] == thrift.STRING:
-                found.body = bytes(r.take(r.i32()))
+                reply.body = bytes(r.take(r.i32()))
             elif inner[0] == thrift.MAP:
-                found.fields = r.texts()
+                reply.fields = r.texts()
             else:
-                found.good = bool(r.byte())
-        return found
+                reply.good = bool(r.byte())
+        return reply
 
 
 @contextlib.asynccontextmanager
