--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,7 +1,7 @@
-"""Several real processes of the program, with a relay on each link between them and faults on both.
+"""Runs replicas and fronts as real processes, with a TCP relay on each link, and injects faults into both.
 
-Nothing here waits for a time: `until` waits for a state that can be seen, and fails with all logs where it
-doesn't come. Processes are ended by their ids when the rig ends.
+Tests wait for an observable state with `Rig.until`, not for a fixed time. It fails with the logs
+of all processes if the state does not occur. All processes are killed at the end of a test.
 """
 
 from __future__ import annotations
@@ -38,25 +38,28 @@
 from zincladder.policy.errors import ChangeRejectedError
 from zincladder.policy.model import POLICY_KEY, ChangeLogEntry, ChangeOutcome, PolicyRecord, document_id
 
-BOUND = 20.0  # seconds for anything that is waited for
+WAIT_TIMEOUT_SECONDS = 20.0  # the longest wait for a state
 GROUP = "test"
-BEAT_MS, ELECTION_MS = 40, 250
+HEARTBEAT_MS, ELECTION_TIMEOUT_MS = 40, 250
 LEASE = {"seconds": 1.5, "renew_s": 0.25, "check_s": 1.0, "clear_s": 0.3, "act_s": 0.1, "patient_s": 4.0}
 
 
 class Relay:
-    """One way to connect from one process to another: both directions of it pass, or don't.
+    """A TCP relay for the connections that one process makes to another.
 
-    `held` says which directions stand still ("to", "back"): what is sent then waits, as behind a cut cable.
+    `blocked` names the directions in which nothing passes: "to" the target, "back" from it, or both. Data
+    sent in a blocked direction is held and forwarded once it is unblocked, as TCP does after an outage.
     """
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self._tasks, self.target = tasks, 0
         self.port = 0
-        self.held: set[str] = set()
+        self.blocked: set[str] = set()
         self.delay = 0.0
-        self.waiting = 0  # pieces that stand still
-        self.tear = -1  # bytes that still pass in the direction "to" before the connection is reset
+        self.waiting = 0  # chunks that are held in a blocked direction
+        # If the next chunk in direction "to" is longer than this, only so many of its bytes are forwarded and
+        # the connection is reset. -1: off.
+        self.tear = -1
         self._streams: set[anyio.abc.SocketStream] = set()
         self._changed = anyio.Event()
 
@@ -66,39 +69,40 @@
         self._tasks.start_soon(listener.serve, self._relay)
 
     def hold(self, *directions: str) -> None:
-        self.held = set(directions)
+        """Blocks these directions and unblocks the others."""
+        self.blocked = set(directions)
         self._changed.set()
         self._changed = anyio.Event()
 
     async def reset(self) -> None:
-        """Ends all connections with a reset, wherever in a message they are."""
+        """Resets all connections, even in the middle of a message."""
         for stream in list(self._streams):
             await self._abort(stream)
 
     @staticmethod
     async def _abort(stream: anyio.abc.SocketStream) -> None:
-        with contextlib.suppress(OSError, ValueError, AttributeError):  # closed meanwhile
+        with contextlib.suppress(OSError, ValueError, AttributeError):  # already closed
             sock = stream.extra(anyio.abc.SocketAttribute.raw_socket)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         await anyio.aclose_forcefully(stream)
 
-    async def _relay(self, near: anyio.abc.SocketStream) -> None:
+    async def _relay(self, inbound: anyio.abc.SocketStream) -> None:
         try:
-            async with near, await anyio.connect_tcp("127.0.0.1", self.target) as far:
-                self._streams |= {near, far}
+            async with inbound, await anyio.connect_tcp("127.0.0.1", self.target) as outbound:
+                self._streams |= {inbound, outbound}
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(self._pump, near, far, "to", tasks)
-                    tasks.start_soon(self._pump, far, near, "back", tasks)
+                    tasks.start_soon(self._forward, inbound, outbound, "to", tasks)
+                    tasks.start_soon(self._forward, outbound, inbound, "back", tasks)
         except* (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
         finally:
-            self._streams.discard(near)
+            self._streams.discard(inbound)
 
-    async def _pump(
+    async def _forward(
         self,
         source: anyio.abc.SocketStream,
         sink: anyio.abc.SocketStream,
-        way: str,
+        direction: str,
         tasks: anyio.abc.TaskGroup,
     ) -> None:
         with contextlib.suppress(
@@ -109,10 +113,10 @@
                 if self.delay:
                     await anyio.sleep(self.delay)
                 self.waiting += 1
-                while way in self.held:
+                while direction in self.blocked:
                     await self._changed.wait()
                 self.waiting -= 1
-                if way == "to" and 0 <= self.tear < len(data):
+                if direction == "to" and 0 <= self.tear < len(data):
                     await sink.send(data[: self.tear])
                     self.tear = -1
                     await self._abort(source)
@@ -124,7 +128,7 @@
 
 @dataclass
 class Process:
-    """One process of the program, which can be started again on the same files."""
+    """One process of the program, which can be restarted with the same files."""
 
     name: str
     folder: Path
@@ -132,16 +136,16 @@
     environ: dict[str, str] = field(default_factory=dict)
     module: tuple[str, ...] = ("zincladder",)
     popen: subprocess.Popen[bytes] | None = None
-    lives: int = 0
+    start_count: int = 0
     stopped: bool = False
 
     @property
     def log_path(self) -> Path:
-        return self.folder / f"log-{self.lives}.txt"
+        return self.folder / f"log-{self.start_count}.txt"
 
     def start(self) -> None:
         assert self.popen is None
-        self.lives += 1
+        self.start_count += 1
         with self.log_path.open("wb") as log:
             self.popen = subprocess.Popen(
                 [sys.executable, "-m", *self.module, *self.command], stderr=log, stdout=log,
@@ -149,7 +153,7 @@
             )  # fmt: skip
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        """Lines of this life's log with that event."""
+        """Returns the log lines with that event since the process was last started."""
         found = []
         for line in self.log_path.read_text().splitlines():
             with contextlib.suppress(ValueError):
@@ -163,6 +167,7 @@
         self.popen.send_signal(number)
 
     def stop(self) -> None:
+        """Pauses the process with SIGSTOP; `go_on` resumes it."""
         self.send(signal.SIGSTOP)
         self.stopped = True
 
@@ -177,9 +182,12 @@
             self.popen = None
 
     async def ended(self) -> int:
-        """Its status, once it has ended by itself."""
+        """Waits until the process exits by itself, and returns its exit status.
+
+        Raises TimeoutError after WAIT_TIMEOUT_SECONDS.
+        """
         assert self.popen is not None
-        with anyio.fail_after(BOUND):
+        with anyio.fail_after(WAIT_TIMEOUT_SECONDS):
             while self.popen.poll() is None:
                 await anyio.sleep(0.01)
         status = self.popen.returncode
@@ -188,40 +196,45 @@
 
 
 class Rig:
-    """Keepers, and what a test does to them."""
+    """Replicas and fronts as processes, with the faults and commands that tests apply to them."""
 
     def __init__(self, folder: Path, tasks: anyio.abc.TaskGroup, drift: float = 0.0) -> None:
         self._folder, self._tasks = folder, tasks
-        self.drift = drift  # fronts' clocks run slow by it and keepers' fast, and times of day jump
+        # If not 0, fronts' clocks run slow and replicas' clocks fast by this share, and times of day jump.
+        self.drift = drift
         self.processes: dict[str, Process] = {}
         self.ports: dict[str, int] = {}
-        self.controls: dict[str, int] = {}
+        self.control_ports: dict[str, int] = {}
         self.relays: dict[tuple[str, str], Relay] = {}
-        self.reserved: list[socket.socket] = []
+        self.reserved_sockets: list[socket.socket] = []
 
     def _module(self, drift: float) -> tuple[str, ...]:
         return ("tests.support.jumping_clocks", str(drift)) if drift else ("zincladder",)
 
-    async def until(self, what: str, good: Callable[[], Any]) -> Any:
-        """Waits for a state; its value. Fails with all logs after BOUND seconds."""
-        with anyio.move_on_after(BOUND):
+    async def until(self, what: str, condition: Callable[[], Any]) -> Any:
+        """Waits until `condition` returns a true value, and returns that value.
+
+        Raises AssertionError with the logs of all processes after WAIT_TIMEOUT_SECONDS.
+        """
+        with anyio.move_on_after(WAIT_TIMEOUT_SECONDS):
             while True:
-                found = good()
+                found = condition()
                 if hasattr(found, "__await__"):
                     found = await found
                 if found:
                     return found
                 await anyio.sleep(0.02)
-        raise AssertionError(f"not in {BOUND} s: {what}\n{self.logs()}")
+        raise AssertionError(f"not reached within {WAIT_TIMEOUT_SECONDS} s: {what}\n{self.logs()}")
 
     def logs(self) -> str:
         return "\n".join(
-            f"--- {p.name}, life {p.lives}\n{p.log_path.read_text()[-3000:]}"
+            f"--- {p.name}, start {p.start_count}\n{p.log_path.read_text()[-3000:]}"
             for p in self.processes.values()
             if p.log_path.exists()
         )
 
     async def relay(self, a: str, b: str) -> Relay:
+        """Returns the relay for connections from a to b, and starts it if it is new."""
         if (a, b) not in self.relays:
             self.relays[a, b] = Relay(self._tasks)
             await self.relays[a, b].start()
@@ -238,27 +251,28 @@
         duties: Sequence[str] = (),
         **settings: Any,
     ) -> Process:
-        """A front that reaches each keeper through a relay. Started, not ready.
+        """Starts a front that reaches each replica through a relay; it listens, but may not be ready yet.
 
-        It is under the group's policy, unless it takes part in duties: then these lines stand in its file.
+        The front follows the group's policy. If `duties` has lines, they become its [duties] table, and it
+        takes part in singleton tasks instead.
         """
         folder = self._folder / name
         (folder / "tmp").mkdir(parents=True)
-        where = f"127.0.0.1:{port}"
-        data = configuration([c.endpoint() for c in caches], name=name, listen=where, control="127.0.0.1:0")
-        # A purge of an hour ago, within its time: each attempt then says the oldest copy that will do, which
-        # is the class's fresh time, and so under which policy it was decided.
+        address = f"127.0.0.1:{port}"
+        data = configuration([c.endpoint() for c in caches], name=name, listen=address, control="127.0.0.1:0")
+        # A purge one hour ago that may still be incomplete makes each attempt carry the maximum age of an
+        # acceptable copy. That is the class's fresh time, which shows under which policy it was decided.
         data["settings"] = merged(SETTINGS, settings)
         data["settings"]["domain"] = data["settings"]["domain"] | {"goneEverywhere": 80_000.0}
         hour_ago = int((time.time() - 3600) * 1000)
         data["known"]["updates"].append({"index": 2, "evict": {"ref": KEY, "shard": 0, "unix_ms": hour_ago}})
         (folder / "config.json").write_text(json.dumps(data))
         replicas = sorted(n for n in self.ports if n.startswith("k"))
-        places = [f'{k} = "127.0.0.1:{(await self.relay(name, k)).port}"' for k in replicas]
+        addresses = [f'{k} = "127.0.0.1:{(await self.relay(name, k)).port}"' for k in replicas]
         for replica in replicas:
             self.relays[name, replica].target = self.ports[replica]
         table, first = ("duties", duties) if duties else ("policy", (f'cut_off = "{cut_off}"',))
-        lines = [f"[{table}]", f'group = "{GROUP}"', *first, f"[{table}.keepers]", *places]
+        lines = [f"[{table}]", f'group = "{GROUP}"', *first, f"[{table}.keepers]", *addresses]
         (folder / "operator.toml").write_text("\n".join(lines))
         environ = {
             "RELAY_CONFIG": str(folder / "config.json"),
@@ -270,32 +284,33 @@
         return process
 
     async def start_front(self, name: str) -> None:
-        """Starts a front; it listens when this returns, and serves once it has learned the policy."""
+        """Starts a front and waits until it listens; it serves once it has received the policy."""
         process = self.processes[name]
         process.start()
-        (said, *_) = await self.until(f"{name} listens", lambda: process.events("ready"))
-        self.ports[name] = said["clients"][1]
+        (event, *_) = await self.until(f"{name} listens", lambda: process.events("ready"))
+        self.ports[name] = event["clients"][1]
         self._reserve(self.ports[name])
-        self.controls[name] = said["operators"][1]
+        self.control_ports[name] = event["operators"][1]
 
     def _reserve(self, port: int) -> None:
-        """Keeps a front's port from others while the front is down: clients still go there.
+        """Reserves a front's port while the front is down, because clients still connect to it.
 
-        Without SO_REUSEADDR here the system gives it to no listener of another test, as it had done.
+        SO_REUSEADDR is not set on this socket, so that the system does not give the port to a listener of
+        another test, which has happened.
         """
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind(("127.0.0.1", port))
-        self.reserved.append(sock)
+        self.reserved_sockets.append(sock)
 
     async def ready(self, name: str) -> str:
-        """What a front says to READY."""
+        """Returns a front's reply to READY."""
         return (await self.told(name, b"READY\n")).strip()
 
     async def told(self, name: str, line: bytes) -> str:
-        """What a front says at its operators' address; nothing if it doesn't answer."""
+        """Sends a line to a front's control address and returns the reply, or "" if there is none."""
         try:
-            async with await anyio.connect_tcp("127.0.0.1", self.controls[name]) as stream:
+            async with await anyio.connect_tcp("127.0.0.1", self.control_ports[name]) as stream:
                 await stream.send(line)
                 with anyio.fail_after(2):
                     return (await stream.receive()).decode()
@@ -303,16 +318,19 @@
             return ""
 
     async def serving(self, *names: str) -> None:
-        """Waits until these fronts say that they can serve."""
+        """Waits until these fronts report that they are ready."""
         for name in names:
 
-            async def good(name: str = name) -> bool:
+            async def is_ready(name: str = name) -> bool:
                 return await self.ready(name) == "SUCCESS"
 
-            await self.until(f"{name} is ready", good)
+            await self.until(f"{name} is ready", is_ready)
 
     def cut_front(self, name: str, *ways: str) -> None:
-        """Holds what a front says ("to"), what it is told ("back"), or both; nothing: lets all through."""
+        """Blocks what a front sends to replicas ("to"), what they send to it ("back") or both.
+
+        Without a direction it unblocks both.
+        """
         for (a, _), relay in self.relays.items():
             if a == name:
                 relay.hold(*ways)
@@ -326,24 +344,27 @@
         return self.client(*(n for n in self.ports if n.startswith("k") and not self.processes[n].stopped))
 
     async def propose(self, mark: int, **settings: Any) -> tuple[int, str]:
-        """Proposes a policy whose mark shows in each answer; its version, or 0 and why not."""
+        """Proposes a policy whose mark is visible in each answer.
+
+        Returns the proposed version and "", or 0 and the reason why the proposal was rejected.
+        """
         client = self.client_of_replicas()
         data = canonical({"settings": merged(marked(mark), settings)})
-        found = change_log.read(await client.get(""))
-        base = found.record.version
+        stored = change_log.read(await client.get(""))
+        base = stored.record.version
         try:
-            new = propose_change(found.record, base, document_id(data), "test", f"mark {mark}", 0.0)
+            new = propose_change(stored.record, base, document_id(data), "test", f"mark {mark}", 0.0)
         except ChangeRejectedError as error:
             return 0, str(error)
         assert new.open_change is not None
-        for swap in (change_log.write_document(data), change_log.write_record(found.record_version, new)):
-            said = await client.compare_and_swap(swap.key, swap.expected, swap.data)
-            if isinstance(said, VersionMismatch) and swap.key == POLICY_KEY:
-                return 0, "another came first"
+        for swap in (change_log.write_document(data), change_log.write_record(stored.record_version, new)):
+            result = await client.compare_and_swap(swap.key, swap.expected, swap.data)
+            if isinstance(result, VersionMismatch) and swap.key == POLICY_KEY:
+                return 0, "another proposal came first"
         return new.open_change.version, ""
 
     async def outcome(self, version: int) -> ChangeLogEntry:
-        """How a change has ended, once it has."""
+        """Waits until a change has ended, and returns its entry in the change log."""
 
         async def ended() -> ChangeLogEntry | None:
             try:
@@ -352,11 +373,11 @@
                 return None
             return next((p for p in record.log if p.version == version), None)
 
-        found: ChangeLogEntry = await self.until(f"version {version} comes to an end", ended)
-        return found
+        entry: ChangeLogEntry = await self.until(f"the change to version {version} ends", ended)
+        return entry
 
     async def change(self, mark: int, **settings: Any) -> ChangeLogEntry:
-        """Proposes as often as it takes to be heard, and waits for the end."""
+        """Proposes a change until a proposal is stored, waits until it ends, and returns its log entry."""
         while True:
             try:
                 version, _ = await self.propose(mark, **settings)
@@ -366,14 +387,14 @@
                 return await self.outcome(version)
             record = await self.record()
             done = [p for p in record.log if p.note == f"mark {mark}"]
-            held = next((p for p in done if p.outcome is ChangeOutcome.ACTIVATED), None)
-            if held:
-                return held
+            activated = next((p for p in done if p.outcome is ChangeOutcome.ACTIVATED), None)
+            if activated:
+                return activated
             await anyio.sleep(0.05)
 
     async def insist(self, mark: int) -> ChangeLogEntry:
-        """Proposes a change until it holds: one that too few fronts have heard of comes to nothing."""
-        with anyio.fail_after(2 * BOUND):
+        """Repeats a change until it is activated, since one that too few fronts confirm is withdrawn."""
+        with anyio.fail_after(2 * WAIT_TIMEOUT_SECONDS):
             while (past := await self.change(mark)).outcome is not ChangeOutcome.ACTIVATED:
                 await anyio.sleep(0.1)
         return past
@@ -381,13 +402,14 @@
     # Replicas -------------------------------------------------------------------------------------
 
     async def replica(self, name: str, founders: list[str], others: list[str]) -> Process:
-        """A replica that reaches each other one through a relay; its file is written, it isn't started."""
+        """Writes the file of a replica that reaches each other replica through a relay; does not start it."""
         folder = self._folder / name
         folder.mkdir()
         lines = [
             "[lease]", *(f"{key} = {value}" for key, value in LEASE.items()),
             "[keeper]", f'group = "{GROUP}"', f'name = "{name}"', 'listen = "127.0.0.1:0"',
-            f'directory = "{folder / "kept"}"', f"heartbeat_ms = {BEAT_MS}", f"election_ms = {ELECTION_MS}",
+            f'directory = "{folder / "kept"}"',
+            f"heartbeat_ms = {HEARTBEAT_MS}", f"election_ms = {ELECTION_TIMEOUT_MS}",
             "[keeper.members]", *(f'{n} = "127.0.0.1:1"' for n in founders), "[keeper.via]",
         ]  # fmt: skip
         for other in others:
@@ -400,7 +422,7 @@
         return process
 
     async def replicas(self, count: int, spare: int = 0) -> list[str]:
-        """Starts a group of so many; the spare ones have files, and are not started."""
+        """Starts a group of `count` replicas, and writes files for `spare` more without starting them."""
         names = [f"k{n}" for n in range(1, count + spare + 1)]
         for name in names:
             await self.replica(name, names[:count] if name in names[:count] else [], names)
@@ -409,20 +431,20 @@
         return names
 
     async def start(self, name: str) -> None:
-        """Starts a replica, and returns once it listens."""
+        """Starts a replica and waits until it listens."""
         process = self.processes[name]
         process.start()
         started = await self.until(
-            f"{name} listens", lambda: process.events("replica started") or self._dead(process)
+            f"{name} listens", lambda: process.events("replica started") or self._has_exited(process)
         )
-        assert started is not True, f"{name} has ended\n{self.logs()}"
+        assert started is not True, f"{name} exited before it listened\n{self.logs()}"
         self.ports[name] = started[0]["port"]
         for (_, to), relay in self.relays.items():
             if to == name:
                 relay.target = self.ports[name]
 
     @staticmethod
-    def _dead(process: Process) -> bool:
+    def _has_exited(process: Process) -> bool:
         return process.popen is not None and process.popen.poll() is not None
 
     async def restart(self, name: str) -> None:
@@ -430,9 +452,9 @@
         await self.start(name)
 
     def cut(self, name: str, *, heard: bool = True, hears: bool = True) -> None:
-        """Cuts a keeper off from the others: what it says (`heard`), what they say (`hears`), or both."""
+        """Blocks what a replica sends to the others (`heard`), what they send to it (`hears`), or both."""
         for (a, b), relay in self.relays.items():
-            # What `a` tells `b` goes over the link that `a` made; "back" there is the greeting only.
+            # Messages from a to b use the connection that a opened; only b's handshake goes "back" on it.
             if a == name and heard:
                 relay.hold("to", "back")
             if b == name and hears:
@@ -443,48 +465,51 @@
             relay.hold()
 
     def client(self, *names: str) -> Client:
-        places = {n: f"127.0.0.1:{p}" for n, p in self.ports.items() if not names or n in names}
-        return Client(GROUP, places, "test")
+        addresses = {n: f"127.0.0.1:{p}" for n, p in self.ports.items() if not names or n in names}
+        return Client(GROUP, addresses, "test")
 
     async def status(self, name: str) -> rpc.ReplicaStatus | None:
         try:
-            said = await self.client().request_from(f"127.0.0.1:{self.ports[name]}", rpc.GetStatus(), 1.0)
+            reply = await self.client().request_from(f"127.0.0.1:{self.ports[name]}", rpc.GetStatus(), 1.0)
         except LINK_ERRORS:
             return None
-        assert isinstance(said, rpc.ReplicaStatus)
-        return said
+        assert isinstance(reply, rpc.ReplicaStatus)
+        return reply
 
-    async def leader(self, *but: str) -> str:
-        """Whoever leads a majority: all that can be reached agree on it."""
+    async def leader(self, *excluded: str) -> str:
+        """Waits until a replica leads with a majority of the voters reachable, and returns its name."""
 
-        async def led() -> str:
+        async def find_leader() -> str:
             for name, process in self.processes.items():
-                if process.popen is None or name in but or name not in self.ports:
+                if process.popen is None or name in excluded or name not in self.ports:
                     continue
-                found = await self.status(name)
-                if found and found.role == "leader" and 2 * len(found.silent_peers) < len(found.voters):
+                status = await self.status(name)
+                if status and status.role == "leader" and 2 * len(status.silent_peers) < len(status.voters):
                     return name
             return ""
 
-        return str(await self.until("a leader", led))
+        return str(await self.until("a leader", find_leader))
 
     async def write(self, key: str, data: bytes, *names: str) -> int:
-        """Sets a register that only this caller writes, however often it has to ask; the version it got."""
+        """Sets a register, retrying until it succeeds, and returns its version.
+
+        Only this caller may write the register.
+        """
         client = self.client(*names)
         while True:
             try:
                 old = (await client.get(key)).get(key)
                 if old and old.data == data:
                     return old.version
-                said = await client.compare_and_swap(key, old.version if old else 0, data)
+                result = await client.compare_and_swap(key, old.version if old else 0, data)
             except (RequestFailedError, OutcomeUnknownError):
                 continue
-            if hasattr(said, "version") and type(said).__name__ == "Swapped":
-                return int(said.version)
+            if hasattr(result, "version") and type(result).__name__ == "Swapped":
+                return int(result.version)
 
 
 def free_port() -> int:
-    """A port for processes that are to find each other there: free, and none that the system gives out."""
+    """Returns a free port below the system's ephemeral range, which it gives to no other socket by itself."""
     while True:
         port = random.SystemRandom().randrange(10_000, 30_000)
         with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
@@ -492,18 +517,21 @@
 
 
 def marked(mark: int) -> dict[str, Any]:
-    """Settings that show under which policy a request was decided: `cap`, which the caches give back."""
+    """Returns settings whose mark shows under which policy a request was decided.
+
+    The mark raises the class's fresh time, which the front sends as `cap` and the caches return.
+    """
     return {"domain": {"freshFor": [0.0, 1000.0 + mark, 0.0]}}
 
 
 async def marking(_: StubCache, fetch: Fetch) -> None:
-    """A cache whose answers say under which policy they were asked for."""
+    """A cache that answers with the request's `cap`, which shows the policy that it was decided under."""
     await fetch.answer(200, "tell=local,rev=aa,since=1", fetch.fields.get("cap", "0").encode())
 
 
 @dataclass
 class Asked:
-    """One request of a client, and what came of it."""
+    """One request of a client and its result."""
 
     front: str
     began: float
@@ -513,10 +541,10 @@
 
 
 class Traffic:
-    """Clients that go on asking every front, one request after the other on each connection.
+    """Clients that send requests to every front, one at a time on each connection.
 
-    Each BOOKING-th one is a booking, which has to run once at most. What crosses the close of a connection
-    is sent once more on a new one, as the platform's clients do.
+    Every BOOKING-th request is a booking, which must run at most once. A request whose connection was closed
+    before the answer is retried once on a new connection, as the platform's clients do.
     """
 
     BOOKING = 8
@@ -525,27 +553,27 @@
     def __init__(
         self, r: Rig, tasks: anyio.abc.TaskGroup, names: Sequence[str], each: int = 2, pause: float = 0.01
     ) -> None:
-        self._rig, self.history = r, list[Asked]()
+        self._cluster, self.history = r, list[Asked]()
         self.going, self._pause = True, pause
         for name in names:
             for _ in range(each):
                 tasks.start_soon(self._client, name)
 
     async def _client(self, name: str) -> None:
-        number = again = 0  # of the request that is to be sent, and whether it is for the second time
+        number = retries = 0  # the request to send (0: a new one), and how often it was retried
         while self.going:
             began = anyio.current_time()
             try:
-                async with await anyio.connect_tcp("127.0.0.1", self._rig.ports[name]) as stream:
-                    speaker = ServiceClient(stream)
+                async with await anyio.connect_tcp("127.0.0.1", self._cluster.ports[name]) as stream:
+                    client = ServiceClient(stream)
                     while self.going:
                         began, number = anyio.current_time(), number or next(self.TRACES)
                         booking = number % self.BOOKING == 0
-                        said = {"route": "booking" if booking else "page", "patience": "2000"}
-                        seq = await speaker.ask(b"order" if booking else b"", trace=f"{number:016x}", **said)
+                        fields = {"route": "booking" if booking else "page", "patience": "2000"}
+                        seq = await client.ask(b"order" if booking else b"", trace=f"{number:016x}", **fields)
                         with anyio.fail_after(6):
-                            reply = await speaker.reply()
-                        number = again = 0
+                            reply = await client.reply()
+                        number = retries = 0
                         kind, mark = reply.kind, 0
                         if kind == "served" and booking:
                             kind = "booked"
@@ -555,26 +583,27 @@
                         self.history.append(Asked(name, began, anyio.current_time(), kind, mark))
                         await anyio.sleep(self._pause)
             except anyio.EndOfStream:
-                if again or not number:
+                if retries or not number:
                     self.history.append(Asked(name, began, anyio.current_time(), "lost"))
                     number = 0
-                again = 1 - again
+                retries = 1 - retries
             except (OSError, TimeoutError, anyio.BrokenResourceError):
                 self.history.append(Asked(name, began, anyio.current_time(), "lost"))
-                number = again = 0
+                number = retries = 0
                 await anyio.sleep(0.03)
 
     def served(self, name: str, mark: int) -> bool:
-        """Whether a front has served under that mark lately."""
+        """Returns whether one of the last 400 requests was served by the front under that mark."""
         return any(a.front == name and a.mark == mark for a in self.history[-400:])
 
     def since(self, name: str, when: float) -> list[Asked]:
-        """What a front was asked from that time on."""
+        """Returns the requests that were sent to a front after that time."""
         return [a for a in self.history if a.front == name and a.began > when]
 
     def judge(self) -> None:
-        """One answer to each request, and linearizable versions: whoever asks after an answer gets no older
-        one, at whichever front.
+        """Checks that each request has one answer and that versions are linearizable.
+
+        A request that begins after an answer has arrived is never served under an older policy, at any front.
         """
         assert {a.kind for a in self.history} <= {"served", "booked", "Throttled", "Broken", "lost"}
         served = sorted((a for a in self.history if a.kind == "served"), key=lambda a: a.ended)
@@ -584,22 +613,22 @@
             while following is not None and following.ended < asked.began:
                 newest, following = max(newest, following.mark), next(done, None)
             if asked.mark < newest:
-                raise AssertionError(f"served under {asked.mark} after {newest} was in force: {asked}")
+                raise AssertionError(f"served under {asked.mark} after {newest} was active: {asked}")
 
 
 @contextlib.asynccontextmanager
 async def rig(folder: Path, drift: float = 0.0) -> AsyncIterator[Rig]:
-    """A rig whose processes all end with the block."""
+    """Provides the processes of a test, and kills them all when the block ends."""
     async with anyio.create_task_group() as tasks:
-        found = Rig(folder, tasks, drift)
+        cluster = Rig(folder, tasks, drift)
         try:
-            yield found
+            yield cluster
         finally:
-            for process in found.processes.values():
+            for process in cluster.processes.values():
                 if process.popen is not None:
                     with contextlib.suppress(ProcessLookupError):
                         process.go_on()
                 process.kill()
-            for sock in found.reserved:
+            for sock in cluster.reserved_sockets:
                 sock.close()
             tasks.cancel_scope.cancel()
--- a/tests/support/cache_scripts.py
+++ b/tests/support/cache_scripts.py
@@ -1,4 +1,4 @@
-"""Scripts of caches that answer late, wrongly or not at all."""
+"""Scripts for stub caches that answer in pieces, with errors or malformed data, or not at all."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 async def hold(_: StubCache, fetch: Fetch) -> None:
-    """A cache that takes requests and answers none."""
+    """Accepts the fetch and never answers it."""
 
 
 async def cut(_: StubCache, fetch: Fetch) -> None:
@@ -19,9 +19,9 @@
         await fetch.stream.send(data[i : i + 1])
 
 
-def says(word: int, fields: str = "-", body: bytes = b"") -> Script:
+def says(status: int, fields: str = "-", body: bytes = b"") -> Script:
     async def script(_: StubCache, fetch: Fetch) -> None:
-        await fetch.answer(word, fields, body)
+        await fetch.answer(status, fields, body)
 
     return script
 
--- a/tests/support/cache_wire.py
+++ b/tests/support/cache_wire.py
@@ -1,4 +1,4 @@
-"""A connection to a cache whose side a test plays."""
+"""A connection between a front and a cache whose side the test plays."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 from zincladder.net.cache_pool import CachePool
 from zincladder.net.cache_transport import CacheTransport
 
-LARGE = 1 << 20  # bytes: more than the systems of both sides hold between them
+LARGE = 1 << 20  # bytes: more than the socket buffers of both ends hold together
 
 
 @contextlib.contextmanager
 def pair() -> Any:
-    """Both ends of a TCP connection whose systems hold little: the front's, the member's."""
-    with socket.socket() as listener, socket.socket() as ours:
+    """Yields both ends of a TCP connection with small socket buffers: the front's end, then the cache's."""
+    with socket.socket() as listener, socket.socket() as front_socket:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        ours.connect(listener.getsockname())
-        ours.setblocking(False)
-        theirs, _ = listener.accept()
-        with theirs:
-            theirs.setblocking(False)
-            yield ours, theirs
+        front_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        front_socket.connect(listener.getsockname())
+        front_socket.setblocking(False)
+        cache_socket, _ = listener.accept()
+        with cache_socket:
+            cache_socket.setblocking(False)
+            yield front_socket, cache_socket
 
 
 def attempt_request(trace: str = "a" * 16, **more: Any) -> AttemptRequest:
@@ -45,32 +45,32 @@
 
 
 class Wire:
-    """A connection to a member, whose side is played by hand."""
+    """A front's connection to a cache, with the cache's end in the hands of the test."""
 
     def __init__(
         self,
         config: Config,
-        ours: socket.socket,
+        front_socket: socket.socket,
         endpoint: socket.socket,
         tasks: anyio.abc.TaskGroup,
         now: Callable[[], float],
     ) -> None:
         self.caches = CacheTransport(CachePool(config, DescriptorBudget(100, ELASTIC_POOLS)), now, ["page"])
         self.link, self.endpoint, self._tasks = (
-            CacheConnection(ours, self.caches.pool.report_names),
+            CacheConnection(front_socket, self.caches.pool.report_names),
             endpoint,
             tasks,
         )
         self.ends: list[AttemptEnd] = []
 
     async def send(self, message: bytes, outgoing: AttemptRequest) -> anyio.CancelScope:
-        """Begins an attempt; its end is added to `ends`, and cancelling what is given back gives it up."""
+        """Starts an attempt, and returns the scope that cancels it; its end is appended to `ends`."""
         return await self.attempt(outgoing.request.trace, lambda: [message], outgoing)
 
     async def attempt(
         self, name: str, write: Callable[[], Sequence[bytes]], outgoing: AttemptRequest
     ) -> anyio.CancelScope:
-        """The same with a message that is written down as it goes."""
+        """Starts an attempt like `send`, but `write` builds the message when it is about to be sent."""
         scope = anyio.CancelScope()
 
         async def attempt() -> None:
@@ -82,37 +82,40 @@
         return scope
 
     async def answer(self, data: bytes) -> None:
-        """Sends this, and waits until the front has read it and done what follows from it."""
-        whole = self.link.read_buffer.received + len(data)
+        """Sends data from the cache, and waits until the front has read and processed it."""
+        expected = self.link.read_buffer.received + len(data)
         self.endpoint.sendall(data)
         with anyio.fail_after(5):
-            while self.link.read_buffer.received < whole:
+            while self.link.read_buffer.received < expected:
                 await anyio.sleep(0.001)
         await anyio.wait_all_tasks_blocked()
 
     async def read(self, until: Callable[[bytes], bool]) -> bytes:
-        """What the member reads until this holds, or until the front's end: b'' is its last word."""
-        found = b""
+        """Reads at the cache's end until `until` holds for the data or the front has closed the connection.
+
+        Returns all data that was read.
+        """
+        received = b""
         with anyio.fail_after(5):
-            while not until(found):
+            while not until(received):
                 try:
-                    got = self.endpoint.recv(1 << 16)
+                    chunk = self.endpoint.recv(1 << 16)
                 except BlockingIOError:
                     await anyio.wait_readable(self.endpoint)
                     continue
                 except ConnectionResetError:
-                    break  # the front's end too: what its system had not sent is dropped
-                if not got:
+                    break  # the front closed the connection, and its unsent data was dropped
+                if not chunk:
                     break
-                found += got
-        return found
+                received += chunk
+        return received
 
 
 @contextlib.asynccontextmanager
 async def wire(config: Config | None = None, now: Callable[[], float] = time.time) -> AsyncIterator[Wire]:
-    with pair() as (ours, theirs):
+    with pair() as (front_socket, cache_socket):
         async with anyio.create_task_group() as tasks:
-            found = Wire(config or parse_config(configuration([])), ours, theirs, tasks, now)
+            found = Wire(config or parse_config(configuration([])), front_socket, cache_socket, tasks, now)
             tasks.start_soon(found.link.run)
             yield found
             tasks.cancel_scope.cancel()
--- a/tests/support/front_hooks.py
+++ b/tests/support/front_hooks.py
@@ -14,27 +14,27 @@
 
 
 def cores_of(monkeypatch: pytest.MonkeyPatch) -> list[Core]:
-    """The cores of the fronts that are started from now on."""
+    """Returns a list to which the core of each front started from now on is appended."""
     made: list[Core] = []
     init = Core.__init__
 
-    def keep(self: Core, *how: Any, **more: Any) -> None:
+    def record_and_init(self: Core, *how: Any, **more: Any) -> None:
         made.append(self)
         init(self, *how, **more)
 
-    monkeypatch.setattr(Core, "__init__", keep)
+    monkeypatch.setattr(Core, "__init__", record_and_init)
     return made
 
 
-def on_connect(monkeypatch: pytest.MonkeyPatch, act: Callable[[int], None]) -> None:
-    """Calls `act` with the connection's number when one to a member has come up, before anything is sent."""
+def on_connect(monkeypatch: pytest.MonkeyPatch, callback: Callable[[int], None]) -> None:
+    """Calls `callback` with a running number when a connection to a cache opens, before anything is sent."""
     made = 0
 
-    async def connecting(host: str, port: int) -> socket.socket:
+    async def connect_and_notify(host: str, port: int) -> socket.socket:
         nonlocal made
         sock = await connect(host, port)
         made += 1
-        act(made)
+        callback(made)
         return sock
 
-    monkeypatch.setattr(cache_pool, "connect", connecting)
+    monkeypatch.setattr(cache_pool, "connect", connect_and_notify)
--- a/tests/support/policy_fleet.py
+++ b/tests/support/policy_fleet.py
@@ -1,4 +1,4 @@
-"""Real replicas and fronts under a policy, with stub caches and clients at every front."""
+"""Runs real replicas and fronts under a policy, with stub caches and with clients at every front."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PolicyFleet:
-    """A rig with replicas, stub caches and fronts that serve under version 1."""
+    """Replicas, stub caches and fronts that follow the policy."""
 
     def __init__(self, r: Rig, caches: list[StubCache], tasks: anyio.abc.TaskGroup) -> None:
         self.r, self.caches, self._tasks = r, caches, tasks
@@ -40,32 +40,35 @@
     begun: bool = True,
     drift: float = 0.0,
 ) -> AsyncIterator[PolicyFleet]:
-    """Replicas, fronts and caches; at the end no booking may have run twice."""
+    """Starts replicas, fronts and caches, and checks at the end that no booking ran twice.
+
+    With `begun`, the fronts serve under policy version 1 when the block starts.
+    """
     async with rig(folder, drift) as r, anyio.create_task_group() as tasks:
         caches = [StubCache(f"s-{n:08x}", 0, marking) for n in (1, 2)]
         caches += [StubCache("s-000000a0", 1, marking), StubCache("s-000000b0", 2, marking)]
         for cache in caches:
             await tasks.start(cache.run)
         await r.replicas(replicas)
-        f = PolicyFleet(r, caches, tasks)
+        fleet = PolicyFleet(r, caches, tasks)
         for n in range(fronts):
-            f.fronts.append(f"f{n}")
+            fleet.fronts.append(f"f{n}")
             await r.front(f"f{n}", caches, cut_off)
         if begun:
             assert (await r.change(1)).outcome is ChangeOutcome.ACTIVATED
-            await r.serving(*f.fronts)
-        yield f
+            await r.serving(*fleet.fronts)
+        yield fleet
         tasks.cancel_scope.cancel()
-        written = Counter(e.name for cache in caches for e in cache.fetches if e.fields["cls"] == "booking")
-        assert not [name for name, times in written.items() if times > 1]  # no booking ran twice
+        bookings = Counter(e.name for cache in caches for e in cache.fetches if e.fields["cls"] == "booking")
+        assert not [name for name, count in bookings.items() if count > 1]
 
 
 def longest_pause(traffic: Traffic) -> float:
-    """The longest time for which a front that serves again had rejected every request, in seconds."""
-    longest, since = 0.0, dict[str, float]()
+    """Returns the longest time, in seconds, in which a front served no request before it served again."""
+    longest, rejected_since = 0.0, dict[str, float]()
     for asked in sorted(traffic.history, key=lambda a: a.ended):
         if asked.kind == "served":
-            longest = max(longest, asked.ended - since.pop(asked.front, asked.ended))
+            longest = max(longest, asked.ended - rejected_since.pop(asked.front, asked.ended))
         else:
-            since.setdefault(asked.front, asked.began)
+            rejected_since.setdefault(asked.front, asked.began)
     return longest
--- a/tests/support/raw_client.py
+++ b/tests/support/raw_client.py
@@ -1,4 +1,4 @@
-"""A client of the front's service whose bytes are written and read one by one."""
+"""A client of the front's service that writes and reads raw bytes on a socket."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @contextlib.contextmanager
 def plain(w: World) -> Iterator[socket.socket]:
-    """A client's socket itself: what is done with it is done before the front runs again."""
+    """Yields a client's non-blocking socket; calls on it take effect before the front's loop runs again."""
     with socket.create_connection(w.listening.clients) as sock:
         sock.setblocking(False)
         yield sock
@@ -28,7 +28,7 @@
 
 
 def request(seq: int, **fields: str) -> bytes:
-    said = {
+    defaults = {
         "route": "page",
         "trace": f"{seq:016x}",
         "patience": "2000",
@@ -36,26 +36,26 @@
         "slice": "0",
         "set": "1",
     }
-    return frame("handle", seq, b"\x0d\0\1" + thrift._texts(said | fields) + b"\x0b\0\2\0\0\0\0")
+    return frame("handle", seq, b"\x0d\0\1" + thrift._texts(defaults | fields) + b"\x0b\0\2\0\0\0\0")
 
 
 async def some(sock: socket.socket) -> bytes:
-    """What comes next."""
+    """Waits for data, and returns the next chunk."""
     with anyio.fail_after(5):
         await anyio.wait_readable(sock)
     return sock.recv(1 << 16)
 
 
 async def rest(sock: socket.socket) -> bytes:
-    """All that still comes until the peer's end; ConnectionResetError where it was reset."""
-    found = b""
+    """Reads until the front closes the connection; raises ConnectionResetError if it resets it."""
+    received = b""
     with anyio.fail_after(5):
         while True:
             try:
-                got = sock.recv(1 << 16)
+                chunk = sock.recv(1 << 16)
             except BlockingIOError:
                 await anyio.wait_readable(sock)
                 continue
-            if not got:
-                return found
-            found += got
+            if not chunk:
+                return received
+            received += chunk
--- a/tests/support/service_client.py
+++ b/tests/support/service_client.py
@@ -1,4 +1,4 @@
-"""A client of the front that speaks its service over one connection."""
+"""A client of the front's service that uses one connection."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 @dataclass
 class Reply:
-    """What came back: 'served', 'Throttled', 'Broken' or 'application'."""
+    """A reply of the front; `kind` is 'served', 'Throttled', 'Broken' or 'application'.
+
+    'Throttled' and 'Broken' are the service's exceptions; 'application' is Thrift's own exception.
+    """
 
     seq: int
     kind: str
@@ -27,7 +30,7 @@
 
 
 class Client:
-    """Speaks the service over one connection."""
+    """Calls the service over one connection. Replies may arrive in another order than the calls."""
 
     def __init__(self, stream: anyio.abc.SocketStream) -> None:
         self.stream, self.seq, self._data = stream, 0, b""
@@ -39,9 +42,10 @@
         return self.seq
 
     async def ask(self, body: bytes = b"", /, **fields: str) -> int:
-        said = {"route": "page", "trace": f"{self.seq + 1:016x}", "patience": "2000", "entity": KEY,
+        """Sends a request with these fields over the defaults, and returns its sequence number."""
+        sent = {"route": "page", "trace": f"{self.seq + 1:016x}", "patience": "2000", "entity": KEY,
                 "slice": "0", "set": "17"} | fields  # fmt: skip
-        args = b"\x0d\0\1" + thrift._texts(said) + b"\x0b\0\2" + struct.pack(">i", len(body)) + body
+        args = b"\x0d\0\1" + thrift._texts(sent) + b"\x0b\0\2" + struct.pack(">i", len(body)) + body
         return await self.send("handle", args)
 
     async def withdraw(self, seq: int) -> None:
@@ -50,8 +54,8 @@
     async def _exactly(self, size: int) -> bytes:
         while len(self._data) < size:
             self._data += await self.stream.receive()
-        found, self._data = self._data[:size], self._data[size:]
-        return found
+        data, self._data = self._data[:size], self._data[size:]
+        return data
 
     async def reply(self) -> Reply:
         r = thrift._Reader(await self._exactly(struct.unpack(">i", await self._exactly(4))[0]))
@@ -61,15 +65,15 @@
         if kind == thrift.EXCEPTION:
             return Reply(seq, "application")
         number = r.field()[1]
-        found = Reply(seq, ("served", "Throttled", "Broken")[number])
+        reply = Reply(seq, ("served", "Throttled", "Broken")[number])
         while (inner := r.field())[0] != thrift.STOP:
             if inner[0] == thrift.STRING:
-                found.body = bytes(r.take(r.i32()))
+                reply.body = bytes(r.take(r.i32()))
             elif inner[0] == thrift.MAP:
-                found.fields = r.texts()
+                reply.fields = r.texts()
             else:
-                found.good = bool(r.byte())
-        return found
+                reply.good = bool(r.byte())
+        return reply
 
 
 @contextlib.asynccontextmanager
--- a/tests/support/task_fleet.py
+++ b/tests/support/task_fleet.py
@@ -1,4 +1,4 @@
-"""Real replicas and fronts that push the fleet's figures to a receiver that knows fences."""
+"""Runs real replicas, and fronts that push the fleet's metrics to a receiver that checks fencing tokens."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass
 class Push:
-    """The content of one push."""
+    """The content of one push; `at` is the timestamp of its samples."""
 
     token: int
     at: int
@@ -34,7 +34,7 @@
 
 @dataclass
 class Receiver:
-    """A stand-in for whoever takes samples; it remembers the highest token of each task."""
+    """A stub remote-write receiver that rejects pushes whose token is lower than one it has seen."""
 
     fence: Fence = field(default_factory=Fence)
     pushes: list[Push] = field(default_factory=list)
@@ -47,27 +47,27 @@
         await listener.serve(self._connection)
 
     async def _connection(self, stream: anyio.abc.SocketStream) -> None:
-        talk, body, fence = h11.Connection(h11.SERVER), b"", ""
+        http, body, fence = h11.Connection(h11.SERVER), b"", ""
         with contextlib.suppress(anyio.EndOfStream, anyio.BrokenResourceError, h11.RemoteProtocolError):
             async with stream:
                 while True:
-                    event = talk.next_event()
+                    event = http.next_event()
                     if event is h11.NEED_DATA:
-                        talk.receive_data(await stream.receive())
+                        http.receive_data(await stream.receive())
                     elif isinstance(event, h11.Request):
                         fence = dict(event.headers)[b"x-zincladder-fence"].decode()
                     elif isinstance(event, h11.Data):
                         body += bytes(event.data)
                     elif isinstance(event, h11.EndOfMessage):
-                        status = self._take(fence, bytes(cramjam.snappy.decompress_raw(body)))
+                        status = self._record_push(fence, bytes(cramjam.snappy.decompress_raw(body)))
                         answer = h11.Response(status_code=status, headers=[("Content-Length", "0")])
                         parts = (answer, h11.EndOfMessage())
-                        await stream.send(b"".join(talk.send(part) or b"" for part in parts))
+                        await stream.send(b"".join(http.send(part) or b"" for part in parts))
                         return
                     else:
                         return
 
-    def _take(self, fence: str, payload: bytes) -> int:
+    def _record_push(self, fence: str, payload: bytes) -> int:
         task, _, token = fence.partition(" ")
         request = messages.parse_v2(payload)
         symbols = list(request.symbols)
@@ -88,53 +88,60 @@
         return sorted({p.token for p in self.accepted})
 
     def judge(self) -> None:
-        seen: list[Push] = self.accepted
-        assert [p.token for p in seen] == sorted(p.token for p in seen), "of two lease holders, interleaved"
-        times = [p.at for p in seen]
-        assert times == sorted(set(times)), "twice, or out of order"
-        for before, after in pairwise(seen):
+        """Checks that accepted pushes are ordered by token and time, and that their totals never decrease."""
+        pushes: list[Push] = self.accepted
+        assert [p.token for p in pushes] == sorted(p.token for p in pushes), (
+            "pushes of two lease holders are interleaved"
+        )
+        times = [p.at for p in pushes]
+        assert times == sorted(set(times)), "pushes are repeated or out of order"
+        for before, after in pairwise(pushes):
             for series, value in before.totals.items():
-                assert after.totals[series] >= value, f"{series} fell"
+                assert after.totals[series] >= value, f"the total of {series} decreased"
 
 
 class TaskFleet:
-    """A rig with replicas and fronts that all offer to push the fleet's figures."""
+    """Replicas, and fronts that all offer to run the task that pushes the fleet's metrics."""
 
     def __init__(self, r: Rig, receiver: Receiver, caches: list[StubCache]) -> None:
         self.r, self.receiver, self.caches = r, receiver, caches
         self.fronts: list[str] = []
 
     async def add(self, name: str, port: int = 0) -> Process:
-        way = await self.r.relay(name, "receiver")
-        way.target = self.receiver.port
-        lines = ['wants = ["figures"]', "[duties.figures]", f'url = "http://127.0.0.1:{way.port}/push"',
+        relay = await self.r.relay(name, "receiver")
+        relay.target = self.receiver.port
+        lines = ['wants = ["figures"]', "[duties.figures]", f'url = "http://127.0.0.1:{relay.port}/push"',
                  f"every_s = {PUSH_INTERVAL_SECONDS}"]  # fmt: skip
         self.fronts.append(name)
         return await self.r.front(name, self.caches, port=port, duties=lines)
 
-    async def holder(self, *but: str) -> str:
-        """Whoever says that it holds the lease now."""
+    async def holder(self, *excluded: str) -> str:
+        """Waits until a running front that is not in `excluded` reports that it holds the lease.
+
+        Returns its name.
+        """
 
-        async def found() -> str:
+        async def find_holder() -> str:
             for name in self.fronts:
                 process = self.r.processes[name]
-                if name in but or process.popen is None or process.stopped:
+                if name in excluded or process.popen is None or process.stopped:
                     continue
                 if "app.duty_owned=1" in await self.r.told(name, b"STATS\n"):
                     return name
             return ""
 
-        return str(await self.r.until("somebody holds the lease", found))
+        return str(await self.r.until("a front holds the lease", find_holder))
 
     async def more(self, count: int = 3, after: int = 0) -> None:
-        """Waits for so many more accepted pushes under a newer token."""
-        wanted = sum(p.token > after for p in self.receiver.accepted) + count
+        """Waits until `count` more pushes with a token higher than `after` have been accepted."""
+        expected = sum(p.token > after for p in self.receiver.accepted) + count
         await self.r.until(
-            "pushes go on", lambda: sum(p.token > after for p in self.receiver.accepted) >= wanted
+            "more pushes are accepted",
+            lambda: sum(p.token > after for p in self.receiver.accepted) >= expected,
         )
 
     def vacancies(self) -> list[str]:
-        """Why tasks became vacant, by the replicas' logs."""
+        """Returns the reasons for which tasks became vacant, from the replicas' logs."""
         replicas = [p for n, p in self.r.processes.items() if n.startswith("k")]
         return [
             line["vacancy_reason"]
@@ -149,10 +156,13 @@
 
 @contextlib.asynccontextmanager
 async def task_fleet(folder: Path, fronts: int = 3, drift: float = 0.0) -> AsyncIterator[TaskFleet]:
-    """Three keepers, some fronts, traffic at all of them, and a lease holder that pushes."""
+    """Starts three replicas, and fronts with traffic, one of which holds the lease and pushes.
+
+    Checks the accepted pushes at the end.
+    """
     async with rig(folder, drift) as r, anyio.create_task_group() as tasks:
         receiver = Receiver()
-        # All say the same: where the cache is slow the front goes straight to the parent or the origin.
+        # All of them answer alike, because a front bypasses a slow cache for the parent or the origin.
         caches = [
             StubCache(name, kind, marking)
             for kind, name in enumerate(("s-00000001", "s-000000a0", "s-000000b0"))
@@ -161,11 +171,11 @@
         for cache in caches:
             await tasks.start(cache.run)
         await r.replicas(3)
-        c = TaskFleet(r, receiver, caches)
+        fleet = TaskFleet(r, receiver, caches)
         for n in range(fronts):
-            await c.add(f"f{n}")
-        Traffic(r, tasks, c.fronts, each=1, pause=0.05)
-        await c.more()
-        yield c
+            await fleet.add(f"f{n}")
+        Traffic(r, tasks, fleet.fronts, each=1, pause=0.05)
+        await fleet.more()
+        yield fleet
         tasks.cancel_scope.cancel()
         receiver.judge()
