--- a/zincladder/admission/connection_control.py
+++ b/zincladder/admission/connection_control.py
@@ -5,7 +5,7 @@
 from zincladder.admission.connection_rates import ConnectionRates
 from zincladder.admission.descriptor_budget import DescriptorUse
 from zincladder.admission.interface import ADMITTED
-from zincladder.admission.loop_costs import CONNECTION_SECONDS, REJECTION_SECONDS
+from zincladder.admission.loop_costs import ADMITTED_CONNECTION_SECONDS, REJECTED_CONNECTION_SECONDS
 from zincladder.admission.model import (
     ConnectionSlot,
     Decision,
@@ -133,7 +133,7 @@
         # `_value_` instead of `value`, which costs a function call.
         label, rejected = reason._value_, self._state.counters.rejected_connections
         rejected[label] = rejected.get(label, 0) + 1
-        self._state.read_queue.charge_shared(REJECTION_SECONDS)
+        self._state.read_queue.charge_shared(REJECTED_CONNECTION_SECONDS)
         return Decision(REJECT, reason, key, lane)
 
     def record_expired(self, decision: Decision) -> None:
@@ -156,7 +156,7 @@
         state.sources.add_slot(source)
         by_network = state.slots_by_network
         by_network[source.network_key] = by_network.get(source.network_key, 0) + 1
-        state.read_queue.charge_shared(CONNECTION_SECONDS)
+        state.read_queue.charge_shared(ADMITTED_CONNECTION_SECONDS)
         slot = ConnectionSlot(source, lane)
         state.idle_slots.add(slot, now)
         return slot
--- a/zincladder/admission/fair_queue.py
+++ b/zincladder/admission/fair_queue.py
@@ -20,8 +20,10 @@
 QUANTUM_SECONDS = REQUEST_SECONDS  # loop time that a flow earns per round
 RATE_DECREASE_LAG_SECONDS = 0.025  # above this delay of the event loop, the rate is decreased
 MIN_RATE, MAX_RATE = 0.08, 0.9  # seconds of loop time per second
-RATE_DECREASE_FACTOR = 0.96  # per dispatch while the event loop lags
-RATE_INCREASE = 0.004  # per dispatch while it does not; three times this while nothing is queued
+# While the event loop lags, each dispatch multiplies the rate by the factor. Otherwise each dispatch adds the
+# increase, three times while nothing is queued.
+RATE_DECREASE_FACTOR = 0.96
+RATE_INCREASE = 0.004
 MAX_CREDITED_INTERVAL_SECONDS = 0.1  # a longer time between dispatches, as after a pause, earns no more
 MIN_LIMITED_SHARE = 0.01  # share of the lane of sources under a penalty
 MIN_CALIBRATION_SECONDS = 0.05  # a measurement with less work than this is too inaccurate
--- a/zincladder/admission/loop_costs.py
+++ b/zincladder/admission/loop_costs.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-MESSAGE_SECONDS = 150e-6  # to read, parse and reject a message
-REQUEST_SECONDS = 900e-6  # for a whole request: reading its message, the work on it and its answer
-SECONDS_PER_BYTE = 1.2e-9  # to send a large answer
-CONNECTION_SECONDS = 450e-6  # to admit a connection
-REJECTION_SECONDS = 30e-6  # to reject a connection
+REJECTED_MESSAGE_SECONDS = 150e-6  # reading, parsing and rejecting a message
+REQUEST_SECONDS = 900e-6  # a whole request: reading its message, the work on it and its answer
+SECONDS_PER_SENT_BYTE = 1.2e-9  # sending a large answer
+ADMITTED_CONNECTION_SECONDS = 450e-6
+REJECTED_CONNECTION_SECONDS = 30e-6
--- a/zincladder/admission/model.py
+++ b/zincladder/admission/model.py
@@ -38,7 +38,7 @@
     """Why a connection or request was rejected or a slot was evicted; the value is a metric label."""
 
     NONE = "none"
-    BLOCKED = "blocked"  # by the operator
+    BLOCKED = "blocked"  # the operator has blocked the source
     RATE_LIMIT = "rate"  # too many new connections per second
     ADDRESS_CAP = "address_cap"
     NETWORK_CAP = "network_cap"
--- a/zincladder/admission/reputation.py
+++ b/zincladder/admission/reputation.py
@@ -9,7 +9,7 @@
 from zincladder.admission.state import KNOWN, LIMITED, LISTED, NEW, AdmissionState
 
 MAX_STRIKES = 8.0  # a source with this many strikes gets a penalty
-STRIKES_FORGIVEN = 0.05  # per served request
+STRIKES_FORGIVEN_PER_SERVED_REQUEST = 0.05
 STRIKES_HALF_LIFE_SECONDS = 10.0
 PENALTY_LEVEL_HALF_LIFE_SECONDS = 60.0
 LOOP_USE_HALF_LIFE_SECONDS = 5.0
@@ -67,7 +67,7 @@
         """
         source.served += 1
         if source.strikes > 0.0:
-            source.strikes = max(0.0, source.strikes - STRIKES_FORGIVEN)
+            source.strikes = max(0.0, source.strikes - STRIKES_FORGIVEN_PER_SERVED_REQUEST)
         if (
             now - source.last_earned_at >= EARNING_INTERVAL_SECONDS
             and now - source.last_overuse_at > EARNING_INTERVAL_SECONDS
--- a/zincladder/admission/request_control.py
+++ b/zincladder/admission/request_control.py
@@ -4,7 +4,7 @@
 
 from math import log
 
-from zincladder.admission.loop_costs import MESSAGE_SECONDS, REQUEST_SECONDS, SECONDS_PER_BYTE
+from zincladder.admission.loop_costs import REJECTED_MESSAGE_SECONDS, REQUEST_SECONDS, SECONDS_PER_SENT_BYTE
 from zincladder.admission.model import ConnectionSlot, RejectionReason
 from zincladder.admission.reputation import LOOP_USE_HALF_LIFE_SECONDS, Reputation
 from zincladder.admission.state import KNOWN, LIMITED, LISTED, NEW, AdmissionState
@@ -13,7 +13,7 @@
 MAX_LOOP_LAG_FOR_NEW_SECONDS = 0.25  # above this, all sources in the NEW lane are rejected
 LARGE_ANSWER_BYTES = 16_384  # sending an answer larger than this is charged separately
 # Charged for a message that opened no request; negative, as the cost of a request was charged in advance.
-UNUSED_COST_SECONDS = MESSAGE_SECONDS - REQUEST_SECONDS
+UNUSED_COST_SECONDS = REJECTED_MESSAGE_SECONDS - REQUEST_SECONDS
 # Enum members as module constants, because they are faster to look up (see `state`).
 NONE, NO_CAPACITY, OVER_SHARE = (
     RejectionReason.NONE,
@@ -111,7 +111,7 @@
         """
         state, source = self._state, slot.source
         if size > LARGE_ANSWER_BYTES:
-            state.read_queue.charge(slot.lane, size * SECONDS_PER_BYTE)
+            state.read_queue.charge(slot.lane, size * SECONDS_PER_SENT_BYTE)
         source.open_requests -= 1
         slot.open_requests -= 1
         state.open_requests -= 1
--- a/zincladder/admission/source_admission.py
+++ b/zincladder/admission/source_admission.py
@@ -22,7 +22,7 @@
 
 # If the clock goes back by more than this between two ticks, recorded times are shifted.
 MAX_CLOCK_STEP_BACK_SECONDS = 0.5
-IDLE_TICK_SECONDS = 0.03  # while nothing waits, a tick sooner than this after the last one does nothing
+MIN_IDLE_TICK_INTERVAL_SECONDS = 0.03  # while nothing waits, an earlier tick does nothing
 
 
 class SourceAdmission:
@@ -159,7 +159,7 @@
             self._shift_times(self._ticked_at - now, now)
         state.loop_lag = loop_lag
         is_idle = not (self._reads.waiting_slots or state.evictions or self.descriptors.excess)
-        if is_idle and 0.0 <= now - self._ticked_at < IDLE_TICK_SECONDS:
+        if is_idle and 0.0 <= now - self._ticked_at < MIN_IDLE_TICK_INTERVAL_SECONDS:
             return EMPTY_TICK_RESULT
         self._ticked_at = now
         result = TickResult()
--- a/zincladder/admission/source_table.py
+++ b/zincladder/admission/source_table.py
@@ -7,7 +7,7 @@
 from zincladder.admission.lrfu import LrfuSet
 from zincladder.admission.model import Source
 
-HALF_LIFE_SECONDS = 20.0  # of the access counts that decide which source is removed
+ACCESS_COUNT_HALF_LIFE_SECONDS = 20.0  # the access counts decide which source is removed
 # Fractions of the table that known sources and sources under a penalty may fill.
 MAX_KNOWN_FRACTION, MAX_LIMITED_FRACTION = 0.5, 0.25
 
@@ -23,9 +23,9 @@
     def __init__(self, max_sources: int) -> None:
         self.max_sources = max_sources
         self._sources: dict[int, Source] = {}
-        self._transient = LrfuSet(HALF_LIFE_SECONDS)
-        self._known = LrfuSet(HALF_LIFE_SECONDS)
-        self._limited = LrfuSet(HALF_LIFE_SECONDS)
+        self._transient = LrfuSet(ACCESS_COUNT_HALF_LIFE_SECONDS)
+        self._known = LrfuSet(ACCESS_COUNT_HALF_LIFE_SECONDS)
+        self._limited = LrfuSet(ACCESS_COUNT_HALF_LIFE_SECONDS)
         self.find = self._sources.get  # returns the source of a key, or None
 
     def __len__(self) -> int:
--- a/zincladder/cli/replica.py
+++ b/zincladder/cli/replica.py
@@ -18,7 +18,7 @@
     # The command imports this when it runs, so that others start without the network libraries it loads.
     from zincladder.consensus.lease_timing import LeaseTiming
 
-TRANSFER_TIMEOUT_SECONDS = 2.0  # for another replica to become leader at a graceful shutdown
+LEADERSHIP_TRANSFER_TIMEOUT_SECONDS = 2.0  # a graceful shutdown waits so long for a new leader
 
 
 @click.command()
@@ -100,7 +100,7 @@
                     log.info("metrics", listen=await tasks.start(exporter.run))
                 async for _ in signals:
                     break
-                await server.transfer_leadership(TRANSFER_TIMEOUT_SECONDS)
+                await server.transfer_leadership(LEADERSHIP_TRANSFER_TIMEOUT_SECONDS)
                 tasks.cancel_scope.cancel()
     finally:
         store.close()
--- a/zincladder/config/limits.py
+++ b/zincladder/config/limits.py
@@ -9,9 +9,9 @@
 
 DEFAULT_MEMORY_MB = 192  # the least that the platform guarantees; so is DEFAULT_SOCKETS
 DEFAULT_SOCKETS = 1024
-PROCESS_BASE_MB = 22  # of one process under load, without its requests
+PROCESS_BASE_MB = 22  # a process under load, without its requests
 RESERVED_MB = 6  # kept free, whatever the number of processes
-MIN_REQUESTS_MB = 4  # for the requests of one process, even if the memory is too small
+MIN_REQUESTS_MB_PER_PROCESS = 4  # the minimum holds even if the memory is too small
 OPEN_REQUEST_KB = 100  # assumed for an open request; most of them wait and hold no body yet
 UNREAD_ANSWERS_DIVISOR = 2  # the memory for requests divided by this may hold unread answers
 
@@ -19,7 +19,7 @@
 def request_limits(memory_mb: int, processes: int) -> tuple[int, int]:
     """Returns, for each process, the maximum number of open requests and of bytes of answers left unread."""
     per_process_mb = (memory_mb - RESERVED_MB - processes * PROCESS_BASE_MB) // processes
-    request_bytes = max(MIN_REQUESTS_MB, per_process_mb) << 20
+    request_bytes = max(MIN_REQUESTS_MB_PER_PROCESS, per_process_mb) << 20
     return request_bytes // (OPEN_REQUEST_KB << 10), request_bytes // UNREAD_ANSWERS_DIVISOR
 
 
--- a/zincladder/config/model.py
+++ b/zincladder/config/model.py
@@ -10,7 +10,7 @@
 
 Address = tuple[str, int]  # host and port
 
-MAX_BODY_BYTES = 240_000  # of one answer of a cache, which holds one part of an object
+MAX_BODY_BYTES = 240_000  # the body of a cache's answer, which holds one part of an object
 
 
 @dataclass(frozen=True, slots=True)
--- a/zincladder/config/operator.py
+++ b/zincladder/config/operator.py
@@ -37,7 +37,7 @@
 )
 
 DEFAULT_HTTP_PORT = 80
-MAX_COMBINED_SHARE = 0.99  # of known and new sources together; the rest is left for sources under a penalty
+MAX_KNOWN_AND_NEW_SHARE = 0.99  # the rest is left for sources under a penalty
 MAX_SHOWN_LENGTH = 40  # characters of a faulty value in an error text
 
 
@@ -199,7 +199,7 @@
 
 
 def _check_admission(table: AdmissionTable) -> None:
-    if table.known_share + table.new_share > MAX_COMBINED_SHARE:
+    if table.known_share + table.new_share > MAX_KNOWN_AND_NEW_SHARE:
         raise ConfigError(
             "'admission.new_share' and 'known_share' must leave 0.01 for sources under a penalty"
         )
--- a/zincladder/config/replica.py
+++ b/zincladder/config/replica.py
@@ -14,7 +14,8 @@
 
 MS_PER_SECOND = 1000
 MIN_RENEWALS_PER_LEASE = 3
-MIN_RENEWALS_BEFORE_ACTION = 2  # in the part of a lease that is left after clock drift and 'act_s'
+# Renewals that have to fit in the part of a lease that is left after clock drift and 'act_s'.
+MIN_RENEWALS_BEFORE_ACTION = 2
 MIN_HEARTBEATS_PER_ELECTION = 4
 FOUNDER_COUNTS = (0, 1, 3, 5, 7)  # an even number of voters tolerates no more failures than one voter less
 T = TypeVar("T")
--- a/zincladder/config/settings.py
+++ b/zincladder/config/settings.py
@@ -17,7 +17,7 @@
 }
 SCOPE_WORDS = {scope.value: scope for scope in api.Scope}
 PEER_FILL_WORDS = {fill.value: fill for fill in api.PeerFill}
-FILL_FAULTS_REPORTED = {"all": True, "hit": False, "off": False}  # by the value of 'detail'
+FILL_FAULTS_REPORTED_BY_DETAIL = {"all": True, "hit": False, "off": False}
 KNOWN_WEIGHT_SOURCES = ("nominal", "rough")  # values of 'weightSource' that mean that weights are known
 # The router's names for the fields of a load report, by their names on the wire; other names stay unchanged.
 LOAD_REPORT_NAMES = {"rif": "held", "inflight": "held", "q": "queued", "queue": "queued", "x0": "hits",
@@ -71,7 +71,7 @@
         max_retry_after=ceilings.number("maxRetryAfter", 0.0),
         may_bypass_caches=domain.flag("mayPassBy"),
         coalesces_fills=domain.flag("mergesFills"),
-        fill_faults_reported=domain.choice("detail", FILL_FAULTS_REPORTED, True),
+        fill_faults_reported=domain.choice("detail", FILL_FAULTS_REPORTED_BY_DETAIL, True),
         peer_fill=domain.choice("peersFill", PEER_FILL_WORDS, api.PeerFill.OFF),
         origin_overload_factor=domain.number("originStopsAt", 0.0),
         origin_overload_seconds=domain.number("rootFall", 0.0),
--- a/zincladder/consensus/leader_services.py
+++ b/zincladder/consensus/leader_services.py
@@ -28,7 +28,7 @@
 from zincladder.links.frames import Hello
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-MAX_QUEUED_MESSAGES = 64  # per link; processes repeat a request whose reply was dropped
+MAX_QUEUED_MESSAGES_PER_LINK = 64  # processes repeat a request whose reply was dropped
 RETRY_SECONDS = 0.1  # delay after a failed write
 MIN_WAIT_SECONDS = 0.005
 COMMIT_ERRORS = (NotLeaderError, BusyError, CommitUnknownError)
@@ -221,7 +221,7 @@
             await link.send(self.not_leader_message(self.replica.node.leader))
             return
         self._last_number += 1
-        number, queue = self._last_number, SendQueue(MAX_QUEUED_MESSAGES)
+        number, queue = self._last_number, SendQueue(MAX_QUEUED_MESSAGES_PER_LINK)
         with anyio.CancelScope() as scope:
             self.links[number] = LinkedProcess(queue, scope)
             try:
--- a/zincladder/consensus/log_replication.py
+++ b/zincladder/consensus/log_replication.py
@@ -15,7 +15,7 @@
 from zincladder.consensus.snapshot_transfer import send_chunk
 
 MAX_ENTRIES_PER_MESSAGE = 256
-MAX_ENTRIES_BYTES = 256 << 10  # per message; a single larger entry is still sent
+MAX_ENTRY_BYTES_PER_MESSAGE = 256 << 10  # a single larger entry is still sent
 
 
 def handle_append_entries(state: RaftState, message: AppendEntries, sender: str) -> None:
@@ -73,7 +73,9 @@
         peer.snapshot = None
         entries: tuple[Entry, ...] = ()
         if not peer.awaiting_response:
-            entries = state.log.entries_from(peer.next_index, MAX_ENTRIES_PER_MESSAGE, MAX_ENTRIES_BYTES)
+            entries = state.log.entries_from(
+                peer.next_index, MAX_ENTRIES_PER_MESSAGE, MAX_ENTRY_BYTES_PER_MESSAGE
+            )
         peer.awaiting_response |= bool(entries)
         prev_index = peer.next_index - 1
         prev_term = state.log.term_at(prev_index)
--- a/zincladder/consensus/peer_links.py
+++ b/zincladder/consensus/peer_links.py
@@ -21,7 +21,7 @@
 
 REPLICA_ROLE = "keeper"  # the role in the Hello of a replica; part of the link protocol
 MAX_UNCONFIRMED_PEERS = 16  # replicas that a new replica accepts before it knows the group's members
-MAX_QUEUED_MESSAGES = 256  # per member
+MAX_QUEUED_MESSAGES_PER_MEMBER = 256
 OTHER_DIRECTORY_REASON = "its directory is not the one that {}; remove it and add it anew"
 log = structlog.get_logger()
 
@@ -77,7 +77,7 @@
                 del self._dialed[name]
         for name, address in wanted.items():
             if name not in self._dialed:
-                peer = DialedPeer(address, anyio.CancelScope(), SendQueue(MAX_QUEUED_MESSAGES))
+                peer = DialedPeer(address, anyio.CancelScope(), SendQueue(MAX_QUEUED_MESSAGES_PER_MEMBER))
                 self._dialed[name] = peer
                 tasks.start_soon(self._maintain_link, name, peer)
 
@@ -142,7 +142,7 @@
         """Serves the link of a replica that has connected to this one, until the link fails."""
         if not await self._disk.remember_peer(hello.name, hello.instance_id):
             return
-        queue = self._accepted_queues[hello.name] = SendQueue(MAX_QUEUED_MESSAGES)
+        queue = self._accepted_queues[hello.name] = SendQueue(MAX_QUEUED_MESSAGES_PER_MEMBER)
         try:
             await self._run_link(link, hello.name, queue)
         except* HandshakeRejectedError as errors:
--- a/zincladder/consensus/rpc_service.py
+++ b/zincladder/consensus/rpc_service.py
@@ -13,7 +13,7 @@
 from zincladder.consensus.raft import RaftNode
 from zincladder.links.connection import Link
 
-MAX_VALUES_BYTES = 900_000  # per response, which has to fit a frame
+MAX_VALUES_BYTES = 900_000  # the values of a response, which has to fit a frame
 
 
 class Replica(Protocol):
--- a/zincladder/control/accept_loop.py
+++ b/zincladder/control/accept_loop.py
@@ -9,7 +9,7 @@
 import anyio
 import anyio.lowlevel
 
-# The delay after a failed accept: the system is out of descriptors, and one may be freed soon.
+# The delay after a failed accept: no file descriptor is left, and one may be freed soon.
 ACCEPT_RETRY_SECONDS = 0.05
 
 
--- a/zincladder/control/status_calls.py
+++ b/zincladder/control/status_calls.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 
 MAX_LINE_BYTES = 256
-MAX_SHOWN_BYTES = 20  # of an unknown call that the answer repeats
+MAX_SHOWN_CALL_BYTES = 20  # an answer repeats the beginning of an unknown call
 READY, STATS = b"READY", b"STATS"
 
 Statistics = Iterable[tuple[str, int]]
@@ -29,7 +29,7 @@
             return self._answer_ready()
         if call == STATS:
             return self._answer_stats()
-        shown = call[:MAX_SHOWN_BYTES].decode("ascii", "backslashreplace")
+        shown = call[:MAX_SHOWN_CALL_BYTES].decode("ascii", "backslashreplace")
         return f"FAILURE no call {shown!r}, only READY and STATS\n".encode()
 
     def _answer_ready(self) -> bytes:
--- a/zincladder/core/clock.py
+++ b/zincladder/core/clock.py
@@ -8,7 +8,7 @@
 class Clock:
     """A clock that starts at the Unix time and advances with the monotonic clock.
 
-    It never steps, so that an adjustment of the system's clock does not move the deadlines of open requests.
+    It never steps, so that an adjustment of the wall clock does not move the deadlines of open requests.
     """
 
     def __init__(self) -> None:
--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -36,9 +36,10 @@
 from zincladder.routing.router import Router
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-LIST_WAIT_FRACTION = 0.45  # of a request's time, to wait for a current list; its client can still retry
+# The fraction of a request's time for which it may wait for a current list; its client can still retry.
+LIST_WAIT_FRACTION = 0.45
 ATTEMPT_LIST_WAIT_SECONDS = 0.2  # the same wait for a retry; less than timeouts that count against endpoints
-CANCEL_SCOPE_MARGIN_SECONDS = 0.001  # from the deadline of an attempt to its cancellation
+CANCEL_SCOPE_MARGIN_SECONDS = 0.001  # an attempt is cancelled so long after its deadline
 REPLACED_CLASS_RETRY_AFTER_SECONDS = 0.05  # sent to a client whose request was read under replaced settings
 log = structlog.get_logger()
 
--- a/zincladder/core/loop_monitor.py
+++ b/zincladder/core/loop_monitor.py
@@ -9,7 +9,7 @@
 
 from zincladder.core.arrival import LoopTurns
 
-TICK_SECONDS = 0.01  # from tick to tick; the core fires timers at each tick
+TICK_INTERVAL_SECONDS = 0.01  # the core fires timers at each tick
 STALL_SECONDS = 0.1  # a process that is later counts as stalled; its timeouts prove nothing about endpoints
 # Iterations of the event loop from the arrival of an answer to the router's event: poll the socket, read the
 # answer, resume the task of the attempt, notify the router.
@@ -33,12 +33,12 @@
     async def sleep_until_tick(self) -> float:
         """Sleeps for one tick; returns for how many seconds the process stalled since the last tick, or 0."""
         sleep_started_at = monotonic()
-        await anyio.sleep(TICK_SECONDS)
+        await anyio.sleep(TICK_INTERVAL_SECONDS)
         now = monotonic()
-        lag, previous_lag = now - sleep_started_at - TICK_SECONDS, self._last_lag_seconds
+        lag, previous_lag = now - sleep_started_at - TICK_INTERVAL_SECONDS, self._last_lag_seconds
         self._last_lag_seconds, self.lag_seconds = lag, min(lag, previous_lag)
         # Measured from tick to tick, because a stall may also occur between two sleeps.
-        stalled, self._ticked_at = now - self._ticked_at - TICK_SECONDS, now
+        stalled, self._ticked_at = now - self._ticked_at - TICK_INTERVAL_SECONDS, now
         if stalled <= STALL_SECONDS:
             return 0.0
         self.stalled_seconds += stalled
--- a/zincladder/core/statistics.py
+++ b/zincladder/core/statistics.py
@@ -21,8 +21,8 @@
     )
 )
 NOT_SENT_ENDS = frozenset((EndReason.LOST_BEFORE_SEND, EndReason.DRAINING))
-MAX_CLASSES = 64  # for which statistics are kept, removed classes included
-SILENCE_EXPIRY_SECONDS = 30.0  # after the last message to an endpoint, when its silence no longer counts
+MAX_CLASSES = 64  # request classes with statistics, removed ones included
+SILENCE_EXPIRY_SECONDS = 30.0  # an endpoint's silence no longer counts so long after the last message to it
 
 
 @dataclass(slots=True)
--- a/zincladder/discovery/freshness.py
+++ b/zincladder/discovery/freshness.py
@@ -26,7 +26,7 @@
 # service.
 INITIAL_SYNC_SECONDS = 3.0
 RESYNC_SECONDS = 1.6  # longest wait for a later frame: a stalled coordinator must not stop the whole fleet
-MAX_FAILED_ATTEMPTS = 3  # in a row: a connect may fail briefly, and a watch may be interrupted once
+MAX_FAILED_ATTEMPTS = 3  # failures in a row: a connect may fail briefly, a watch may be interrupted once
 # Share of the minimum grace during which a front still decides by its previous data after a catch-up request.
 MAX_GRACE_SHARE = 0.5
 
--- a/zincladder/dns/answers.py
+++ b/zincladder/dns/answers.py
@@ -29,7 +29,7 @@
 # The flags in the third byte of a header (RFC 1035, 4.1.1).
 QR_FLAG, TC_FLAG = 0x80, 0x02
 COPIED_FLAGS = 0x79  # the opcode and RD, which a response copies from its query
-MAX_LOGGED_CHARACTERS = 120  # of an error text, which may quote the query
+MAX_LOGGED_ERROR_CHARACTERS = 120  # an error text may quote the query
 SERVICE = dns.name.from_text("_rpc._tcp", origin=None)
 log = structlog.get_logger()
 
@@ -100,7 +100,7 @@
         except dns.message.UnknownTSIGKey:
             return self._header_only(data, dns.rcode.NOTAUTH)
         except (dns.exception.DNSException, ValueError, NotImplementedError) as error:
-            reason = f"{type(error).__name__}: {error}"[:MAX_LOGGED_CHARACTERS]
+            reason = f"{type(error).__name__}: {error}"[:MAX_LOGGED_ERROR_CHARACTERS]
             log.info("dns query malformed", reason=reason)
             return self._header_only(data, dns.rcode.FORMERR)
         if query.opcode() != dns.opcode.QUERY:
--- a/zincladder/dns/server.py
+++ b/zincladder/dns/server.py
@@ -25,11 +25,11 @@
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 IDLE_TIMEOUT_SECONDS = 5.0  # over TCP, to receive a whole query and to write a response
-LENGTH_PREFIX_BYTES = 2  # of each message over TCP (RFC 1035, 4.2.2)
+LENGTH_PREFIX_BYTES = 2  # each message over TCP begins with its length (RFC 1035, 4.2.2)
 MAX_QUERY_BYTES = 4096  # over UDP
 ACCEPT_RETRY_SECONDS = 0.01
 LISTEN_BACKLOG = 64  # connections that wait to be accepted
-MAX_DATAGRAMS_IN_A_ROW = 64  # then the server waits for the socket again, and other tasks can run
+MAX_DATAGRAMS_IN_A_ROW = 64  # after so many the server waits for the socket again, and other tasks can run
 log = structlog.get_logger()
 
 
@@ -51,7 +51,7 @@
         """Binds both sockets.
 
         Args:
-            listen: The address of both; the system chooses a port if it is 0.
+            listen: The address of both; the operating system chooses a port if it is 0.
             answers: Builds the responses.
             clock: The core's clock, which gives the arrival times of queries.
             admission: Decides which datagrams are answered and which connections are accepted.
@@ -123,7 +123,7 @@
                     data, peer = self._udp.recvfrom(MAX_QUERY_BYTES)
                 except (BlockingIOError, InterruptedError):
                     break
-                except OSError:  # the system reports that an earlier response was not delivered
+                except OSError:  # the kernel reports that an earlier response was not delivered
                     continue
                 response = self._respond_to_datagram(data, peer[0])
                 if response is not None:
--- a/zincladder/export/spool.py
+++ b/zincladder/export/spool.py
@@ -18,7 +18,7 @@
 SEGMENT_NAME = re.compile(r"(\d{20})\.seg")
 CURSOR_NAME = "cursor"
 CURSOR_SLOTS = 2
-SEGMENTS_OF_FULL_SPOOL = 8  # if the spool is full, the oldest of them is dropped
+SEGMENTS_OF_FULL_SPOOL = 8  # the oldest segment of a full spool is dropped
 MIN_SEGMENT_BYTES = 64 << 10
 FOLDER_MODE, FILE_MODE = 0o700, 0o600
 
--- a/zincladder/handover/host.py
+++ b/zincladder/handover/host.py
@@ -19,7 +19,7 @@
 from zincladder.config import Address
 from zincladder.handover.model import MAX_HELLO_BYTES, Hello, HelloError, ProcessGenerations, decode
 
-EXCHANGE_TIMEOUT_SECONDS = 1.0  # to receive the message of the other process
+EXCHANGE_TIMEOUT_SECONDS = 1.0  # a process waits so long for the message of the other one
 POLL_SECONDS = 1.0  # between two checks whether the rendezvous path must be published again
 BACKLOG = 2
 MAX_DESCRIPTORS = 4  # received with one message
--- a/zincladder/leases/renewals.py
+++ b/zincladder/leases/renewals.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-DEFAULT_INTERVAL_SECONDS = 1.0  # until the first granted lease sets the interval
+INITIAL_RENEWAL_INTERVAL_SECONDS = 1.0  # the first granted lease sets another interval
 MAX_PENDING = 16
 
 
@@ -14,7 +14,7 @@
     """
 
     def __init__(self, now: float) -> None:
-        self.interval_seconds = DEFAULT_INTERVAL_SECONDS
+        self.interval_seconds = INITIAL_RENEWAL_INTERVAL_SECONDS
         self.next_at = now
         self.serial = 0  # number of the latest request
         self.requested_at: dict[int, float] = {}  # when each unanswered request was sent, by serial
--- a/zincladder/links/connection.py
+++ b/zincladder/links/connection.py
@@ -25,7 +25,7 @@
     encode_frame,
 )
 
-IO_TIMEOUT_SECONDS = 2.0  # for connecting with the handshake, and for sending one message
+IO_TIMEOUT_SECONDS = 2.0  # connecting with the handshake may take so long, and so may sending a message
 READ_BYTES = 64 << 10
 MAX_REASON_LENGTH = 300
 MIN_BACKOFF_SECONDS = 0.05
--- a/zincladder/metrics/exporter.py
+++ b/zincladder/metrics/exporter.py
@@ -14,7 +14,7 @@
 from zincladder.admission.model import RejectionReason
 from zincladder.config import Address
 
-EXCHANGE_TIMEOUT_SECONDS = 10.0  # from accepting a connection to sending its whole response
+EXCHANGE_TIMEOUT_SECONDS = 10.0  # a connection's whole response is sent so soon after it was accepted
 METRICS_PATH = b"/metrics"
 log = structlog.get_logger()
 
--- a/zincladder/net/cache_answers.py
+++ b/zincladder/net/cache_answers.py
@@ -12,7 +12,7 @@
 from zincladder.net.errors import ConnectionEndedError
 
 FIELD_NAME = re.compile(r"[a-z_]{1,16}", re.ASCII)
-MAX_HEAD_BYTES = 2048  # of the first line
+MAX_HEAD_BYTES = 2048  # an answer's head is its first line
 NO_FIELDS = b"-"
 HEALTH_WORDS = (b"alive", b"dead")
 
--- a/zincladder/net/cache_connection.py
+++ b/zincladder/net/cache_connection.py
@@ -19,7 +19,7 @@
 from zincladder.support.lingering_close import LINGER_SECONDS, lingering_close
 
 WRITE_STALL_SECONDS = 10.0  # a cache that reads nothing for so long loses its connection
-ANSWER_STALL_SECONDS = 0.3  # without a byte inside an answer; caches send one in one piece, in under 50 ms
+ANSWER_STALL_SECONDS = 0.3  # the longest gap inside an answer; caches send one in one piece, in under 50 ms
 ID_REUSE_SECONDS = 10.0  # an id is not reused on its connection before that; longer than any deadline
 
 
@@ -99,7 +99,7 @@
             self._end_exchanges(reason, detail)
             try:
                 if has_unsent_bytes(self.sock):
-                    # After a normal close the system would go on sending requests that were abandoned; a
+                    # After a normal close the kernel would go on sending requests that were abandoned; a
                     # reset drops them.
                     with contextlib.suppress(OSError):
                         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
--- a/zincladder/net/cache_exchange.py
+++ b/zincladder/net/cache_exchange.py
@@ -102,6 +102,6 @@
     is_silent = connection.read_buffer.received == received_before
     waited_seconds = monotonic() - started_at
     connection.retired |= is_silent and waited_seconds > SILENT_CACHE_SECONDS
-    # Bytes that the cache's system has not acknowledged may still be delivered later. Retiring the connection
+    # Bytes that the cache's kernel has not acknowledged may still be delivered later. Retiring the connection
     # closes it at once if no other exchange is open, and the close drops these bytes.
     connection.retired |= waited_seconds > MIN_RETRANSMIT_SECONDS and has_unsent_bytes(connection.sock)
--- a/zincladder/net/cache_pool.py
+++ b/zincladder/net/cache_pool.py
@@ -25,9 +25,11 @@
 # no request is sent while the cache closes the connection.
 IDLE_TIMEOUT_SHARE = 0.7
 IDLE_CHECK_INTERVAL_SECONDS = 1.0
-DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.4  # if the settings state none
-DESCRIPTORS_TO_FREE = 4  # by admission, when the system has no descriptor left
-DESCRIPTOR_WAIT_SECONDS = 0.03  # before the next attempt to connect, while these are freed
+DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.4  # the settings may state another
+# When no file descriptor is left for a connection to a cache, admission is made to free this many, and the
+# connect is tried again after this wait.
+DESCRIPTORS_TO_FREE = 4
+DESCRIPTOR_WAIT_SECONDS = 0.03
 log = structlog.get_logger()
 
 
@@ -200,8 +202,8 @@
         except OSError as fault:
             if fault.errno not in (errno.EMFILE, errno.ENFILE):
                 raise
-        # The limit of descriptors was lowered, or the system has none left. The smaller budget makes
-        # admission close idle clients: by source at the next tick, by connection when the next client
+        # The limit of descriptors was lowered, or the operating system has none left. The smaller budget
+        # makes admission close idle clients: by source at the next tick, by connection when the next client
         # connects.
         self._rate_limited_log.warning(
             "no file descriptor for a connection to a cache", descriptors_used=self._descriptors.used
--- a/zincladder/net/client_calls.py
+++ b/zincladder/net/client_calls.py
@@ -28,7 +28,7 @@
 
 MAX_OPEN_REQUESTS = 32  # on one connection; the protocol states this limit
 MAX_WITHDRAWN_BEFORE_START = 64  # requests of one connection, counted since its last answer
-MAX_UNREAD_BYTES = 1 << 20  # of unread answers; above this the client's next request is not read
+MAX_UNREAD_ANSWER_BYTES = 1 << 20  # above this the client's next request is not read
 UNREAD_CHECK_INTERVAL_SECONDS = 0.1
 FRAME_LENGTH_BYTES = 4  # size of the length that precedes each message
 MESSAGES_PER_TURN = 32  # read from one client before other tasks may run
@@ -59,7 +59,7 @@
         """
         read_buffer, last_seq, messages = client.read_buffer, 0, 0
         while True:
-            if client.write_queue.size > MAX_UNREAD_BYTES:
+            if client.write_queue.size > MAX_UNREAD_ANSWER_BYTES:
                 await self._wait_until_answers_are_read(client)
             messages += 1
             if messages % MESSAGES_PER_TURN == 0:
@@ -97,7 +97,7 @@
             self._open_request(client, call, arrived_at, tasks)
 
     async def _wait_until_answers_are_read(self, client: ClientConnection) -> None:
-        while client.write_queue.size > MAX_UNREAD_BYTES:
+        while client.write_queue.size > MAX_UNREAD_ANSWER_BYTES:
             client.request_ended = anyio.Event()
             with anyio.move_on_after(UNREAD_CHECK_INTERVAL_SECONDS):
                 await client.request_ended.wait()
--- a/zincladder/net/client_listener.py
+++ b/zincladder/net/client_listener.py
@@ -29,9 +29,10 @@
 SHORTAGE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # accept(2) lacks resources
 # After a shortage the listener pauses; the pause is doubled while the shortage lasts.
 MIN_SHORTAGE_PAUSE_SECONDS, MAX_SHORTAGE_PAUSE_SECONDS = 0.01, 0.2
-DESCRIPTORS_TO_FREE = 4  # after a shortage: for connections to caches and to the coordinator
+# After a shortage admission is made to free this many, for connections to caches and to the coordinator.
+DESCRIPTORS_TO_FREE = 4
 ACCEPT_RETRY_SECONDS = 0.005  # delay after a rejection, and while there is no room for a connection
-MAX_PENDING_SECONDS = 0.5  # for which an accepted connection may wait for a slot
+MAX_PENDING_SECONDS = 0.5  # an accepted connection may wait so long for a slot
 REJECT = Verdict.REJECT
 
 
@@ -230,9 +231,9 @@
                 reject_connection(pending.sock)
 
     def update_descriptor_limit(self) -> None:
-        """Sets the descriptor budget to the lower of the configured maximum and the system's current limit.
+        """Sets the descriptor budget to the lower of the configured maximum and the process's current limit.
 
-        The system's limit may be changed from outside while the process runs.
+        The limit (RLIMIT_NOFILE) may be changed from outside while the process runs.
         """
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         total = self._max_descriptors()
--- a/zincladder/net/client_requests.py
+++ b/zincladder/net/client_requests.py
@@ -12,7 +12,7 @@
 from zincladder.net.errors import InvalidFieldsError
 from zincladder.routing import interface as api
 
-MAX_BODY_BYTES = 48_000  # of a request
+MAX_REQUEST_BODY_BYTES = 48_000
 MIN_TIMEOUT_SECONDS = 0.001
 REJECTED_EXCEPTION, FAILED_EXCEPTION = 1, 2  # field ids of `Throttled` and `Broken` in a reply
 
@@ -46,8 +46,8 @@
     # Without the idempotency key a repeated write could not be deduplicated.
     if rules.idempotency is api.Idempotency.WITH_KEY and "key" not in attributes:
         raise InvalidFieldsError("'nonce' is missing: a request of this class must have an idempotency key")
-    if len(body) > MAX_BODY_BYTES:
-        raise InvalidFieldsError(f"a body of {len(body)} bytes, {MAX_BODY_BYTES} at most")
+    if len(body) > MAX_REQUEST_BODY_BYTES:
+        raise InvalidFieldsError(f"a body of {len(body)} bytes, {MAX_REQUEST_BODY_BYTES} at most")
     attributes |= {
         "request_class": request_class,
         "deadline": arrived_at + max(MIN_TIMEOUT_SECONDS, timeout - ANSWER_MARGIN_SECONDS),
--- a/zincladder/net/client_server.py
+++ b/zincladder/net/client_server.py
@@ -29,9 +29,10 @@
 from zincladder.support.lingering_close import LINGER_SECONDS, NO_LINGER_SECONDS, lingering_close
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-FIRST_MESSAGE_TIMEOUT_SECONDS = 2.2  # until the first complete message; the platform requires a close in 3 s
-STALL_TIMEOUT_SECONDS = 2.2  # for the rest of an incomplete message, or for a client to read its answers
-IDLE_TIMEOUT_SECONDS = 5.0  # without a request; regular clients close their idle connections after 4 s
+FIRST_MESSAGE_TIMEOUT_SECONDS = 2.2  # the platform requires that a silent connection is closed in 3 s
+# Within this time the rest of an incomplete message has to arrive, and a client has to read its answers.
+STALL_TIMEOUT_SECONDS = 2.2
+IDLE_TIMEOUT_SECONDS = 5.0  # regular clients close their idle connections after 4 s
 SWEEP_INTERVAL_SECONDS = 0.2  # between two checks of these timeouts
 LOAD_INTERVAL_SECONDS = 1.0  # between two measurements of the process's CPU time
 # The platform lets clients connect until 0.6 s after SIGTERM, and expects an answer to every request that
@@ -40,9 +41,9 @@
 # The platform sends SIGKILL 0.7 s after the longest request timeout, of which it counts 3 s at most. Requests
 # that are open shortly before that are answered as failed, early enough for the answers to be sent.
 MAX_COUNTED_TIMEOUT_SECONDS = 3.0
-FAIL_REQUESTS_AFTER_SECONDS = 0.55  # after the longest timeout
-SEND_ANSWERS_SECONDS = 0.1  # to send these answers
-FINISH_CLOSING_SECONDS = 0.02  # to finish closing the connections
+FAIL_REQUESTS_AFTER_SECONDS = 0.55  # the time starts when the longest timeout has passed
+SEND_ANSWERS_SECONDS = 0.1  # the answers to these requests are sent within this time
+CLOSE_CONNECTIONS_SECONDS = 0.02
 DRAIN_INTERVAL_SECONDS = 0.005  # between two checks for idle connections during the shutdown
 log = structlog.get_logger()
 
@@ -117,9 +118,9 @@
             self._core.fail_open_requests()
             await self._drain(self._fail_requests_at + SEND_ANSWERS_SECONDS)
             for client in self._clients.values():
-                # If the process ended over unread input, the system would send a reset instead of a close.
+                # If the process ended over unread input, the kernel would send a reset instead of a close.
                 self._closer.close(client, NO_LINGER_SECONDS)
-            await self._drain(self._fail_requests_at + SEND_ANSWERS_SECONDS + FINISH_CLOSING_SECONDS)
+            await self._drain(self._fail_requests_at + SEND_ANSWERS_SECONDS + CLOSE_CONNECTIONS_SECONDS)
             self._tasks.cancel_scope.cancel()
 
     async def _drain(self, until: float) -> None:
--- a/zincladder/net/coordinator_watch.py
+++ b/zincladder/net/coordinator_watch.py
@@ -20,7 +20,7 @@
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 READ_BYTES = 1 << 16  # maximum of one read
-MAX_READS_PER_TURN = 16  # before other tasks may run
+MAX_READS_PER_TURN = 16  # other tasks may run between two turns
 POLL_INTERVAL_SECONDS = 0.005  # least time between two calls of `poll` that read; far below any grace period
 SILENCE_TIMEOUT_SECONDS = 1.6  # the coordinator sends an empty frame each second
 CONNECT_TIMEOUT_SECONDS = 0.5
@@ -68,7 +68,7 @@
             self._attempt_scope.cancel()
 
     def poll(self) -> None:
-        """Applies the events that have been received by the system but are not read yet.
+        """Applies the events that have arrived in the socket's receive buffer but are not read yet.
 
         Called before routing decisions: after a stall of the process or the event loop they may run before
         the watch's own task, and would be made on an outdated endpoint list.
--- a/zincladder/net/sockets.py
+++ b/zincladder/net/sockets.py
@@ -1,4 +1,4 @@
-"""Opens connections, and asks the system for their unread and unsent bytes and for the peer's close."""
+"""Opens connections, and asks the kernel for their unread and unsent bytes and for the peer's close."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 MAX_PEEK_BYTES = 1 << 16
 _PEEK_BUFFER = bytearray(MAX_PEEK_BYTES)
 TCP_INFO_BYTES, LAST_DATA_RECV_OFFSET, _LAST_DATA_RECV = 104, 52, struct.Struct("=I")
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER: close sends a reset and drops unsent bytes
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER: close sends a reset and drops unsent bytes
 
 
 class UnreadInput(NamedTuple):
-    """The input of a connection that the system has received and the process has not read."""
+    """The input of a connection that the kernel has received and the process has not read."""
 
     data: bytes  # its first bytes
     closed_by_peer: bool  # the peer has closed or reset the connection
@@ -44,27 +44,27 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Returns whether the peer has closed or reset the connection, as far as the system knows."""
+    """Returns whether the peer has closed or reset the connection, as far as the kernel knows."""
     return peek_unread(sock, 1).closed_by_peer
 
 
 def newest_byte_age_seconds(sock: socket.socket) -> float | None:
     """Returns the seconds since the newest byte of a connection arrived, read or not.
 
-    Returns None if the system does not report it. It is `tcpi_last_data_recv` of TCP_INFO (tcp(7),
+    Returns None if the kernel does not report it. It is `tcpi_last_data_recv` of TCP_INFO (tcp(7),
     linux/tcp.h), in milliseconds.
     """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except OSError:
         return None
-    if len(info) < TCP_INFO_BYTES or not info[0]:  # 0 is no TCP state: the system does not report it
+    if len(info) < TCP_INFO_BYTES or not info[0]:  # 0 is no TCP state: the kernel does not report it
         return None
     return int(_LAST_DATA_RECV.unpack_from(info, LAST_DATA_RECV_OFFSET)[0]) / 1000
 
 
 def has_unsent_bytes(sock: socket.socket) -> bool:
-    """Returns whether written bytes are unsent or unacknowledged; False if the system does not report it."""
+    """Returns whether written bytes are unsent or unacknowledged; False if the kernel does not report it."""
     unsent = array("i", [0])
     try:
         fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, unsent)  # SIOCOUTQ of tcp(7)
--- a/zincladder/net/write_queue.py
+++ b/zincladder/net/write_queue.py
@@ -15,9 +15,9 @@
 
 Part = bytes | bytearray | memoryview
 Result = TypeVar("Result")
-MAX_PARTS = 64  # buffers in one gathered write; the system's limit is 1,024
+MAX_PARTS = 64  # buffers in one gathered write; the kernel's limit is 1,024
 MAX_CHECK_SECONDS = 0.01  # a check that took longer is repeated, since its result may be outdated
-MAX_CHECKS = 3  # in a row; the last result counts even if it took too long
+MAX_CONSECUTIVE_CHECKS = 3  # the last result counts even if it took too long
 
 
 def _views(parts: Sequence[Part]) -> list[memoryview]:
@@ -26,7 +26,7 @@
 
 def _check_promptly(check: Callable[[], Result]) -> Result:
     """Returns the result of a check just before a write, and repeats it if the process stalled meanwhile."""
-    for _ in range(MAX_CHECKS):
+    for _ in range(MAX_CONSECUTIVE_CHECKS):
         started_at = monotonic()
         result = check()
         if monotonic() - started_at < MAX_CHECK_SECONDS:
--- a/zincladder/plugin/transport.py
+++ b/zincladder/plugin/transport.py
@@ -21,7 +21,7 @@
 from thrift.transport.TTransport import TTransportBase, TTransportException
 
 MAX_ANSWER_AGE_SECONDS = 0.25  # clients have to leave a draining endpoint within 500 ms
-QUERY_TIMEOUT_SECONDS = 0.25  # then the query is repeated, until the deadline of the call
+QUERY_TIMEOUT_SECONDS = 0.25  # an unanswered query is repeated, until the deadline of the call
 Address = tuple[str, int]
 
 
--- a/zincladder/policy/model.py
+++ b/zincladder/policy/model.py
@@ -23,7 +23,7 @@
 MAX_ABSENT_NAMES = 100
 MAX_RECORD_BYTES = 200 << 10  # a larger record loses the oldest entries of its change log
 MAX_RETAINED_DOCUMENT_BYTES = 4 << 20  # above it the documents of the oldest log entries are deleted
-MAX_TEXT_LENGTH = 200  # in characters, of an author, a note or a reason
+MAX_TEXT_LENGTH = 200  # characters of an author, a note or a reason
 
 
 def document_id(content: bytes) -> str:
--- a/zincladder/routing/budgets.py
+++ b/zincladder/routing/budgets.py
@@ -15,7 +15,7 @@
 
 RETRIES_PER_SUCCESS = 0.2  # the usual retry budget (Finagle's default)
 MAX_SAVED_RETRIES = 10.0  # enough to retry elsewhere at once after a sudden failure
-ORIGIN_FILLS_PER_REQUEST = 0.1  # while parents are listed but none is available
+ORIGIN_FILLS_PER_REQUEST = 0.1  # the limit while parents are listed but none is available
 MAX_SAVED_ORIGIN_FILLS = 3.0
 # An endpoint in slow start is sent this share of the load that would overload it. The rest is reserved for
 # routers that learn of its start later.
--- a/zincladder/routing/endpoints.py
+++ b/zincladder/routing/endpoints.py
@@ -13,7 +13,7 @@
 class Role(Enum):
     """What an endpoint does, derived from its kind in the list."""
 
-    CACHE = "cache"  # of any location
+    CACHE = "cache"  # a cache of any location
     PARENT = "parent"
     ORIGIN = "origin"
 
--- a/zincladder/routing/outcomes.py
+++ b/zincladder/routing/outcomes.py
@@ -11,7 +11,7 @@
 from zincladder.routing.retry import FAULTS_BEHIND_CACHE, SOURCE_FAULTS
 from zincladder.routing.state import RouterState
 
-SIBLING_HIT_EWMA_WEIGHT = 0.3  # of the latest fill from a sibling cache
+SIBLING_HIT_EWMA_WEIGHT = 0.3  # the weight of the latest fill from a sibling cache
 # Value of a miss in the hit share: above 0, so that siblings are still asked occasionally after only misses.
 MIN_SIBLING_HIT_SHARE = 0.1
 MAX_FAST_FAILURE_OBJECTIVES = 0.5  # a failure within this many latency objectives is a fast one
--- a/zincladder/routing/outlier_ejection.py
+++ b/zincladder/routing/outlier_ejection.py
@@ -16,7 +16,7 @@
 from zincladder.routing.retry import FAULTS_BEHIND_CACHE
 from zincladder.routing.state import RouterState
 
-FAILURE_EWMA_WEIGHT = 0.3  # of the latest outcome
+FAILURE_EWMA_WEIGHT = 0.3  # the weight of the latest outcome
 # Either the cache or its source is blamed alone only if its failure rate exceeds the other's by this much.
 MIN_FAILURE_RATE_DIFFERENCE = 0.1
 EJECTION_FAILURE_RATE = 0.6  # reached by three failures in a row, or if most attempts fail
@@ -30,7 +30,7 @@
 # A cache is a slow outlier if its slowdown exceeds the median of the location's caches by this factor; fills
 # through it are slow as well.
 SLOW_OUTLIER_RATIO = 4.0
-SLOWDOWN_EWMA_WEIGHT = 0.3  # of the latest answer
+SLOWDOWN_EWMA_WEIGHT = 0.3  # the weight of the latest answer
 SLOWDOWN_EWMA_WEIGHT_UNSIZED = 0.02  # lower: if sizes are not announced, their variation is noise
 MIN_TRANSFER_SECONDS = 1e-3
 
--- a/zincladder/routing/retry.py
+++ b/zincladder/routing/retry.py
@@ -9,7 +9,7 @@
 from zincladder.routing import interface as api
 from zincladder.routing.requests import Attempt, PendingRequest
 
-MAX_ATTEMPTS = 4  # per request: enough to get past a few dead endpoints, too few to feed an overload
+MAX_ATTEMPTS = 4  # a request's attempts: enough to get past a few dead endpoints, too few to feed an overload
 MAX_ERRORS = 2  # endpoints rarely cause errors, so after two of them the request itself is taken for faulty
 
 # Outcomes after which the endpoint has certainly not executed the request.
--- a/zincladder/support/lingering_close.py
+++ b/zincladder/support/lingering_close.py
@@ -6,19 +6,19 @@
 
 import anyio
 
-LINGER_SECONDS = 0.5  # to wait for the peer's end; many round trips
-NO_LINGER_SECONDS = 0.0  # if the descriptor is needed at once: reads only what has already arrived
+LINGER_SECONDS = 0.5  # the wait for the peer's end takes at most this long, which is many round trips
+NO_LINGER_SECONDS = 0.0  # the descriptor is needed at once, so only what has already arrived is read
 MAX_DISCARDED_BYTES = 1 << 20
-READ_BYTES = 1 << 16  # per call of recv
+RECV_BUFFER_BYTES = 1 << 16
 
 
 async def lingering_close(sock: socket.socket, linger_seconds: float) -> None:
     """Shuts down sending, then reads and discards until the peer ends or a limit of time or bytes is reached.
 
-    The caller closes the socket. Closing it with unread bytes would send a reset, on which the peer's system
+    The caller closes the socket. Closing it with unread bytes would send a reset, on which the peer's kernel
     drops the last answers if its application has not read them yet (RFC 9112 section 9.6).
     """
-    buffer, bytes_left = bytearray(READ_BYTES), MAX_DISCARDED_BYTES
+    buffer, bytes_left = bytearray(RECV_BUFFER_BYTES), MAX_DISCARDED_BYTES
     try:
         sock.shutdown(socket.SHUT_WR)
         with anyio.move_on_after(linger_seconds):
--- a/zincladder/tasks/counter_sums.py
+++ b/zincladder/tasks/counter_sums.py
@@ -17,7 +17,7 @@
 MAX_SERIES = 4096
 MAX_PROCESSES = 4096  # 2,048 fronts, each of which has a second process during an upgrade
 MAX_COUNTERS_PER_PROCESS = 2048
-MAX_NAME_LENGTH = 200  # in characters, of a counter's name
+MAX_COUNTER_NAME_LENGTH = 200  # characters
 MAX_COUNTER_VALUE = 1e18
 
 
@@ -51,7 +51,7 @@
         return {
             name: value
             for name, value in counters.items()
-            if len(name) <= MAX_NAME_LENGTH and 0.0 <= value < MAX_COUNTER_VALUE
+            if len(name) <= MAX_COUNTER_NAME_LENGTH and 0.0 <= value < MAX_COUNTER_VALUE
         }
 
     def forget(self, name: str, process: str) -> None:
--- a/zincladder/tasks/lease_manager.py
+++ b/zincladder/tasks/lease_manager.py
@@ -14,8 +14,8 @@
 
 from zincladder.consensus.lease_timing import LeaseTiming
 from zincladder.tasks.model import (
-    MAX_NAME_LENGTH,
     MAX_RUNNERS,
+    MAX_TASK_NAME_LENGTH,
     MAX_TASKS,
     Assigned,
     FromLeaseManager,
@@ -169,7 +169,7 @@
         runner.lapsed = False
         match message:
             case Offer(tasks):
-                valid_names = (task for task in tasks[:MAX_TASKS] if 0 < len(task) <= MAX_NAME_LENGTH)
+                valid_names = (task for task in tasks[:MAX_TASKS] if 0 < len(task) <= MAX_TASK_NAME_LENGTH)
                 runner.offered = frozenset(valid_names)
             case RenewLease():
                 self._renewal_requested(number, runner, message, now)
--- a/zincladder/tasks/model.py
+++ b/zincladder/tasks/model.py
@@ -18,7 +18,7 @@
 CHECKPOINT_PREFIX = "progress/"  # followed by a task's name: the key of its checkpoint
 MAX_TASKS = 64
 MAX_RUNNERS = 2048
-MAX_NAME_LENGTH = 40  # in characters, of a task's name
+MAX_TASK_NAME_LENGTH = 40  # characters
 
 
 class TaskAssignment(msgspec.Struct, frozen=True, array_like=True):
--- a/zincladder/tasks/runner.py
+++ b/zincladder/tasks/runner.py
@@ -21,7 +21,7 @@
 from zincladder.tasks.lease_holder import LeaseHolder
 from zincladder.tasks.model import FromLeaseManager, ReportCounters
 
-MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.2, 5.0  # before a failed task is started again
+MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.2, 5.0  # the delay before a failed task is started again
 REPORT_INTERVAL_SECONDS = 2.0
 log = structlog.get_logger()
 
--- a/zincladder/wiring/coordinator.py
+++ b/zincladder/wiring/coordinator.py
@@ -12,7 +12,7 @@
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 LOG_INTERVAL_SECONDS = 0.1  # the least time between two log lines about the endpoint list
-MAX_LOGGED_ENDPOINTS = 16  # of each state in one log line
+MAX_LOGGED_ENDPOINTS = 16  # endpoints of each state in one log line
 
 
 def apply_update(core: Core, caches: CachePool, event: WatchEvent) -> None:
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -34,13 +34,14 @@
 
 # Taken before the event loop runs; only the start of the interpreter and earlier imports are not measured.
 STARTED_AT = time.monotonic()
-FLUSH_TIMEOUT_SECONDS = 0.5  # after the last answer, to send the last samples and to release leases
+# Within this time after the last answer, the last samples are sent and leases are released.
+FLUSH_TIMEOUT_SECONDS = 0.5
 log = structlog.get_logger()
 
 
 @dataclass(slots=True)
 class ListeningAddresses:
-    """The addresses at which a front listens, with the port that the system chose for port 0."""
+    """The addresses at which a front listens, with the port that the operating system chose for port 0."""
 
     clients: Address
     dns: Address | None = None
