--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -66,7 +66,7 @@
         if name.startswith("k")
         for path in sorted(process.folder.glob("log-*.txt"))
         for line in path.read_text().splitlines()
-        if '"event": "policy state"' in line
+        if '"event": "state of the policy or its open change"' in line
     ]
     for line in sorted(lines, key=lambda text: str(json.loads(text)["timestamp"])):
         data = json.loads(line)
--- a/tests/admission/test_floods.py
+++ b/tests/admission/test_floods.py
@@ -117,7 +117,7 @@
             assert (front.cpu() - cpu) / (time.monotonic() - begun) < 0.6  # no busy loop
             assert count.served >= 0.9 and count.twice == 0, count.ends
             log = (front.folder / "log").read_text()
-            assert log.count("no descriptor left") < 12
+            assert log.count("no file descriptor left for client connections") < 12
             # After the limit is raised again, the front recovers without a signal or a command.
             resource.prlimit(front.pid, resource.RLIMIT_NOFILE, (256, 256))
             after = rig.Count()
--- a/tests/consensus/test_replica_processes.py
+++ b/tests/consensus/test_replica_processes.py
@@ -378,7 +378,9 @@
         leader = await r.leader()
 
         async def scrape(name: str) -> dict[str, float]:
-            (event, *_) = await r.until("its metrics are served", lambda: r.processes[name].events("metrics"))
+            (event, *_) = await r.until(
+                "its metrics are served", lambda: r.processes[name].events("metrics endpoint listening")
+            )
             async with await anyio.connect_tcp(*event["listen"]) as stream:
                 await stream.send(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
                 page = b""
--- a/tests/policy/test_command_processes.py
+++ b/tests/policy/test_command_processes.py
@@ -109,7 +109,7 @@
         own["settings"]["ceilings"] |= {"attemptsCap": 7}
         path.write_text(json.dumps(own))
         process.send(signal.SIGHUP)
-        rejected_event = "configuration rejected, the old one is kept"
+        rejected_event = "configuration rejected; keeping the previous one"
         (line,) = await fleet.r.until("the reload is rejected", lambda: process.events(rejected_event))
         assert "'settings.ceilings.attemptsCap' is part of the fleet's policy" in line["reason"]
         own["settings"]["ceilings"] |= {"attemptsCap": 8, "maxRetryAfter": 0.7}
--- a/tests/support/task_fleet.py
+++ b/tests/support/task_fleet.py
@@ -139,7 +139,7 @@
         return [
             line["vacancy_reason"]
             for p in replicas
-            for line in p.events("task assignment")
+            for line in p.events("task assignment stored")
             if line["vacancy_reason"]
         ]
 
--- a/zincladder/cli/replica.py
+++ b/zincladder/cli/replica.py
@@ -97,7 +97,7 @@
 
                     registry = ReplicaRegistry(server, policy_service, task_service)
                     exporter = MetricsExporter(config.metrics, registry, ConnectionLimit())
-                    log.info("metrics", listen=await tasks.start(exporter.run))
+                    log.info("metrics endpoint listening", listen=await tasks.start(exporter.run))
                 async for _ in signals:
                     break
                 await server.transfer_leadership(LEADERSHIP_TRANSFER_TIMEOUT_SECONDS)
--- a/zincladder/config/reload.py
+++ b/zincladder/config/reload.py
@@ -77,7 +77,7 @@
             config, needs_restart = self._read_files()
         except ConfigError as error:
             self.counts[RELOADS_REJECTED] += 1
-            log.error("configuration rejected, the old one is kept", reason=str(error))
+            log.error("configuration rejected; keeping the previous one", reason=str(error))
             return
         if needs_restart:
             log.warning("changed keys take effect only after a restart", keys=needs_restart)
--- a/zincladder/net/client_listener.py
+++ b/zincladder/net/client_listener.py
@@ -251,7 +251,9 @@
         """
         descriptors, counters = self._admission.descriptors, self._admission.counters
         self._rate_limited_log.warning(
-            "no descriptor left", reason=str(fault), descriptors_used=descriptors.used
+            "no file descriptor left for client connections",
+            reason=str(fault),
+            descriptors_used=descriptors.used,
         )
         counters.rejected_connections[RejectionReason.NO_DESCRIPTOR.value] = (
             counters.rejected_connections.get(RejectionReason.NO_DESCRIPTOR.value, 0) + 1
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -49,7 +49,12 @@
         state = (change.version, change.phase.value) if change else (stored.record.version, "in force")
         if state != self._logged_state:
             self._logged_state = state
-            log.info("policy state", version=state[0], phase=state[1], absent=term_state.absent)
+            log.info(
+                "state of the policy or its open change",
+                version=state[0],
+                phase=state[1],
+                absent=term_state.absent,
+            )
 
     def begin_writes(
         self, actions: CoordinatorActions, term_state: ChangeCoordinator, tasks: anyio.abc.TaskGroup
--- a/zincladder/tasks/host.py
+++ b/zincladder/tasks/host.py
@@ -116,7 +116,7 @@
             else:
                 if isinstance(result, Swapped) or outcome_unknown:
                     log.info(
-                        "task assignment",
+                        "task assignment stored",
                         task=write.task,
                         lease_holder=assignment.lease_holder,
                         vacancy_reason=assignment.vacancy_reason,
--- a/zincladder/tasks/runner.py
+++ b/zincladder/tasks/runner.py
@@ -128,7 +128,9 @@
                     log.info("task interrupted: replica group unavailable", task=task, reason=str(error))
                 except Exception:
                     self.failures += 1
-                    log.exception("task failed", task=task)
+                    log.exception(
+                        "task raised an exception; it is restarted while its lease lasts", task=task
+                    )
                 await anyio.sleep(backoff * (0.5 + self.random.random()))
                 backoff = min(MAX_BACKOFF_SECONDS, 2 * backoff)
         log.info("task stopped", task=task)
