--- a/zincladder/cli/replica.py
+++ b/zincladder/cli/replica.py
@@ -18,7 +18,7 @@
     # The command imports this when it runs, so that other commands start without the consensus package.
     from zincladder.consensus.lease_timing import LeaseTiming
 
-TRANSFER_TIMEOUT_SECONDS = 2.0  # longest wait for another leader at a graceful shutdown
+LEADERSHIP_TRANSFER_TIMEOUT_SECONDS = 2.0  # a graceful shutdown waits so long for a new leader
 
 
 @click.command()
@@ -97,10 +97,10 @@
 
                     registry = ReplicaRegistry(server, policy_service, task_service)
                     exporter = MetricsExporter(config.metrics, registry, ConnectionLimit())
-                    log.info("metrics", listen=await tasks.start(exporter.run))
+                    log.info("metrics endpoint listening", listen=await tasks.start(exporter.run))
                 async for _ in signals:
                     break
-                await server.transfer_leadership(TRANSFER_TIMEOUT_SECONDS)
+                await server.transfer_leadership(LEADERSHIP_TRANSFER_TIMEOUT_SECONDS)
                 tasks.cancel_scope.cancel()
     finally:
         store.close()
--- a/zincladder/dns/server.py
+++ b/zincladder/dns/server.py
@@ -51,7 +51,7 @@
         """Binds both sockets.
 
         Args:
-            listen: The address of both; the system chooses a port if it is 0.
+            listen: The address of both; the operating system chooses a port if it is 0.
             answers: Builds the responses.
             clock: The core's clock, which gives the arrival times of queries.
             admission: Decides which datagrams are answered and which connections are accepted.
@@ -123,7 +123,7 @@
                     data, peer = self._udp.recvfrom(MAX_QUERY_BYTES)
                 except (BlockingIOError, InterruptedError):
                     break
-                except OSError:  # the system reports that an earlier response was not delivered
+                except OSError:  # the kernel reports that an earlier response was not delivered
                     continue
                 response = self._respond_to_datagram(data, peer[0])
                 if response is not None:
--- a/zincladder/net/cache_connection.py
+++ b/zincladder/net/cache_connection.py
@@ -101,7 +101,7 @@
             self._end_exchanges(reason, detail)
             try:
                 if has_unsent_bytes(self.sock):
-                    # After a normal close the system would go on sending requests that were abandoned; a
+                    # After a normal close the kernel would go on sending requests that were abandoned; a
                     # reset drops them.
                     with contextlib.suppress(OSError):
                         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
--- a/zincladder/net/client_listener.py
+++ b/zincladder/net/client_listener.py
@@ -32,7 +32,7 @@
 MIN_SHORTAGE_PAUSE_SECONDS, MAX_SHORTAGE_PAUSE_SECONDS = 0.01, 0.2
 DESCRIPTORS_TO_FREE = 4  # freed after a shortage for connections to caches and to the coordinator
 ACCEPT_RETRY_SECONDS = 0.005  # delay after a rejection, and while there is no room for a connection
-MAX_PENDING_SECONDS = 0.5  # for which an accepted connection may wait for a slot
+MAX_PENDING_SECONDS = 0.5  # an accepted connection may wait so long for a slot
 REJECT = Verdict.REJECT
 
 
@@ -232,9 +232,9 @@
                 reject_connection(pending.sock)
 
     def update_descriptor_limit(self) -> None:
-        """Sets the descriptor budget to the lower of the configured maximum and the system's current limit.
+        """Sets the descriptor budget to the lower of the configured maximum and the process's current limit.
 
-        The system's limit may be changed from outside while the process runs.
+        The limit (RLIMIT_NOFILE) may be changed from outside while the process runs.
         """
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         total = self._max_descriptors()
@@ -252,7 +252,9 @@
         """
         descriptors, counters = self._admission.descriptors, self._admission.counters
         self._rate_limited_log.warning(
-            "no descriptor left", reason=str(fault), descriptors_used=descriptors.used
+            "no file descriptor left for client connections",
+            reason=str(fault),
+            descriptors_used=descriptors.used,
         )
         counters.rejected_connections[RejectionReason.NO_DESCRIPTOR.value] = (
             counters.rejected_connections.get(RejectionReason.NO_DESCRIPTOR.value, 0) + 1
--- a/zincladder/net/client_server.py
+++ b/zincladder/net/client_server.py
@@ -42,9 +42,9 @@
 # it sends SIGKILL. Requests that are still open shortly before that are answered as failed, early enough for
 # the answers to be sent.
 MAX_COUNTED_TIMEOUT_SECONDS = 3.0
-FAIL_REQUESTS_AFTER_SECONDS = 0.55  # after the longest timeout
-SEND_ANSWERS_SECONDS = 0.1  # to send these answers
-FINISH_CLOSING_SECONDS = 0.02  # to finish closing the connections
+FAIL_REQUESTS_AFTER_SECONDS = 0.55  # the time starts when the longest timeout has passed
+SEND_ANSWERS_SECONDS = 0.1  # the answers to these requests are sent within this time
+CLOSE_CONNECTIONS_SECONDS = 0.02
 DRAIN_INTERVAL_SECONDS = 0.005  # between two checks for idle connections during the shutdown
 log = structlog.get_logger()
 
@@ -121,7 +121,7 @@
             for client in self._clients.values():
                 # If the process ended with unread input, the system would send a reset instead of a close.
                 self._closer.close(client, NO_LINGER_SECONDS)
-            await self._drain(self._fail_requests_at + SEND_ANSWERS_SECONDS + FINISH_CLOSING_SECONDS)
+            await self._drain(self._fail_requests_at + SEND_ANSWERS_SECONDS + CLOSE_CONNECTIONS_SECONDS)
             self._tasks.cancel_scope.cancel()
 
     async def _drain(self, until: float) -> None:
--- a/zincladder/net/coordinator_watch.py
+++ b/zincladder/net/coordinator_watch.py
@@ -20,7 +20,7 @@
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 READ_BYTES = 1 << 16  # maximum of one read
-MAX_READS_PER_TURN = 16  # before other tasks may run
+MAX_READS_PER_TURN = 16  # other tasks may run between two turns
 POLL_INTERVAL_SECONDS = 0.005  # least time between two calls of `poll` that read; far below any grace period
 SILENCE_TIMEOUT_SECONDS = 1.6  # the coordinator sends an empty frame each second
 CONNECT_TIMEOUT_SECONDS = 0.5
