--- a/zincladder/net/cache_pool.py
+++ b/zincladder/net/cache_pool.py
@@ -203,8 +203,8 @@
             if fault.errno not in (errno.EMFILE, errno.ENFILE):
                 raise
         # The limit of descriptors was lowered, or the operating system has none left. The smaller budget
-        # makes admission close connections of idle clients: admission by source does so at the next tick, admission
-        # by connection when the next client connects.
+        # makes admission close connections of idle clients: admission by source does so at the next tick,
+        # admission by connection when the next client connects.
         self._rate_limited_log.warning(
             "no file descriptor for a connection to a cache", descriptors_used=self._descriptors.used
         )
