--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -66,13 +66,14 @@
     """Runs one scenario against a new front and returns its results."""
     async with rig.front(ports, program=program, operator=operator) as front:
         warm_up_seconds = 6.0 if scenario.known_before else 0.0
-        calm, count = rig.Count(), rig.Count()
+        calm, count = rig.ClientResults(), rig.ClientResults()
         client_addresses = ["127.0.2.1"] * scenario.gateway if scenario.gateway else KNOWN_ADDRESSES
         rate = 80.0 / len(client_addresses)
 
-        def clients(results: rig.Count) -> list[rig.UsualClient]:
+        def clients(results: rig.ClientResults) -> list[rig.SteadyClient]:
             return [
-                rig.UsualClient(front, home, rate, results, fresh=scenario.fresh) for home in client_addresses
+                rig.SteadyClient(front, home, rate, results, fresh=scenario.fresh)
+                for home in client_addresses
             ]
 
         if warm_up_seconds:
@@ -96,7 +97,7 @@
             "p50_ms": count.quantile(0.5),
             "p99_ms": count.quantile(0.99),
             "ends": count.ends,
-            "answered_twice": count.twice + flood.get("twice", 0),
+            "answered_twice": count.answered_twice + flood.get("twice", 0),
             "lost": count.lost,
             "cpu": round(cpu_share, 2),
             "descriptors": front.usage.descriptors,
--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -30,14 +30,14 @@
 
 async def cpu_us_per_request(front: rig.Front, rate: float, seconds: float) -> float:
     """CPU microseconds of the front for one served request, under eight steady clients."""
-    count = rig.Count()
+    count = rig.ClientResults()
     addresses = [f"127.0.1.{i}" for i in range(1, 9)]
     warm_up_until = time.monotonic() + 1.0
     await asyncio.gather(
-        *(rig.UsualClient(front, h, rate / 8, rig.Count()).run(warm_up_until) for h in addresses)
+        *(rig.SteadyClient(front, h, rate / 8, rig.ClientResults()).run(warm_up_until) for h in addresses)
     )
     before, until = front.cpu(), time.monotonic() + seconds
-    await asyncio.gather(*(rig.UsualClient(front, h, rate / 8, count).run(until) for h in addresses))
+    await asyncio.gather(*(rig.SteadyClient(front, h, rate / 8, count).run(until) for h in addresses))
     used = front.cpu() - before
     assert count.served == 1.0, count.ends
     return used / count.asked * 1e6
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -103,7 +103,7 @@
     result: dict[str, Any] = {"addresses": count}
     result["connect"] = timed(admission.connect, connecting_hosts, now, 1e-4)
     now += count * 1e-4
-    lanes = [admission.lane_of(admission.sources.obtain(key_of(host), now), now) for host in known]
+    lanes = [admission.lane_of(admission.sources.find_or_create(key_of(host), now), now) for host in known]
     result["known_after"] = sum(lane is PriorityLane.KNOWN for lane in lanes)
     result["recorded"] = len(admission.sources)
     result["bound"] = admission.limits.max_sources
--- a/benchmarks/difference.py
+++ b/benchmarks/difference.py
@@ -25,7 +25,7 @@
 import anyio
 
 from tests.support.front_configuration import SETTINGS
-from tests.support.front_world import World, world
+from tests.support.front_world import RunningFront, running_front
 from tests.support.service_client import Client, client
 from tests.support.stub_cache import Fetch, StubCache
 from zincladder.config import parse_config
@@ -147,7 +147,7 @@
         endpoints += [StubCache(f"s-{i + 160:08x}", 1, self.collect_fetch) for i in range(2)]
         endpoints += [StubCache("s-000000b0", 2, self.collect_fetch)]
         with record_router(self.recorder):
-            async with world(endpoints=endpoints, settings=self.settings) as w, client(w) as c:
+            async with running_front(endpoints=endpoints, settings=self.settings) as w, client(w) as c:
                 config = parse_config({"listen": "127.0.0.1:0", "settings": self.settings})
                 self.router_settings = config.settings
                 assert self.recorder.router is not None
@@ -160,7 +160,7 @@
                     await self.step(w, c)
         return self.compared
 
-    async def step(self, w: World, c: Client) -> None:
+    async def step(self, w: RunningFront, c: Client) -> None:
         self.recorder.now += self.random.uniform(0.0, MAX_STEP_SECONDS)
         while self.timers and self.timers[0][0] <= self.recorder.now:
             await self.compare(api.TimerFired(heapq.heappop(self.timers)[1]))
--- a/benchmarks/export.py
+++ b/benchmarks/export.py
@@ -56,11 +56,11 @@
     """
     async with rig.front(ports, operator=operator) as front:
         addresses = [f"127.0.1.{i}" for i in range(1, 17)]
-        warm_up, count = rig.Count(), rig.Count()
+        warm_up, count = rig.ClientResults(), rig.ClientResults()
         until = time.monotonic() + 2.0
-        await asyncio.gather(*(rig.UsualClient(front, h, rate / 16, warm_up).run(until) for h in addresses))
+        await asyncio.gather(*(rig.SteadyClient(front, h, rate / 16, warm_up).run(until) for h in addresses))
         before, until = front.cpu(), time.monotonic() + seconds
-        await asyncio.gather(*(rig.UsualClient(front, h, rate / 16, count).run(until) for h in addresses))
+        await asyncio.gather(*(rig.SteadyClient(front, h, rate / 16, count).run(until) for h in addresses))
         return {
             "served": count.served,
             "p99_ms": count.quantile(0.99),
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -17,7 +17,7 @@
 
 import uvloop
 
-from benchmarks.rig import LARGE_OBJECT, LONG, reply, request, status
+from benchmarks.rig import LARGE_OBJECT, SLOW_OBJECT, reply, request, status
 
 CONNECTIONS = 400
 KINDS = ("silent", "half", "status", "burst", "held", "connect", "slow_readers", "malformed")
@@ -85,7 +85,7 @@
                 self.counts["status"] += 1
                 await asyncio.sleep(0.5)
         else:
-            first = {"burst": "0", "held": LONG, "slow_readers": LARGE_OBJECT}[kind]
+            first = {"burst": "0", "held": SLOW_OBJECT, "slow_readers": LARGE_OBJECT}[kind]
             patience = 6000 if kind != "burst" else 2000
             route = "video" if kind != "burst" else "page"
             frames = [request(n, first + os.urandom(8).hex()[1:], route, patience) for n in range(1, 33)]
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -113,9 +113,9 @@
         current = start(0)
         await current.ready()
         target = rig.Front(0, *address, rig.Usage(), folder, current.popen)
-        count, ends = rig.Count(), Counter[str]()
+        count, ends = rig.ClientResults(), Counter[str]()
         clients = [
-            rig.UsualClient(target, f"127.0.2.{i + 1}", REQUESTS_PER_SECOND / CLIENTS, count)
+            rig.SteadyClient(target, f"127.0.2.{i + 1}", REQUESTS_PER_SECOND / CLIENTS, count)
             for i in range(CLIENTS)
         ]
         until = time.monotonic() + 1000
@@ -161,9 +161,9 @@
         target = rig.Front(front.popen.pid, *address, rig.Usage(), Path(name), front.popen)
         found: dict[str, Any] = {}
         for load in (0.0, 1500.0):
-            count, until = rig.Count(), time.monotonic() + 1.0 + repeats * 0.03
+            count, until = rig.ClientResults(), time.monotonic() + 1.0 + repeats * 0.03
             clients = (
-                [rig.UsualClient(target, f"127.0.2.{i + 1}", load / 16, count) for i in range(16)]
+                [rig.SteadyClient(target, f"127.0.2.{i + 1}", load / 16, count) for i in range(16)]
                 if load
                 else []
             )
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -26,7 +26,7 @@
 
 import anyio
 
-from tests.processes import Asked, Rig, Traffic
+from tests.processes import Asked, ProcessCluster, Traffic
 from tests.support.policy_fleet import PolicyFleet, policy_fleet
 from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
 from zincladder.consensus.model import Entry, EntryKind, Membership, Output
@@ -58,7 +58,7 @@
     return (int(words[11]) + int(words[12])) / CLOCK_TICKS_PER_SECOND, int(line.split()[1]) / 1024
 
 
-def activation_times(r: Rig) -> list[float]:
+def activation_times(r: ProcessCluster) -> list[float]:
     """Milliseconds from `decided` to `in force` for each policy change, from the leaders' logs."""
     found, decided = [], dict[int, float]()
     lines = [
@@ -100,13 +100,13 @@
 async def changes_without_faults(f: PolicyFleet, changes: int, mark: int) -> dict[str, Any]:
     """Makes `changes` policy changes without faults, with a pause of 0.25 s after each."""
     traffic = f.traffic()
-    await f.everywhere(traffic, 1)
+    await f.wait_until_served(traffic, 1)
     before = len(activation_times(f.r))
     for n in range(changes):
-        await f.r.insist(mark + n)
+        await f.r.change_until_activated(mark + n)
         await anyio.sleep(0.25)
-    traffic.judge()
-    traffic.going = False
+    traffic.check_invariants()
+    traffic.running = False
     return {
         "to_force_ms": distribution(activation_times(f.r)[before:]),
         "pause_ms": distribution(rejection_periods(traffic.history)),
@@ -128,11 +128,11 @@
         elif kind == "stop":
             process.stop()
             await anyio.sleep(rng.uniform(0, 3))
-            process.go_on()
+            process.resume()
         else:
-            f.r.cut_front(name, kind)
+            f.r.block_front(name, kind)
             await anyio.sleep(rng.uniform(0, 3))
-            f.r.cut_front(name)
+            f.r.block_front(name)
         await anyio.sleep(rng.uniform(0, 0.5))
 
 
@@ -150,14 +150,14 @@
             outcomes.append((await f.r.change(mark + n)).outcome)
         tasks.cancel_scope.cancel()
     for name in f.fronts:
-        f.r.cut_front(name)
+        f.r.block_front(name)
         if f.r.processes[name].popen is None:
             await f.r.start_front(name)
-        f.r.processes[name].go_on()
-    await f.r.insist(mark + changes)
-    await f.everywhere(traffic, mark + changes)
+        f.r.processes[name].resume()
+    await f.r.change_until_activated(mark + changes)
+    await f.wait_until_served(traffic, mark + changes)
     old = stale_answers(traffic)
-    traffic.going = False
+    traffic.running = False
     return {
         "held": sum(o is ChangeOutcome.ACTIVATED for o in outcomes),
         "withdrawn": sum(o is ChangeOutcome.WITHDRAWN for o in outcomes),
@@ -176,7 +176,7 @@
     """
     traffic.history = [a for a in traffic.history if a.ended - a.began < 0.5]
     try:
-        traffic.judge()
+        traffic.check_invariants()
     except AssertionError as fault:
         print(fault, file=sys.stderr)
         return 1
@@ -240,7 +240,7 @@
     await anyio.sleep(seconds)
     after = {what: cpu_and_memory(p.pid) for what, p in pids.items() if p}
     served = {n: sum(a.front == n for a in traffic.history) - served_before[n] for n in served_before}
-    traffic.going = False
+    traffic.running = False
     asked = {"front": served[f.fronts[0]], "plain": served["plain"]}
     found: dict[str, Any] = {}
     for what in before:
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -22,7 +22,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 CACHE_COUNT, PARENT_NAME, ORIGIN_NAME = 4, "s-000000a0", "s-000000b0"
 # First digit of the identifier of an object that is large, and of one that is answered slowly.
-LARGE_OBJECT, LONG = "b", "c"
+LARGE_OBJECT, SLOW_OBJECT = "b", "c"
 SMALL_BODY_BYTES, BIG_BODY_BYTES, FAST_ANSWER_SECONDS, SLOW_ANSWER_SECONDS = 2_000, 240_000, 0.02, 2.0
 
 
@@ -47,7 +47,7 @@
                 item = words[2].partition("item=")[2][:1]
                 body, wait = (
                     (big if item == LARGE_OBJECT else small),
-                    (SLOW_ANSWER_SECONDS if item == LONG else FAST_ANSWER_SECONDS),
+                    (SLOW_ANSWER_SECONDS if item == SLOW_OBJECT else FAST_ANSWER_SECONDS),
                 )
                 loop.call_later(wait, answer, words[1], body)
     writer.close()
@@ -232,13 +232,13 @@
 
 
 @dataclasses.dataclass
-class Count:
+class ClientResults:
     """The outcomes of the requests of a group of clients."""
 
     asked: int = 0
     ends: dict[str, int] = dataclasses.field(default_factory=dict)
     times: list[float] = dataclasses.field(default_factory=list)
-    twice: int = 0  # second answers to a request that was answered already
+    answered_twice: int = 0  # second answers to a request that was answered already
     lost: int = 0  # requests that got neither an answer nor a close within the client's timeout
     # For each request when it was sent, and whether it was served.
     at: list[tuple[float, bool]] = dataclasses.field(default_factory=list)
@@ -264,11 +264,11 @@
         )
 
 
-class UsualClient:
+class SteadyClient:
     """A client that sends `rate` requests a second from its own address and waits for the answer to each."""
 
     def __init__(
-        self, target: Front, address: str, rate: float, count: Count, *, fresh: bool = False
+        self, target: Front, address: str, rate: float, count: ClientResults, *, fresh: bool = False
     ) -> None:
         self._target, self._address, self._rate, self._count = target, address, rate, count
         self._fresh = fresh  # each request opens a connection of its own
@@ -343,7 +343,7 @@
             while True:
                 seq, kind = await reply(reader)
                 if seq in self._answered:
-                    self._count.twice += 1
+                    self._count.answered_twice += 1
                 self._answered.add(seq)
                 future = self._pending.pop(seq, None)
                 if future and not future.done():
--- a/benchmarks/tasks.py
+++ b/benchmarks/tasks.py
@@ -49,17 +49,17 @@
         elif fault == "end":
             process.send(15)
         else:
-            c.r.cut_front(name, *(("to", "back") if fault == "cut" else ("back",)))
-        await c.more(1, after=before)
+            c.r.block_front(name, *(("to", "back") if fault == "cut" else ("back",)))
+        await c.wait_for_pushes(1, after=before)
         gaps_ms.setdefault(fault, []).append(1000 * (anyio.current_time() - began))
         if fault == "stop":
-            process.go_on()
+            process.resume()
         elif fault in ("kill", "end"):
             if fault == "end":
                 await process.ended()
             await c.r.start_front(name)
         else:
-            c.r.cut_front(name)
+            c.r.block_front(name)
     accepted = c.receiver.accepted
     tokens, stamps = [p.token for p in accepted], [p.at for p in accepted]
     return {
--- a/tests/admission/test_fair_queue.py
+++ b/tests/admission/test_fair_queue.py
@@ -81,5 +81,5 @@
     read_queue = WeightedFairQueue(0.6, 0.35)
     for _ in range(40):
         read_queue.charge(PriorityLane.NEW, 0.2)
-        read_queue.calibrate(0.4 * read_queue.pace / read_queue.pace)
-    assert read_queue.pace == pytest.approx(2.0, rel=0.05)
+        read_queue.calibrate(0.4 * read_queue.cost_scale / read_queue.cost_scale)
+    assert read_queue.cost_scale == pytest.approx(2.0, rel=0.05)
--- a/tests/admission/test_floods.py
+++ b/tests/admission/test_floods.py
@@ -22,12 +22,12 @@
 
 
 def clients(
-    front: rig.Front, count: rig.Count, homes: list[str] = KNOWN, **more: bool
-) -> list[rig.UsualClient]:
-    return [rig.UsualClient(front, home, 60 / len(homes), count, **more) for home in homes]
+    front: rig.Front, count: rig.ClientResults, homes: list[str] = KNOWN, **more: bool
+) -> list[rig.SteadyClient]:
+    return [rig.SteadyClient(front, home, 60 / len(homes), count, **more) for home in homes]
 
 
-async def run_clients(usual: list[rig.UsualClient], seconds: float) -> None:
+async def run_clients(usual: list[rig.SteadyClient], seconds: float) -> None:
     until = time.monotonic() + seconds
     await asyncio.gather(*(c.run(until) for c in usual))
 
@@ -70,13 +70,13 @@
 ) -> None:
     async def scenario() -> None:
         async with rig.members() as ports, rig.front(ports, operator=OPERATOR) as front:
-            warm_up_count, count = rig.Count(), rig.Count()
+            warm_up_count, count = rig.ClientResults(), rig.ClientResults()
             await run_clients(clients(front, warm_up_count, homes), 2.3)
             async with flooded(front, kind, 3.3, addresses) as flood:
                 await run_clients(clients(front, count, homes, fresh=fresh), 2.2)
             # Before admission by source was added, a front served 0.02 to 0.2 of them during a burst.
             assert count.served >= 0.95, (count.ends, flood)
-            assert count.twice == flood.get("twice", 0) == count.lost == 0
+            assert count.answered_twice == flood.get("twice", 0) == count.lost == 0
             assert flood["connections"] > 50 and front.usage.descriptors <= 256 and front.usage.rss_mb <= 96
 
     asyncio.run(scenario())
@@ -89,17 +89,17 @@
             rig.front(ports, operator=OPERATOR) as dying,
             rig.front(ports, operator=OPERATOR) as other,
         ):
-            warm_up_count, count = rig.Count(), rig.Count()
+            warm_up_count, count = rig.ClientResults(), rig.ClientResults()
             await run_clients(clients(dying, warm_up_count), 1.0)
             async with flooded(other, "burst", 5.0), flooded(dying, "burst", 4.5):
                 # Like a dead machine: its connections stay open and silent.
                 os.kill(dying.pid, signal.SIGSTOP)
-                moved_clients: list[rig.UsualClient] = clients(other, count)
+                moved_clients: list[rig.SteadyClient] = clients(other, count)
                 await run_clients(moved_clients, 3.0)  # the other front has not seen them before
             os.kill(dying.pid, signal.SIGCONT)
             start = min(at for at, _ in count.at)
             from_second_two = [good for at, good in count.at if at >= start + 1.0]
-            assert sum(from_second_two) / len(from_second_two) >= 0.95 and count.twice == 0
+            assert sum(from_second_two) / len(from_second_two) >= 0.95 and count.answered_twice == 0
 
     asyncio.run(scenario())
 
@@ -107,20 +107,20 @@
 def test_a_front_keeps_serving_after_its_descriptor_limit_is_lowered_from_outside() -> None:
     async def scenario() -> None:
         async with rig.members() as ports, rig.front(ports, operator=OPERATOR) as front:
-            count = rig.Count()
-            await run_clients(clients(front, rig.Count()), 2.5)
+            count = rig.ClientResults()
+            await run_clients(clients(front, rig.ClientResults()), 2.5)
             held = [await asyncio.open_connection(front.host, front.port, local_addr=("127.0.3.1", 0))
                     for _ in range(40)]  # fmt: skip
             resource.prlimit(front.pid, resource.RLIMIT_NOFILE, (48, 256))
             cpu, begun = front.cpu(), time.monotonic()
             await run_clients(clients(front, count, fresh=True), 3.0)
             assert (front.cpu() - cpu) / (time.monotonic() - begun) < 0.6  # no busy loop
-            assert count.served >= 0.9 and count.twice == 0, count.ends
+            assert count.served >= 0.9 and count.answered_twice == 0, count.ends
             log = (front.folder / "log").read_text()
             assert log.count("no file descriptor left for client connections") < 12
             # After the limit is raised again, the front recovers without a signal or a command.
             resource.prlimit(front.pid, resource.RLIMIT_NOFILE, (256, 256))
-            after = rig.Count()
+            after = rig.ClientResults()
             await asyncio.sleep(1.2)
             await run_clients(clients(front, after, fresh=True), 1.0)
             assert after.served == 1.0
@@ -136,7 +136,7 @@
             pairs = [await asyncio.open_connection(front.host, front.port, local_addr=("127.0.3.1", 0))
                      for _ in range(30)]  # fmt: skip
             for _, writer in pairs[:10]:
-                writer.write(rig.request(1, rig.LONG + "0" * 15, "video", 6000))
+                writer.write(rig.request(1, rig.SLOW_OBJECT + "0" * 15, "video", 6000))
             await asyncio.sleep(0.3)
             (front.folder / "operator.toml").write_text("[admission]\nper_address = 2\n")
             config = json.loads((front.folder / "config.json").read_text())
@@ -165,8 +165,8 @@
 def test_sigterm_during_a_flood_answers_open_requests_and_exits_with_0() -> None:
     async def scenario() -> None:
         async with rig.members() as ports, rig.front(ports, operator=OPERATOR) as front:
-            count = rig.Count()
-            await run_clients(clients(front, rig.Count()), 2.5)
+            count = rig.ClientResults()
+            await run_clients(clients(front, rig.ClientResults()), 2.5)
             async with flooded(front, "burst", 4.0):
                 usual = clients(front, count)
                 client_task = asyncio.create_task(run_clients(usual, 1.0))
@@ -174,6 +174,6 @@
                 front.process.send_signal(signal.SIGTERM)
                 await client_task
                 assert await asyncio.wait_for(asyncio.to_thread(front.process.wait), 5) == 0
-            assert count.twice == count.lost == 0 and count.served >= 0.95, count.ends
+            assert count.answered_twice == count.lost == 0 and count.served >= 0.95, count.ends
 
     asyncio.run(scenario())
--- a/tests/admission/test_reputation.py
+++ b/tests/admission/test_reputation.py
@@ -27,7 +27,7 @@
             slot = admit(admission, FLOOD_HOST, now)
             if slot:
                 admission.release_slot(slot, now)
-        penalties.append(admission.sources.obtain(key_of(FLOOD_HOST), now).penalty_until - now)
+        penalties.append(admission.sources.find_or_create(key_of(FLOOD_HOST), now).penalty_until - now)
         # A limited source is not banned: a few of its connections are still admitted.
         limited = [admit(admission, FLOOD_HOST, now + i * 0.3) for i in range(3)]
         assert any(limited)
@@ -67,9 +67,9 @@
                 elif open_request(admission, slot, now) is RejectionReason.NONE:
                     admission.request_closed(slot, now, True)
         # The message of each of these slots has been charged already, and its client has the next one ready.
-        for slot in admission.tick(now, 0.0).to_wake:
+        for slot in admission.tick(now, 0.0).to_read:
             waiting_slots.discard(slot)
             if open_request(admission, slot, now) is RejectionReason.NONE:
                 admission.request_closed(slot, now, True)
-    source = admission.sources.obtain(key_of(FLOOD_HOST), now)
+    source = admission.sources.find_or_create(key_of(FLOOD_HOST), now)
     assert source.served > 1000 and admission.lane_of(source, now) is not PriorityLane.KNOWN
--- a/tests/config/test_reading.py
+++ b/tests/config/test_reading.py
@@ -24,7 +24,7 @@
     parse_config,
     parse_settings,
 )
-from zincladder.config.check import config_faults, operator_faults
+from zincladder.config.check import config_errors, operator_errors
 from zincladder.config.operator import parse_operator
 from zincladder.config.replica import parse_replica_config
 
@@ -204,7 +204,7 @@
         {"tables": {}},
     ]
     found["more"] = [parse_outcome(lambda data: parse_operator(data, NAMES), data) for data in invalid_files]
-    found["all at once"] = operator_faults(
+    found["all at once"] = operator_errors(
         {key: value for data in invalid_files for key, value in data.items()}, NAMES
     )
     assert_matches("configuration/operator_faults.json", found)
@@ -293,7 +293,7 @@
     data["settings"]["domain"]["detail"] = "some"
     data["settings"]["categories"][1]["effect"] = 3
     data["settings"]["ceilings"]["mayCancel"] = "yes"
-    found, names = config_faults(data)
+    found, names = config_errors(data)
     assert_matches("configuration/check.json", [found, positional(names)])
 
 
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -47,13 +47,13 @@
 
 @pytest.mark.parametrize("block", range(8))
 def test_no_acknowledged_entry_is_lost_and_no_term_has_two_leaders_under_faults(block: int) -> None:
-    figures = {"acknowledged": 0, "reads": 0, "crashes": 0, "changes": 0, "snapshots": 0}
+    counts = {"acknowledged": 0, "reads": 0, "crashes": 0, "changes": 0, "snapshots": 0}
     for seed in range(block * 60, block * 60 + 60):
-        for name, count in run_simulation(seed).figures.items():
-            figures[name] += count
+        for name, count in run_simulation(seed).counts.items():
+            counts[name] += count
     # The test is meaningful only if entries, reads and every kind of fault occurred.
-    assert figures["acknowledged"] > 300 and figures["reads"] > 100 and figures["crashes"] > 100
-    assert figures["changes"] > 10 and figures["snapshots"] > 50
+    assert counts["acknowledged"] > 300 and counts["reads"] > 100 and counts["crashes"] > 100
+    assert counts["changes"] > 10 and counts["snapshots"] > 50
 
 
 def test_a_replica_that_missed_two_snapshots_receives_the_later_after_the_earlier() -> None:
@@ -68,10 +68,10 @@
     for _ in range(2):
         for n in range(6):
             leader.node.propose(b"%d of %d" % (n, leader.index))
-            group.settle(leader)
+            group.process_output(leader)
             group.run(group.now + 1)
         leader.node.compact(leader.index, group.dump(leader))
-        group.settle(leader)
+        group.process_output(leader)
         group.run(group.now + 3)
     group.heal_and_check()
     assert lagging.state == leader.state and len(lagging.state) >= 12
--- a/tests/consensus/test_replica_processes.py
+++ b/tests/consensus/test_replica_processes.py
@@ -11,7 +11,7 @@
 import anyio
 import pytest
 
-from tests.processes import Rig, rig
+from tests.processes import ProcessCluster, process_cluster
 from zincladder.consensus import rpc
 from zincladder.consensus.client import Client
 from zincladder.consensus.errors import OutcomeUnknownError, RequestFailedError
@@ -21,7 +21,7 @@
 
 
 async def test_acknowledged_writes_survive_a_kill_of_every_replica(tmp_path: Path) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         names = await r.replicas(3)
         version = await r.write("a", b"1")
         for name in names:
@@ -33,7 +33,7 @@
 
 
 async def test_a_write_survives_a_kill_of_the_leader_right_after_its_response(tmp_path: Path) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         await r.replicas(3)
         for n in range(3):
             leader = await r.leader()
@@ -45,7 +45,7 @@
 
 
 async def test_one_of_two_writers_with_the_same_version_gets_a_version_mismatch(tmp_path: Path) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         await r.replicas(3)
         results: list[object] = []
 
@@ -62,7 +62,7 @@
 async def test_a_replica_accepts_no_record_that_it_cannot_decode(tmp_path: Path) -> None:
     # Guards against a fault that was seen: one such write ended each replica that became the leader, one
     # after the other.
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         await r.replicas(1)
         for key, reason in (("policy", "no record"), ("terms", "own"), ("document/1", "by its content")):
             with pytest.raises(RequestFailedError, match=reason):
@@ -71,14 +71,14 @@
 
 
 async def test_a_leader_that_was_paused_answers_no_stale_read(tmp_path: Path) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         await r.replicas(3)
         old = await r.leader()
         await r.write("a", b"before")
         r.processes[old].stop()
         new = await r.leader(old)
         await r.write("a", b"after", *(r.ports.keys() - {old}))
-        r.processes[old].go_on()
+        r.processes[old].resume()
         # The old leader is asked before it can have received a message of the new term.
         addresses = {old: f"127.0.0.1:{r.ports[old]}"}
         try:
@@ -89,7 +89,7 @@
 
 
 async def test_a_minority_commits_nothing_and_reports_it(tmp_path: Path) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         names = await r.replicas(3)
         leader = await r.leader()
         await r.write("a", b"1")
@@ -109,7 +109,7 @@
     tmp_path: Path, heard: bool, hears: bool
 ) -> None:
     # The old leader is cut off in both directions, or only its sent or only its received messages are lost.
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         names = await r.replicas(3)
         old = await r.leader()
         first = await r.write("a", b"1")
@@ -130,7 +130,7 @@
         await r.until("all three agree", lambda: have_same_commit_index(r, names))
 
 
-async def have_same_commit_index(r: Rig, names: list[str]) -> bool:
+async def have_same_commit_index(r: ProcessCluster, names: list[str]) -> bool:
     statuses = [await r.status(name) for name in names]
     reached = [status for status in statuses if status is not None]
     if len(reached) < len(names):
@@ -141,12 +141,12 @@
 async def test_links_reset_in_the_middle_of_messages_lose_no_acknowledged_write(
     tmp_path: Path,
 ) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         await r.replicas(3)
         for n in range(12):
             for i, relay in enumerate(r.relays.values()):
                 if n % 3 == 0:
-                    relay.tear = 5 + 7 * i + n
+                    relay.bytes_before_reset = 5 + 7 * i + n
                 elif n % 3 == 1:
                     await relay.reset()
             await r.write(f"x/{n:02}", b"%d" % n)
@@ -158,7 +158,7 @@
     tmp_path: Path,
 ) -> None:
     # A replica that has lost its vote could elect a leader that lacks acknowledged writes.
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         names = await r.replicas(3)
         leader = await r.leader()
         lost = next(n for n in names if n != leader)
@@ -197,7 +197,7 @@
 async def test_an_older_copy_of_a_directory_is_reported_and_not_counted_for_the_quorum(
     tmp_path: Path,
 ) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         names = await r.replicas(3)
         leader = await r.leader()
         stale = next(n for n in names if n != leader)
@@ -238,7 +238,7 @@
             return found is not None and found.role != "leader"
 
         await r.until("the leader has stepped down", stepped_down)
-        r.processes[other].go_on()
+        r.processes[other].resume()
         await r.leader()
         await r.write("c", b"4")
         assert len(await r.client().get("b/")) == 5
@@ -247,7 +247,7 @@
 async def test_a_replica_with_a_full_disk_ends_and_loses_no_acknowledged_write(
     tmp_path: Path,
 ) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         await r.replicas(3)
         full = r.processes[await r.leader()]
         await r.write("big", bytes(50_000))  # so that the journal is larger than the log file of the process
@@ -265,7 +265,7 @@
 
 
 async def test_a_response_too_large_for_a_frame_is_an_error_and_ends_no_link(tmp_path: Path) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         await r.replicas(1)
         for n in range(6):
             await r.write(f"big/{n}", bytes(200_000))
@@ -275,7 +275,7 @@
 
 
 async def test_a_replica_of_another_group_or_name_is_rejected_with_the_reason(tmp_path: Path) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         await r.replicas(1)
         address = f"127.0.0.1:{r.ports['k1']}"
         with pytest.raises(RequestFailedError, match="group 'other', not 'test'"):
@@ -285,7 +285,7 @@
 
 
 async def test_a_torn_tail_is_truncated_and_corruption_before_it_is_reported(tmp_path: Path) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         await r.replicas(1)
         for n in range(5):
             await r.write(f"x/{n}", b"x" * 100)
@@ -308,7 +308,7 @@
 
 
 async def test_two_processes_never_share_a_directory(tmp_path: Path) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         await r.replicas(1)
         second = r.processes["k1"]
         twin = type(second)("twin", tmp_path / "twin", second.command)
@@ -320,7 +320,7 @@
 
 
 async def test_a_leader_transfers_leadership_before_a_graceful_shutdown(tmp_path: Path) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         names = await r.replicas(3)
         old = await r.leader()
         await r.write("a", b"1")
@@ -331,12 +331,12 @@
         await r.until("another leads", lambda: [n for n in names if n != old and has_led(r, n)])
 
 
-def has_led(r: Rig, name: str) -> bool:
+def has_led(r: ProcessCluster, name: str) -> bool:
     return any(line["role"] == "leader" for line in r.processes[name].events("role changed"))
 
 
 async def test_a_replica_far_behind_installs_a_snapshot(tmp_path: Path) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         names = await r.replicas(3)
         leader = await r.leader()
         lagging = next(n for n in names if n != leader)
@@ -368,7 +368,7 @@
 
 
 async def test_a_replicas_metrics_show_the_leader_and_silent_replicas(tmp_path: Path) -> None:
-    async with rig(tmp_path) as r:
+    async with process_cluster(tmp_path) as r:
         for name in await r.replicas(3):
             process = r.processes[name]
             process.kill()
--- a/tests/consensus/test_stored_and_sent_bytes.py
+++ b/tests/consensus/test_stored_and_sent_bytes.py
@@ -246,10 +246,14 @@
     segment += (
         records.pack(1, 257, b"first") + records.pack(2, 386, b"") + records.pack(3, 2**40, b"\xff" * 9)
     )
-    spool = records.segment_header(records.SPOOL, 70000) + records.pack(70000, 1_700_000_000_000, b"batch")
+    spool = records.segment_header(records.SPOOL_MAGIC, 70000) + records.pack(
+        70000, 1_700_000_000_000, b"batch"
+    )
     cursor = records.pack_cursor(3, 70000) + records.pack_cursor(4, 70007)
     assert stored == {"journal": segment, "spool": spool, "cursor": cursor}
-    found = [(r.number, r.stamp, r.payload) for r in records.scan(stored["journal"], records.JOURNAL_MAGIC)]
+    found = [
+        (r.number, r.stamp, r.payload) for r in records.scan_records(stored["journal"], records.JOURNAL_MAGIC)
+    ]
     assert found == [(1, 257, b"first"), (2, 386, b""), (3, 2**40, b"\xff" * 9)]
     assert records.read_cursor(stored["cursor"]) == (4, 70007)
 
--- a/tests/control/test_commands.py
+++ b/tests/control/test_commands.py
@@ -11,7 +11,7 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from tests.support.front_world import world
+from tests.support.front_world import running_front
 from tests.support.service_client import client
 from tests.support.stub_cache import serve
 from zincladder.cli import main
@@ -30,7 +30,7 @@
     path = str(tmp_path / "control")
     operator = {"admission": {}, "control": {"socket": path}}
     admission = partial(run_command, "admission", "--socket", path)
-    async with world(serve, operator=operator) as w, client(w) as c:
+    async with running_front(serve, operator=operator) as w, client(w) as c:
         assert stat.S_IMODE(Path(path).stat().st_mode) == 0o600
         await c.ask()
         assert (await c.reply()).kind == "served"
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -10,8 +10,8 @@
 import anyio.lowlevel
 import pytest
 
-from tests.support.front_world import World, world
-from tests.support.raw_client import rest
+from tests.support.front_world import RunningFront, running_front
+from tests.support.raw_client import receive_all
 from tests.support.service_client import client
 from tests.support.stub_cache import Fetch, StubCache, serve
 from zincladder.control.readiness import Readiness
@@ -45,7 +45,7 @@
         LineReader().feed(b"x" * (MAX_LINE_BYTES + 1))
 
 
-async def ask_front(w: World, line: bytes = b"STATS\n") -> bytes:
+async def ask_front(w: RunningFront, line: bytes = b"STATS\n") -> bytes:
     assert w.listening.operators
     async with await anyio.connect_tcp(*w.listening.operators) as stream:
         await stream.send(line)
@@ -65,7 +65,7 @@
 
 
 async def test_silent_connections_do_not_block_calls() -> None:
-    async with world(serve, control="127.0.0.1:0", limits={"sockets": 64}) as w:
+    async with running_front(serve, control="127.0.0.1:0", limits={"sockets": 64}) as w:
         assert w.listening.operators
         silent_connections = [socket.create_connection(w.listening.operators) for _ in range(20)]
         for sock in silent_connections[::2]:
@@ -81,12 +81,12 @@
 
 @pytest.mark.parametrize("data", [b"READY\n" * 200, b"x" * 2000], ids=["calls", "bytes"])
 async def test_bytes_after_a_call_do_not_lose_its_answer(data: bytes) -> None:
-    async with world(serve, control="127.0.0.1:0") as w:
+    async with running_front(serve, control="127.0.0.1:0") as w:
         assert w.listening.operators
         with socket.create_connection(w.listening.operators) as sock:
             sock.sendall(data)  # more than one read: closing with unread bytes would reset the connection
             sock.setblocking(False)
-            answer = await rest(sock)
+            answer = await receive_all(sock)
         assert answer in (b"SUCCESS\n", b"FAILURE a call of over 256 bytes\n") or b"coordinator" in answer
 
 
@@ -94,7 +94,7 @@
     async def script(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(500)
 
-    async with world(serve, origin=script, control="127.0.0.1:0") as w, client(w) as c:
+    async with running_front(serve, origin=script, control="127.0.0.1:0") as w, client(w) as c:
         before = parse_statistics(await ask_front(w))
         assert before["app.aborted.booking"] == before["app.succeeded.page"] == before["app.forwards"] == 0
         for route in ("page", "page", "booking", "nonsense"):
@@ -110,7 +110,7 @@
 def test_ready_fails_before_the_first_sync_and_while_stopping() -> None:
     state: dict[str, Any] = {"ready": 0, "now": 10.0, "stopping": False}
     freshness = Freshness(min_grace_seconds=0.5)
-    freshness.connecting(10.0)
+    freshness.connect_started(10.0)
     readiness = Readiness(
         lambda: state["ready"], lambda: freshness.has_synced(state["now"]), lambda: state["stopping"]
     )
@@ -122,7 +122,7 @@
     state["now"] = 10.0 + INITIAL_SYNC_SECONDS  # a coordinator that stalls must not keep the front unready
     assert not readiness.missing()
     synced = Freshness(min_grace_seconds=0.5)
-    synced.connecting(10.0)
+    synced.connect_started(10.0)
     synced.frame_received(10.1)
     assert not Readiness(lambda: 1, lambda: synced.has_synced(10.1), lambda: False).missing()
     state["stopping"] = True
--- a/tests/core/test_arrival.py
+++ b/tests/core/test_arrival.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from zincladder.core.arrival import ArrivalBound, LoopTurns
+from zincladder.core.arrival import ArrivalBound, LoopIterations
 
 
 def test_a_message_that_the_event_loop_was_waiting_for_counts_as_read_at_once() -> None:
-    turns = LoopTurns(100.0)
-    bound = ArrivalBound(turns, 100.0)
-    bound.reader_waits(100.01)
+    loop_iterations = LoopIterations(100.0)
+    bound = ArrivalBound(loop_iterations, 100.0)
+    bound.record_reader_waiting(100.01)
     for tick in range(1, 400):
-        turns.record_iteration(100.0 + tick / 100)
-    bound.reader_woke(104.0)
+        loop_iterations.record_iteration(100.0 + tick / 100)
+    bound.record_reader_woken(104.0)
     assert bound.unread_seconds(104.0, lambda: 3.0) == 0.0  # the reported age does not matter
 
 
@@ -21,23 +21,23 @@
 def test_a_message_that_arrived_during_a_stall_has_its_reported_age_or_the_longest_possible_one(
     newest: float | None, age: float
 ) -> None:
-    turns = LoopTurns(100.0)
-    bound = ArrivalBound(turns, 100.0)
-    bound.reader_waits(100.0)
+    loop_iterations = LoopIterations(100.0)
+    bound = ArrivalBound(loop_iterations, 100.0)
+    bound.record_reader_waiting(100.0)
     for now in (100.01, 100.02, 100.03, 100.51):  # the last iteration found the message
-        turns.record_iteration(now)
-    bound.reader_woke(100.5)
+        loop_iterations.record_iteration(now)
+    bound.record_reader_woken(100.5)
     assert bound.unread_seconds(100.5, lambda: newest) == pytest.approx(age)
 
 
 def test_a_message_that_arrived_while_its_reader_was_paused_counts_from_the_start_of_the_pause() -> None:
-    turns = LoopTurns(100.0)
-    bound = ArrivalBound(turns, 100.0)
-    bound.reader_waits(100.0)
-    bound.reader_woke(100.0)
-    bound.reader_drained(100.0)
+    loop_iterations = LoopIterations(100.0)
+    bound = ArrivalBound(loop_iterations, 100.0)
+    bound.record_reader_waiting(100.0)
+    bound.record_reader_woken(100.0)
+    bound.record_reader_drained(100.0)
     for tick in range(100):
-        turns.record_iteration(100.0 + tick / 100)
-    bound.reader_waits(101.0)  # the reader did not look at the socket for a second
-    bound.reader_woke(101.0)
+        loop_iterations.record_iteration(100.0 + tick / 100)
+    bound.record_reader_waiting(101.0)  # the reader did not look at the socket for a second
+    bound.record_reader_woken(101.0)
     assert bound.unread_seconds(101.0, lambda: None) == 1.0
--- a/tests/core/test_late_attempts.py
+++ b/tests/core/test_late_attempts.py
@@ -25,11 +25,11 @@
 from anyio.abc import SocketAttribute
 
 from tests.support.cache_scripts import cut
-from tests.support.cache_wire import LARGE, attempt_request, wire
+from tests.support.cache_wire import OVER_BUFFER_SIZE, attempt_request, wire
 from tests.support.front_configuration import SETTINGS
-from tests.support.front_hooks import cores_of, on_connect
-from tests.support.front_world import world
-from tests.support.raw_client import frame, plain, request, some
+from tests.support.front_hooks import on_connect, record_cores
+from tests.support.front_world import running_front
+from tests.support.raw_client import frame, raw_connection, receive_chunk, request
 from tests.support.service_client import client
 from tests.support.stub_cache import Fetch, StubCache, serve
 from zincladder.admission.connection_admission import ConnectionAdmission
@@ -99,11 +99,11 @@
     `act` is called when the connection for the attempt of this number is established. `behind` is sent right
     after the request, and is read before that.
     """
-    cores, waiting = cores_of(monkeypatch), list[socket.socket]()
+    cores, waiting = record_cores(monkeypatch), list[socket.socket]()
     on_connect(monkeypatch, lambda made: act(cores[0], waiting.pop()) if made == attempt else None)
     script = cut if attempt == 2 else serve
-    async with world(script, script, settings=NO_PROBES) as w:
-        with plain(w) as sock:
+    async with running_front(script, script, settings=NO_PROBES) as w:
+        with raw_connection(w) as sock:
             waiting.append(sock)
             sock.sendall(request(1, patience=str(round(PATIENCE * 1000))) + behind)
             with anyio.fail_after(5):
@@ -186,7 +186,7 @@
     # The second request waits behind the first, which the endpoint does not read yet.
     now = [1000.0]
     async with wire(now=lambda: now[0]) as w:
-        await w.send(b"x" * LARGE, attempt_request("a" * 16))
+        await w.send(b"x" * OVER_BUFFER_SIZE, attempt_request("a" * 16))
         second = attempt_request("b" * 16, deadline=now[0] + 2.0)
         await w.attempt("b" * 16, lambda: w.caches._serialize(second), second)
         w.link.write_queue._flush()  # serialized, but the operating system accepts no bytes of it
@@ -206,7 +206,7 @@
             scopes.append(await w.send(b"x" * 500 + b"\r\n", attempt_request(f"{len(scopes):016x}")))
         last = f"{len(scopes):016x}"
         scopes.append(await w.send(b"last\r\n", attempt_request(last)))
-        assert all(exchange.write and not exchange.write.parts for exchange in w.link.open.values())
+        assert all(exchange.write and not exchange.write.parts for exchange in w.link.open_exchanges.values())
         for scope in scopes:
             scope.cancel()
         await anyio.wait_all_tasks_blocked()
@@ -230,12 +230,12 @@
     monkeypatch.setattr(ConnectionAdmission, "may_accept", full_for_a_while)
     if not reported:
         monkeypatch.setattr(client_connection, "newest_byte_age_seconds", lambda _: None)
-    async with world(serve, settings=NO_PROBES) as w:
-        with plain(w) as sock:
+    async with running_front(serve, settings=NO_PROBES) as w:
+        with raw_connection(w) as sock:
             sock.sendall(request(1, patience="2000"))
             await anyio.sleep(waited)
             full.clear()
-            await some(sock)
+            await receive_chunk(sock)
         (fetch,) = [fetch for stub in w.caches for fetch in stub.fetches]
         assert int(fetch.fields["limit"]) <= 2000 - 1000 * waited + 1000 * PROMPT_READ_SECONDS
 
@@ -263,11 +263,11 @@
         return await accept_all(self) or True
 
     monkeypatch.setattr(ClientListener, "_accept_all", reports_a_rejection)
-    async with world(serve) as w:
+    async with running_front(serve) as w:
         await anyio.sleep(0.3)
-        with plain(w) as sock:
+        with raw_connection(w) as sock:
             sock.sendall(STATUS)
-            await some(sock)
+            await receive_chunk(sock)
     assert connected_after[0] < 0.2
 
 
@@ -281,9 +281,9 @@
 
     monkeypatch.setattr(anyio, "wait_readable", ignores_the_listener)
     monkeypatch.setattr(client_server, "ACCEPT_AFTER_STOP_SECONDS", 0.0)
-    async with world(serve) as w:
+    async with running_front(serve) as w:
         await anyio.sleep(0.3)
-        with plain(w):
+        with raw_connection(w):
             w.stopping.set()
             with anyio.fail_after(5):
                 while not connected_after:
@@ -324,7 +324,7 @@
     patience: float, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The deadline of the attempt, or of the request, passes while the answer is unread.
-    cores, stalls = cores_of(monkeypatch), [PAGE_PATIENCE + 0.2]
+    cores, stalls = record_cores(monkeypatch), [PAGE_PATIENCE + 0.2]
 
     async def answers_and_stalls(stub: StubCache, fetch: Fetch) -> None:
         if not stalls:
@@ -332,7 +332,7 @@
         answer_at_once(fetch)
         time.sleep(stalls.pop())
 
-    async with world(answers_and_stalls, answers_and_stalls, settings=NO_PROBES) as w, client(w) as c:
+    async with running_front(answers_and_stalls, answers_and_stalls, settings=NO_PROBES) as w, client(w) as c:
         await c.ask(patience=str(round(1000 * patience)))
         assert (await c.reply()).kind == kind
         assert len([fetch for stub in w.caches for fetch in stub.fetches]) == 1
@@ -355,7 +355,7 @@
         time.sleep(stalls.pop())
 
     monkeypatch.setattr(Router, "handle", recording)
-    async with world(answers_and_stalls, settings=NO_PROBES) as w, client(w) as c:
+    async with running_front(answers_and_stalls, settings=NO_PROBES) as w, client(w) as c:
         await c.ask()
         assert (await c.reply()).kind == "served"
     (end,) = [event for event in events if isinstance(event, api.AttemptEnded)]
@@ -408,13 +408,13 @@
     def reads() -> None:
         with contextlib.suppress(BlockingIOError):
             while True:
-                theirs.recv(LARGE)
+                theirs.recv(OVER_BUFFER_SIZE)
 
     with ours, theirs:
         ours.setblocking(False)
         theirs.setblocking(False)
         queue = WriteQueue(ours)
-        queue.put([b"x" * LARGE])
+        queue.put([b"x" * OVER_BUFFER_SIZE])
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(queue.run, PEER_TIMEOUT)
             await anyio.wait_all_tasks_blocked()
--- a/tests/discovery/test_freshness.py
+++ b/tests/discovery/test_freshness.py
@@ -13,13 +13,13 @@
 
 def started(now: float = 100.0) -> Freshness:
     freshness = Freshness(min_grace_seconds=0.5)
-    freshness.connecting(now)
+    freshness.connect_started(now)
     return freshness
 
 
 def following(now: float = 100.0) -> Freshness:
     freshness = started(now)
-    freshness.asked(now)
+    freshness.catch_up_requested(now)
     freshness.frame_received(now)
     return freshness
 
@@ -27,9 +27,9 @@
 def test_decisions_wait_from_the_start_until_the_first_frame() -> None:
     freshness = Freshness(min_grace_seconds=0.5)
     assert freshness.seconds_until_usable(50.0) > 0  # the watch has not begun, and the limit counts from then
-    freshness.connecting(100.0)
+    freshness.connect_started(100.0)
     assert freshness.seconds_until_usable(100.0) == INITIAL_SYNC_SECONDS and not freshness.has_synced(100.0)
-    freshness.asked(100.1)
+    freshness.catch_up_requested(100.1)
     assert freshness.seconds_until_usable(100.2) > 0
     freshness.frame_received(100.3)
     assert freshness.seconds_until_usable(100.3) == 0 and freshness.has_synced(100.3)
@@ -37,9 +37,9 @@
 
 def test_a_silent_coordinator_keeps_a_front_out_of_service_for_a_limited_time() -> None:
     freshness = started()
-    freshness.asked(100.0)
+    freshness.catch_up_requested(100.0)
     freshness.watch_failed(101.6, timed_out=True)
-    freshness.asked(101.7)
+    freshness.catch_up_requested(101.7)
     assert 0 < freshness.seconds_until_usable(102.9) < 0.2
     assert freshness.seconds_until_usable(100.0 + INITIAL_SYNC_SECONDS) == 0 and freshness.has_synced(103.0)
 
@@ -50,7 +50,7 @@
         assert freshness.seconds_until_usable(100.1) > 0, n
         freshness.watch_failed(100.1)
     assert freshness.seconds_until_usable(100.1) == 0 and freshness.phase is WatchPhase.UNREACHABLE
-    freshness.asked(110.0)  # it is back and counts all events since then as delivered
+    freshness.catch_up_requested(110.0)  # it is back and counts all events since then as delivered
     assert freshness.seconds_until_usable(110.0) > 0
     freshness.frame_received(110.1)
     assert freshness.seconds_until_usable(110.1) == 0
@@ -60,7 +60,7 @@
     freshness = following()
     freshness.watch_failed(100.9)
     assert freshness.seconds_until_usable(100.95) == 0
-    freshness.asked(101.0)
+    freshness.catch_up_requested(101.0)
     assert freshness.seconds_until_usable(101.2) == 0 and freshness.seconds_until_usable(101.26) > 0
     freshness.frame_received(101.3)
     assert freshness.seconds_until_usable(101.3) == 0
@@ -71,7 +71,7 @@
     freshness.watch_failed(now)
     for _ in range(20):  # it accepts connections and stays silent
         now += 0.05
-        freshness.asked(now)
+        freshness.catch_up_requested(now)
         for _ in range(16):
             now += 0.1
             waited += 0.1 * (freshness.seconds_until_usable(now) > 0)
@@ -83,10 +83,10 @@
     # It may have recovered, and the answer to the next catch-up request may contain events.
     freshness = started()
     for n in range(5):
-        freshness.asked(100.0 + n)
+        freshness.catch_up_requested(100.0 + n)
         freshness.watch_failed(100.01 + n)
     assert freshness.phase is WatchPhase.UNREACHABLE and freshness.seconds_until_usable(104.5) == 0
-    freshness.asked(105.0)
+    freshness.catch_up_requested(105.0)
     assert freshness.seconds_until_usable(105.1) > 0
     freshness.frame_received(105.3)
     assert freshness.seconds_until_usable(105.3) == 0
@@ -98,7 +98,7 @@
     assert freshness.seconds_until_usable(105.0) > 0  # no frame for longer than the watch's timeout
     freshness.watch_failed(105.0)
     assert freshness.seconds_until_usable(105.1) > 0
-    freshness.asked(105.1)
+    freshness.catch_up_requested(105.1)
     assert freshness.seconds_until_usable(105.1) > 0
     freshness.frame_received(105.2)
     assert freshness.seconds_until_usable(105.2) == 0
--- a/tests/discovery/test_restart_view.py
+++ b/tests/discovery/test_restart_view.py
@@ -32,9 +32,9 @@
 from tests.processes import free_port
 from tests.support.coordinator_frames import frame, until
 from tests.support.front_configuration import configuration
-from tests.support.front_hooks import cores_of
+from tests.support.front_hooks import record_cores
 from tests.support.front_process import FrontProcess
-from tests.support.front_world import World, world
+from tests.support.front_world import RunningFront, running_front
 from tests.support.resolver import Resolver
 from tests.support.service_client import Client, Reply, client
 from tests.support.stub_cache import Fetch, StubCache, serve
@@ -171,7 +171,7 @@
     return core.endpoint_list.freshness.phase
 
 
-def push_now(w: World, record: bytes) -> None:
+def push_now(w: RunningFront, record: bytes) -> None:
     """Sends a change of the list without running the event loop, so that the front has not read it yet."""
     number = w.coordinator.streams[-1].extra(anyio.abc.SocketAttribute.raw_socket).fileno()
     with socket.socket(fileno=os.dup(number)) as sock:
@@ -187,8 +187,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # A process may stall between its decision and the send, and would read the event only afterwards.
-    cores = cores_of(monkeypatch)
-    async with world(serve) as w, client(w) as c:
+    cores = record_cores(monkeypatch)
+    async with running_front(serve) as w, client(w) as c:
         await followed(cores)
         endpoint, real, stalls_left = w.caches[0], WriteQueue.put, [True]
 
@@ -237,8 +237,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Events after a broken watch count as delivered once the front has sent a catch-up request.
-    cores = cores_of(monkeypatch)
-    async with world(serve) as w, client(w) as c:
+    cores = record_cores(monkeypatch)
+    async with running_front(serve) as w, client(w) as c:
         core = await followed(cores)
         freshness = core.endpoint_list.freshness
         assert freshness is not None
@@ -260,13 +260,13 @@
 async def test_a_retry_waits_for_the_answer_to_the_catch_up_request_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    cores, reject = cores_of(monkeypatch), anyio.Event()
+    cores, reject = record_cores(monkeypatch), anyio.Event()
 
     async def full(_: StubCache, fetch: Fetch) -> None:
         await reject.wait()
         await fetch.answer(503)
 
-    async with world(full, full) as w, client(w) as c:
+    async with running_front(full, full) as w, client(w) as c:
         core = await followed(cores)
         freshness = core.endpoint_list.freshness
         assert freshness is not None
@@ -289,9 +289,9 @@
 async def test_dns_queries_are_answered_only_once_the_list_is_current(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    cores = cores_of(monkeypatch)
+    cores = record_cores(monkeypatch)
     monkeypatch.setattr(CoordinatorWatch, "run", never_begins)
-    async with world(serve) as w, client(w) as c, anyio.create_task_group() as tasks:
+    async with running_front(serve) as w, client(w) as c, anyio.create_task_group() as tasks:
         assert w.listening.dns
         resolver, answers = Resolver(w.listening.dns), list[dns.message.Message]()
 
@@ -310,7 +310,7 @@
 
 
 async def test_a_front_that_cannot_reach_the_coordinator_serves_by_its_initial_list() -> None:
-    async with world(serve) as w:
+    async with running_front(serve) as w:
         w.coordinator.down = True
         async with client(w) as c:
             await c.ask()
@@ -323,7 +323,7 @@
 ) -> None:
     # It is rejected before half of its time has passed, so that its client can still retry elsewhere.
     monkeypatch.setattr(CoordinatorWatch, "run", never_begins)
-    async with world(serve) as w, client(w) as c:
+    async with running_front(serve) as w, client(w) as c:
         started_at = monotonic()
         await c.ask(patience="200")
         assert (await c.reply()).kind == "Throttled"
@@ -334,9 +334,9 @@
 async def test_requests_that_wait_for_the_coordinator_are_answered_when_the_front_stops(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    cores = cores_of(monkeypatch)
+    cores = record_cores(monkeypatch)
     monkeypatch.setattr(CoordinatorWatch, "run", never_begins)
-    async with world(serve) as w, client(w) as c:
+    async with running_front(serve) as w, client(w) as c:
         await c.ask(patience="2000")
         await until(lambda: cores[0].counts["out_of_date", "held"] == 1)
         cores[0].fail_open_requests()
@@ -347,7 +347,7 @@
 async def test_the_list_is_not_current_while_only_a_part_of_an_event_has_arrived(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    cores = cores_of(monkeypatch)
+    cores = record_cores(monkeypatch)
     may_send_rest = anyio.Event()
 
     async def send_in_pieces(self: Coordinator, stream: anyio.abc.ByteStream) -> None:
@@ -360,7 +360,7 @@
         await anyio.sleep_forever()
 
     monkeypatch.setattr(Coordinator, "_connection", send_in_pieces)
-    async with world(serve) as w, client(w) as c:
+    async with running_front(serve) as w, client(w) as c:
         endpoint = w.caches[0]
         w.coordinator.events.append((3, 2, endpoint.record(DRAINING)))
         await c.ask(patience="5000")
--- a/tests/dns/test_admission.py
+++ b/tests/dns/test_admission.py
@@ -9,7 +9,7 @@
 import dns.message
 import pytest
 
-from tests.support.front_world import world
+from tests.support.front_world import running_front
 from tests.support.resolver import Resolver
 from tests.support.stub_cache import serve
 
@@ -18,7 +18,7 @@
 
 async def test_udp_queries_over_the_rate_are_truncated_and_tcp_connections_are_limited() -> None:
     limits = {"dns_rate": 1.0, "dns_burst": 4, "dns_per_address": 2}
-    async with world(serve, operator={"admission": limits}) as front:
+    async with running_front(serve, operator={"admission": limits}) as front:
         assert front.listening.dns
         query = dns.message.make_query("papers.main.example.org", "A").to_wire()
         async with await anyio.create_connected_udp_socket(*front.listening.dns) as udp:
--- a/tests/dns/test_dns.py
+++ b/tests/dns/test_dns.py
@@ -12,14 +12,14 @@
 import dns.rcode
 import pytest
 
-from tests.support.front_world import World, world
+from tests.support.front_world import RunningFront, running_front
 from tests.support.resolver import Resolver, places
 from tests.support.routing import FLEET, settings
 from tests.support.scripted_transport import ScriptedTransport
 from tests.support.stub_cache import Fetch, StubCache, serve
 from zincladder.config import DnsConfig, DnsHost
 from zincladder.core.engine import Core
-from zincladder.dns.answers import Answers
+from zincladder.dns.answers import DnsResponder
 from zincladder.routing import interface as api
 
 pytestmark = pytest.mark.anyio
@@ -27,7 +27,7 @@
 DRAIN_DEADLINE_SECONDS = 0.5  # after the coordinator has announced the drain
 
 
-def resolver(front: World, **options: float) -> Resolver:
+def resolver(front: RunningFront, **options: float) -> Resolver:
     assert front.listening.dns
     return Resolver(front.listening.dns, **options)
 
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("state", [1, 2], ids=["draining", "gone"])
 async def test_a_drained_cache_is_not_returned_after_the_deadline(state: int) -> None:
     # With a TTL above 0, a caching resolver would still return the drained cache (rule 3).
-    async with world(serve, serve, serve) as front:
+    async with running_front(serve, serve, serve) as front:
         client = resolver(front)
         (first_address,) = places(await client.query(PAPERS))
         (drained,) = [c for c in front.caches if c.port == first_address[1]]
@@ -52,7 +52,7 @@
 
 async def test_a_resolver_that_ignores_a_ttl_of_0_still_returns_a_drained_cache() -> None:
     # Shows that the test above can find late answers, and why the plug-in queries the front directly.
-    async with world(serve, serve, serve) as front:
+    async with running_front(serve, serve, serve) as front:
         caching_resolver, direct_resolver = resolver(front, least_ttl=30.0), resolver(front)
         (first_address,) = places(await caching_resolver.query(PAPERS))
         (drained,) = [c for c in front.caches if c.port == first_address[1]]
@@ -73,7 +73,7 @@
         runs[fetch.name] += 1
         await fetch.stream.aclose()
 
-    async with world(serve, serve, origin=run_and_close) as front:
+    async with running_front(serve, serve, origin=run_and_close) as front:
         client = resolver(front)
         for n in range(20):
             answer = await client.query(BOOKING)
@@ -104,7 +104,7 @@
 async def test_each_kind_of_name_and_type_gets_its_response_code(
     name: str, kind: str, code: int, count: int
 ) -> None:
-    async with world(serve) as front:
+    async with running_front(serve) as front:
         answer = await resolver(front).query(name, kind)
         assert (answer.rcode(), len(answer.answer)) == (code, count)
         assert all(rr.ttl == 0 for rr in (*answer.answer, *answer.additional, *answer.authority))
@@ -127,7 +127,7 @@
 async def test_a_malformed_or_unsupported_query_gets_an_error_and_the_front_keeps_serving(
     data: bytes, code: int
 ) -> None:
-    async with world(serve) as front:
+    async with running_front(serve) as front:
         client = resolver(front)
         response = dns.message.from_wire(await client.raw(data))
         assert response.rcode() == code and response.id == int.from_bytes(data[:2], "big")
@@ -135,7 +135,7 @@
 
 
 async def test_a_query_gets_servfail_at_once_if_no_endpoint_is_left() -> None:
-    async with world(serve) as front:
+    async with running_front(serve) as front:
         client = resolver(front)
         await front.coordinator.tell(2, b"".join(c.record(2) for c in front.caches))
         with anyio.fail_after(5):
@@ -147,7 +147,7 @@
 async def test_tcp_carries_several_queries_and_a_long_answer_is_truncated_over_udp() -> None:
     long_name = ".".join(("a" * 63, "b" * 63, "c" * 63, "d" * 33, "main.example.org"))
     host = {"name": long_name, "class": "page"}
-    async with world(serve, hosts=[host]) as front:
+    async with running_front(serve, hosts=[host]) as front:
         assert front.listening.dns
         for payload, fits in ((None, False), (600, True)):
             query = dns.message.make_query(f"_rpc._tcp.{long_name}", "SRV", payload=payload)
@@ -177,7 +177,7 @@
     config = DnsConfig(
         ("127.0.0.1", 0), "main.example.org", 0.25, (DnsHost("papers.main.example.org", 0, 7, 3),)
     )
-    answers = Answers(config, core, lambda endpoint: ("127.0.0.1", 80))
+    answers = DnsResponder(config, core, lambda endpoint: ("127.0.0.1", 80))
     query = dns.message.make_query(PAPERS, "SRV").to_wire()
     data = answers.respond(query, core.clock.now() - age)
     assert data and dns.message.from_wire(data).rcode() == code
--- a/tests/export/test_spool.py
+++ b/tests/export/test_spool.py
@@ -77,10 +77,10 @@
         if data.draw(st.booleans()):  # a torn write of the cursor: the other slot stays valid
             cursor = Path(folder) / "cursor"
             slots = bytearray(cursor.read_bytes())
-            slot = spool._cursor_generation % 2 * records.SLOT.size
-            slots[slot + data.draw(st.integers(0, records.SLOT.size - 1))] ^= 0x55
+            slot = spool._cursor_generation % 2 * records.CURSOR_SLOT.size
+            slots[slot + data.draw(st.integers(0, records.CURSOR_SLOT.size - 1))] ^= 0x55
             cursor.write_bytes(bytes(slots))
-        stored = [r.stamp for r in records.scan(segment_bytes[:bytes_left], records.SPOOL)]
+        stored = [r.stamp for r in records.scan_records(segment_bytes[:bytes_left], records.SPOOL_MAGIC)]
         reopened = Spool(Path(folder), 1 << 30)
         drained = drain(reopened)
         # All complete batches that were not acknowledged, in order, and at most the last acknowledged one.
@@ -145,7 +145,9 @@
     assert "notes.txt" in reopened.foreign_files
     drained = drain(reopened)
     first = segments[0].read_bytes() if segments[0].exists() else None
-    in_first = drained.index(600) if first is None else len(list(records.scan(first, records.SPOOL)))
+    in_first = (
+        drained.index(600) if first is None else len(list(records.scan_records(first, records.SPOOL_MAGIC)))
+    )
     assert (
         drained == sorted(drained)
         and drained[0] == 1
--- a/tests/metrics/test_metrics.py
+++ b/tests/metrics/test_metrics.py
@@ -11,7 +11,7 @@
 import pytest
 import yaml
 
-from tests.support.front_world import world
+from tests.support.front_world import running_front
 from tests.support.service_client import client
 from tests.support.stub_cache import Fetch, StubCache, serve
 from zincladder.admission.connection_admission import ConnectionAdmission
@@ -43,7 +43,7 @@
 
 async def test_the_endpoint_serves_the_counters() -> None:
     operator = {"metrics": {"listen": "127.0.0.1:0"}}
-    async with world(serve, operator=operator) as w, client(w) as c:
+    async with running_front(serve, operator=operator) as w, client(w) as c:
         await c.ask()
         await c.reply()
         assert w.listening.metrics
@@ -110,7 +110,7 @@
         return {re.findall(r'cache="([^"]*)"', line)[0]: float(line.rsplit(" ", 1)[1]) for line in lines}
 
     operator = {"metrics": {"listen": "127.0.0.1:0"}}
-    async with world(serve_unless_silent, serve, operator=operator) as w, client(w) as c:
+    async with running_front(serve_unless_silent, serve, operator=operator) as w, client(w) as c:
         assert w.listening.metrics
         silent_cache = w.caches[0]
 
--- a/tests/net/test_cache_connections.py
+++ b/tests/net/test_cache_connections.py
@@ -14,10 +14,10 @@
 from anyio.abc import SocketAttribute
 
 from tests.support.cache_scripts import hold
-from tests.support.cache_wire import LARGE, attempt_request, pair, wire
+from tests.support.cache_wire import OVER_BUFFER_SIZE, attempt_request, small_buffer_connection, wire
 from tests.support.front_configuration import KEY, SETTINGS, configuration
-from tests.support.front_hooks import cores_of
-from tests.support.front_world import world
+from tests.support.front_hooks import record_cores
+from tests.support.front_world import running_front
 from tests.support.service_client import client
 from tests.support.stub_cache import Fetch, StubCache, serve
 from zincladder.admission.descriptor_budget import ELASTIC_POOLS, DescriptorBudget, DescriptorUse
@@ -48,7 +48,7 @@
 async def test_an_answer_to_a_request_that_is_not_sent_yet_is_ignored() -> None:
     async with wire() as w:
         # fills the socket buffers on both sides, so that the next request has to wait
-        await w.send(b"x" * LARGE, attempt_request("a" * 16))
+        await w.send(b"x" * OVER_BUFFER_SIZE, attempt_request("a" * 16))
         await w.send(b"next\r\n", attempt_request("b" * 16))
         await w.answer(b"b" * 16 + b" 200 tell=local 5\r\nahead\r\n")
         assert w.ends == []
@@ -67,7 +67,7 @@
         first.append(fetch)
         await (fetch.answer(304, fields) if len(first) == 1 else serve(cache, fetch))
 
-    async with world(confirms_another_copy) as w, client(w) as c:
+    async with running_front(confirms_another_copy) as w, client(w) as c:
         await c.ask(seen="aa")
         reply = await c.reply()
         assert (reply.kind, reply.body, reply.fields) == ("served", KEY.encode(), {})
@@ -80,17 +80,17 @@
     # The cache has not received the complete request, so it has not run. With the rest it would run after the
     # client got its answer.
     async with wire() as w:
-        scope = await w.send(b"x" * LARGE + b"end\r\n", attempt_request())
+        scope = await w.send(b"x" * OVER_BUFFER_SIZE + b"end\r\n", attempt_request())
         scope.cancel()
         await anyio.wait_all_tasks_blocked()
         found = await w.read(lambda found: False)
-        assert b"end" not in found and b"abort" not in found and len(found) < LARGE
+        assert b"end" not in found and b"abort" not in found and len(found) < OVER_BUFFER_SIZE
 
 
 async def test_a_request_on_a_shared_connection_is_aborted_by_its_id() -> None:
     async with wire() as w:
         await w.send(b"first\r\n", attempt_request("f" * 16))
-        scope = await w.send(b"x" * LARGE + b"end\r\n", attempt_request("a" * 16))
+        scope = await w.send(b"x" * OVER_BUFFER_SIZE + b"end\r\n", attempt_request("a" * 16))
         scope.cancel()
         await anyio.wait_all_tasks_blocked()
         found = await w.read(lambda found: b"abort" in found)
@@ -105,7 +105,7 @@
 async def test_a_queued_request_accepts_no_copy_older_than_a_purge_that_arrives_meanwhile(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    cores, put, purges = cores_of(monkeypatch), WriteQueue.put, [2.0]
+    cores, put, purges = record_cores(monkeypatch), WriteQueue.put, [2.0]
 
     def purge_before_put(self: WriteQueue, parts: Sequence[bytes], may_start: Any = None, *more: Any) -> Any:
         while purges and may_start is not None:  # only attempts have `may_start`
@@ -113,7 +113,7 @@
         return put(self, parts, may_start, *more)
 
     monkeypatch.setattr(WriteQueue, "put", purge_before_put)
-    async with world(serve, serve) as w, client(w) as c:
+    async with running_front(serve, serve) as w, client(w) as c:
         await c.ask()
         assert (await c.reply()).kind == "served"
         caps = [int(f.fields["cap"]) for cache in w.caches for f in cache.fetches]
@@ -127,7 +127,7 @@
 async def test_closing_an_idle_connection_over_half_a_line_sends_no_reset(
     descriptor_needed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    with pair() as (ours, theirs):
+    with small_buffer_connection() as (ours, theirs):
         caches = CacheTransport(
             CachePool(parse_config(configuration([])), DescriptorBudget(100, ELASTIC_POOLS)),
             time.time,
@@ -161,7 +161,7 @@
 
 
 async def test_a_lingering_connection_is_closed_when_its_descriptor_is_needed() -> None:
-    with pair() as (ours, theirs):
+    with small_buffer_connection() as (ours, theirs):
         caches = CacheTransport(
             CachePool(parse_config(configuration([])), DescriptorBudget(100, ELASTIC_POOLS)),
             time.time,
@@ -257,7 +257,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     attempts, gate = hang_after(monkeypatch, 1), AnswerWhenReleased()
-    async with world(gate) as w, client(w) as c:
+    async with running_front(gate) as w, client(w) as c:
         await c.ask(entity=f"{1:016x}")
         while not w.caches[0].fetches:
             await anyio.sleep(0.001)
@@ -275,7 +275,7 @@
 ) -> None:
     released = anyio.Event()
     attempts, gate = hang_after(monkeypatch, 1, released), AnswerWhenReleased()
-    async with world(gate) as w, client(w) as c:
+    async with running_front(gate) as w, client(w) as c:
         for n in range(1, 6):
             await c.ask(entity=f"{n:016x}")
             while attempts[0] < n:
@@ -295,7 +295,7 @@
 ) -> None:
     # Its machine may be cut off. A request whose own connection cannot be opened is certain not to have run.
     attempts, transports = hang_after(monkeypatch, 1), transports_of(monkeypatch)
-    async with world(hold, origin=hold) as w, client(w) as c:
+    async with running_front(hold, origin=hold) as w, client(w) as c:
         first = await c.ask(b"order", route="booking", trace="a" * 16)
         while not w.caches[-1].fetches:
             await anyio.sleep(0.001)
@@ -306,7 +306,7 @@
         while not w.caches[-1].aborts:
             await anyio.sleep(0.001)
         (connection,) = transports[0].pool._connections[w.caches[-1].name.encode()]
-        assert not (connection.open or connection.reserved) and transports[0].pool._waiters
+        assert not (connection.open_exchanges or connection.reserved) and transports[0].pool._waiters
         assert [f.name for f in w.caches[-1].fetches] == ["a" * 16]
 
 
@@ -322,7 +322,7 @@
             self.close_idle(endpoint)  # as if the cache were gone
 
     monkeypatch.setattr(CachePool, "_offer_idle", close_after_offer)
-    async with world(hold, origin=gate) as w, client(w) as c:
+    async with running_front(hold, origin=gate) as w, client(w) as c:
         await c.ask(b"order", route="booking", trace="a" * 16)
         while not w.caches[-1].fetches:
             await anyio.sleep(0.001)
@@ -339,7 +339,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     attempts, transports = hang_after(monkeypatch, 0), transports_of(monkeypatch)
-    async with world(serve) as w, client(w) as c:
+    async with running_front(serve) as w, client(w) as c:
         seq = await c.ask()
         while not attempts[0]:
             await anyio.sleep(0.001)
@@ -355,7 +355,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     hang_after(monkeypatch, 0)
-    with pair() as (ours, _):
+    with small_buffer_connection() as (ours, _):
         caches, endpoint = (
             CacheTransport(
                 CachePool(parse_config(configuration([])), DescriptorBudget(100, ELASTIC_POOLS)),
@@ -441,9 +441,9 @@
             push(waiting.pop(), stray_input)  # arrives just before the next request is sent
         return acquire(self, endpoint, name)
 
-    cores = cores_of(monkeypatch)
+    cores = record_cores(monkeypatch)
     transports = transports_of(monkeypatch)
-    async with world(serve, origin=serve_and_remember) as w, client(w) as c:
+    async with running_front(serve, origin=serve_and_remember) as w, client(w) as c:
         await c.ask(b"order", route="booking")
         assert (await c.reply()).kind == "served"
         if read:
@@ -471,7 +471,7 @@
         )
 
     transports = transports_of(monkeypatch)
-    async with world(answer_and_half) as w, client(w) as c:
+    async with running_front(answer_and_half) as w, client(w) as c:
         await c.ask(entity=f"{1:016x}")
         while not w.caches[0].fetches:
             await anyio.sleep(0.001)
--- a/tests/net/test_clients.py
+++ b/tests/net/test_clients.py
@@ -19,7 +19,7 @@
 
 from tests.support.cache_scripts import cut, garble, hold, in_pieces, says, too_long
 from tests.support.front_configuration import KEY, configuration
-from tests.support.front_world import world
+from tests.support.front_world import running_front
 from tests.support.service_client import Client, Reply, client
 from tests.support.stub_cache import Fetch, Script, StubCache, serve
 from zincladder.net import thrift
@@ -47,7 +47,7 @@
 async def test_each_attempt_outcome_leads_to_one_answer(
     script: Script, route: str, kind: str, runs: int
 ) -> None:
-    async with world(script, script, origin=script) as w, client(w) as c:
+    async with running_front(script, script, origin=script) as w, client(w) as c:
         seq = await c.ask(b"order" if route == "booking" else b"", route=route, patience="400", seen="aa")
         reply = await c.reply()
         assert (reply.seq, reply.kind) == (seq, kind)
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("script", [cut, garble, says(500)])
 async def test_a_read_is_retried_at_another_cache_when_one_fails(script: Script) -> None:
-    async with world(script, serve) as w, client(w) as c:
+    async with running_front(script, serve) as w, client(w) as c:
         for n in range(8):
             await c.ask(entity=f"{n:016x}")
             reply = await c.reply()
@@ -74,7 +74,7 @@
 
 
 async def test_a_write_is_rejected_and_not_failed_when_the_origin_refuses_connections() -> None:
-    async with world(serve) as w, client(w) as c:
+    async with running_front(serve) as w, client(w) as c:
         origin = w.caches[-1]
         origin.port = 1  # nothing listens on this port
         await w.coordinator.tell(2, origin.record(0))
@@ -105,7 +105,7 @@
             filler.connect_ex(full.getsockname())
         endpoints: list[StubCache] = [UnreachableCache("s-000000ff", 0, port=full.getsockname()[1])]
         endpoints += [StubCache("s-000000a0", 1), StubCache("s-000000b0", 2)]
-        async with world(endpoints=endpoints) as w, client(w) as c:
+        async with running_front(endpoints=endpoints) as w, client(w) as c:
             for n in range(10):
                 await c.ask(patience="1100", entity=f"{n:016x}")
             replies = [await c.reply() for _ in range(10)]
@@ -114,7 +114,7 @@
 
 async def test_a_silent_connection_is_not_used_again() -> None:
     # When the network cuts off a machine, connections to it stay open and silent.
-    async with world(hold) as w, client(w) as c:
+    async with running_front(hold) as w, client(w) as c:
         cache = w.caches[0]
         cache.mute = True
         for _ in range(2):
@@ -129,7 +129,7 @@
 
 async def test_requests_beyond_the_memory_limit_are_rejected_at_once() -> None:
     # The limit allows 40 requests. A client that has used its share leaves the rest to other clients.
-    async with world(hold, limits={"memory_mb": 1}) as w, client(w) as many, client(w) as few:
+    async with running_front(hold, limits={"memory_mb": 1}) as w, client(w) as many, client(w) as few:
         for _ in range(32):
             await many.ask(patience="5000")
         for n in range(20):
@@ -145,7 +145,7 @@
         await gates.setdefault(fetch.name, anyio.Event()).wait()
         await fetch.answer(200, "tell=local", fetch.name.encode())
 
-    async with world(gated) as w, client(w) as c:
+    async with running_front(gated) as w, client(w) as c:
         cache = w.caches[0]
         for _ in range(4):
             await c.ask(patience="5000")
@@ -164,7 +164,7 @@
 
 
 async def test_the_requests_of_a_client_that_disconnects_are_aborted() -> None:
-    async with world(hold) as w:
+    async with running_front(hold) as w:
         async with client(w) as c:
             await c.ask(patience="5000")
             while not w.caches[0].fetches:
@@ -189,7 +189,7 @@
     ],
 )
 async def test_malformed_input_closes_its_connection_and_no_other(data: bytes) -> None:
-    async with world(serve) as w, client(w) as other, client(w) as c:
+    async with running_front(serve) as w, client(w) as other, client(w) as c:
         await c.stream.send(data)
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)), anyio.fail_after(5):
             await c.stream.receive()
@@ -201,7 +201,7 @@
     "fields", [{"route": "tram"}, {"entity": "XYZ"}, {"trace": ""}, {"slice": "-1"}, {"patience": "soon"}]
 )
 async def test_invalid_fields_fail_their_request_only(fields: dict[str, str]) -> None:
-    async with world(serve) as w, client(w) as c:
+    async with running_front(serve) as w, client(w) as c:
         await c.ask(b"", **fields)
         assert (await c.reply()).kind == "application"
         await c.send("dance", b"")
@@ -218,7 +218,7 @@
 ) -> None:
     # A client that begins a message and stops must not keep a descriptor and a parser in use.
     monkeypatch.setattr("zincladder.net.client_server.STALL_TIMEOUT_SECONDS", 0.05)
-    async with world(serve) as w, client(w) as c:
+    async with running_front(serve) as w, client(w) as c:
         await c.stream.send(data)
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)), anyio.fail_after(5):
             await c.stream.receive()
@@ -227,7 +227,7 @@
 async def test_a_frame_that_arrives_byte_by_byte_is_read_completely(monkeypatch: pytest.MonkeyPatch) -> None:
     # No byte may be lost when the idle check runs while a frame is arriving.
     monkeypatch.setattr("zincladder.net.client_server.IDLE_TIMEOUT_SECONDS", 0.01)
-    async with world(hold) as w, client(w) as c:
+    async with running_front(hold) as w, client(w) as c:
         await c.ask(patience="600")  # keeps the connection from being closed as idle
         frame = thrift._message(thrift.CALL, "status", 2) + b"\0"
         for byte in struct.pack(">i", len(frame)) + frame:
@@ -240,7 +240,7 @@
     async def large(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(200, "tell=local", bytes(240_000))
 
-    async with world(large) as w, client(w) as slow, client(w) as quick:
+    async with running_front(large) as w, client(w) as slow, client(w) as quick:
         for _ in range(32):
             await slow.ask(patience="5000")
         for _ in range(3):
@@ -253,7 +253,7 @@
 async def test_a_draining_cache_gets_no_new_request_and_is_no_source_of_fills(as_source: bool) -> None:
     # An attempt may have been decided before the drain was announced, and be sent after it because its
     # connection is established late (rule 3 of the platform).
-    async with world(serve, serve) as w, client(w) as c:
+    async with running_front(serve, serve) as w, client(w) as c:
         drained = w.caches[-2 if as_source else 0]
         await w.coordinator.tell(2, drained.record(1))
         await c.ask()
@@ -270,7 +270,7 @@
 
 
 async def test_a_purge_lowers_the_maximum_age_of_copies() -> None:
-    async with world(serve) as w, client(w) as c:
+    async with running_front(serve) as w, client(w) as c:
         now = int(time.time() * 1000)
         await w.coordinator.tell(3, bytes.fromhex(KEY) + struct.pack(">Q", now))
         await w.coordinator.tell(4, struct.pack(">HQ", 99, now))
@@ -287,7 +287,7 @@
 
 
 async def test_the_watch_continues_after_the_last_event_when_its_connection_is_lost() -> None:
-    async with world(serve, serve) as w:
+    async with running_front(serve, serve) as w:
         while not w.coordinator.streams:
             await w.coordinator.followed.wait()
         await w.coordinator.tell(4, struct.pack(">HQ", 3, 5))
@@ -301,7 +301,7 @@
 
 
 async def test_a_cache_that_a_full_endpoint_list_omits_is_gone() -> None:
-    async with world(serve, serve) as w, client(w) as c:
+    async with running_front(serve, serve) as w, client(w) as c:
         gone, *rest = w.caches
         for n in range(20):
             await c.ask(entity=f"{n:016x}")
@@ -319,7 +319,7 @@
 
 
 async def test_a_new_cache_at_an_old_address_gets_its_own_connection() -> None:
-    async with world(serve) as w, client(w) as c:
+    async with running_front(serve) as w, client(w) as c:
         cache = w.caches[0]
         await c.ask()
         await c.reply()
@@ -395,7 +395,7 @@
 async def test_many_idle_connections_leave_room_for_clients() -> None:
     # Half of them are reset by their clients: shutting such a connection down fails, which must not end the
     # process.
-    async with world(serve, limits={"sockets": 16}) as w, client(w) as c:
+    async with running_front(serve, limits={"sockets": 16}) as w, client(w) as c:
         await c.ask()
         assert (await c.reply()).kind == "served"
         other_clients = [socket.create_connection(w.listening.clients) for _ in range(24)]
@@ -428,7 +428,7 @@
             return
         await serve(cache, fetch)
 
-    async with world(script) as w, client(w) as c:
+    async with running_front(script) as w, client(w) as c:
         cache = w.caches[0]
         await c.ask(patience="1100", slice="7")
         while not cache.fetches:
@@ -456,13 +456,13 @@
         await fetch.stream.send(b"")
         await fetch.answer(200, "tell=local", b"done")
 
-    async with world(serve, origin=script) as w, client(w) as c:
+    async with running_front(serve, origin=script) as w, client(w) as c:
         await c.ask(b"order", route="booking")
         assert (await c.reply()).body == b"done" and len(w.caches[-1].fetches) == 2
 
 
 async def test_a_request_with_the_id_of_an_open_one_is_not_forwarded() -> None:
-    async with world(hold) as w, client(w) as regular, client(w) as other:
+    async with running_front(hold) as w, client(w) as regular, client(w) as other:
         await regular.ask(trace="ab" * 8)
         while not w.caches[0].fetches:
             await w.caches[0].came.wait()
@@ -475,7 +475,7 @@
 async def test_hundreds_of_requests_at_once_close_the_connection_and_none_is_forwarded(
     withdrawn: bool,
 ) -> None:
-    async with world(serve) as w, client(w) as bad, client(w) as regular:
+    async with running_front(serve) as w, client(w) as bad, client(w) as regular:
         frames = []
         for n in range(1, 301):
             fields = {
@@ -486,7 +486,7 @@
                 "slice": "0",
                 "set": "1",
             }
-            args = b"\x0d\0\1" + thrift._texts(fields) + b"\x0b\0\2\0\0\0\0\0"
+            args = b"\x0d\0\1" + thrift._encode_string_map(fields) + b"\x0b\0\2\0\0\0\0\0"
             frames.append(thrift._message(thrift.CALL, "handle", n) + args)
             if withdrawn:
                 back = b"\x08\0\1" + struct.pack(">i", n) + b"\0"
@@ -506,7 +506,7 @@
     data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("zincladder.net.client_server.FIRST_MESSAGE_TIMEOUT_SECONDS", 0.05)
-    async with world(hold) as w, client(w) as regular, client(w) as silent:
+    async with running_front(hold) as w, client(w) as regular, client(w) as silent:
         await regular.ask(patience="800")
         if data:
             await silent.stream.send(data)
@@ -519,7 +519,7 @@
     "fields", [{"patience": "0"}, {"patience": "99999999"}, {"seen": "a b"}, {"set": "256"}, {"redo": "7"}]
 )
 async def test_requests_with_values_out_of_range_are_not_forwarded(fields: dict[str, str]) -> None:
-    async with world(serve) as w, client(w) as c:
+    async with running_front(serve) as w, client(w) as c:
         await c.ask(**fields)
         assert (await c.reply()).kind == "application" and not w.caches[0].fetches
 
@@ -527,7 +527,7 @@
 async def test_withdrawing_many_started_requests_closes_no_connection() -> None:
     # Regular clients withdraw the requests that time out in a slow moment. The limit against abuse counts
     # only requests that were withdrawn before they started.
-    async with world(hold, origin=hold) as w, client(w) as c:
+    async with running_front(hold, origin=hold) as w, client(w) as c:
         for n in range(1, 101):
             await c.ask(patience="5000", entity=f"{n:016x}")
             while len(w.caches[0].fetches) < n:
@@ -541,7 +541,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # An overloaded front that accepted every request would answer all of them too late.
-    async with world(hold) as w, client(w) as c:
+    async with running_front(hold) as w, client(w) as c:
         await c.ask(patience="1500")
         while not w.caches[0].fetches:
             await w.caches[0].came.wait()
@@ -555,7 +555,7 @@
 
 async def test_an_unexpected_error_closes_one_connection_only(monkeypatch: pytest.MonkeyPatch) -> None:
     # An unforeseen exception must end one connection to a client or a cache, not the process.
-    async with world(serve) as w, client(w) as other:
+    async with running_front(serve) as w, client(w) as other:
         await other.ask()
         assert (await other.reply()).kind == "served"
         with monkeypatch.context() as patch:
@@ -574,7 +574,7 @@
 
 async def test_many_new_connections_evict_none_whose_first_request_is_unread() -> None:
     # The first request of a regular client may still be unread when many other clients connect.
-    async with world(serve, limits={"sockets": 16}) as w:
+    async with running_front(serve, limits={"sockets": 16}) as w:
         regular = [socket.create_connection(w.listening.clients) for _ in range(8)]
         frame = thrift._message(thrift.CALL, "status", 1) + b"\x02\0\1\1\0"
         for sock in regular:
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -21,9 +21,9 @@
 
 from tests.support.cache_scripts import cut, hold
 from tests.support.front_configuration import KEY, SETTINGS, configuration
-from tests.support.front_hooks import cores_of, on_connect
-from tests.support.front_world import World, world
-from tests.support.raw_client import frame, plain, request, rest, some
+from tests.support.front_hooks import on_connect, record_cores
+from tests.support.front_world import RunningFront, running_front
+from tests.support.raw_client import frame, raw_connection, receive_all, receive_chunk, request
 from tests.support.service_client import client
 from tests.support.stub_cache import Fetch, Script, StubCache, serve
 from zincladder.admission.connection_admission import ConnectionAdmission
@@ -50,7 +50,7 @@
         sock.shutdown(socket.SHUT_RDWR)
 
 
-def refuses_connections(w: World) -> bool:
+def refuses_connections(w: RunningFront) -> bool:
     """Whether the front does not accept connections any more."""
     with socket.socket() as sock:
         return sock.connect_ex(w.listening.clients) == errno.ECONNREFUSED
@@ -59,25 +59,25 @@
 # Connections that the front closes -----------------------------------------------------------------
 
 
-def _idle(w: World, sock: socket.socket) -> None:
+def _idle(w: RunningFront, sock: socket.socket) -> None:
     """Does nothing: the idle timeout is short."""
 
 
-def _stop(w: World, sock: socket.socket) -> None:
+def _stop(w: RunningFront, sock: socket.socket) -> None:
     w.stopping.set()
 
 
-def _garble(w: World, sock: socket.socket) -> None:
+def _garble(w: RunningFront, sock: socket.socket) -> None:
     sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
 
 
-def _half(w: World, sock: socket.socket) -> None:
+def _half(w: RunningFront, sock: socket.socket) -> None:
     sock.sendall(b"\0\0\1")
 
 
 @pytest.mark.parametrize("way", [_idle, _stop, _garble, _half])
 async def test_a_request_that_arrives_as_the_front_closes_resets_no_answer_and_is_not_forwarded(
-    way: Callable[[World, socket.socket], None], monkeypatch: pytest.MonkeyPatch
+    way: Callable[[RunningFront, socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Closing a socket with unread input sends a reset, which discards the part of the answer that the client
     # has not read yet.
@@ -95,7 +95,7 @@
         await fetch.answer(200, "tell=local,rev=aa,since=1", body)
 
     monkeypatch.setattr(ClientConnection, "close", send_before_close)
-    async with world(large) as w:
+    async with running_front(large) as w:
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)  # most of the answer stays in flight
             sock.connect(w.listening.clients)
@@ -106,7 +106,7 @@
                 way(w, sock)
                 while crossing:
                     await anyio.sleep(0.001)
-            answer = await rest(sock)
+            answer = await receive_all(sock)
             assert body in answer and answer.count(b"handle") == 1
             assert [f.name for f in w.caches[0].fetches] == [f"{1:016x}"]
 
@@ -123,7 +123,7 @@
     settings = copy.deepcopy(SETTINGS)
     for row in settings["categories"]:
         row["deadline"] = deadline
-    async with world(hold, origin=hold, settings=settings) as w, client(w) as c:
+    async with running_front(hold, origin=hold, settings=settings) as w, client(w) as c:
         await c.ask(b"order", route="booking", patience="600")
         await c.ask(patience="600")
         while not (w.caches[0].fetches and w.caches[-1].fetches):
@@ -153,14 +153,14 @@
     bad: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("zincladder.net.client_server.STALL_TIMEOUT_SECONDS", 0.1)
-    cores = cores_of(monkeypatch)
-    async with world(hold, origin=hold) as w:
-        with plain(w) as sock:
+    cores = record_cores(monkeypatch)
+    async with running_front(hold, origin=hold) as w:
+        with raw_connection(w) as sock:
             sock.sendall(request(1) + request(2, route="booking", trace="b" * 16))
             while not (w.caches[0].fetches and w.caches[-1].fetches):
                 await anyio.sleep(0.001)
             bad(sock)
-            answers = await rest(sock)
+            answers = await receive_all(sock)
         failed = [thrift.declared_exception("handle", seq, 2, {}) for seq in (1, 2)]
         for reply in failed:
             assert answers.count(b"".join(bytes(part) for part in reply)) == 1
@@ -188,7 +188,7 @@
         await fetch.answer(200, "tell=local,rev=aa,since=1", body)
 
     monkeypatch.setattr(ClientServer, "_drain", send_after_drain)
-    async with world(large) as w:
+    async with running_front(large) as w:
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)  # most of the answer stays in flight
             sock.connect(w.listening.clients)
@@ -199,7 +199,7 @@
                 w.stopping.set()
                 while drains[0] < 2:
                     await anyio.sleep(0.001)
-            assert body in await rest(sock)
+            assert body in await receive_all(sock)
             assert [f.name for f in w.caches[0].fetches] == [f"{1:016x}"]
 
 
@@ -217,14 +217,14 @@
         return close_idle(self, client)
 
     monkeypatch.setattr(ClientCloser, "close_idle_at_shutdown", counted)
-    async with world(serve) as w:
-        with plain(w) as sock:
+    async with running_front(serve) as w:
+        with raw_connection(w) as sock:
             w.stopping.set()
             with anyio.fail_after(5):
                 while calls[0] < 3:
                     await anyio.sleep(0.001)
             sock.sendall(frame("status", 1, b"\x02\0\1\1"))
-            assert len(await some(sock)) > 4
+            assert len(await receive_chunk(sock)) > 4
 
 
 async def test_an_idle_connection_is_not_evicted_if_a_request_has_just_arrived(
@@ -240,19 +240,19 @@
 
     monkeypatch.setattr(ClientServer, "_evict", send_before_evict)
     # 22 of the 40 descriptors are for clients.
-    async with world(serve, limits={"sockets": 40}) as w:
-        with plain(w) as first, contextlib.ExitStack() as other_clients:
+    async with running_front(serve, limits={"sockets": 40}) as w:
+        with raw_connection(w) as first, contextlib.ExitStack() as other_clients:
             first.sendall(request(1))
-            assert KEY.encode() in await some(first)
+            assert KEY.encode() in await receive_chunk(first)
             idle.append(first)
             for _ in range(21):
-                sock = other_clients.enter_context(plain(w))
+                sock = other_clients.enter_context(raw_connection(w))
                 sock.sendall(frame("status", 1, b"\x02\0\1\1"))
-                await some(sock)  # all of them were used later than the first
-            newest = other_clients.enter_context(plain(w))
+                await receive_chunk(sock)  # all of them were used later than the first
+            newest = other_clients.enter_context(raw_connection(w))
             newest.sendall(request(1, trace="f" * 16))
-            assert KEY.encode() in await some(first) and not idle
-            assert KEY.encode() in await some(newest)  # another connection was evicted
+            assert KEY.encode() in await receive_chunk(first) and not idle
+            assert KEY.encode() in await receive_chunk(newest)  # another connection was evicted
 
 
 async def test_an_accepted_socket_is_non_blocking_before_anything_reads_it(
@@ -268,7 +268,7 @@
         add(self, sock, *more)
 
     monkeypatch.setattr(ClientServer, "_add", recording)
-    async with world(serve) as w, client(w) as c:
+    async with running_front(serve) as w, client(w) as c:
         await c.ask()
         assert (await c.reply()).kind == "served" and blocking == [False]
 
@@ -284,16 +284,18 @@
         calls[0] += 1
         return may_accept(self, now)
 
-    async with world(serve, limits={"sockets": 40}) as w:  # 22 of these descriptors are for clients
+    async with running_front(serve, limits={"sockets": 40}) as w:  # 22 of these descriptors are for clients
         with contextlib.ExitStack() as other_clients:
             for _ in range(22):
-                sock = other_clients.enter_context(plain(w))
+                sock = other_clients.enter_context(raw_connection(w))
                 _garble(w, sock)
-                assert await rest(sock) == b""  # the front has closed its side, and waits for the client's
+                assert (
+                    await receive_all(sock) == b""
+                )  # the front has closed its side, and waits for the client's
             monkeypatch.setattr(ConnectionAdmission, "may_accept", counted)
-            newest = other_clients.enter_context(plain(w))
+            newest = other_clients.enter_context(raw_connection(w))
             newest.sendall(request(1))
-            assert KEY.encode() in await some(newest) and calls[0] < 20
+            assert KEY.encode() in await receive_chunk(newest) and calls[0] < 20
 
 
 async def test_a_client_that_retries_at_once_after_a_rejection_is_closed_at_shutdown(
@@ -302,7 +304,7 @@
     # The periodic check always runs too late: the client's next request has arrived already.
     monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
     monkeypatch.setattr("zincladder.net.client_server.DRAIN_INTERVAL_SECONDS", 60.0)
-    drain, asked, cores = ClientServer._drain, [1], cores_of(monkeypatch)
+    drain, asked, cores = ClientServer._drain, [1], record_cores(monkeypatch)
 
     async def send_before_drain(self: ClientServer, until: float) -> None:
         asked.append(2)
@@ -310,15 +312,15 @@
         await drain(self, until)
 
     monkeypatch.setattr(ClientServer, "_drain", send_before_drain)
-    async with world(serve) as w:
-        with plain(w) as sock:
+    async with running_front(serve) as w:
+        with raw_connection(w) as sock:
             sock.sendall(request(1))
-            assert KEY.encode() in await some(sock)
+            assert KEY.encode() in await receive_chunk(sock)
             w.stopping.set()
             while len(asked) < 2:
                 await anyio.sleep(0.001)
             answers = 0
-            while await some(sock):  # retries after each rejection, until the connection is closed
+            while await receive_chunk(sock):  # retries after each rejection, until the connection is closed
                 answers += 1
                 asked.append(len(asked) + 1)
                 sock.sendall(request(asked[-1]))
@@ -368,8 +370,8 @@
     leaver: list[socket.socket] = []
     on_connect(monkeypatch, lambda made: leave(leaver.pop()) if made == attempt else None)
     script: Script = cut if attempt == 2 else serve
-    async with world(script, script) as w, client(w) as stays:
-        with plain(w) as sock:
+    async with running_front(script, script) as w, client(w) as stays:
+        with raw_connection(w) as sock:
             leaver.append(sock)
             sock.sendall(request(1))
             with anyio.fail_after(5):
@@ -388,8 +390,8 @@
 ) -> None:
     leaver: list[socket.socket] = []
     on_connect(monkeypatch, lambda made: _closes(leaver.pop()) if leaver else None)
-    async with world(serve) as w, client(w) as stays:
-        with plain(w) as sock:
+    async with running_front(serve) as w, client(w) as stays:
+        with raw_connection(w) as sock:
             leaver.append(sock)
             sock.sendall(request(1))
             with anyio.fail_after(5):
@@ -421,7 +423,7 @@
         first.append(fetch)
         await (cut if len(first) == 1 else serve)(_, fetch)
 
-    async with world(serve, origin=loses_the_first, settings=settings) as w, client(w) as c:
+    async with running_front(serve, origin=loses_the_first, settings=settings) as w, client(w) as c:
         await c.ask(b"order", route="booking", nonce=KEY_32)
         with anyio.fail_after(5):
             assert (await c.reply()).kind == ("served" if came == 2 else "Throttled")
@@ -452,7 +454,7 @@
 async def test_open_requests_keep_their_rules_when_the_settings_change(
     after: list[tuple[str, str]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    cores, runs, lose = cores_of(monkeypatch), Counter[str](), anyio.Event()
+    cores, runs, lose = record_cores(monkeypatch), Counter[str](), anyio.Event()
 
     async def loses_the_first(cache: StubCache, fetch: Fetch) -> None:
         runs[fetch.name] += 1
@@ -463,7 +465,7 @@
 
     before = _effects(("video", SAFE), ("page", SAFE), ("booking", ONCE))
     scripts = [loses_the_first] * 2
-    async with world(*scripts, origin=loses_the_first, settings=before) as w, client(w) as c:
+    async with running_front(*scripts, origin=loses_the_first, settings=before) as w, client(w) as c:
         asked = [await c.ask(route="page"), await c.ask(b"order", route="booking")]
         while sum(runs.values()) < 2:
             await anyio.sleep(0.001)
@@ -483,12 +485,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
-    body, cores = bytes(200_000), cores_of(monkeypatch)
+    body, cores = bytes(200_000), record_cores(monkeypatch)
 
     async def large(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(200, "tell=local,rev=aa,since=1", body)
 
-    async with world(large) as w:
+    async with running_front(large) as w:
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             sock.connect(w.listening.clients)
@@ -499,7 +501,7 @@
             w.stopping.set()
             while not refuses_connections(w):
                 await anyio.sleep(0.001)
-            answers = await rest(sock)
+            answers = await receive_all(sock)
         assert answers.count(body) == 20
 
 
@@ -516,7 +518,7 @@
         await fetch.stream.send(f"{fetch.name} 200 tell=local 6\r\nabc".encode())
         begun.set()
 
-    async with world(half) as w, client(w) as c:
+    async with running_front(half) as w, client(w) as c:
         seq = await c.ask()
         await begun.wait()
         await anyio.wait_all_tasks_blocked()
@@ -542,7 +544,7 @@
         return await acquire(self, *arguments)
 
     monkeypatch.setattr(CachePool, "acquire", close_before_acquire)
-    async with world(serve) as w, client(w) as c:
+    async with running_front(serve) as w, client(w) as c:
         for n in (1, 2):
             await c.ask(b"order", route="booking")
             assert (await c.reply()).kind == "served"
--- a/tests/net/test_events.py
+++ b/tests/net/test_events.py
@@ -20,7 +20,7 @@
     reader, received = FrameReader(), []
     while data:
         size = random.randrange(1, 60)
-        received += [(f.number, f.kind, f.payload) for f in reader.take(data[:size])]
+        received += [(f.number, f.kind, f.payload) for f in reader.feed(data[:size])]
         data = data[size:]
     assert received == sent
 
@@ -28,4 +28,4 @@
 def test_a_frame_length_out_of_range_ends_the_connection() -> None:
     for length in (0, 8, (1 << 22) + 1):
         with pytest.raises(ConnectionEndedError):
-            list(FrameReader().take(struct.pack(">IQB", length, 1, 0)))
+            list(FrameReader().feed(struct.pack(">IQB", length, 1, 0)))
--- a/tests/net/test_watch_connections.py
+++ b/tests/net/test_watch_connections.py
@@ -15,8 +15,8 @@
 from structlog.testing import capture_logs
 
 from tests.support.coordinator_frames import frame, purge, until
-from tests.support.front_hooks import cores_of
-from tests.support.front_world import world
+from tests.support.front_hooks import record_cores
+from tests.support.front_world import running_front
 from tests.support.service_client import client
 from tests.support.stub_cache import serve
 from zincladder.discovery.freshness import WatchPhase
@@ -208,8 +208,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(watching, "SILENCE_TIMEOUT_SECONDS", 0.5)  # the stub sends a frame each 0.3 s
-    cores = cores_of(monkeypatch)
-    async with world(serve, serve) as w, client(w) as c:
+    cores = record_cores(monkeypatch)
+    async with running_front(serve, serve) as w, client(w) as c:
         while not w.coordinator.streams:
             await w.coordinator.followed.wait()
         await w.coordinator.turn.acquire()  # nothing more is sent on this connection
@@ -230,8 +230,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Without a descriptor for the watch, a front would learn of no drain after an outage of the coordinator.
-    cores = cores_of(monkeypatch)
-    async with world(serve, serve, limits={"sockets": 16}) as w:
+    cores = record_cores(monkeypatch)
+    async with running_front(serve, serve, limits={"sockets": 16}) as w:
         await until(
             lambda: cores[0].endpoint_list.freshness is not None
             and cores[0].endpoint_list.freshness.phase is WatchPhase.FOLLOWING
@@ -264,7 +264,7 @@
 async def test_the_log_shows_the_watch_and_the_changes_of_the_endpoint_list() -> None:
     # In one incident neither the watch nor the drains were in the log, only the "ready" lines.
     with capture_logs() as lines:
-        async with world(serve, serve) as w:
+        async with running_front(serve, serve) as w:
             while not w.coordinator.streams:
                 await w.coordinator.followed.wait()
             drained = w.caches[0]
--- a/tests/plugin/test_transport.py
+++ b/tests/plugin/test_transport.py
@@ -17,7 +17,7 @@
 from thrift.Thrift import TMessageType, TType
 from thrift.transport.TTransport import TFramedTransport, TTransportException
 
-from tests.support.front_world import World, world
+from tests.support.front_world import RunningFront, running_front
 from tests.support.stub_cache import StubCache
 from zincladder.net import thrift
 from zincladder.plugin.transport import SteeredTransport
@@ -57,18 +57,20 @@
 
 
 @contextmanager
-def front_with_thrift_endpoints() -> Iterator[tuple[World, list[ThriftEndpoint], BlockingPortal]]:
+def front_with_thrift_endpoints() -> Iterator[tuple[RunningFront, list[ThriftEndpoint], BlockingPortal]]:
     """A front whose endpoints speak Thrift: two caches, a parent and, last, the origin."""
     endpoints = [ThriftEndpoint(f"s-{i:08x}", kind) for i, kind in enumerate((0, 0, 1, 2), 1)]
     for endpoint in endpoints:
         endpoint.reset_runs()
     with ExitStack() as stack:
         portal = stack.enter_context(start_blocking_portal())
-        front = stack.enter_context(portal.wrap_async_context_manager(world(endpoints=list(endpoints))))
+        front = stack.enter_context(
+            portal.wrap_async_context_manager(running_front(endpoints=list(endpoints)))
+        )
         yield front, endpoints, portal
 
 
-def transport(front: World, host: str, **options: float | bool) -> SteeredTransport:
+def transport(front: RunningFront, host: str, **options: float | bool) -> SteeredTransport:
     assert front.listening.dns
     return SteeredTransport(f"{host}.main.example.org", front.listening.dns, **options)  # type: ignore[arg-type]
 
--- a/tests/policy/test_change_processes.py
+++ b/tests/policy/test_change_processes.py
@@ -1,7 +1,7 @@
 """Changes of a fleet's policy with real processes, clients at every front, and faults of fronts.
 
-Each answer shows the policy version under which it was decided. `traffic.judge` checks that a request which
-was sent after an answer is never decided under an older version, at any front.
+Each answer shows the policy version under which it was decided. `traffic.check_invariants` checks that a
+request which was sent after an answer is never decided under an older version, at any front.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 async def test_without_a_policy_a_front_is_not_ready_and_rejects_at_once(tmp_path: Path) -> None:
-    async with policy_fleet(tmp_path, fronts=1, begun=False) as fleet:
+    async with policy_fleet(tmp_path, fronts=1, with_policy=False) as fleet:
 
         async def not_ready() -> bool:
             return await fleet.r.ready("f0") == "FAILURE no policy of the fleet yet"
@@ -32,7 +32,7 @@
         assert {a.kind for a in traffic.history} == {"Throttled"}
         assert max(a.ended - a.began for a in traffic.history[1:]) < 0.5
         assert (await fleet.r.change(1)).outcome is ChangeOutcome.ACTIVATED
-        await fleet.everywhere(traffic, 1)
+        await fleet.wait_until_served(traffic, 1)
 
 
 async def test_changes_are_activated_at_all_fronts_and_no_client_sees_an_older_version_again(
@@ -43,8 +43,8 @@
         for mark in range(2, 8):
             entry = await fleet.r.change(mark)
             assert (entry.outcome, entry.absent) == (ChangeOutcome.ACTIVATED, ())
-            await fleet.everywhere(traffic, mark)
-        traffic.judge()
+            await fleet.wait_until_served(traffic, mark)
+        traffic.check_invariants()
         assert {a.kind for a in traffic.history} <= {"served", "booked", "Throttled"}
         assert longest_pause(traffic) < 0.5
 
@@ -55,15 +55,15 @@
         fleet.r.processes["f2"].kill()
         entry = await fleet.r.change(2)
         assert (entry.outcome, entry.absent) == (ChangeOutcome.ACTIVATED, ("f2",))
-        await fleet.everywhere(traffic, 2, "f0", "f1")
+        await fleet.wait_until_served(traffic, 2, "f0", "f1")
         await fleet.r.start_front("f2")
         late = fleet.traffic("f2")
         await fleet.r.serving("f2")
         assert "app.policy_version=2" in await fleet.r.told("f2", b"STATS\n")
-        await fleet.everywhere(late, 2, "f2")
+        await fleet.wait_until_served(late, 2, "f2")
         assert {a.mark for a in late.history if a.kind == "served"} == {2}
         traffic.history += late.history
-        traffic.judge()
+        traffic.check_invariants()
 
 
 async def test_a_front_that_was_suspended_during_a_change_serves_no_old_version_when_it_resumes(
@@ -71,19 +71,19 @@
 ) -> None:
     async with policy_fleet(tmp_path) as fleet:
         traffic = fleet.traffic()
-        await fleet.everywhere(traffic, 1)
+        await fleet.wait_until_served(traffic, 1)
         fleet.r.processes["f1"].stop()
         entry = await fleet.r.change(2)
         assert entry.outcome is ChangeOutcome.ACTIVATED
-        await fleet.everywhere(traffic, 2, "f0", "f2")
+        await fleet.wait_until_served(traffic, 2, "f0", "f2")
         resumed_at = anyio.current_time()
-        fleet.r.processes["f1"].go_on()
-        await fleet.everywhere(traffic, 2, "f1")
+        fleet.r.processes["f1"].resume()
+        await fleet.wait_until_served(traffic, 2, "f1")
         # Requests that it accepted before it was suspended are still served under the old version.
         after = [a for a in traffic.history if a.front == "f1" and a.began > resumed_at]
         assert after and {a.mark for a in after if a.kind == "served"} == {2}
         traffic.history = [a for a in traffic.history if a.front != "f1" or a.began > resumed_at]
-        traffic.judge()
+        traffic.check_invariants()
 
 
 @pytest.mark.parametrize("directions", [("to",), ("back",), ("to", "back")], ids="-".join)
@@ -92,14 +92,14 @@
 ) -> None:
     async with policy_fleet(tmp_path) as fleet:
         traffic = fleet.traffic()
-        await fleet.everywhere(traffic, 1)
-        fleet.r.cut_front("f1", *directions)
+        await fleet.wait_until_served(traffic, 1)
+        fleet.r.block_front("f1", *directions)
         assert (await fleet.r.change(2)).outcome is ChangeOutcome.ACTIVATED
-        await fleet.everywhere(traffic, 2, "f0", "f2")
+        await fleet.wait_until_served(traffic, 2, "f0", "f2")
         assert not traffic.served("f1", 2)
-        fleet.r.cut_front("f1")
-        await fleet.everywhere(traffic, 2, "f1")
-        traffic.judge()
+        fleet.r.block_front("f1")
+        await fleet.wait_until_served(traffic, 2, "f1")
+        traffic.check_invariants()
 
 
 async def test_a_change_that_a_front_objects_to_is_withdrawn_with_its_reason(tmp_path: Path) -> None:
@@ -131,9 +131,9 @@
         assert entry.outcome is ChangeOutcome.WITHDRAWN
         assert entry.reasons == ("only 1 of 3 fronts answered",) and entry.absent == ("f1", "f2")
         for name in ("f1", "f2"):
-            fleet.r.processes[name].go_on()
+            fleet.r.processes[name].resume()
         traffic = fleet.traffic()
-        await fleet.everywhere(traffic, 1)
+        await fleet.wait_until_served(traffic, 1)
 
 
 async def test_a_front_that_shuts_down_releases_its_lease_and_delays_no_change(tmp_path: Path) -> None:
@@ -149,11 +149,11 @@
 async def test_all_other_fronts_serve_until_the_lease_of_a_killed_one_has_expired(tmp_path: Path) -> None:
     async with policy_fleet(tmp_path) as fleet:
         traffic = fleet.traffic("f0", "f1")
-        await fleet.everywhere(traffic, 1, "f0", "f1")
+        await fleet.wait_until_served(traffic, 1, "f0", "f1")
         fleet.r.processes["f2"].kill()
         assert (await fleet.r.change(2)).outcome is ChangeOutcome.ACTIVATED
-        await fleet.everywhere(traffic, 2, "f0", "f1")
-        traffic.judge()
+        await fleet.wait_until_served(traffic, 2, "f0", "f1")
+        traffic.check_invariants()
         assert longest_pause(traffic) < 0.8  # less than the lease of the killed front
 
 
@@ -167,15 +167,15 @@
         fleet.fronts.append("f0-new")
         traffic = fleet.traffic()
         assert (await fleet.r.change(2)).outcome is ChangeOutcome.ACTIVATED
-        await fleet.everywhere(traffic, 2)
+        await fleet.wait_until_served(traffic, 2)
         old.stop()
         assert (await fleet.r.change(3)).outcome is ChangeOutcome.ACTIVATED
-        await fleet.everywhere(traffic, 3, "f0-new")
-        old.go_on()
-        await fleet.everywhere(traffic, 3)
+        await fleet.wait_until_served(traffic, 3, "f0-new")
+        old.resume()
+        await fleet.wait_until_served(traffic, 3)
         # The old process may still answer requests under version 2 that it accepted before it was stopped.
         traffic.history = [a for a in traffic.history if a.front != "f0" or a.mark != 2]
-        traffic.judge()
+        traffic.check_invariants()
 
 
 async def test_a_change_while_all_fronts_are_restarted_one_after_the_other(tmp_path: Path) -> None:
@@ -186,9 +186,9 @@
             for name in fleet.fronts:
                 fleet.r.processes[name].kill()
                 await fleet.r.start_front(name)
-        await fleet.r.insist(3)
-        await fleet.everywhere(traffic, 3)
-        traffic.judge()
+        await fleet.r.change_until_activated(3)
+        await fleet.wait_until_served(traffic, 3)
+        traffic.check_invariants()
 
 
 async def test_an_upgrade_during_changes_loses_no_request_and_serves_no_old_version(tmp_path: Path) -> None:
@@ -197,11 +197,11 @@
         fleet.fronts.append("up")
         await fleet.r.serving("up")
         traffic = fleet.traffic()
-        await fleet.everywhere(traffic, 1)
+        await fleet.wait_until_served(traffic, 1)
 
         async def changes() -> None:
             for mark in range(2, 7):
-                await fleet.r.insist(mark)
+                await fleet.r.change_until_activated(mark)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(changes)
@@ -212,8 +212,8 @@
             await fleet.r.serving("up-new")
             old.send(signal.SIGTERM)
             assert await old.ended() == 0
-        await fleet.everywhere(traffic, 6)
-        traffic.judge()
+        await fleet.wait_until_served(traffic, 6)
+        traffic.check_invariants()
         assert {a.kind for a in traffic.history} == {"served", "booked", "Throttled"}
 
 
@@ -222,9 +222,9 @@
 ) -> None:
     async with policy_fleet(tmp_path, fronts=2) as fleet:
         flood = fleet.traffic(each=40, pause=0.0)
-        await fleet.everywhere(flood, 1)
+        await fleet.wait_until_served(flood, 1)
         for mark in (2, 3):
-            await fleet.r.insist(mark)
-            await fleet.everywhere(flood, mark)
-        flood.judge()
+            await fleet.r.change_until_activated(mark)
+            await fleet.wait_until_served(flood, mark)
+        flood.check_invariants()
         assert {a.kind for a in flood.history} <= {"served", "booked", "Throttled"}
--- a/tests/policy/test_command_processes.py
+++ b/tests/policy/test_command_processes.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 
-from tests.processes import Process, marked
+from tests.processes import Process, settings_with_mark
 from tests.support.policy_fleet import PolicyFleet, policy_fleet
 from zincladder.policy.document import canonical
 from zincladder.policy.model import ChangeOutcome
@@ -49,13 +49,13 @@
 async def test_commands_propose_show_and_revert_a_policy(tmp_path: Path) -> None:
     async with policy_fleet(tmp_path, fronts=2) as fleet:
         file = tmp_path / "two.json"
-        file.write_bytes(canonical({"settings": marked(2)}))
+        file.write_bytes(canonical({"settings": settings_with_mark(2)}))
         traffic = fleet.traffic()
         propose = command(fleet, "propose", str(file), "--note", "second", "--author", "ana", "--json")
         assert await propose.ended() == 0
         lines = [json.loads(line) for line in propose.log_path.read_text().splitlines()]
         assert lines[-1] == {"version": 2, "outcome": "held", "reasons": [], "absent": []}
-        await fleet.everywhere(traffic, 2)
+        await fleet.wait_until_served(traffic, 2)
         for arguments, text in (
             (("history",), "ana: second"),
             (("diff", "1"), "settings.domain.freshFor"),
@@ -82,7 +82,7 @@
 async def test_a_command_that_is_killed_leaves_no_partial_change(tmp_path: Path, seed: int) -> None:
     async with policy_fleet(tmp_path, fronts=2) as fleet:
         file = tmp_path / "two.json"
-        file.write_bytes(canonical({"settings": marked(2)}))
+        file.write_bytes(canonical({"settings": settings_with_mark(2)}))
         traffic = fleet.traffic()
         started = command(fleet, "propose", str(file), "--note", "killed")
         await anyio.sleep(random.Random(seed).uniform(0.2, 0.9))  # at any point of its run
@@ -93,8 +93,8 @@
 
         await fleet.r.until("no change is open", settled)
         record = await fleet.r.record()
-        await fleet.everywhere(traffic, 2 if record.version == 2 else 1)
-        traffic.judge()
+        await fleet.wait_until_served(traffic, 2 if record.version == 2 else 1)
+        traffic.check_invariants()
 
 
 async def test_a_reload_that_changes_a_key_of_the_policy_is_rejected_and_the_key_named(
@@ -103,7 +103,7 @@
     async with policy_fleet(tmp_path, fronts=1) as fleet:
         await fleet.r.change(2, ceilings={"attemptsCap": 5})
         traffic = fleet.traffic()
-        await fleet.everywhere(traffic, 2)
+        await fleet.wait_until_served(traffic, 2)
         process, path = fleet.r.processes["f0"], tmp_path / "f0" / "config.json"
         own = json.loads(path.read_text())
         own["settings"]["ceilings"] |= {"attemptsCap": 7}
--- a/tests/policy/test_coordinator.py
+++ b/tests/policy/test_coordinator.py
@@ -21,7 +21,7 @@
     RevokePolicyLease,
 )
 
-TERMS = LeaseTiming(
+LEASE_TIMING = LeaseTiming(
     lease_seconds=5.0,
     renew_seconds=1.0,
     clock_drift=0.01,
@@ -37,7 +37,7 @@
 
     def __init__(self, record: PolicyRecord, fronts: int) -> None:
         self.now, self.record_version, self.record = 100.0, 1, record
-        self.coordinator = ChangeCoordinator(TERMS, self.now, 1)
+        self.coordinator = ChangeCoordinator(LEASE_TIMING, self.now, 1)
         self.expected_fronts = [f"f{n}" for n in range(1, fronts + 1)]
         self.phases: list[tuple[float, str]] = []
         self.read_record()
@@ -76,7 +76,7 @@
     leader = Leader(DECIDED, 0)
     leader.step(6.0)
     assert [phase for _, phase in leader.phases] == ["clearing", "in force"]
-    assert leader.phases[0][0] >= TERMS.expiry_seconds
+    assert leader.phases[0][0] >= LEASE_TIMING.expiry_seconds
 
 
 def test_the_lease_of_a_lost_front_expires_before_any_other_front_has_to_release() -> None:
@@ -93,7 +93,7 @@
         # Meanwhile the other front's lease is renewed.
         assert [type(m) for _, m in leader.receive(1, RenewPolicyLease(serial, "d1"))] == [PolicyLeaseGranted]
         leader.step(0.5)
-    assert leader.now - began >= TERMS.expiry_seconds - 1.0
+    assert leader.now - began >= LEASE_TIMING.expiry_seconds - 1.0
     assert leader.phases[0][1] == "clearing"
 
 
@@ -115,7 +115,7 @@
             if any(isinstance(m, RevokePolicyLease) for m in messages):
                 leader.receive(1, PolicyLeaseReleased(2, serial))  # front 2 receives nothing
     assert leader.record.version == 2
-    assert leader.now - began < TERMS.expiry_seconds + 2.0
+    assert leader.now - began < LEASE_TIMING.expiry_seconds + 2.0
     assert [phase for _, phase in leader.phases] == ["clearing", "decided", "clearing", "in force"]
 
 
@@ -149,11 +149,11 @@
         )
     assert leader.record.version == 2
     assert (
-        TERMS.max_deferral_seconds
+        LEASE_TIMING.max_deferral_seconds
         < leader.now - began
-        < TERMS.max_deferral_seconds + TERMS.expiry_seconds + 1.0
+        < LEASE_TIMING.max_deferral_seconds + LEASE_TIMING.expiry_seconds + 1.0
     )
-    assert revoking_seconds < TERMS.expiry_seconds + 1.0  # clients are rejected for one lease at most
+    assert revoking_seconds < LEASE_TIMING.expiry_seconds + 1.0  # clients are rejected for one lease at most
 
 
 def test_the_objection_of_a_front_that_has_disconnected_counts() -> None:
--- a/tests/policy/test_fleet_simulation.py
+++ b/tests/policy/test_fleet_simulation.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.support.fleet_simulation import TERMS, FleetWorld
+from tests.support.fleet_simulation import LEASE_TIMING, FleetWorld
 from tests.support.raft_simulation import InvariantError
 from zincladder.policy import change_states
 from zincladder.policy.coordinator import ChangeCoordinator
@@ -30,7 +30,7 @@
 def test_a_change_is_activated_everywhere_or_nowhere_whatever_fails(block: int) -> None:
     total: Counter[str] = Counter()
     for seed in range(block * 25, block * 25 + 25):
-        total.update(run_simulation(seed).figures)
+        total.update(run_simulation(seed).counts)
     assert (
         total["activated"] > 30
         and total["withdrawn"] > 3
@@ -102,8 +102,8 @@
 
 
 def test_a_front_relies_on_a_lease_for_no_longer_than_the_leader_waits() -> None:
-    assert TERMS.trusted_seconds * (1 + TERMS.clock_drift) <= TERMS.expiry_seconds
+    assert LEASE_TIMING.trusted_seconds * (1 + LEASE_TIMING.clock_drift) <= LEASE_TIMING.expiry_seconds
     assert (
-        TERMS.trusted_seconds / (1 - TERMS.clock_drift)
-        <= TERMS.expiry_seconds / (1 + TERMS.clock_drift) + 1e-9
+        LEASE_TIMING.trusted_seconds / (1 - LEASE_TIMING.clock_drift)
+        <= LEASE_TIMING.expiry_seconds / (1 + LEASE_TIMING.clock_drift) + 1e-9
     )
--- a/tests/policy/test_linked_fronts.py
+++ b/tests/policy/test_linked_fronts.py
@@ -56,6 +56,6 @@
     leases, late = GrantedLeases(100.0), FrontProcess("f0", "p")
     leases.grant(late, 4, 110.0)
     leases.suspend_remaining()
-    assert leases.fenced_off == {late}
+    assert leases.suspended == {late}
     leases.release(late, 4)
-    assert not leases.fenced_off
+    assert not leases.suspended
--- a/tests/policy/test_state_space.py
+++ b/tests/policy/test_state_space.py
@@ -17,8 +17,8 @@
 
 # The first scope has many faults of all kinds; the second has leaders with short terms.
 WIDE_SCOPES = (
-    Scope(changes=6, leaders=3, kills=3, breaks=4, until=60, noise=20),
-    Scope(changes=3, leaders=12, kills=1, breaks=2, until=60, noise=20),
+    Scope(changes=6, leader_changes=3, kills=3, link_breaks=4, until=60, unrelated_entries=20),
+    Scope(changes=3, leader_changes=12, kills=1, link_breaks=2, until=60, unrelated_entries=20),
 )
 
 
@@ -29,7 +29,7 @@
 
 
 def test_no_order_of_events_breaks_an_invariant_with_one_front() -> None:
-    states, activated = search(PolicyStateSpace(Scope(changes=1, until=3), 1), good=in_force)  # exhaustive
+    states, activated = search(PolicyStateSpace(Scope(changes=1, until=3), 1), matches=in_force)  # exhaustive
     assert states > 2000 and activated > 10
 
 
@@ -76,7 +76,7 @@
         pending = dict(self.renewals.requested_at)
         message_received(self, message, now)
         if isinstance(message, RevokePolicyLease):
-            self._void_serial = 0
+            self._ignored_through_serial = 0
             self.renewals.requested_at = pending | self.renewals.requested_at
 
     patch.setattr(ChangeParticipant, "message_received", forgets)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,6 +1,6 @@
 """Runs replicas and fronts as real processes, with a TCP relay on each link, and injects faults into both.
 
-Tests wait for an observable state with `Rig.until`, not for a fixed time. It fails with the logs
+Tests wait for an observable state with `ProcessCluster.until`, not for a fixed time. It fails with the logs
 of all processes if the state does not occur. All processes are killed at the end of a test.
 """
 
@@ -56,10 +56,10 @@
         self.port = 0
         self.blocked: set[str] = set()
         self.delay = 0.0
-        self.waiting = 0  # chunks that are held in a blocked direction
+        self.held_chunks = 0  # chunks that are held in a blocked direction
         # If the next chunk in direction "to" is longer than this, only so many of its bytes are forwarded and
         # the connection is reset. -1: off.
-        self.tear = -1
+        self.bytes_before_reset = -1
         self._streams: set[anyio.abc.SocketStream] = set()
         self._changed = anyio.Event()
 
@@ -112,13 +112,13 @@
                 data = await source.receive()
                 if self.delay:
                     await anyio.sleep(self.delay)
-                self.waiting += 1
+                self.held_chunks += 1
                 while direction in self.blocked:
                     await self._changed.wait()
-                self.waiting -= 1
-                if direction == "to" and 0 <= self.tear < len(data):
-                    await sink.send(data[: self.tear])
-                    self.tear = -1
+                self.held_chunks -= 1
+                if direction == "to" and 0 <= self.bytes_before_reset < len(data):
+                    await sink.send(data[: self.bytes_before_reset])
+                    self.bytes_before_reset = -1
                     await self._abort(source)
                     break
                 await sink.send(data)
@@ -167,11 +167,11 @@
         self.popen.send_signal(number)
 
     def stop(self) -> None:
-        """Pauses the process with SIGSTOP; `go_on` resumes it."""
+        """Pauses the process with SIGSTOP; `resume` resumes it."""
         self.send(signal.SIGSTOP)
         self.stopped = True
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.send(signal.SIGCONT)
         self.stopped = False
 
@@ -195,7 +195,7 @@
         return status
 
 
-class Rig:
+class ProcessCluster:
     """Replicas and fronts as processes, with the faults and commands that tests apply to them."""
 
     def __init__(self, folder: Path, tasks: anyio.abc.TaskGroup, drift: float = 0.0) -> None:
@@ -326,7 +326,7 @@
 
             await self.until(f"{name} is ready", is_ready)
 
-    def cut_front(self, name: str, *ways: str) -> None:
+    def block_front(self, name: str, *ways: str) -> None:
         """Blocks what a front sends to replicas ("to"), what they send to it ("back") or both.
 
         Without a direction it unblocks both.
@@ -349,7 +349,7 @@
         Returns the proposed version and "", or 0 and the reason why the proposal was rejected.
         """
         client = self.client_of_replicas()
-        data = canonical({"settings": merged(marked(mark), settings)})
+        data = canonical({"settings": merged(settings_with_mark(mark), settings)})
         stored = change_log.read(await client.get(""))
         base = stored.record.version
         try:
@@ -392,7 +392,7 @@
                 return activated
             await anyio.sleep(0.05)
 
-    async def insist(self, mark: int) -> ChangeLogEntry:
+    async def change_until_activated(self, mark: int) -> ChangeLogEntry:
         """Repeats a change until it is activated, since one that too few fronts confirm is withdrawn."""
         with anyio.fail_after(2 * WAIT_TIMEOUT_SECONDS):
             while (past := await self.change(mark)).outcome is not ChangeOutcome.ACTIVATED:
@@ -516,7 +516,7 @@
             return port
 
 
-def marked(mark: int) -> dict[str, Any]:
+def settings_with_mark(mark: int) -> dict[str, Any]:
     """Returns settings whose mark shows under which policy a request was decided.
 
     The mark raises the class's fresh time, which the front sends as `cap` and the caches return.
@@ -524,7 +524,7 @@
     return {"domain": {"freshFor": [0.0, 1000.0 + mark, 0.0]}}
 
 
-async def marking(_: StubCache, fetch: Fetch) -> None:
+async def answer_with_cap(_: StubCache, fetch: Fetch) -> None:
     """A cache that answers with the request's `cap`, which shows the policy that it was decided under."""
     await fetch.answer(200, "tell=local,rev=aa,since=1", fetch.fields.get("cap", "0").encode())
 
@@ -551,22 +551,27 @@
     TRACES = itertools.count(1)
 
     def __init__(
-        self, r: Rig, tasks: anyio.abc.TaskGroup, names: Sequence[str], each: int = 2, pause: float = 0.01
+        self,
+        r: ProcessCluster,
+        tasks: anyio.abc.TaskGroup,
+        names: Sequence[str],
+        each: int = 2,
+        pause: float = 0.01,
     ) -> None:
         self._cluster, self.history = r, list[Asked]()
-        self.going, self._pause = True, pause
+        self.running, self._pause = True, pause
         for name in names:
             for _ in range(each):
                 tasks.start_soon(self._client, name)
 
     async def _client(self, name: str) -> None:
         number = retries = 0  # the request to send (0: a new one), and how often it was retried
-        while self.going:
+        while self.running:
             began = anyio.current_time()
             try:
                 async with await anyio.connect_tcp("127.0.0.1", self._cluster.ports[name]) as stream:
                     client = ServiceClient(stream)
-                    while self.going:
+                    while self.running:
                         began, number = anyio.current_time(), number or next(self.TRACES)
                         booking = number % self.BOOKING == 0
                         fields = {"route": "booking" if booking else "page", "patience": "2000"}
@@ -600,7 +605,7 @@
         """Returns the requests that were sent to a front after that time."""
         return [a for a in self.history if a.front == name and a.began > when]
 
-    def judge(self) -> None:
+    def check_invariants(self) -> None:
         """Checks that each request has one answer and that versions are linearizable.
 
         A request that begins after an answer has arrived is never served under an older policy, at any front.
@@ -617,17 +622,17 @@
 
 
 @contextlib.asynccontextmanager
-async def rig(folder: Path, drift: float = 0.0) -> AsyncIterator[Rig]:
+async def process_cluster(folder: Path, drift: float = 0.0) -> AsyncIterator[ProcessCluster]:
     """Provides the processes of a test, and kills them all when the block ends."""
     async with anyio.create_task_group() as tasks:
-        cluster = Rig(folder, tasks, drift)
+        cluster = ProcessCluster(folder, tasks, drift)
         try:
             yield cluster
         finally:
             for process in cluster.processes.values():
                 if process.popen is not None:
                     with contextlib.suppress(ProcessLookupError):
-                        process.go_on()
+                        process.resume()
                 process.kill()
             for sock in cluster.reserved_sockets:
                 sock.close()
--- a/tests/routing/test_capacity.py
+++ b/tests/routing/test_capacity.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from tests.support.routing import NOT_ANNOUNCED, Driver, driver_without_sizes_and_weights
+from tests.support.routing import WITHOUT_SIZES_AND_WEIGHTS, Driver, driver_without_sizes_and_weights
 
 
 def test_transfer_times_are_estimated_from_hits_if_sizes_are_not_announced() -> None:
     # With transfer times of 0 no load would be shed, and slow start would admit every request.
-    driver = Driver(**NOT_ANNOUNCED)
+    driver = Driver(**WITHOUT_SIZES_AND_WEIGHTS)
     driver.request(1, kb=0.0)
     # Until a hit was timed, the estimate is the latency objective of the class.
     assert driver.router.pending[1].transfer_seconds == 0.5
--- a/tests/routing/test_load_shedding.py
+++ b/tests/routing/test_load_shedding.py
@@ -6,7 +6,7 @@
 
 from tests.support.routing import (
     FLEET,
-    NOT_ANNOUNCED,
+    WITHOUT_SIZES_AND_WEIGHTS,
     Driver,
     attempts_in,
     cache,
@@ -95,7 +95,7 @@
 
 def test_without_load_reports_no_request_is_rejected_because_of_utilization() -> None:
     # Otherwise a router that has just started rejects the requests of a lost cache instead of bypassing it.
-    driver = Driver((cache(0), parent(0), FLEET[-1]), **NOT_ANNOUNCED)
+    driver = Driver((cache(0), parent(0), FLEET[-1]), **WITHOUT_SIZES_AND_WEIGHTS)
     fetches = [only_fetch(driver.request(n, key=n, kb=0.0)) for n in range(10)]
     for n, sent in enumerate(fetches):
         assert only_fetch(driver.end_attempt(n, 0, sent.endpoint, Outcome.UNREACHABLE)).endpoint == b"paren0"
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -4,7 +4,7 @@
 
 from tests.support.routing import (
     FLEET,
-    NOT_ANNOUNCED,
+    WITHOUT_SIZES_AND_WEIGHTS,
     Driver,
     cache,
     driver_without_sizes_and_weights,
@@ -47,7 +47,7 @@
     driver = driver_without_sizes_and_weights()
     caches = [only_fetch(driver.request(n, key=7, kb=0.0)).endpoint for n in range(1, 12)]
     assert len(set(caches[:2])) == 1 and len(set(caches)) > 1
-    without_reports = Driver(**NOT_ANNOUNCED)  # the cores are not known yet: no spillover
+    without_reports = Driver(**WITHOUT_SIZES_AND_WEIGHTS)  # the cores are not known yet: no spillover
     assert len({only_fetch(without_reports.request(n, key=7, kb=0.0)).endpoint for n in range(1, 12)}) == 1
 
 
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -147,7 +147,7 @@
     ]
     for action, code, fields in expected:
         assert wire.encode_action(3, action) == record(code, fields)
-    assert wire.encode_broken(3, "x") == record(100, struct.pack("<IH", 3, 1) + b"x")
+    assert wire.encode_instance_failed(3, "x") == record(100, struct.pack("<IH", 3, 1) + b"x")
 
 
 def test_an_empty_batch_gets_an_empty_reply() -> None:
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -46,4 +46,4 @@
 
 
 def lane_of(admission: SourceAdmission, host: str, now: float) -> PriorityLane:
-    return admission.lane_of(admission.sources.obtain(key_of(host), now), now)
+    return admission.lane_of(admission.sources.find_or_create(key_of(host), now), now)
--- a/tests/support/cache_wire.py
+++ b/tests/support/cache_wire.py
@@ -21,11 +21,11 @@
 from zincladder.net.cache_pool import CachePool
 from zincladder.net.cache_transport import CacheTransport
 
-LARGE = 1 << 20  # bytes: more than the socket buffers of both ends hold together
+OVER_BUFFER_SIZE = 1 << 20  # bytes: more than the socket buffers of both ends hold together
 
 
 @contextlib.contextmanager
-def pair() -> Any:
+def small_buffer_connection() -> Any:
     """Yields both ends of a TCP connection with small socket buffers: the front's end, then the cache's."""
     with socket.socket() as listener, socket.socket() as front_socket:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -113,7 +113,7 @@
 
 @contextlib.asynccontextmanager
 async def wire(config: Config | None = None, now: Callable[[], float] = time.time) -> AsyncIterator[Wire]:
-    with pair() as (front_socket, cache_socket):
+    with small_buffer_connection() as (front_socket, cache_socket):
         async with anyio.create_task_group() as tasks:
             found = Wire(config or parse_config(configuration([])), front_socket, cache_socket, tasks, now)
             tasks.start_soon(found.link.run)
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -28,7 +28,7 @@
 )
 from zincladder.policy.participant import ChangeParticipant
 
-TERMS = LeaseTiming(
+LEASE_TIMING = LeaseTiming(
     lease_seconds=2.5,
     renew_seconds=0.5,
     clock_drift=0.1,
@@ -71,7 +71,7 @@
     """A group of replicas with fronts; the invariants are checked whenever a front has acted."""
 
     def __init__(
-        self, seed: int, voters: int = 3, fronts: int = 4, lease_timing: LeaseTiming = TERMS
+        self, seed: int, voters: int = 3, fronts: int = 4, lease_timing: LeaseTiming = LEASE_TIMING
     ) -> None:
         self.lease_timing = lease_timing
         self.registers: dict[str, KeyValueState] = {}
@@ -84,7 +84,7 @@
         self.proposals = itertools.count()
         self.isolated: dict[str, set[str]] = {}  # front -> directions in which messages are lost
         super().__init__(seed, voters)
-        self.figures |= {
+        self.counts |= {
             "activated": 0,
             "withdrawn": 0,
             "grants": 0,
@@ -125,7 +125,7 @@
             self.connect(front)
         front.participant.tick(self.front_clock(front))
         self.carry_out(front)
-        self.judge()
+        self.check_invariants()
 
     def connect(self, front: SimulatedFront) -> None:
         process = self.processes[self.random.choice(sorted(self.processes))]
@@ -227,7 +227,7 @@
             self.break_link(link)
             return
         self.unconfirmed.setdefault(process.name, deque()).append((ticket, link, message))
-        self.settle(process)
+        self.process_output(process)
 
     def _deliver_to_front(self, link: FrontLink, message: FromCoordinator) -> None:
         front = self.fronts[link.front]
@@ -238,7 +238,7 @@
             return
         front.participant.message_received(message, self.front_clock(front))
         self.carry_out(front)
-        self.judge()
+        self.check_invariants()
 
     # Replicas -------------------------------------------------------------------------------------
 
@@ -269,8 +269,8 @@
             if found is not None and found.version == process.index:
                 self.invariants.check_applied(change_log.read(registers.with_prefix("")))
 
-    def settle(self, process: SimulatedReplica) -> None:
-        super().settle(process)
+    def process_output(self, process: SimulatedReplica) -> None:
+        super().process_output(process)
         self.advance_coordinator(process)
 
     def answer_read(self, process: SimulatedReplica, ticket: int) -> None:
@@ -321,7 +321,7 @@
             ticket = next(self._tickets)
             member.request_read(ticket)
             self.unconfirmed[process.name].append((ticket, FrontLink(0, "", process.name, 0), None))
-            self.settle(process)
+            self.process_output(process)
             return
         if coordinator.has_read_state:
             self.read_registers(process, coordinator)
@@ -329,7 +329,7 @@
         actions = coordinator.take_actions()
         links = {f.link.number: f.link for f in self.fronts.values() if f.link}
         for number, message in actions.messages:
-            self.figures["grants"] += isinstance(message, PolicyLeaseGranted)
+            self.counts["grants"] += isinstance(message, PolicyLeaseGranted)
             if number in links:
                 self._transmit(links[number], "to_front", message)
         swaps = [change_log.write_expected_front(name) for name in actions.expect_fronts]
@@ -340,7 +340,7 @@
         for swap in swaps:
             self.propose_write(process, swap)
         if swaps:
-            self.settle(process)
+            self.process_output(process)
 
     def propose_write(self, process: SimulatedReplica, swap: CompareAndSwap) -> None:
         assert process.node is not None
@@ -371,10 +371,10 @@
             proposed = propose_change(stored.record, base, document_id(data), "op", "", self.now)
         except ChangeRejectedError:
             return
-        self.figures["proposed"] += 1
+        self.counts["proposed"] += 1
         self.propose_write(process, change_log.write_document(data))
         self.propose_write(process, change_log.write_record(stored.record_version, proposed))
-        self.settle(process)
+        self.process_output(process)
 
     def inject_fault(self) -> None:
         r = self.random
@@ -410,21 +410,21 @@
         if front.participant is None or not front.paused:
             return
         front.paused = False
-        self.judge()  # before it receives the messages that arrived while it was paused
+        self.check_invariants()  # before it receives the messages that arrived while it was paused
         undelivered, front.undelivered = front.undelivered, []
         for link, message in undelivered:
             self._deliver_to_front(link, message)
 
     # Checks ---------------------------------------------------------------------------------------
 
-    def judge(self) -> None:
+    def check_invariants(self) -> None:
         serving = {}
         for front in self.fronts.values():
             if front.participant is not None and not front.paused:
                 version = front.participant.serving_version(self.front_clock(front))
                 if version:
                     serving[front.name] = version
-                    self.figures["served"] += 1
+                    self.counts["served"] += 1
         self.invariants.check_serving(serving)
 
     def heal_and_check(self) -> None:
@@ -458,5 +458,5 @@
                 f"fronts did not settle on one version within {80} s after all faults ended: "
                 f"{versions}, {record.open_change}"
             )
-        self.figures["activated"] += sum(p.outcome is ChangeOutcome.ACTIVATED for p in record.log)
-        self.figures["withdrawn"] += sum(p.outcome is ChangeOutcome.WITHDRAWN for p in record.log)
+        self.counts["activated"] += sum(p.outcome is ChangeOutcome.ACTIVATED for p in record.log)
+        self.counts["withdrawn"] += sum(p.outcome is ChangeOutcome.WITHDRAWN for p in record.log)
--- a/tests/support/front_hooks.py
+++ b/tests/support/front_hooks.py
@@ -13,7 +13,7 @@
 from zincladder.net.sockets import connect
 
 
-def cores_of(monkeypatch: pytest.MonkeyPatch) -> list[Core]:
+def record_cores(monkeypatch: pytest.MonkeyPatch) -> list[Core]:
     """Returns a list to which the core of each front started from now on is appended."""
     made: list[Core] = []
     init = Core.__init__
--- a/tests/support/front_world.py
+++ b/tests/support/front_world.py
@@ -19,7 +19,7 @@
 
 
 @dataclass
-class World:
+class RunningFront:
     """A running front with its stub caches and stub coordinator."""
 
     caches: list[StubCache]
@@ -30,14 +30,14 @@
 
 
 @contextlib.asynccontextmanager
-async def world(
+async def running_front(
     *scripts: Script,
     origin: Script = serve,
     hosts: list[dict[str, Any]] | None = None,
     endpoints: list[StubCache] | None = None,
     operator: dict[str, Any] | None = None,
     **more: Any,
-) -> AsyncIterator[World]:
+) -> AsyncIterator[RunningFront]:
     """Runs a front with one cache for each script, one parent and the origin (the last two of `caches`)."""
     caches = [StubCache(f"s-{i + 1:08x}", 0, script) for i, script in enumerate(scripts)]
     caches += [StubCache("s-000000a0", 1), StubCache("s-000000b0", 2, origin)]
@@ -53,5 +53,5 @@
         table = ({"dns": DNS | {"host": known + (hosts or [])}} if known else {}) | (operator or {})
         stopping = anyio.Event()
         listening = await tasks.start(run_front, config, parse_operator(table, config.names), stopping)
-        yield World(caches, coordinator, listening, tasks, stopping)
+        yield RunningFront(caches, coordinator, listening, tasks, stopping)
         tasks.cancel_scope.cancel()
--- a/tests/support/policy_fleet.py
+++ b/tests/support/policy_fleet.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from tests.processes import Rig, Traffic, marking, rig
+from tests.processes import ProcessCluster, Traffic, answer_with_cap, process_cluster
 from tests.support.stub_cache import StubCache
 from zincladder.policy.model import ChangeOutcome
 
@@ -18,14 +18,14 @@
 class PolicyFleet:
     """Replicas, stub caches and fronts that follow the policy."""
 
-    def __init__(self, r: Rig, caches: list[StubCache], tasks: anyio.abc.TaskGroup) -> None:
+    def __init__(self, r: ProcessCluster, caches: list[StubCache], tasks: anyio.abc.TaskGroup) -> None:
         self.r, self.caches, self._tasks = r, caches, tasks
         self.fronts: list[str] = []
 
     def traffic(self, *names: str, each: int = 2, pause: float = 0.01) -> Traffic:
         return Traffic(self.r, self._tasks, names or self.fronts, each, pause)
 
-    async def everywhere(self, traffic: Traffic, mark: int, *names: str) -> None:
+    async def wait_until_served(self, traffic: Traffic, mark: int, *names: str) -> None:
         """Waits until each of the fronts has served a client under that mark."""
         for name in names or self.fronts:
             await self.r.until(f"{name} serves under mark {mark}", partial(traffic.served, name, mark))
@@ -37,16 +37,16 @@
     fronts: int = 3,
     replicas: int = 3,
     cut_off: str = "stop",
-    begun: bool = True,
+    with_policy: bool = True,
     drift: float = 0.0,
 ) -> AsyncIterator[PolicyFleet]:
     """Starts replicas, fronts and caches, and checks at the end that no booking ran twice.
 
-    With `begun`, the fronts serve under policy version 1 when the block starts.
+    With `with_policy`, the fronts serve under policy version 1 when the block starts.
     """
-    async with rig(folder, drift) as r, anyio.create_task_group() as tasks:
-        caches = [StubCache(f"s-{n:08x}", 0, marking) for n in (1, 2)]
-        caches += [StubCache("s-000000a0", 1, marking), StubCache("s-000000b0", 2, marking)]
+    async with process_cluster(folder, drift) as r, anyio.create_task_group() as tasks:
+        caches = [StubCache(f"s-{n:08x}", 0, answer_with_cap) for n in (1, 2)]
+        caches += [StubCache("s-000000a0", 1, answer_with_cap), StubCache("s-000000b0", 2, answer_with_cap)]
         for cache in caches:
             await tasks.start(cache.run)
         await r.replicas(replicas)
@@ -54,7 +54,7 @@
         for n in range(fronts):
             fleet.fronts.append(f"f{n}")
             await r.front(f"f{n}", caches, cut_off)
-        if begun:
+        if with_policy:
             assert (await r.change(1)).outcome is ChangeOutcome.ACTIVATED
             await r.serving(*fleet.fronts)
         yield fleet
--- a/tests/support/policy_states.py
+++ b/tests/support/policy_states.py
@@ -13,7 +13,7 @@
 from zincladder.policy.model import ChangePhase, PolicyRecord
 from zincladder.policy.participant import ChangeParticipant
 
-TERMS = LeaseTiming(
+LEASE_TIMING = LeaseTiming(
     lease_seconds=3.0,
     renew_seconds=2.0,
     clock_drift=0.0,
@@ -38,7 +38,7 @@
                 self.deliver_to_leader(n) if process.to_leader else self.deliver_to_process(n)
 
     def new_leader(self, since: float) -> ChangeCoordinator:
-        return ChangeCoordinator(TERMS, since, self.term)
+        return ChangeCoordinator(LEASE_TIMING, since, self.term)
 
     def new_participant(self, now: float) -> ChangeParticipant:
         return ChangeParticipant(now)
@@ -84,7 +84,7 @@
 
     def _leader_key(self) -> Any:
         leader, leases = self.leader, self.leader.leases
-        return (leader.record, sorted(leases.by_process.items()), sorted(leases.fenced_off),
+        return (leader.record, sorted(leases.by_process.items()), sorted(leases.suspended),
                 leases.former_leases_expire_at, leader.phase_entered_at, leader._write_pending,
                 leader._objections, sorted(leader.fronts.items()), leader.has_read_state)  # fmt: skip
 
@@ -93,10 +93,10 @@
         front, renewals = process.participant, process.participant.renewals
         return (process.generation, process.link, process.to_leader, process.from_leader, front.version,
                 front.lease_expires_at, front.applied_document, front.released, renewals.requested_at,
-                front._void_serial, renewals.serial, renewals.next_at, front._leased_document,
+                front._ignored_through_serial, renewals.serial, renewals.next_at, front._leased_document,
                 sorted(front._documents), front.linked)  # fmt: skip
 
-    def judge(self) -> None:
+    def check_invariants(self) -> None:
         serving = {version for p in self.processes if (version := p.participant.serving_version(self.time))}
         if len(serving) > 1:
             raise InvariantError(f"fronts serve under two versions: {serving}")
--- a/tests/support/raft_simulation.py
+++ b/tests/support/raft_simulation.py
@@ -100,7 +100,7 @@
         self.leaders: dict[int, str] = {}
         self.log: dict[int, Entry] = {}  # as first applied by any replica
         self.acknowledged: set[str] = set()
-        self.figures = {"acknowledged": 0, "reads": 0, "crashes": 0, "changes": 0, "snapshots": 0}
+        self.counts = {"acknowledged": 0, "reads": 0, "crashes": 0, "changes": 0, "snapshots": 0}
         self._values, self._tickets = itertools.count(), itertools.count()
         for process in self.processes.values():
             process.clock_rate, process.clock_offset = (
@@ -149,19 +149,19 @@
         process.delayed_messages.clear()
         process.open_proposals.clear()
         process.open_reads.clear()
-        self.figures["crashes"] += 1
+        self.counts["crashes"] += 1
 
     def _run_timer(self, process: SimulatedReplica, incarnation: int) -> None:
         if process.node is None or process.incarnation != incarnation:
             return
         if not process.paused:
             process.node.tick(self.clock(process))
-            self.settle(process)
+            self.process_output(process)
         if process.node is not None:
             wait = (process.node.next_at - self.clock(process)) / process.clock_rate
             self.schedule(max(0.01, wait), lambda: self._run_timer(process, incarnation))
 
-    def settle(self, process: SimulatedReplica) -> None:
+    def process_output(self, process: SimulatedReplica) -> None:
         """Carries out the node's output as the server does; a crash may come before or after the write."""
         node = process.node
         assert node is not None
@@ -189,7 +189,7 @@
     def answer_read(self, process: SimulatedReplica, ticket: int) -> None:
         """Answers a read, and checks that it returns every value acknowledged before it began."""
         before = process.open_reads.pop(ticket)
-        self.figures["reads"] += 1
+        self.counts["reads"] += 1
         if missing := before - set(process.state):
             raise InvariantError(f"a stale read at {process.name} lacks {sorted(missing)}")
 
@@ -214,7 +214,7 @@
         if value is not None:
             assert value == entry.data.decode()
             self.acknowledged.add(value)
-            self.figures["acknowledged"] += 1
+            self.counts["acknowledged"] += 1
 
     # Links ----------------------------------------------------------------------------------------
 
@@ -233,7 +233,7 @@
             process.delayed_messages.append((sender, message))
             return
         process.node.receive(sender, message, self.clock(process))
-        self.settle(process)
+        self.process_output(process)
 
     # Clients and operators ------------------------------------------------------------------------
 
@@ -260,7 +260,7 @@
                 process.node.transfer_leadership()
         except (BusyError, NotLeaderError):
             return
-        self.settle(process)
+        self.process_output(process)
 
     def write(self, process: SimulatedReplica) -> None:
         """Proposes a new value at this replica on behalf of a client, if it considers itself the leader."""
@@ -269,7 +269,7 @@
             return
         with contextlib.suppress(BusyError, NotLeaderError):
             process.open_proposals[process.node.propose(value.encode())] = value
-            self.settle(process)
+            self.process_output(process)
 
     def read(self, process: SimulatedReplica) -> None:
         """Starts a read at this replica on behalf of a client, if it considers itself the leader."""
@@ -279,7 +279,7 @@
         with contextlib.suppress(BusyError, NotLeaderError):
             process.node.request_read(ticket)
             process.open_reads[ticket] = frozenset(self.acknowledged)
-            self.settle(process)
+            self.process_output(process)
 
     def request_membership_change(self) -> None:
         """Adds a replica as a learner or removes a voter, as an operator does."""
@@ -300,8 +300,8 @@
             process.node.change_membership(new)
         except (BusyError, NotLeaderError):
             return
-        self.figures["changes"] += 1
-        self.settle(process)
+        self.counts["changes"] += 1
+        self.process_output(process)
 
     # Faults ---------------------------------------------------------------------------------------
 
@@ -329,8 +329,8 @@
             self.message_loss = r.choice((0.0, 0.05, 0.3))
         elif kind == 6 and process.node and not process.paused:
             process.node.compact(process.index, self.dump(process))
-            self.figures["snapshots"] += 1
-            self.settle(process)
+            self.counts["snapshots"] += 1
+            self.process_output(process)
         elif kind == 7 and len(names) > len(self.founders.voters):
             self.request_membership_change()
 
--- a/tests/support/raw_client.py
+++ b/tests/support/raw_client.py
@@ -10,12 +10,12 @@
 import anyio
 
 from tests.support.front_configuration import KEY
-from tests.support.front_world import World
+from tests.support.front_world import RunningFront
 from zincladder.net import thrift
 
 
 @contextlib.contextmanager
-def plain(w: World) -> Iterator[socket.socket]:
+def raw_connection(w: RunningFront) -> Iterator[socket.socket]:
     """Yields a client's non-blocking socket; calls on it take effect before the front's loop runs again."""
     with socket.create_connection(w.listening.clients) as sock:
         sock.setblocking(False)
@@ -36,17 +36,19 @@
         "slice": "0",
         "set": "1",
     }
-    return frame("handle", seq, b"\x0d\0\1" + thrift._texts(defaults | fields) + b"\x0b\0\2\0\0\0\0")
+    return frame(
+        "handle", seq, b"\x0d\0\1" + thrift._encode_string_map(defaults | fields) + b"\x0b\0\2\0\0\0\0"
+    )
 
 
-async def some(sock: socket.socket) -> bytes:
+async def receive_chunk(sock: socket.socket) -> bytes:
     """Waits for data, and returns the next chunk."""
     with anyio.fail_after(5):
         await anyio.wait_readable(sock)
     return sock.recv(1 << 16)
 
 
-async def rest(sock: socket.socket) -> bytes:
+async def receive_all(sock: socket.socket) -> bytes:
     """Reads until the front closes the connection; raises ConnectionResetError if it resets it."""
     received = b""
     with anyio.fail_after(5):
--- a/tests/support/routing.py
+++ b/tests/support/routing.py
@@ -158,7 +158,7 @@
     return {driver.serve(n, key=n).endpoint for n in range(start, start + count)}
 
 
-NOT_ANNOUNCED: dict[str, Any] = {
+WITHOUT_SIZES_AND_WEIGHTS: dict[str, Any] = {
     "weights_known": False,
     "probes": True,
     "load_by_health_check": True,
@@ -168,7 +168,7 @@
 
 def driver_without_sizes_and_weights(cores: int = 4) -> Driver:
     """Returns a driver whose router knows no sizes and weights, after hits of 0.1 s and some load reports."""
-    driver = Driver(**NOT_ANNOUNCED)
+    driver = Driver(**WITHOUT_SIZES_AND_WEIGHTS)
     for n in range(1000, 1040):
         driver.serve(n, key=n, kb=0.0)
         driver.handle(api.ProbeEnded(b"cache%d" % (n % 4), api.AttemptOutcome.OK, 0.01, (0.5, cores / 2)))
--- a/tests/support/service_client.py
+++ b/tests/support/service_client.py
@@ -11,7 +11,7 @@
 import anyio.abc
 
 from tests.support.front_configuration import KEY
-from tests.support.front_world import World
+from tests.support.front_world import RunningFront
 from zincladder.net import thrift
 
 
@@ -45,7 +45,9 @@
         """Sends a request with these fields over the defaults, and returns its sequence number."""
         sent = {"route": "page", "trace": f"{self.seq + 1:016x}", "patience": "2000", "entity": KEY,
                 "slice": "0", "set": "17"} | fields  # fmt: skip
-        args = b"\x0d\0\1" + thrift._texts(sent) + b"\x0b\0\2" + struct.pack(">i", len(body)) + body
+        args = (
+            b"\x0d\0\1" + thrift._encode_string_map(sent) + b"\x0b\0\2" + struct.pack(">i", len(body)) + body
+        )
         return await self.send("handle", args)
 
     async def withdraw(self, seq: int) -> None:
@@ -77,6 +79,6 @@
 
 
 @contextlib.asynccontextmanager
-async def client(w: World) -> AsyncIterator[Client]:
+async def client(w: RunningFront) -> AsyncIterator[Client]:
     async with await anyio.connect_tcp(*w.listening.clients) as stream:
         yield Client(stream)
--- a/tests/support/state_space.py
+++ b/tests/support/state_space.py
@@ -23,11 +23,11 @@
     """How many events of each kind may still happen, and the last second of the clock."""
 
     changes: int = 1
-    leaders: int = 0  # changes of leader
+    leader_changes: int = 0  # changes of leader
     kills: int = 0
-    breaks: int = 0  # of links
+    link_breaks: int = 0  # of links
     until: int = 5
-    noise: int = 0  # log entries that do not change the registers of the model
+    unrelated_entries: int = 0  # log entries that do not change the registers of the model
 
 
 @dataclass
@@ -82,7 +82,7 @@
         """Carries out the actions of a process."""
 
     @abstractmethod
-    def judge(self) -> None:
+    def check_invariants(self) -> None:
         """Raises InvariantError if this state violates an invariant."""
 
     @abstractmethod
@@ -148,7 +148,7 @@
         del write
 
     def unrelated_entry_applied(self) -> None:
-        self.adjust_remaining(noise=-1)
+        self.adjust_remaining(unrelated_entries=-1)
         self.read_registers()
         self.advance_leader()
 
@@ -171,7 +171,7 @@
 
     def break_link(self, n: int) -> None:
         if self.processes[n].link > 0:
-            self.adjust_remaining(breaks=-1)
+            self.adjust_remaining(link_breaks=-1)
         self._unlink(self.processes[n])
         self.processes[n].participant.link_changed(False, self.time)
         self.carry_out(self.processes[n])
@@ -188,7 +188,7 @@
 
     def change_leader(self, surviving_writes: int) -> None:
         """Replaces the leader; its log has the first `surviving_writes` pending writes, and no others."""
-        self.adjust_remaining(leaders=-1)
+        self.adjust_remaining(leader_changes=-1)
         for write in self.pending[:surviving_writes]:
             self.apply_write(write)
         self.pending, self.lost_links = [], []
@@ -204,11 +204,11 @@
         """Yields each event that can happen next."""
         if self.now < self.remaining.until:
             yield type(self).advance_clock
-        if self.remaining.noise:
+        if self.remaining.unrelated_entries:
             yield type(self).unrelated_entry_applied
         for n in range(len(self.pending)):
             yield partial(type(self).apply_pending_write, n=n)
-        if self.remaining.leaders:
+        if self.remaining.leader_changes:
             for surviving in range(len(self.pending) + 1):
                 yield partial(type(self).change_leader, surviving_writes=surviving)
         for number in self.lost_links:
@@ -218,7 +218,7 @@
                 yield partial(type(self).deliver_to_leader, n=n)
             if process.from_leader:
                 yield partial(type(self).deliver_to_process, n=n)
-            if process.link < 0 or (process.link > 0 and self.remaining.breaks):
+            if process.link < 0 or (process.link > 0 and self.remaining.link_breaks):
                 yield partial(type(self).break_link, n=n)
             if process.link == 0:
                 yield partial(type(self).open_link, n=n)
@@ -227,25 +227,27 @@
         yield from self.model_events()
 
 
-def search(first: StateSpace, max_states: int = 10**9, good: Callable[[Any], bool] = bool) -> tuple[int, int]:
+def search(
+    first: StateSpace, max_states: int = 10**9, matches: Callable[[Any], bool] = bool
+) -> tuple[int, int]:
     """Visits all reachable states depth first, none of them twice, until `max_states` have been found.
 
-    Returns the number of states and how many of them are `good`. Raises InvariantError if one violates an
+    Returns the number of states and how many of them are `matches`. Raises InvariantError if one violates an
     invariant.
     """
-    first.judge()
+    first.check_invariants()
     seen, stack, count = {hash(first.key())}, [first], 0
     while stack and len(seen) < max_states:
         state = stack.pop()
         for event in state.events():
             following = state.copy()
             event(following)
-            following.judge()
+            following.check_invariants()
             key = hash(following.key())
             if key not in seen:
                 seen.add(key)
                 stack.append(following)
-                count += good(following)
+                count += matches(following)
     return len(seen), count
 
 
@@ -263,4 +265,4 @@
         if not events:
             break
         generator.choice(events)(first)
-        first.judge()
+        first.check_invariants()
--- a/tests/support/task_fleet.py
+++ b/tests/support/task_fleet.py
@@ -13,10 +13,10 @@
 import cramjam
 import h11
 
-from tests.processes import Process, Rig, Traffic, marking, rig
+from tests.processes import Process, ProcessCluster, Traffic, answer_with_cap, process_cluster
 from tests.support.stub_cache import StubCache
 from zincladder.export import messages
-from zincladder.export.fleet_metrics import HTTP_FENCED
+from zincladder.export.fleet_metrics import HTTP_STATUS_FENCED
 from zincladder.tasks.fence import Fence
 
 PUSH_INTERVAL_SECONDS = 0.2
@@ -78,7 +78,7 @@
             times.add(sample.timestamp)
         rejected = self.fence.admit(task, int(token))
         self.pushes.append(Push(int(token), times.pop(), totals, not rejected))
-        return HTTP_FENCED if rejected else 200
+        return HTTP_STATUS_FENCED if rejected else 200
 
     @property
     def accepted(self) -> list[Push]:
@@ -87,7 +87,7 @@
     def tokens(self) -> list[int]:
         return sorted({p.token for p in self.accepted})
 
-    def judge(self) -> None:
+    def check_invariants(self) -> None:
         """Checks that accepted pushes are ordered by token and time, and that their totals never decrease."""
         pushes: list[Push] = self.accepted
         assert [p.token for p in pushes] == sorted(p.token for p in pushes), (
@@ -103,7 +103,7 @@
 class TaskFleet:
     """Replicas, and fronts that all offer to run the task that pushes the fleet's metrics."""
 
-    def __init__(self, r: Rig, receiver: Receiver, caches: list[StubCache]) -> None:
+    def __init__(self, r: ProcessCluster, receiver: Receiver, caches: list[StubCache]) -> None:
         self.r, self.receiver, self.caches = r, receiver, caches
         self.fronts: list[str] = []
 
@@ -132,7 +132,7 @@
 
         return str(await self.r.until("a front holds the lease", find_holder))
 
-    async def more(self, count: int = 3, after: int = 0) -> None:
+    async def wait_for_pushes(self, count: int = 3, after: int = 0) -> None:
         """Waits until `count` more pushes with a token higher than `after` have been accepted."""
         expected = sum(p.token > after for p in self.receiver.accepted) + count
         await self.r.until(
@@ -140,7 +140,7 @@
             lambda: sum(p.token > after for p in self.receiver.accepted) >= expected,
         )
 
-    def vacancies(self) -> list[str]:
+    def vacancy_reasons(self) -> list[str]:
         """Returns the reasons for which tasks became vacant, from the replicas' logs."""
         replicas = [p for n, p in self.r.processes.items() if n.startswith("k")]
         return [
@@ -160,11 +160,11 @@
 
     Checks the accepted pushes at the end.
     """
-    async with rig(folder, drift) as r, anyio.create_task_group() as tasks:
+    async with process_cluster(folder, drift) as r, anyio.create_task_group() as tasks:
         receiver = Receiver()
         # All of them answer alike, because a front bypasses a slow cache for the parent or the origin.
         caches = [
-            StubCache(name, kind, marking)
+            StubCache(name, kind, answer_with_cap)
             for kind, name in enumerate(("s-00000001", "s-000000a0", "s-000000b0"))
         ]
         await tasks.start(receiver.run)
@@ -175,7 +175,7 @@
         for n in range(fronts):
             await fleet.add(f"f{n}")
         Traffic(r, tasks, fleet.fronts, each=1, pause=0.05)
-        await fleet.more()
+        await fleet.wait_for_pushes()
         yield fleet
         tasks.cancel_scope.cancel()
-        receiver.judge()
+        receiver.check_invariants()
--- a/tests/support/task_states.py
+++ b/tests/support/task_states.py
@@ -18,7 +18,7 @@
 from zincladder.tasks.lease_manager import AssignmentWrite, LeaseManager
 from zincladder.tasks.model import TaskAssignment
 
-TERMS = LeaseTiming(lease_seconds=3.0, renew_seconds=2.0, clock_drift=0.0, max_action_seconds=0.0)
+LEASE_TIMING = LeaseTiming(lease_seconds=3.0, renew_seconds=2.0, clock_drift=0.0, max_action_seconds=0.0)
 TASK = "figures"
 
 
@@ -39,7 +39,7 @@
             self.open_link(n)
 
     def new_leader(self, since: float) -> LeaseManager:
-        return LeaseManager(TERMS, since, self.term)
+        return LeaseManager(LEASE_TIMING, since, self.term)
 
     def new_participant(self, now: float) -> LeaseHolder:
         return LeaseHolder([TASK], now)
@@ -118,7 +118,7 @@
                 renewals.serial, renewals.requested_at, renewals.next_at, holder.linked,
                 sorted(holder._running))  # fmt: skip
 
-    def judge(self) -> None:
+    def check_invariants(self) -> None:
         acting = [token for p in self.processes if (token := p.participant.active_token(TASK, self.time))]
         if len(acting) > 1:
             raise InvariantError(f"two processes may act on the task: tokens {acting}")
--- a/tests/tasks/test_counter_sums.py
+++ b/tests/tasks/test_counter_sums.py
@@ -27,22 +27,22 @@
     for process, amount, event in events:
         if event == "t":
             counters[process] += amount
-            sums.reported(f"f{process}", "p", {"s": counters[process]})
+            sums.add_report(f"f{process}", "p", {"s": counters[process]})
         elif event == "g":
             sums.forget(f"f{process}", "p")
         else:  # a new leader, whose sums start at 0
             sums, epoch = CounterSums(), epoch + 1
-        totals = totals.advanced(str(epoch), sums.totals, totals.at + 1)
+        totals = totals.with_growth(str(epoch), sums.totals, totals.at + 1)
         assert last <= totals.totals.get("s", 0.0) <= sum(counters)
         last = totals.totals.get("s", 0.0)
 
 
 def test_a_process_is_counted_from_its_first_report() -> None:
     sums = CounterSums()
-    sums.reported("x", "p", {"s": 1000.0})
-    sums.reported("x", "p", {"s": 1007.0, "t": 2.0})
-    sums.reported("x", "other", {"s": 3.0})  # a new process of the same front
-    sums.reported("x", "other", {"s": 5.0, "n": float("nan"), "m": -1.0})
+    sums.add_report("x", "p", {"s": 1000.0})
+    sums.add_report("x", "p", {"s": 1007.0, "t": 2.0})
+    sums.add_report("x", "other", {"s": 3.0})  # a new process of the same front
+    sums.add_report("x", "other", {"s": 5.0, "n": float("nan"), "m": -1.0})
     assert dict(sums.totals) == {"s": 9.0, "t": 2.0}
 
 
@@ -52,12 +52,12 @@
         names = [
             f"zincladder_fleet_cache_attempts_total\0s-{n:08x}\0end{e}" for n in range(400) for e in range(5)
         ]
-        sums.reported("x", "p", {name: 1e6 * turn + i for i, name in enumerate(names)})
-    totals = FleetTotals().advanced("k1/7", sums.totals, 1)
+        sums.add_report("x", "p", {name: 1e6 * turn + i for i, name in enumerate(names)})
+    totals = FleetTotals().with_growth("k1/7", sums.totals, 1)
     assert len(totals.totals) == 2000 and len(encode_totals(totals)) < MAX_VALUE_BYTES // 2
     assert decode_totals(encode_totals(totals)) == totals and decode_totals(b"") == FleetTotals()
     for process in range(2 * MAX_PROCESSES):
-        sums.reported(
+        sums.add_report(
             "y",
             f"p{process}",
             {f"{process} {i}": 1.0 for i in range(2 * MAX_COUNTERS_PER_PROCESS if process < 5 else 9)},
--- a/tests/tasks/test_golden_bytes.py
+++ b/tests/tasks/test_golden_bytes.py
@@ -106,12 +106,12 @@
 def test_stored_keys_and_names_of_the_push() -> None:
     assert (model.TASK_PREFIX, model.CHECKPOINT_PREFIX) == ("duty/", "progress/")
     assert (model.task_key("a"), model.checkpoint_key("a")) == ("duty/a", "progress/a")
-    assert (fleet_metrics.FENCE_HEADER, fleet_metrics.HTTP_FENCED) == ("X-Zincladder-Fence", 409)
+    assert (fleet_metrics.FENCE_HEADER, fleet_metrics.HTTP_STATUS_FENCED) == ("X-Zincladder-Fence", 409)
     assert (
-        fleet_metrics.series(fleet_metrics.ANSWERS, "page", "ok")
+        fleet_metrics.series_key(fleet_metrics.FLEET_ANSWERS_METRIC, "page", "ok")
         == "zincladder_fleet_class_answers_total\0page\0ok"
     )
     assert (
-        fleet_metrics.series(fleet_metrics.ATTEMPTS, "c", "ok")
+        fleet_metrics.series_key(fleet_metrics.FLEET_ATTEMPTS_METRIC, "c", "ok")
         == "zincladder_fleet_cache_attempts_total\0c\0ok"
     )
--- a/tests/tasks/test_lease_holder.py
+++ b/tests/tasks/test_lease_holder.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from tests.support.task_states import TERMS
+from tests.support.task_states import LEASE_TIMING
 from zincladder.tasks.lease_holder import HeldLease, LeaseHolder
 from zincladder.tasks.model import Assigned, LeaseGranted, Offer, ReleaseLease, RenewLease, Revoke
 
@@ -93,8 +93,8 @@
 def test_a_holder_stops_acting_before_the_leader_considers_its_lease_expired() -> None:
     # The worst case that the drift bound allows: the holder's clock is slow, and the leader's is fast.
     for lease_timing in (
-        TERMS,
-        msgspec.structs.replace(TERMS, lease_seconds=5.0, clock_drift=0.01, max_action_seconds=0.2),
+        LEASE_TIMING,
+        msgspec.structs.replace(LEASE_TIMING, lease_seconds=5.0, clock_drift=0.01, max_action_seconds=0.2),
     ):
         slowest = (
             lease_timing.holder_seconds / (1 - lease_timing.clock_drift) + lease_timing.max_action_seconds
--- a/tests/tasks/test_lease_manager.py
+++ b/tests/tasks/test_lease_manager.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from tests.support.task_states import TERMS
+from tests.support.task_states import LEASE_TIMING
 from zincladder.tasks.lease_manager import LeaseManager
 from zincladder.tasks.model import (
     Assigned,
@@ -23,7 +23,7 @@
     def __init__(self, *names: str) -> None:
         self.now, self.index = 100.0, 1
         self.stored_assignments: dict[str, tuple[TaskAssignment, int]] = {}
-        self.lease_manager = LeaseManager(TERMS, self.now - 50)
+        self.lease_manager = LeaseManager(LEASE_TIMING, self.now - 50)
         self.lease_manager.assignments_read(self.stored_assignments, self.now)
         self.messages: list[tuple[int, Any]] = []
         for n, name in enumerate(names, 1):
@@ -58,11 +58,11 @@
 def test_a_connected_holder_that_sends_no_renewal_loses_its_task_when_its_lease_expires() -> None:
     leader = Leader("x", "y")
     first = leader.holder()
-    leader.settle(TERMS.expiry_seconds - 0.1)
+    leader.settle(LEASE_TIMING.expiry_seconds - 0.1)
     assert leader.holder() == first
     leader.settle(0.2)
     assert leader.holder() != first and leader.holder()
-    leader.settle(TERMS.expiry_seconds + 0.1)  # the second runner is silent too
+    leader.settle(LEASE_TIMING.expiry_seconds + 0.1)  # the second runner is silent too
     assert leader.holder() == first
 
 
@@ -71,7 +71,7 @@
     # a lease, and two processes held one.
     leader = Leader("x", "y")
     number, token = leader.lease_manager.holder_link("a"), leader.stored_assignments["a"][1]
-    leader.now += TERMS.expiry_seconds + 0.1
+    leader.now += LEASE_TIMING.expiry_seconds + 0.1
     leader.lease_manager.tick(leader.now)
     (write,) = leader.lease_manager.take_actions().writes
     leader.lease_manager.assignments_read(leader.stored_assignments, leader.now)  # another entry of the log
@@ -79,14 +79,14 @@
     actions = leader.lease_manager.take_actions()
     assert not actions.writes
     assert [message for _, message in actions.messages] == [
-        LeaseGranted(1, (), TERMS.holder_seconds, TERMS.renew_seconds)
+        LeaseGranted(1, (), LEASE_TIMING.holder_seconds, LEASE_TIMING.renew_seconds)
     ]
     leader.stored_assignments["a"] = (write.assignment, token + 1)
     leader.lease_manager.assignments_read(leader.stored_assignments, leader.now)
     leader.lease_manager.write_ended("a", leader.now)
     leader.receive(3 - number, RenewLease(1, (("a", token + 1),)))
     assert leader.messages[-1][1] == LeaseGranted(
-        1, (("a", token + 1),), TERMS.holder_seconds, TERMS.renew_seconds
+        1, (("a", token + 1),), LEASE_TIMING.holder_seconds, LEASE_TIMING.renew_seconds
     )
 
 
@@ -96,7 +96,7 @@
     leader.settle(100.0)
     assert (leader.holder(), leader.stored_assignments["a"][1]) == ("x", token)
     leader.receive(1, RenewLease(1, (("a", token),)))
-    assert LeaseGranted(1, (("a", token),), TERMS.holder_seconds, TERMS.renew_seconds) in [
+    assert LeaseGranted(1, (("a", token),), LEASE_TIMING.holder_seconds, LEASE_TIMING.renew_seconds) in [
         m for _, m in leader.messages
     ]
 
@@ -107,7 +107,7 @@
     number = leader.lease_manager.holder_link("a")
     leader.receive(number, RenewLease(1, (("a", leader.stored_assignments["a"][1]),)))
     leader.lease_manager.link_closed(number, leader.now)
-    leader.settle(TERMS.expiry_seconds - 0.1)
+    leader.settle(LEASE_TIMING.expiry_seconds - 0.1)
     assert leader.holder() == first
     leader.settle(0.2)
     second = leader.holder()
@@ -123,14 +123,14 @@
 def test_a_release_of_a_token_that_was_never_leased_is_ignored_and_not_stored() -> None:
     # A former leader may have granted a lease on the task. And a runner may name any tasks, which must not
     # fill the memory.
-    lease_manager = LeaseManager(TERMS, 100.0)
+    lease_manager = LeaseManager(LEASE_TIMING, 100.0)
     lease_manager.assignments_read({"a": (TaskAssignment("x", "p"), 7)}, 100.0)
     lease_manager.link_opened(1, "y", "p", 100.0)
     lease_manager.message_received(1, Offer(("a",)), 100.0)
     for name in ("a", "b", "c"):
         lease_manager.message_received(1, ReleaseLease(name, 0), 100.0)
     assert not lease_manager.leases and not lease_manager.take_actions().writes
-    lease_manager.tick(100.0 + TERMS.expiry_seconds)
+    lease_manager.tick(100.0 + LEASE_TIMING.expiry_seconds)
     assert lease_manager.take_actions().writes
 
 
--- a/tests/tasks/test_state_space.py
+++ b/tests/tasks/test_state_space.py
@@ -18,8 +18,8 @@
 
 # The first scope has many faults of all kinds; the second has leaders with short terms.
 WIDE_SCOPES = (
-    Scope(changes=4, leaders=3, kills=3, breaks=4, until=60, noise=20),
-    Scope(changes=1, leaders=12, kills=1, breaks=2, until=60, noise=20),
+    Scope(changes=4, leader_changes=3, kills=3, link_breaks=4, until=60, unrelated_entries=20),
+    Scope(changes=1, leader_changes=12, kills=1, link_breaks=2, until=60, unrelated_entries=20),
 )
 
 
@@ -32,7 +32,7 @@
 def test_no_order_of_events_makes_two_lease_holders_or_admits_an_outdated_effect() -> None:
     # One process and its successors, with one effect in all; the search is exhaustive, with 7,000 states.
     scope = Scope(changes=0, kills=1, until=3)
-    states, count = search(TaskStateSpace(scope, processes=1, effects=1), good=taken_over)
+    states, count = search(TaskStateSpace(scope, processes=1, effects=1), matches=taken_over)
     assert states > 2000 and count > 10
 
 
--- a/tests/tasks/test_task_processes.py
+++ b/tests/tasks/test_task_processes.py
@@ -33,7 +33,7 @@
             fleet.r.processes[holder].kill()
             with pytest.raises(OSError), socket.create_server(("127.0.0.1", fleet.r.ports[holder])):
                 pass  # no other process may listen there: the front's clients still connect to it
-            await fleet.more(after=before)
+            await fleet.wait_for_pushes(after=before)
             assert await fleet.holder() != holder
             await fleet.r.start_front(holder)
 
@@ -45,11 +45,11 @@
         old, before = await fleet.holder(), fleet.newest()
         process = fleet.r.processes[old]
         process.stop()
-        await fleet.more(after=before)
+        await fleet.wait_for_pushes(after=before)
         push_count = len(fleet.receiver.pushes)
-        process.go_on()
+        process.resume()
         await fleet.r.until("the former holder has stopped the task", lambda: process.events("task stopped"))
-        await fleet.more(after=before)
+        await fleet.wait_for_pushes(after=before)
         assert not [p for p in fleet.receiver.pushes[push_count:] if p.token <= before]
 
 
@@ -60,14 +60,14 @@
         old, before = await fleet.holder(), fleet.newest()
         relay = fleet.r.relays[old, "receiver"]
         relay.hold("to")
-        await fleet.r.until("a push is buffered", lambda: relay.waiting)
+        await fleet.r.until("a push is buffered", lambda: relay.held_chunks)
         fleet.r.processes[old].stop()
-        await fleet.more(after=before)
+        await fleet.wait_for_pushes(after=before)
         relay.hold()
         await fleet.r.until("the push arrives", lambda: late(fleet, before))
         assert not late(fleet, before)[0].accepted
-        fleet.r.processes[old].go_on()
-        await fleet.more(after=before)
+        fleet.r.processes[old].resume()
+        await fleet.wait_for_pushes(after=before)
 
 
 def late(fleet: TaskFleet, token: int) -> list[Push]:
@@ -79,15 +79,15 @@
 async def test_a_checkpoint_that_was_buffered_past_its_lease_is_rejected_by_the_log(tmp_path: Path) -> None:
     async with task_fleet(tmp_path) as fleet:
         old, before = await fleet.holder(), fleet.newest()
-        fleet.r.cut_front(old, "to")  # holds back its renewals and checkpoints
-        await fleet.more(after=before)
-        fleet.r.cut_front(old)
+        fleet.r.block_front(old, "to")  # holds back its renewals and checkpoints
+        await fleet.wait_for_pushes(after=before)
+        fleet.r.block_front(old)
         client = fleet.r.client_of_replicas()
         kept = (await client.get("progress/figures"))["progress/figures"]
         assert await client.request(
             write_checkpoint("figures", before, kept.version, b"late")
         ) == FencingTokenRejected(fleet.newest())
-        await fleet.more(after=before)
+        await fleet.wait_for_pushes(after=before)
 
 
 @pytest.mark.parametrize("directions", [("to",), ("back",), ("to", "back")], ids="-".join)
@@ -96,11 +96,11 @@
 ) -> None:
     async with task_fleet(tmp_path) as fleet:
         old, before = await fleet.holder(), fleet.newest()
-        fleet.r.cut_front(old, *directions)
-        await fleet.more(after=before)
-        fleet.r.cut_front(old)
+        fleet.r.block_front(old, *directions)
+        await fleet.wait_for_pushes(after=before)
+        fleet.r.block_front(old)
         assert await fleet.holder(old)
-        await fleet.more(after=before)
+        await fleet.wait_for_pushes(after=before)
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -115,7 +115,7 @@
             await anyio.sleep(draw.uniform(0, PUSH_INTERVAL_SECONDS))
             fleet.r.processes[holder].kill()
             await fleet.r.start_front(holder)
-            await fleet.more(1, after=before)
+            await fleet.wait_for_pushes(1, after=before)
 
 
 async def test_without_a_majority_no_front_holds_the_lease_and_the_task_continues_later(
@@ -137,7 +137,7 @@
             await fleet.r.client_of_replicas().compare_and_swap("x", 0, b"", 1.0)
         assert len(fleet.receiver.pushes) == push_count
         await fleet.r.start("k1")
-        await fleet.more()
+        await fleet.wait_for_pushes()
         assert all(fleet.receiver.accepted[-1].totals[s] >= v for s, v in totals.items())
 
 
@@ -145,17 +145,17 @@
     async with task_fleet(tmp_path, drift=0.009) as fleet:
         before, holder = fleet.newest(), await fleet.holder()
         fleet.r.processes[holder].stop()
-        await fleet.more(after=before)
-        fleet.r.processes[holder].go_on()
-        await fleet.more(after=before)
+        await fleet.wait_for_pushes(after=before)
+        fleet.r.processes[holder].resume()
+        await fleet.wait_for_pushes(after=before)
 
 
 async def test_a_shutdown_hands_the_task_over_before_the_lease_expires(tmp_path: Path) -> None:
     async with task_fleet(tmp_path) as fleet:
         before, holder = fleet.newest(), await fleet.holder()
         fleet.r.processes[holder].send(signal.SIGTERM)
-        await fleet.more(1, after=before)
-        assert fleet.vacancies()[-1] == f"given back by {holder}"  # so its lease did not have to expire
+        await fleet.wait_for_pushes(1, after=before)
+        assert fleet.vacancy_reasons()[-1] == f"given back by {holder}"  # so its lease did not have to expire
         assert await fleet.r.processes[holder].ended() == 0
 
 
@@ -164,15 +164,15 @@
         old = await fleet.add("up", port=free_port())
         fleet.r.processes["f0"].kill()
         assert await fleet.holder() == "up"
-        await fleet.more()
+        await fleet.wait_for_pushes()
         before = fleet.newest()
         new = fleet.r.processes["up-new"] = Process("up-new", tmp_path / "up-new", [], old.environ)
         new.folder.mkdir()
         await fleet.r.start_front("up-new")
         fleet.fronts.append("up-new")
         old.send(signal.SIGTERM)
-        await fleet.more(1, after=before)
-        assert fleet.vacancies()[-1] == "given back by up"  # so its lease did not have to expire
+        await fleet.wait_for_pushes(1, after=before)
+        assert fleet.vacancy_reasons()[-1] == "given back by up"  # so its lease did not have to expire
         assert await old.ended() == 0
         assert await fleet.holder() == "up-new"
 
@@ -185,7 +185,7 @@
         async with anyio.create_task_group() as tasks:
             for name in fleet.fronts:
                 tasks.start_soon(fleet.r.start_front, name)
-        await fleet.more(10, after=before)
+        await fleet.wait_for_pushes(10, after=before)
         assert len([t for t in fleet.receiver.tokens() if t > before]) == 1
 
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -17,7 +17,7 @@
 
 from benchmarks.difference import difference
 from tests.support.front_configuration import SETTINGS, configuration
-from tests.support.front_world import world
+from tests.support.front_world import running_front
 from tests.support.service_client import Client, client
 from tests.support.stub_cache import ZONES, Fetch, StubCache, serve
 from zincladder.config import Config, Operator, parse_config
@@ -72,7 +72,10 @@
     async def answer_not_found(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(404)  # says that the write did not run, so it is retried
 
-    async with world(serve, origin=answer_not_found, settings=deployment.settings) as w, client(w) as c:
+    async with (
+        running_front(serve, origin=answer_not_found, settings=deployment.settings) as w,
+        client(w) as c,
+    ):
         await c.ask(b"order", **({"route": deployment.write} | deployment.fields))
         assert (await c.reply()).kind == "Throttled"
         sent = w.caches[-1].fetches
@@ -88,7 +91,7 @@
     # Rule 2: without a valid key the origin could not drop repeats. A comma in the key would let the client
     # add fields to the message for the cache.
     fields = {} if nonce is None else {"nonce": nonce}
-    async with world(serve, settings=second.settings) as w, client(w) as c:
+    async with running_front(serve, settings=second.settings) as w, client(w) as c:
         await c.ask(b"order", **({"route": "topup"} | fields))
         assert (await c.reply()).kind == "application"
         await c.ask(b"order", route="topup", nonce=IDEMPOTENCY_KEY)
@@ -121,7 +124,7 @@
     async def answer_after_fill(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(200, "tell=pulled,rev=aa,since=1,fill=250.5", b"x")
 
-    async with world(answer_after_fill, settings=deployment.settings) as w, client(w) as c:
+    async with running_front(answer_after_fill, settings=deployment.settings) as w, client(w) as c:
         await c.ask(route=deployment.read)
         assert (await c.reply()).kind == "served"
     assert [(e.fill_outcome, e.fill_wait) for e in attempt_ends(router_events)] == [
@@ -135,7 +138,9 @@
         await fetch.answer(200, f"tell=pulled,rev=aa,since=1,fill={wait}", b"x")
 
     async with (
-        world(answer_with_invalid_wait, origin=answer_with_invalid_wait, settings=second.settings) as w,
+        running_front(
+            answer_with_invalid_wait, origin=answer_with_invalid_wait, settings=second.settings
+        ) as w,
         client(w) as c,
     ):
         w.caches[1].script = answer_with_invalid_wait
@@ -148,7 +153,7 @@
 async def test_the_size_of_a_part_reaches_the_router_if_clients_send_it(
     deployment: Deployment, router_events: list[api.Event]
 ) -> None:
-    async with world(serve, settings=deployment.settings) as w, client(w) as c:
+    async with running_front(serve, settings=deployment.settings) as w, client(w) as c:
         await c.ask(route=deployment.read, **deployment.fields)
         assert (await c.reply()).kind == "served"
         assert "size" not in w.caches[0].fetches[0].fields  # it is not sent to caches, which know it
@@ -160,7 +165,7 @@
 async def test_an_invalid_size_fails_only_its_request(size: str, router_events: list[api.Event]) -> None:
     # An invalid size would corrupt the mean transfer times, on which the protection of links and of cold
     # endpoints relies.
-    async with world(serve, settings=second.settings) as w, client(w) as c:
+    async with running_front(serve, settings=second.settings) as w, client(w) as c:
         await c.ask(route="asset", size=size)
         assert (await c.reply()).kind == "application"
         await c.ask(route="asset", size="12.5")
@@ -193,7 +198,7 @@
         await (fetch.answer(status) if status else fetch.stream.aclose())
 
     async with (
-        world(
+        running_front(
             answer_with_error,
             answer_with_error,
             origin=answer_with_error,
@@ -216,7 +221,7 @@
 async def test_a_draining_endpoint_gets_no_request_and_is_no_source(
     deployment: Deployment, as_source: bool, router_events: list[api.Event]
 ) -> None:
-    async with world(serve, serve, settings=deployment.settings) as w, client(w) as c:
+    async with running_front(serve, serve, settings=deployment.settings) as w, client(w) as c:
         drained = w.caches[-2 if as_source else 0]
 
         async def requests_involving_drained(first: int) -> int:
@@ -242,7 +247,7 @@
         await fetch.answer(404)
 
     async with (
-        world(answer_not_found, origin=answer_not_found, settings=deployment.settings) as w,
+        running_front(answer_not_found, origin=answer_not_found, settings=deployment.settings) as w,
         client(w) as c,
     ):
         await c.ask(b"order", **({"route": deployment.write} | deployment.fields))
@@ -255,7 +260,7 @@
 async def test_objects_are_distributed_by_weight_if_the_settings_list_weights(deployment: Deployment) -> None:
     heavy, light = StubCache("s-00000001", 0, weight=3), StubCache("s-00000002", 0)
     endpoints = [heavy, light, StubCache("s-000000a0", 1), StubCache("s-000000b0", 2)]
-    async with world(endpoints=endpoints, settings=deployment.settings) as w, client(w) as c:
+    async with running_front(endpoints=endpoints, settings=deployment.settings) as w, client(w) as c:
         for n in range(160):
             await c.ask(entity=f"{n * 7919:016x}", **({"route": deployment.read} | deployment.fields))
             assert (await c.reply()).kind == "served"
@@ -271,7 +276,7 @@
         endpoints = [StubCache("s-00000001", 0, zone=ZONES[zone]), *parents, StubCache("s-000000b0", 2)]
         settings = deployment.settings | {"az": zone}
         settings["domain"] = settings["domain"] | {"seatsByZone": [1, 1]}
-        async with world(endpoints=endpoints, settings=settings) as w, client(w) as c:
+        async with running_front(endpoints=endpoints, settings=settings) as w, client(w) as c:
             for n in range(40):
                 await c.ask(entity=f"{n:016x}", **({"route": deployment.read} | deployment.fields))
                 assert (await c.reply()).kind == "served"
@@ -319,7 +324,7 @@
 async def received_for(client_fields: dict[str, str], router_events: list[api.Event]) -> list[Any]:
     """What the caches and the Router receive for one request; the limit is rounded, as it varies."""
     router_events.clear()
-    async with world(serve, settings=second.settings) as w, client(w) as c:
+    async with running_front(serve, settings=second.settings) as w, client(w) as c:
         await c.ask(**client_fields)
         assert (await c.reply()).kind == "served"
         (sent,) = [f for cache in w.caches for f in cache.fetches]
@@ -354,7 +359,9 @@
         await fetch.answer(200, response_fields, b"x")
 
     async with (
-        world(answer_with_invalid_report, settings=deployment.settings | {"report": SECOND_REPORT}) as w,
+        running_front(
+            answer_with_invalid_report, settings=deployment.settings | {"report": SECOND_REPORT}
+        ) as w,
         client(w) as c,
     ):
         await c.ask(route=deployment.read)
@@ -377,7 +384,7 @@
             await fetch.answer(200, text, b"x")
 
         router_events.clear()
-        async with world(answers, settings=second.settings) as w, client(w) as c:
+        async with running_front(answers, settings=second.settings) as w, client(w) as c:
             await c.ask(route="asset")
             assert (await c.reply()).kind == "served"
         (end,) = attempt_ends(router_events)
@@ -406,7 +413,7 @@
     async def answers(_: StubCache, fetch: Fetch) -> None:
         await fetch.answer(status, f"tell={fill_outcome},fill=1")
 
-    async with world(answers, settings=second.settings) as w, client(w) as c:
+    async with running_front(answers, settings=second.settings) as w, client(w) as c:
         for endpoint in w.caches:
             endpoint.script = answers
         await c.ask(route="asset", patience="500")
@@ -532,7 +539,7 @@
     keyed_origin = KeyedOrigin(window)
     settings = copy.deepcopy(second.settings)
     settings["categories"][2]["window"] = window
-    async with world(serve, origin=keyed_origin.serve, settings=settings) as w, client(w) as c:
+    async with running_front(serve, origin=keyed_origin.serve, settings=settings) as w, client(w) as c:
         await c.ask(b"order", route="topup", nonce=IDEMPOTENCY_KEY)
         assert (await c.reply()).kind == kind
     assert (len(keyed_origin.received_keys), keyed_origin.executed_keys) == (received, [IDEMPOTENCY_KEY])
@@ -549,7 +556,7 @@
         with front_scope:
             await run_front(config, Operator(), anyio.Event(), task_status=task_status)
 
-    async with world(serve, origin=keyed_origin.serve, settings=second.settings) as w, client(w) as c:
+    async with running_front(serve, origin=keyed_origin.serve, settings=second.settings) as w, client(w) as c:
         data = configuration([m.endpoint() for m in w.caches], settings=second.settings)
         listening = await w.tasks.start(run_second_front, parse_config(data | {"name": "n1"}))
         async with await anyio.connect_tcp(*listening.clients) as stream:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -51,5 +51,5 @@
     sums = counter_sums.CounterSums()
     for _ in range(2):  # the first report of a process sets the base of its counters
         for n in range(1500):
-            sums.reported(f"front{n}", "1", {"served": float(len(sums.totals))})
+            sums.add_report(f"front{n}", "1", {"served": float(len(sums.totals))})
     assert len(sums._latest) == 1500
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -24,7 +24,7 @@
 from zincladder.config import DnsConfig, DnsHost
 from zincladder.core.attempt import AttemptRequest, ClientRequest
 from zincladder.core.engine import Core
-from zincladder.dns.answers import Answers
+from zincladder.dns.answers import DnsResponder
 from zincladder.durable import records
 from zincladder.export import messages
 from zincladder.export.spool import Spool
@@ -193,16 +193,16 @@
         frame(7, 9, b"of a newer one"),
         frame(8, 1), frame(9, 2, member_record(1, 7)),
     ]  # fmt: skip
-    read = list(FrameReader().take(b"".join(frames)))
+    read = list(FrameReader().feed(b"".join(frames)))
     assert [positional(f)[:2] for f in read] == [[n, f[12]] for n, f in enumerate(frames)]
     reader = FrameReader()
-    by_byte = [f for data in b"".join(frames) for f in reader.take(bytes([data]))]
+    by_byte = [f for data in b"".join(frames) for f in reader.feed(bytes([data]))]
     assert by_byte == read and not reader.partial
     found = [
         [data.hex(), outcome(partial(read_event, f), ConnectionEndedError)]
         for data, f in zip(frames, read, strict=True)
     ]
-    found.append(["bad length", outcome(lambda: list(FrameReader().take(bytes(13))), ConnectionEndedError)])
+    found.append(["bad length", outcome(lambda: list(FrameReader().feed(bytes(13))), ConnectionEndedError)])
     assert_matches("wires/coordinator_frames.json", found)
 
 
@@ -221,7 +221,7 @@
     table = DnsConfig(
         ("127.0.0.1", 0), "main.example.org", 0.25, (DnsHost("papers.main.example.org", 0, 7, 3),)
     )
-    answers = Answers(table, core, lambda member: ("192.0.2.7", 4000))
+    answers = DnsResponder(table, core, lambda member: ("192.0.2.7", 4000))
     queries = [dns.message.make_query(name, kind, id=4711).to_wire() for name, kind in QUESTIONS]
     queries.append(dns.message.make_query(*QUESTIONS[0], id=4712, use_edns=0, payload=1232).to_wire())
     queries.append(dns.message.make_query(*QUESTIONS[0], id=4712, use_edns=1).to_wire())
@@ -310,7 +310,7 @@
         api.Fetch(9, ID, ID, 0, 0.0, False, False, False, True),
     ]
     found = [wire.encode_action(3, action).hex() for action in actions]
-    found += [wire.encode_broken(3, "fault").hex(), wire.encode_reply(7, b"records").hex()]
+    found += [wire.encode_instance_failed(3, "fault").hex(), wire.encode_reply(7, b"records").hex()]
     assert_matches("wires/simulator_actions.json", found)
 
 
@@ -377,6 +377,10 @@
 @pytest.mark.parametrize("magic", [b"ZCSPOOL1", b"ZCJOURN1"])
 def test_records_on_disk(magic: bytes) -> None:
     segment = records.segment_header(magic, 4) + records.pack(4, 99, b"payload") + records.pack(5, 100, b"")
-    found = [segment.hex(), positional(list(records.scan(segment, magic))), records.pack_cursor(3, 4).hex()]
+    found = [
+        segment.hex(),
+        positional(list(records.scan_records(segment, magic))),
+        records.pack_cursor(3, 4).hex(),
+    ]
     found.append(list(records.read_cursor(records.pack_cursor(3, 4) + records.pack_cursor(2, 9)) or ()))
     assert_matches(f"wires/records_{magic.decode().lower()}.json", found)
--- a/tests/wiring/test_front.py
+++ b/tests/wiring/test_front.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.support.front_configuration import configuration
-from tests.support.front_world import world
+from tests.support.front_world import running_front
 from tests.support.service_client import client
 from tests.support.stub_cache import serve
 from zincladder.config import parse_config
@@ -59,11 +59,11 @@
 
 
 async def test_a_front_listens_only_for_the_parts_that_are_configured() -> None:
-    async with world(serve, operator={"metrics": {"listen": "127.0.0.1:0"}}) as w, client(w) as c:
+    async with running_front(serve, operator={"metrics": {"listen": "127.0.0.1:0"}}) as w, client(w) as c:
         await c.ask()
         assert (await c.reply()).kind == "served"
         assert w.listening.metrics and w.listening.dns and not w.listening.operators
-    async with world(serve, control="127.0.0.1:0") as w:
+    async with running_front(serve, control="127.0.0.1:0") as w:
         assert w.listening.operators and not w.listening.metrics
 
 
@@ -96,7 +96,7 @@
 
 
 async def test_a_front_accepts_clients_over_ipv6() -> None:
-    async with world(serve, listen="[::1]:0", operator={"admission": {}}) as w, client(w) as c:
+    async with running_front(serve, listen="[::1]:0", operator={"admission": {}}) as w, client(w) as c:
         assert w.listening.clients[0] == "::1"
         await c.ask()
         assert (await c.reply()).kind == "served"
--- a/zincladder/admission/connection_control.py
+++ b/zincladder/admission/connection_control.py
@@ -65,7 +65,7 @@
         if reason is not None:
             return self._reject(key, lane, reason)
         if not self._rates.conforms(key, lane, listed_network, now):
-            self._reputation.record_offense(source or sources.obtain(key, now), Offense.OVERUSE, now)
+            self._reputation.record_offense(source or sources.find_or_create(key, now), Offense.OVERUSE, now)
             return self._reject(key, lane, RejectionReason.RATE_LIMIT)
         return self._admit_or_evict(key, lane, slot_count, now)
 
@@ -147,7 +147,7 @@
         assert decision.verdict is ADMIT
         acquired = state.descriptors.acquire(DescriptorUse.CLIENTS)
         assert acquired, "no descriptor is available for an admitted connection"
-        source = state.sources.obtain(decision.key, now)
+        source = state.sources.find_or_create(decision.key, now)
         if state.lists.has_listed_networks:
             source.listed_network = state.lists.listed_networks.find(source.key)
         state.counters.admitted[lane] += 1
