--- a/zincladder/admission/connection_rates.py
+++ b/zincladder/admission/connection_rates.py
@@ -8,7 +8,7 @@
 from zincladder.admission.state import KNOWN, LIMITED, MAX_LIMITED_SLOTS, NEW
 
 LIMITED_CONNECTIONS_PER_SECOND = 4.0  # rate of one source under a penalty
-KNOWN_RATE_FACTOR = 4  # ratio of a known address's rate to a new address's
+KNOWN_TO_NEW_RATE_RATIO = 4  # ratio of a known address's rate to a new address's
 WIDE_NETWORK_RATE_FACTOR = 4  # ratio of a /16's rate to a /24's
 LIMITED_KEY_FLAG = 1 << 80  # marks the key of a source's separate rate; above all bits of source keys
 
@@ -51,7 +51,7 @@
             return limiter.conforms_both(key, key >> 24 << 8 | V6_48, now, self._new_rate, self._network_rate)
         if lane is KNOWN:
             return limiter.conforms(
-                key, now, 1 / KNOWN_RATE_FACTOR / limits.rate, KNOWN_RATE_FACTOR * limits.burst
+                key, now, 1 / KNOWN_TO_NEW_RATE_RATIO / limits.rate, KNOWN_TO_NEW_RATE_RATIO * limits.burst
             )
         if lane is LIMITED:
             # Connections under a penalty are counted separately: if the source's earlier overuse counted
--- a/zincladder/admission/fair_queue.py
+++ b/zincladder/admission/fair_queue.py
@@ -69,7 +69,7 @@
 
     def __init__(self, known_share: float, new_share: float) -> None:
         self.rate = MAX_RATE  # seconds of loop time that are credited per second
-        self.pace = 1.0  # ratio of measured to modelled cost
+        self.cost_scale = 1.0  # ratio of measured to modelled cost
         self._spare = MAX_CREDIT_SECONDS
         self._queues = tuple(_LaneQueue(0.0) for _ in range(3))
         known, new, limited = self._queues
@@ -97,7 +97,7 @@
         Returns False while other slots of the lane are queued, because they come first.
         """
         queue = self._by_lane[lane]
-        cost *= self.pace
+        cost *= self.cost_scale
         if queue.queued_slots:
             return False
         if queue.credit > 0.0:
@@ -114,7 +114,7 @@
 
         The debt of a lane is bounded, so that the cost of one source does not burden the others for long.
         """
-        cost *= self.pace
+        cost *= self.cost_scale
         self._modelled_seconds += cost
         queue = self._by_lane[lane]
         queue.credit = max(-MAX_CREDIT_SECONDS, queue.credit - cost)
@@ -124,7 +124,7 @@
 
         If their lane were charged, well-behaved new sources would pay for connections that are rejected.
         """
-        cost *= self.pace
+        cost *= self.cost_scale
         self._modelled_seconds += cost
         self._spare = max(-MAX_CREDIT_SECONDS, self._spare - cost)
 
@@ -201,10 +201,10 @@
 
     def _dispatch_lane(self, queue: _LaneQueue, dispatched: list[ConnectionSlot]) -> None:
         """Dequeue slots by deficit round robin while the lane has credit, and append them to `dispatched`."""
-        cost = REQUEST_SECONDS * self.pace
+        cost = REQUEST_SECONDS * self.cost_scale
         while queue.queued_slots and queue.credit > 0.0:
             key, flow = next(iter(queue.flows.items()))
-            flow.deficit += QUANTUM_SECONDS * self.pace
+            flow.deficit += QUANTUM_SECONDS * self.cost_scale
             while flow.sources and flow.deficit >= cost and queue.credit > 0.0:
                 slot = flow.pop_next()
                 flow.deficit -= cost
@@ -223,7 +223,7 @@
         Work without a modelled cost (timers, health checks, scrapes) is attributed to requests, so a
         measurement with too little work is ignored.
         """
-        modelled, self._modelled_seconds = self._modelled_seconds / self.pace, 0.0
+        modelled, self._modelled_seconds = self._modelled_seconds / self.cost_scale, 0.0
         if modelled > MIN_CALIBRATION_SECONDS and cpu_seconds > MIN_CALIBRATION_SECONDS:
             measured_scale = min(MAX_COST_SCALE, max(MIN_COST_SCALE, cpu_seconds / modelled))
-            self.pace += CALIBRATION_WEIGHT * (measured_scale - self.pace)
+            self.cost_scale += CALIBRATION_WEIGHT * (measured_scale - self.cost_scale)
--- a/zincladder/admission/interface.py
+++ b/zincladder/admission/interface.py
@@ -33,7 +33,7 @@
 class TickResult:
     """What the caller of `Admission.tick` has to do."""
 
-    to_wake: list[ConnectionSlot] = field(default_factory=list)  # slots whose next message may be read now
+    to_read: list[ConnectionSlot] = field(default_factory=list)  # slots whose next message may be read now
     to_evict: list[Eviction] = field(default_factory=list)
 
 
--- a/zincladder/admission/loop_costs.py
+++ b/zincladder/admission/loop_costs.py
@@ -1,6 +1,6 @@
 """Costs of operations in seconds of event loop time, as measured with benchmarks/admission.py.
 
-`WeightedFairQueue.pace` scales these costs to the machine.
+`WeightedFairQueue.cost_scale` scales these costs to the machine.
 """
 
 from __future__ import annotations
--- a/zincladder/admission/read_control.py
+++ b/zincladder/admission/read_control.py
@@ -73,7 +73,7 @@
             source.waiting_messages -= 1
             if now - source.waiting_since > OVERUSE_AFTER_SECONDS:
                 self._reputation.record_overuse(source, now)
-            result.to_wake.append(slot)
+            result.to_read.append(slot)
 
     def evict_overdue(self, result: TickResult, now: float) -> None:
         """Evict the slots whose message has waited too long, except those with an open request."""
--- a/zincladder/admission/reputation.py
+++ b/zincladder/admission/reputation.py
@@ -48,7 +48,7 @@
     def record_loop_use(self, source: Source, cost: float, now: float) -> None:
         """Add `cost` modelled seconds of loop time to a source's use; a negative cost is a refund."""
         used = decayed(source.loop_seconds, source.loop_seconds_at, now, LOOP_USE_HALF_LIFE_SECONDS)
-        source.loop_seconds = used + cost * self._state.read_queue.pace
+        source.loop_seconds = used + cost * self._state.read_queue.cost_scale
         source.loop_seconds_at = now
 
     def loop_utilization(self, source: Source, now: float) -> float:
--- a/zincladder/admission/response_rate_limiter.py
+++ b/zincladder/admission/response_rate_limiter.py
@@ -8,7 +8,7 @@
 from zincladder.admission.source_key import network_key_of
 
 TRUNCATED_EVERY = 3  # one in this many answers that exceed the rate is sent truncated; the others are dropped
-KNOWN_RATE_FACTOR = 10  # ratio of a known address's rate to a network's
+KNOWN_TO_NETWORK_RATE_RATIO = 10  # ratio of a known address's rate to a network's
 
 
 class DatagramVerdict(Enum):
@@ -36,7 +36,7 @@
 
     def judge(self, key: int, known: bool, now: float) -> DatagramVerdict:
         """Decide how one more query is answered; `key` is the source key of its sender."""
-        factor = KNOWN_RATE_FACTOR if known else 1
+        factor = KNOWN_TO_NETWORK_RATE_RATIO if known else 1
         # A known address has its own rate, so that forged queries from its network cannot use it up.
         limited_key = key if known else network_key_of(key)
         if self._limiter.conforms(limited_key, now, 1 / (self._rate * factor), self._burst * factor):
--- a/zincladder/admission/source_table.py
+++ b/zincladder/admission/source_table.py
@@ -39,7 +39,7 @@
         """Count a new connection of a source that is in the table."""
         (source.lrfu_set or self._transient).record_access(source, now)
 
-    def obtain(self, key: int, now: float) -> Source:
+    def find_or_create(self, key: int, now: float) -> Source:
         """Return the source of a key, and create it if the table does not hold it."""
         source = self._sources.get(key)
         if source is not None:
--- a/zincladder/cli/__init__.py
+++ b/zincladder/cli/__init__.py
@@ -52,7 +52,7 @@
     Operator's files are read last, because they refer to the request classes of a front's configuration.
     """
     from zincladder.config import ConfigError, Names, read_operator
-    from zincladder.config.check import config_faults, operator_faults
+    from zincladder.config.check import config_errors, operator_errors
 
     all_valid = True
     names: Names | None = None
@@ -60,9 +60,9 @@
     for path in sorted(files, key=lambda path: path.suffix == ".toml"):
         try:
             if path.suffix == ".toml":
-                faults = operator_faults(read_operator(path), names)
+                faults = operator_errors(read_operator(path), names)
             else:
-                faults, names = config_faults(json.loads(path.read_bytes()))
+                faults, names = config_errors(json.loads(path.read_bytes()))
         except (OSError, ValueError, ConfigError) as error:
             faults = [str(error)]
         for fault in faults:
--- a/zincladder/config/check.py
+++ b/zincladder/config/check.py
@@ -33,7 +33,7 @@
 )
 
 
-def config_faults(data: Any) -> tuple[list[str], Names | None]:
+def config_errors(data: Any) -> tuple[list[str], Names | None]:
     """Returns the errors in a front's configuration, and the names that an operator's file may refer to.
 
     The names are None if the configuration could not be parsed to the end.
@@ -73,7 +73,7 @@
     return True
 
 
-def operator_faults(data: dict[str, Any], names: Names | None) -> list[str]:
+def operator_errors(data: dict[str, Any], names: Names | None) -> list[str]:
     """Returns the errors in an operator's file; each table is checked independently of the others."""
     errors = [unknown_table_text(name) for name in data if name not in TABLES]
     for name in TABLES:
--- a/zincladder/config/reload.py
+++ b/zincladder/config/reload.py
@@ -25,10 +25,10 @@
 class Overlay(Protocol):
     """Overrides the front's own files with the fleet's policy."""
 
-    def over(self, config: Config, operator: Operator) -> tuple[Config, Operator]:
+    def apply_policy(self, config: Config, operator: Operator) -> tuple[Config, Operator]:
         """Returns the front's own configuration with the policy applied to it. Raises ConfigError."""
 
-    def read_again(self) -> None:
+    def reread_files(self) -> None:
         """Rereads the front's own files. Raises ConfigError if a key changed that the policy sets."""
 
 
@@ -64,7 +64,7 @@
         self.counts, self.limits = counts, limits
 
     @property
-    def own(self) -> Config:
+    def own_config(self) -> Config:
         """The configuration in this front's own file, without the fleet's policy."""
         return self._own_config
 
@@ -87,28 +87,28 @@
     def _read_files(self) -> tuple[Config, list[str]]:
         """Rereads and applies the files; returns the configuration and the keys that need a restart."""
         if self.overlay:
-            self.overlay.read_again()
+            self.overlay.reread_files()
         config, needs_restart = merge_reloaded(self._own_config, load())
         operator = load_operator(config.names)
         if bool(self.limits) != bool(operator.admission):
             needs_restart.append("admission")
-        self.take(config, operator)
+        self.apply_files(config, operator)
         return config, needs_restart
 
-    def take(self, own: Config, operator: Operator) -> None:
+    def apply_files(self, own_config: Config, operator: Operator) -> None:
         """Applies the contents of the front's files, overridden by the policy if there is one.
 
         Raises ConfigError if the result is invalid; nothing has changed then.
         """
-        config = own
+        config = own_config
         if self.overlay:
-            config, operator = self.overlay.over(own, operator)
-        self._own_config, self._effective = own, config
+            config, operator = self.overlay.apply_policy(own_config, operator)
+        self._own_config, self._effective = own_config, config
         self._apply()
         if self.limits and operator.admission:
             self.limits(operator.admission)
 
-    def share(self, processes: int) -> None:
+    def set_process_count(self, processes: int) -> None:
         """Sets the number of processes of this front, among which its limits are divided."""
         self.processes = processes
         self._apply()
--- a/zincladder/consensus/key_value_state.py
+++ b/zincladder/consensus/key_value_state.py
@@ -74,7 +74,7 @@
         self._values: dict[str, VersionedValue] = {}
         if state:
             self._values = msgspec.msgpack.decode(state, type=dict[str, VersionedValue])
-        self.size = sum(map(self._weight, self._values))
+        self.size = sum(map(self._size_of, self._values))
 
     def __len__(self) -> int:
         return len(self._values)
@@ -105,13 +105,13 @@
         value = self._values.get(key)
         return value.version if value else 0
 
-    def _weight(self, key: str) -> int:
+    def _size_of(self, key: str) -> int:
         """The size of a key and its value; 0 if the key does not exist."""
         value = self._values.get(key)
         return len(key) + len(value.data) if value else 0
 
     def _remove(self, index: int, key: str) -> CompareAndSwapResult:
-        self.size -= self._weight(key)
+        self.size -= self._size_of(key)
         self._values.pop(key, None)
         return Swapped(index)
 
@@ -124,7 +124,7 @@
             return CapacityExceeded(f"a key has {MAX_KEY_BYTES} bytes and a value {MAX_VALUE_BYTES} at most")
         if key not in self._values and len(self._values) >= MAX_KEYS:
             return CapacityExceeded(f"{MAX_KEYS} registers at most")
-        size = self.size - self._weight(key) + len(key) + len(data)
+        size = self.size - self._size_of(key) + len(key) + len(data)
         if size > MAX_TOTAL_BYTES:
             return CapacityExceeded(f"{MAX_TOTAL_BYTES} bytes at most in all registers")
         self._values[key], self.size = VersionedValue(index, data), size
--- a/zincladder/consensus/leader_services.py
+++ b/zincladder/consensus/leader_services.py
@@ -83,7 +83,7 @@
         self.links: dict[int, LinkedProcess] = {}
         self._last_number = 0
         # The applied index when `state_changed` was last called; -1 forces a call at the next `refresh`.
-        self.read_at = -1
+        self.seen_index = -1
         self._wakeup = anyio.Event()
         self._warning = RateLimitedLog().warning
         replica.state_listeners.append(self.wake)
@@ -166,7 +166,7 @@
         term_state = self.begin_term(since, term)
         if self.replica.node.term != term:
             raise NotLeaderError
-        self.term_state, self.read_at = term_state, -1
+        self.term_state, self.seen_index = term_state, -1
 
     async def _agree_on_lease_timing(self) -> LeaseTiming:
         """Returns the group's lease timing.
@@ -196,8 +196,8 @@
 
     def refresh(self, term_state: TermStateT) -> None:
         """Passes the committed state to the term state if it has changed since the last call."""
-        if self.replica.applied_index != self.read_at:
-            self.read_at = self.replica.applied_index
+        if self.replica.applied_index != self.seen_index:
+            self.seen_index = self.replica.applied_index
             self.state_changed(term_state)
 
     def send(self, number: int, message: Any) -> None:
--- a/zincladder/control/commands.py
+++ b/zincladder/control/commands.py
@@ -77,7 +77,7 @@
             "sources": admission.top(now, max_rows),
             "recorded": len(admission.sources),
             "rate": round(admission.read_queue.rate, 3),
-            "pace": round(admission.read_queue.pace, 2),
+            "pace": round(admission.read_queue.cost_scale, 2),
             "waiting": admission.read_queue.waiting,
             "descriptors": {use.value: pool.used for use, pool in admission.descriptors.pools.items()},
             "limit": admission.descriptors.total,
--- a/zincladder/core/arrival.py
+++ b/zincladder/core/arrival.py
@@ -18,7 +18,7 @@
 ITERATIONS_KEPT = 3
 
 
-class LoopTurns:
+class LoopIterations:
     """The times of the latest iterations of the event loop."""
 
     def __init__(self, now: float) -> None:
@@ -37,16 +37,16 @@
 class ArrivalBound:
     """The earliest time at which the unread bytes of one socket can have arrived."""
 
-    def __init__(self, turns: LoopTurns, arrived_after: float) -> None:
+    def __init__(self, loop_iterations: LoopIterations, arrived_after: float) -> None:
         """`arrived_after` is the bound for the first bytes, which may have arrived already."""
-        self._loop_iterations = turns
+        self._loop_iterations = loop_iterations
         self.arrived_after = self._drained_at = self._waiting_since = arrived_after
 
-    def reader_waits(self, now: float) -> None:
+    def record_reader_waiting(self, now: float) -> None:
         """Records that the reader begins to wait for bytes; until now it may have been busy elsewhere."""
         self._waiting_since = now
 
-    def reader_woke(self, now: float) -> None:
+    def record_reader_woken(self, now: float) -> None:
         """Records that the event loop reported the socket readable, and updates `arrived_after`."""
         last_polled_at = self._loop_iterations.last_polled_at
         paused = self._waiting_since - self._drained_at
@@ -55,7 +55,7 @@
         else:
             self.arrived_after = self._drained_at
 
-    def reader_drained(self, now: float) -> None:
+    def record_reader_drained(self, now: float) -> None:
         """Records that the reader has read all bytes of the socket."""
         self._drained_at = now
 
--- a/zincladder/core/attempt.py
+++ b/zincladder/core/attempt.py
@@ -64,7 +64,7 @@
     def abort_reason(self, attempt: AttemptRequest) -> AbortReason | None:
         """Returns why the attempt must not be sent now, or None if it may be sent."""
 
-    def aborted_before_send(self, attempt: AttemptRequest, reason: AbortReason) -> None:
+    def record_abort(self, attempt: AttemptRequest, reason: AbortReason) -> None:
         """Records that an attempt was not sent for this reason."""
 
     def max_copy_age(self, attempt: AttemptRequest) -> float:
@@ -81,7 +81,7 @@
         """Returns None: the attempt may be sent."""
         return None
 
-    def aborted_before_send(self, attempt: AttemptRequest, reason: AbortReason) -> None:
+    def record_abort(self, attempt: AttemptRequest, reason: AbortReason) -> None:
         """Does nothing."""
 
     def max_copy_age(self, attempt: AttemptRequest) -> float:
--- a/zincladder/core/attempt_guard.py
+++ b/zincladder/core/attempt_guard.py
@@ -57,7 +57,7 @@
             return AbortReason.ENDPOINT_NOT_READY
         return None if self._endpoint_list.is_ready(attempt.source) else AbortReason.SOURCE_NOT_READY
 
-    def aborted_before_send(self, attempt: AttemptRequest, reason: AbortReason) -> None:
+    def record_abort(self, attempt: AttemptRequest, reason: AbortReason) -> None:
         """Counts and logs an attempt that was not sent for this reason."""
         self._counts[ABORTED_ATTEMPTS, reason.value] += 1
         self._rate_limited_log.info(
--- a/zincladder/core/direct_routing.py
+++ b/zincladder/core/direct_routing.py
@@ -13,7 +13,7 @@
 from zincladder.routing import interface as api
 
 
-class Decisions(Protocol):
+class RoutingCore(Protocol):
     """The part of the core that direct routing calls."""
 
     def next_request_number(self) -> int:
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        decisions: Decisions,
+        decisions: RoutingCore,
         clock: Clock,
         classes: RequestClasses,
         endpoint_list: EndpointList,
--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -268,7 +268,7 @@
             served = end.outcome is api.AttemptOutcome.OK
             rules = self.classes.rules[context.request.request_class]
             if rules.idempotency is api.Idempotency.WITH_KEY and end.outcome not in NEVER_RAN:
-                expires_at = in_flight.sent_at + rules.deduplication_window
+                expires_at = in_flight.decided_at + rules.deduplication_window
                 context.resend_before = min(context.resend_before, expires_at)
             if end.reason is EndReason.DEADLINE_EXCEEDED:
                 self._log_deadline_exceeded(in_flight, end)
@@ -285,7 +285,7 @@
         self.statistics.record_ended(attempt.endpoint, end.reason)
         # Stalls of this process are not latency of the endpoint, and must not distort learned transfer times.
         stalled_seconds = self.loop_monitor.stalled_seconds - attempt.stalled_seconds_at_decision
-        latency = max(0.0, self.clock.now() - in_flight.sent_at - stalled_seconds)
+        latency = max(0.0, self.clock.now() - in_flight.decided_at - stalled_seconds)
         return attempt_ended_event(request_number, in_flight, end, latency, answered)
 
     def _log_deadline_exceeded(self, in_flight: InFlightAttempt, end: AttemptEnd) -> None:
@@ -296,7 +296,7 @@
             reason=end.detail or "reported by the endpoint",
             trace=attempt.request.trace,
             endpoint=attempt.endpoint.decode("latin-1"),
-            since_decision_s=round(now - in_flight.sent_at, 3),
+            since_decision_s=round(now - in_flight.decided_at, 3),
             client_time_left_s=round(attempt.request.deadline - now, 3),
             loop_lag_s=round(self.loop_monitor.lag_seconds, 3),
         )
@@ -373,7 +373,7 @@
         self.loop_monitor.start()
         async with anyio.create_task_group() as self._task_group:
             while True:
-                self.loop_monitor.turns.record_iteration(monotonic())
+                self.loop_monitor.loop_iterations.record_iteration(monotonic())
                 self._start_health_checks(self._task_group)
                 self._fire_timers()
                 if self.on_tick is not None:
--- a/zincladder/core/loop_monitor.py
+++ b/zincladder/core/loop_monitor.py
@@ -7,7 +7,7 @@
 import anyio
 import anyio.lowlevel
 
-from zincladder.core.arrival import LoopTurns
+from zincladder.core.arrival import LoopIterations
 
 TICK_INTERVAL_SECONDS = 0.01  # the core fires timers at each tick
 # A tick or a timeout that is later than this shows a stall of the process; such a timeout proves nothing
@@ -22,7 +22,7 @@
     """Measures how late the event loop runs; all times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
-        self.turns = LoopTurns(monotonic())
+        self.loop_iterations = LoopIterations(monotonic())
         self.stalled_seconds = 0.0  # total since the start
         self.lag_seconds = 0.0  # the smaller of the last two ticks' lags; one alone may be a short pause
         self._last_lag_seconds = 0.0
--- a/zincladder/core/request_context.py
+++ b/zincladder/core/request_context.py
@@ -19,7 +19,7 @@
     number: int  # from 0, within its request
     attempt: AttemptRequest
     scope: anyio.CancelScope
-    sent_at: float  # when the router decided it, on the core's clock
+    decided_at: float  # when the router decided it, on the core's clock
     end: AttemptEnd | None = None
 
     def cancel(self) -> None:
--- a/zincladder/discovery/freshness.py
+++ b/zincladder/discovery/freshness.py
@@ -56,12 +56,12 @@
 
     # Events of the watch ------------------------------------------------------------------------
 
-    def connecting(self, now: float) -> None:
+    def connect_started(self, now: float) -> None:
         """The watch begins to connect; the first call starts the initial wait."""
         if self._phase_since is None:
             self._phase_since = now
 
-    def asked(self, now: float) -> None:
+    def catch_up_requested(self, now: float) -> None:
         """A catch-up request was sent: for all events after the last one received."""
         self._catch_up_requested_at = now
         if self.phase is WatchPhase.UNREACHABLE and not self._timed_out:
--- a/zincladder/dns/answers.py
+++ b/zincladder/dns/answers.py
@@ -51,7 +51,7 @@
     return len(data) >= HEADER_BYTES and not data[2] & QR_FLAG
 
 
-class Answers:
+class DnsResponder:
     """Answers queries for the hosts of the operator's file with the core's routing decisions."""
 
     def __init__(
--- a/zincladder/dns/server.py
+++ b/zincladder/dns/server.py
@@ -16,7 +16,7 @@
 from zincladder.config import Address
 from zincladder.core.attempt_end import EndReason
 from zincladder.core.clock import Clock
-from zincladder.dns.answers import MAX_UDP_BYTES, Answers
+from zincladder.dns.answers import MAX_UDP_BYTES, DnsResponder
 from zincladder.net.client_listener import reject_connection
 from zincladder.net.errors import ConnectionEndedError
 from zincladder.net.read_buffer import ReadBuffer
@@ -43,7 +43,7 @@
     def __init__(
         self,
         listen: Address,
-        answers: Answers,
+        answers: DnsResponder,
         clock: Clock,
         admission: Admission,
         wait_until_ready: Callable[[], Awaitable[None]] = return_at_once,
--- a/zincladder/durable/journal.py
+++ b/zincladder/durable/journal.py
@@ -91,10 +91,10 @@
                 self._path(older).unlink()
 
     def _read(self, path: Path, data: bytes) -> None:
-        if records.first_of(data, records.JOURNAL_MAGIC) != 1:
+        if records.first_record_number(data, records.JOURNAL_MAGIC) != 1:
             raise JournalError(f"{path}: the file is no journal of a supported format version")
-        valid_bytes, batch_ended = records.HEADER.size, True
-        for record in records.scan(data, records.JOURNAL_MAGIC):
+        valid_bytes, batch_ended = records.SEGMENT_HEADER.size, True
+        for record in records.scan_records(data, records.JOURNAL_MAGIC):
             self._last_record, self._last_batch = record.number, _batch_number(record)
             valid_bytes, batch_ended = record.offset + record.size, _ends_batch(record)
             self.items.append(Item(record.stamp % RECORD_KINDS, record.payload))
--- a/zincladder/durable/records.py
+++ b/zincladder/durable/records.py
@@ -18,11 +18,11 @@
 
 from crc32c import crc32c
 
-SPOOL = b"ZCSPOOL1"  # magic of a spool's segments
+SPOOL_MAGIC = b"ZCSPOOL1"  # magic of a spool's segments
 JOURNAL_MAGIC = b"ZCJOURN1"
-HEADER = struct.Struct("<8sQ")
+SEGMENT_HEADER = struct.Struct("<8sQ")
 RECORD_HEADER = struct.Struct("<IIQQ")
-SLOT = struct.Struct("<QQI")
+CURSOR_SLOT = struct.Struct("<QQI")
 CHECKSUM_BYTES = 4
 CHECKSUM_START = 8  # offset in a record at which the part covered by its checksum begins
 MAX_PAYLOAD_BYTES = 16 << 20
@@ -41,7 +41,7 @@
 
 def segment_header(magic: bytes, first: int) -> bytes:
     """The header of a segment whose first record has the number `first`."""
-    return HEADER.pack(magic, first)
+    return SEGMENT_HEADER.pack(magic, first)
 
 
 def pack(number: int, stamp: int, payload: bytes) -> bytes:
@@ -52,11 +52,11 @@
     return struct.pack("<II", len(payload), crc32c(checksummed)) + checksummed
 
 
-def first_of(data: bytes, magic: bytes) -> int | None:
+def first_record_number(data: bytes, magic: bytes) -> int | None:
     """The number of a segment's first record; None if `data` is not a segment with this magic."""
-    if len(data) < HEADER.size:
+    if len(data) < SEGMENT_HEADER.size:
         return None
-    found_magic, first = HEADER.unpack_from(data)
+    found_magic, first = SEGMENT_HEADER.unpack_from(data)
     return int(first) if found_magic == magic else None
 
 
@@ -71,9 +71,9 @@
     return Record(number, stamp, offset, end - offset, data[offset + RECORD_HEADER.size : end])
 
 
-def scan(data: bytes, magic: bytes) -> Iterator[Record]:
+def scan_records(data: bytes, magic: bytes) -> Iterator[Record]:
     """Yields the records of a segment, up to the first one that is incomplete, corrupt or out of order."""
-    number, offset = first_of(data, magic), HEADER.size
+    number, offset = first_record_number(data, magic), SEGMENT_HEADER.size
     while number is not None:
         record = record_at(data, offset)
         if record is None or record.number != number:
@@ -91,9 +91,9 @@
 def read_cursor(data: bytes) -> tuple[int, int] | None:
     """The generation and acknowledged number of the latest valid slot; None if no slot is valid."""
     latest = None
-    for offset in range(0, len(data) - SLOT.size + 1, SLOT.size):
-        generation, acknowledged, crc = SLOT.unpack_from(data, offset)
-        valid = crc32c(data[offset : offset + SLOT.size - CHECKSUM_BYTES]) == crc
+    for offset in range(0, len(data) - CURSOR_SLOT.size + 1, CURSOR_SLOT.size):
+        generation, acknowledged, crc = CURSOR_SLOT.unpack_from(data, offset)
+        valid = crc32c(data[offset : offset + CURSOR_SLOT.size - CHECKSUM_BYTES]) == crc
         if valid and (latest is None or generation > latest[0]):
             latest = generation, acknowledged
     return latest
--- a/zincladder/export/fleet_metrics.py
+++ b/zincladder/export/fleet_metrics.py
@@ -25,14 +25,17 @@
 
 # The value of this header is "TASK TOKEN". A receiver that supports it keeps the highest token of each task.
 FENCE_HEADER = "X-Zincladder-Fence"
-HTTP_FENCED = 409  # the response of such a receiver to an older token
+HTTP_STATUS_FENCED = 409  # the response of such a receiver to an older token
 PUSH_TIMEOUT_SECONDS = 5.0
-ANSWERS, ATTEMPTS = "zincladder_fleet_class_answers_total", "zincladder_fleet_cache_attempts_total"
-LABELS = {ANSWERS: ("class", "kind"), ATTEMPTS: ("cache", "end")}
+FLEET_ANSWERS_METRIC, FLEET_ATTEMPTS_METRIC = (
+    "zincladder_fleet_class_answers_total",
+    "zincladder_fleet_cache_attempts_total",
+)
+LABELS = {FLEET_ANSWERS_METRIC: ("class", "kind"), FLEET_ATTEMPTS_METRIC: ("cache", "end")}
 log = structlog.get_logger()
 
 
-def series(metric: str, *label_values: str) -> str:
+def series_key(metric: str, *label_values: str) -> str:
     """Returns a counter's key in the fronts' reports: the metric and its label values, separated by NUL."""
     return "\0".join((metric, *label_values))
 
@@ -68,7 +71,7 @@
             wait_seconds = min(sample_at_ms / 1000 - self._wall_clock(), self._config.interval_seconds)
             await anyio.sleep(max(0.0, wait_seconds))
             sums = await context.collect()
-            totals = totals.advanced(sums.epoch, sums.totals, sample_at_ms)
+            totals = totals.with_growth(sums.epoch, sums.totals, sample_at_ms)
             version = await context.store_checkpoint(version, encode_totals(totals))
             await self._push(context, totals)
 
@@ -90,6 +93,6 @@
                 response = await post(self._config, push, fencing_header)
         except PUSH_ERRORS as error:
             log.info("push of fleet metrics failed", reason=str(error) or type(error).__name__)
-        if response.status == HTTP_FENCED:
+        if response.status == HTTP_STATUS_FENCED:
             context.rejected_by_fence("receiver")
         self.pushed += response.accepted
--- a/zincladder/export/spool.py
+++ b/zincladder/export/spool.py
@@ -79,7 +79,7 @@
         self._folder.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
         self._cursor_file = os.open(self._folder / CURSOR_NAME, flags, FILE_MODE)
-        cursor = records.read_cursor(os.pread(self._cursor_file, CURSOR_SLOTS * records.SLOT.size, 0))
+        cursor = records.read_cursor(os.pread(self._cursor_file, CURSOR_SLOTS * records.CURSOR_SLOT.size, 0))
         last = self._recover_segments()
         first = next(iter(self._segment_bytes), None)
         if cursor is not None:
@@ -121,19 +121,19 @@
             The number of the last batch in this segment, or `last` if it holds none.
         """
         data = path.read_bytes()
-        if records.first_of(data, records.SPOOL) != first or first <= last:
-            if len(data) < records.HEADER.size:  # the process was killed while it wrote the header
+        if records.first_record_number(data, records.SPOOL_MAGIC) != first or first <= last:
+            if len(data) < records.SEGMENT_HEADER.size:  # the process was killed while it wrote the header
                 path.unlink()
             else:
                 self.foreign_files.append(path.name)
             return last
-        complete_bytes = records.HEADER.size
-        for record in records.scan(data, records.SPOOL):
+        complete_bytes = records.SEGMENT_HEADER.size
+        for record in records.scan_records(data, records.SPOOL_MAGIC):
             complete_bytes = record.offset + record.size
             last = record.number
         if complete_bytes < len(data):
             os.truncate(path, complete_bytes)
-        if complete_bytes == records.HEADER.size:
+        if complete_bytes == records.SEGMENT_HEADER.size:
             path.unlink()
         else:
             self._segment_bytes[first] = complete_bytes
@@ -178,14 +178,14 @@
         path = self._segment_path(self._next_number)
         file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, FILE_MODE)
         try:
-            _write_all(file, records.segment_header(records.SPOOL, self._next_number), 0)
+            _write_all(file, records.segment_header(records.SPOOL_MAGIC, self._next_number), 0)
         except OSError:
             os.close(file)
             with contextlib.suppress(OSError):
                 path.unlink()
             raise
         self._segment_file = file
-        self._segment_bytes[self._next_number] = records.HEADER.size
+        self._segment_bytes[self._next_number] = records.SEGMENT_HEADER.size
 
     def _segment_path(self, first: int) -> Path:
         return self._folder / f"{first:020d}.seg"
@@ -231,7 +231,7 @@
         next_to_send = self._acknowledged + 1
         first = max((first for first in self._segment_bytes if first <= next_to_send), default=None)
         data = b"" if first is None else self._segment_path(first).read_bytes()
-        for record in records.scan(data, records.SPOOL):
+        for record in records.scan_records(data, records.SPOOL_MAGIC):
             if record.number >= next_to_send:
                 self._read_ahead.append(SpooledBatch(record.number, record.stamp, record.payload))
         if not self._read_ahead or self._read_ahead[0].number != next_to_send:
@@ -256,7 +256,7 @@
         """Writes the older of the two slots, so that a torn write leaves the other one valid."""
         assert self._cursor_file is not None
         self._cursor_generation += 1
-        offset = self._cursor_generation % CURSOR_SLOTS * records.SLOT.size
+        offset = self._cursor_generation % CURSOR_SLOTS * records.CURSOR_SLOT.size
         os.pwrite(self._cursor_file, records.pack_cursor(self._cursor_generation, acknowledged), offset)
 
     def close(self) -> None:
--- a/zincladder/net/cache_connection.py
+++ b/zincladder/net/cache_connection.py
@@ -67,7 +67,7 @@
         """
         self.sock, self._report_names, self._on_idle = sock, report_names, on_idle
         self.read_buffer, self.write_queue = ReadBuffer(sock), WriteQueue(sock)
-        self.open: dict[bytes, PendingExchange] = {}
+        self.open_exchanges: dict[bytes, PendingExchange] = {}
         # When each id was last used. An id is not reused soon, because a duplicate of the first exchange's
         # answer would match the new exchange.
         self.recent_ids: dict[bytes, float] = {}
@@ -117,7 +117,7 @@
         lost_reason = reason
         if reason in (EndReason.CLOSED_BY_PEER, EndReason.IDLE_CLOSED):
             lost_reason = EndReason.CONNECTION_LOST
-        for exchange in list(self.open.values()):
+        for exchange in list(self.open_exchanges.values()):
             # The cache has certainly not run a request only if no byte of it was written.
             unwritten = exchange.write is not None and not exchange.write.started
             exchange.finish(
@@ -142,7 +142,7 @@
                         EndReason.PROTOCOL_ERROR, "answer's body is not followed by CR LF"
                     )
             self.last_used_at = monotonic()
-            exchange = self.open.get(head.exchange_id)
+            exchange = self.open_exchanges.get(head.exchange_id)
             if exchange is None or exchange.write is None or not exchange.write.started:
                 continue  # late, a duplicate, or sent before the request itself: no exchange waits for it
             # An answer that cannot be parsed ends the connection, and its exchange with all others.
@@ -150,9 +150,9 @@
                 head, body, exchange.is_health_check, exchange.copy_tag, self._report_names()
             )
             exchange.finish(end)
-            del self.open[head.exchange_id]
+            del self.open_exchanges[head.exchange_id]
             self.reading = self.read_buffer.buffered() > 0
-            if not self.open:
+            if not self.open_exchanges:
                 self._on_idle(self)
 
     def register(self, exchange_id: bytes, exchange: PendingExchange) -> None:
@@ -160,7 +160,7 @@
 
         The id is remembered as recently used, so that a late or duplicate answer matches no other exchange.
         """
-        self.open[exchange_id] = exchange
+        self.open_exchanges[exchange_id] = exchange
         now = monotonic()
         self.recent_ids[exchange_id] = now
         while (oldest := next(iter(self.recent_ids))) != exchange_id:
@@ -175,5 +175,5 @@
 
     def close_if_retired(self) -> None:
         """Closes the connection if it is retired and no exchange is open."""
-        if self.retired and not self.open:
+        if self.retired and not self.open_exchanges:
             self.close()
--- a/zincladder/net/cache_exchange.py
+++ b/zincladder/net/cache_exchange.py
@@ -30,7 +30,7 @@
 
 def abort_before_send(attempt: AttemptRequest, reason: AbortReason) -> AttemptEnd:
     """Ends an attempt that may not be sent any more, because the state that led to it has changed."""
-    attempt.guard.aborted_before_send(attempt, reason)
+    attempt.guard.record_abort(attempt, reason)
     fill_outcome = api.FillOutcome.NONE
     if reason is AbortReason.SOURCE_NOT_READY:
         fill_outcome = api.FillOutcome.SOURCE_FAILED
@@ -74,8 +74,8 @@
             await exchange.ended.wait()
         return exchange.end
     finally:
-        if connection.open.get(exchange_id) is exchange:  # cancelled, or refused before it was sent
-            del connection.open[exchange_id]
+        if connection.open_exchanges.get(exchange_id) is exchange:  # cancelled, or refused before it was sent
+            del connection.open_exchanges[exchange_id]
         if exchange.end is None:
             # The connection is retired if an answer has begun to arrive: the answer to the next request would
             # have to wait for the rest of it, however long that takes.
@@ -83,7 +83,7 @@
             if not connection.closed and not connection.write_queue.cancel(write):
                 if attempt is not None:
                     _abandon(connection, exchange_id, write)
-                elif write.parts and not connection.open:
+                elif write.parts and not connection.open_exchanges:
                     connection.close()
                 _retire_if_cut_off(connection, started_at, received_before)
         connection.close_if_retired()
@@ -91,7 +91,7 @@
 
 def _abandon(connection: CacheConnection, exchange_id: bytes, write: QueuedWrite) -> None:
     """Sends an abort, or closes the connection if the message is incomplete and no other exchange is open."""
-    if write.parts and not connection.open:
+    if write.parts and not connection.open_exchanges:
         # The cache has not received the complete request and therefore has not run it. Sending the rest would
         # make the cache run it after all.
         connection.close()
--- a/zincladder/net/cache_pool.py
+++ b/zincladder/net/cache_pool.py
@@ -59,7 +59,7 @@
                 oldest = monotonic() - IDLE_TIMEOUT_SHARE * self._config.idle_close_seconds
                 for connections in list(self._connections.values()):
                     for connection in connections:
-                        is_idle = not (connection.open or connection.reserved)
+                        is_idle = not (connection.open_exchanges or connection.reserved)
                         if is_idle and connection.last_used_at < oldest:
                             connection.close()
 
@@ -98,7 +98,7 @@
     def close_idle(self, endpoint: api.EndpointId) -> None:
         """Closes the connections to an endpoint on which no exchange is open."""
         for connection in self._connections.get(endpoint, ()):
-            if not connection.open:
+            if not connection.open_exchanges:
                 connection.close()
 
     # Choice of a connection ----------------------------------------------------------------------
@@ -116,7 +116,7 @@
             TimeoutError: The new connection was not established in time.
         """
         usable = self._find_usable(endpoint, exchange_id)
-        if usable and not usable.open:
+        if usable and not usable.open_exchanges:
             return usable
         if self._descriptors.available(DescriptorUse.CACHES) <= 0 and not self._close_longest_idle():
             if usable:
@@ -220,11 +220,15 @@
         """
         best: CacheConnection | None = None
         for connection in self._connections.get(endpoint, ()):
-            if connection.open and best is not None and len(connection.open) >= len(best.open):
+            if (
+                connection.open_exchanges
+                and best is not None
+                and len(connection.open_exchanges) >= len(best.open_exchanges)
+            ):
                 continue
             if not self._accepts(connection, exchange_id):
                 continue
-            if not connection.open:
+            if not connection.open_exchanges:
                 if self._has_nothing_unread(connection):
                     return connection
                 if is_closed_by_peer(connection.sock):  # a request written now could be lost
@@ -239,9 +243,9 @@
         It may not while there is input that belongs to no exchange: that may be part of a malformed line,
         which ends the connection and the new exchange with it.
         """
-        is_full = len(connection.open) >= self._config.max_streams
+        is_full = len(connection.open_exchanges) >= self._config.max_streams
         is_taken = connection.reserved or exchange_id in connection.recent_ids
-        has_stray_input = connection.reading and not connection.open
+        has_stray_input = connection.reading and not connection.open_exchanges
         has_ended = (
             connection.closed or connection.retired or connection.closing or connection.write_queue.error
         )
@@ -267,7 +271,7 @@
             connection
             for connections in self._connections.values()
             for connection in connections
-            if not (connection.open or connection.reserved or connection.linger_scope.cancel_called)
+            if not (connection.open_exchanges or connection.reserved or connection.linger_scope.cancel_called)
         ]
         if idle:
             oldest = min(idle, key=lambda connection: connection.last_used_at)
--- a/zincladder/net/client_calls.py
+++ b/zincladder/net/client_calls.py
@@ -17,7 +17,7 @@
 from zincladder.core.arrival import PROMPT_READ_SECONDS
 from zincladder.core.attempt import ClientRequest
 from zincladder.core.attempt_end import EndReason
-from zincladder.core.counts import UNREAD_REQUESTS, UNUSABLE_REQUESTS
+from zincladder.core.counts import LATE_READ_REQUESTS, UNUSABLE_REQUESTS
 from zincladder.core.engine import Core
 from zincladder.net import thrift
 from zincladder.net.client_closing import ClientCloser
@@ -134,7 +134,7 @@
         """
         unread_seconds = client.unread_seconds(noticed_at)
         if unread_seconds > PROMPT_READ_SECONDS:
-            self._core.counts[UNREAD_REQUESTS] += 1
+            self._core.counts[LATE_READ_REQUESTS] += 1
             self._rate_limited_log.warning(
                 "request was read late",
                 unread_s=round(unread_seconds, 3),
--- a/zincladder/net/client_connection.py
+++ b/zincladder/net/client_connection.py
@@ -80,11 +80,11 @@
         """Waits until the next message begins, and updates the bound of its time of arrival."""
         if self.read_buffer.buffered():
             return  # it arrived together with the previous message, whose bound holds for it too
-        self.arrival.reader_waits(monotonic())
+        self.arrival.record_reader_waiting(monotonic())
         await self.read_buffer.wait_for()
         now = monotonic()
-        self.arrival.reader_woke(now)
-        self.arrival.reader_drained(now)
+        self.arrival.record_reader_woken(now)
+        self.arrival.record_reader_drained(now)
 
     def unread_seconds(self, noticed_at: float) -> float:
         """Returns for how many seconds the newest message had been unread when its arrival was noticed."""
--- a/zincladder/net/client_listener.py
+++ b/zincladder/net/client_listener.py
@@ -20,7 +20,7 @@
 from zincladder.admission.model import ConnectionSlot, Decision, RejectionReason, Verdict
 from zincladder.admission.source_admission import SourceAdmission
 from zincladder.config import Address
-from zincladder.core.arrival import ArrivalBound, LoopTurns
+from zincladder.core.arrival import ArrivalBound, LoopIterations
 from zincladder.net.sockets import RESET_ON_CLOSE, address_family
 from zincladder.support.rate_limited_log import RateLimitedLog
 
@@ -87,7 +87,7 @@
         max_descriptors: Callable[[], int],
         on_connection: Callable[[socket.socket, Decision, float], None],
         evict: Callable[[ConnectionSlot, RejectionReason], None],
-        turns: LoopTurns,
+        loop_iterations: LoopIterations,
         listening: socket.socket | None = None,
     ) -> None:
         """Opens the listening socket, unless one is given.
@@ -99,10 +99,10 @@
             on_connection: Called with the socket of each admitted connection, the decision, and the
                 monotonic time after which the client connected.
             evict: Closes the connection of a slot, for a reason.
-            turns: Records the turns of the event loop.
+            loop_iterations: Records the iterations of the event loop.
             listening: The listening socket of another process of this front; None opens one.
         """
-        self._arrival = ArrivalBound(turns, monotonic())
+        self._arrival = ArrivalBound(loop_iterations, monotonic())
         self.listener = listening or open_listener(address)
         self.has_successor = False  # another process accepts the connections left in the listen queue
         self._admission, self._max_descriptors = admission, max_descriptors
@@ -128,16 +128,16 @@
             with accepting:
                 while True:
                     rejected_any = await self._accept_all()
-                    self._arrival.reader_waits(monotonic())
+                    self._arrival.record_reader_waiting(monotonic())
                     if rejected_any:
                         # Rejected clients reconnect at once, and waking up for each of them costs the event
                         # loop more than the rejection. The short delay lets several be accepted together.
                         await anyio.sleep(ACCEPT_RETRY_SECONDS)
                     else:
                         await anyio.wait_readable(self.listener)
-                    self._arrival.reader_woke(monotonic())
+                    self._arrival.record_reader_woken(monotonic())
             if not self.has_successor:
-                self._arrival.reader_woke(monotonic())
+                self._arrival.record_reader_woken(monotonic())
                 await self._accept_all()
         finally:
             self.listener.close()
@@ -165,7 +165,7 @@
             try:
                 sock, peer = self.listener.accept()
             except (BlockingIOError, InterruptedError):
-                self._arrival.reader_drained(now)
+                self._arrival.record_reader_drained(now)
                 return rejected_any
             except OSError as fault:
                 if fault.errno in SHORTAGE_ERRORS:
--- a/zincladder/net/client_server.py
+++ b/zincladder/net/client_server.py
@@ -82,7 +82,7 @@
             lambda: self._config.sockets,
             self._add,
             self._evict,
-            core.loop_monitor.turns,
+            core.loop_monitor.loop_iterations,
             listening,
         )
         self._has_successor = has_successor
@@ -159,7 +159,7 @@
         now = monotonic()
         slot = self._admission.open_slot(decision, now)
         write_queue = WriteQueue(sock, UnreadAnswersCounter(self._admission, slot))
-        arrival = ArrivalBound(self._core.loop_monitor.turns, connected_after)
+        arrival = ArrivalBound(self._core.loop_monitor.loop_iterations, connected_after)
         client = ClientConnection(sock, slot, ReadBuffer(sock), write_queue, arrival, now, now)
         self._clients[slot] = client
         assert self._tasks is not None
@@ -245,12 +245,12 @@
 
     def _tick(self) -> None:
         """Runs at each tick of the core: resumes reading and closes connections as admission decides."""
-        verdicts = self._admission.tick(monotonic(), self._core.loop_monitor.lag_seconds)
-        for slot in verdicts.to_wake:
+        tick_result = self._admission.tick(monotonic(), self._core.loop_monitor.lag_seconds)
+        for slot in tick_result.to_read:
             client = self._clients.get(slot)
             if client is not None:
                 client.may_read.set()
-        for slot, reason in verdicts.to_evict:
+        for slot, reason in tick_result.to_evict:
             self._evict(slot, reason)
         self._listener.tick()
 
--- a/zincladder/net/coordinator_watch.py
+++ b/zincladder/net/coordinator_watch.py
@@ -90,7 +90,7 @@
 
     async def run(self) -> None:
         """Keeps a connection to the coordinator until cancelled, with a backoff after each one that ends."""
-        self._freshness.connecting(monotonic())
+        self._freshness.connect_started(monotonic())
         while True:
             with anyio.CancelScope() as self._attempt_scope:
                 try:
@@ -118,7 +118,7 @@
             with anyio.fail_after(CONNECT_TIMEOUT_SECONDS):
                 sock = await connect(*self._coordinator)
             WriteQueue(sock).put([self.last_event.to_bytes(8, "big")])
-            self._freshness.asked(monotonic())
+            self._freshness.catch_up_requested(monotonic())
             self._connection = _WatchConnection(sock, self._on_frame, self._on_frames_complete)
             await self._connection.run()
         except TimeoutError:
@@ -216,7 +216,7 @@
                 raise ConnectionEndedError(EndReason.CONNECTION_LOST, str(fault)) from None
             if not data:
                 raise ConnectionEndedError(EndReason.CLOSED_BY_PEER)
-            for frame in self._frames.take(data):
+            for frame in self._frames.feed(data):
                 self._last_frame_at = monotonic()
                 self._on_frame(frame, self._last_frame_at - self._started_at)
             if len(data) < READ_BYTES:
--- a/zincladder/net/events.py
+++ b/zincladder/net/events.py
@@ -43,7 +43,7 @@
         """Whether an incomplete frame is buffered."""
         return bool(self._buffer)
 
-    def take(self, data: bytes | bytearray) -> Iterator[Frame]:
+    def feed(self, data: bytes | bytearray) -> Iterator[Frame]:
         """Adds received bytes and yields the frames that they complete.
 
         Raises:
--- a/zincladder/net/thrift.py
+++ b/zincladder/net/thrift.py
@@ -148,7 +148,7 @@
     return _I32.pack(len(data)) + data
 
 
-def _texts(fields: Mapping[str, str]) -> bytes:
+def _encode_string_map(fields: Mapping[str, str]) -> bytes:
     entries = b"".join(_encode_string(key) + _encode_string(value) for key, value in fields.items())
     return _MAP.pack(STRING, STRING, len(fields)) + entries
 
@@ -162,11 +162,11 @@
 
 
 def answer(
-    method: str, seq: int, body: bytes | bytearray, fields: Mapping[str, str], good: bool
+    method: str, seq: int, body: bytes | bytearray, fields: Mapping[str, str], succeeded: bool
 ) -> list[bytes | bytearray]:
     """Serializes a reply that holds an Answer; the body is a part of its own, so that it is not copied."""
     head = _message(REPLY, method, seq) + b"\x0c\x00\x00" + b"\x0b\x00\x01" + _I32.pack(len(body))
-    tail = b"\x0d\x00\x02" + _texts(fields) + b"\x02\x00\x03" + bytes([good]) + b"\x00\x00"
+    tail = b"\x0d\x00\x02" + _encode_string_map(fields) + b"\x02\x00\x03" + bytes([succeeded]) + b"\x00\x00"
     return _with_frame_length(head, body, tail)
 
 
@@ -175,7 +175,7 @@
 ) -> list[bytes | bytearray]:
     """Serializes a reply that holds a declared exception; its field id is 1 for Throttled, 2 for Broken."""
     head = _message(REPLY, method, seq) + b"\x0c" + field_id.to_bytes(2, "big")
-    return _with_frame_length(head + b"\x0d\x00\x01" + _texts(fields) + b"\x00\x00")
+    return _with_frame_length(head + b"\x0d\x00\x01" + _encode_string_map(fields) + b"\x00\x00")
 
 
 def application_exception(method: str, seq: int, kind: int, text: str) -> list[bytes | bytearray]:
--- a/zincladder/policy/coordinator.py
+++ b/zincladder/policy/coordinator.py
@@ -91,7 +91,7 @@
         blocking = []
         for holder, lease in self.leases.by_process.items():
             front = linked.get(holder)
-            unreachable = front is None or holder in self.leases.fenced_off or self.is_silent(front, now)
+            unreachable = front is None or holder in self.leases.suspended or self.is_silent(front, now)
             if lease.expires_at > now and unreachable:
                 blocking.append(holder.front)
         if now < self.leases.former_leases_expire_at:
@@ -147,7 +147,7 @@
             self.phase_entered_at = now
         change = record.open_change
         if change is None:
-            self.leases.fenced_off.clear()
+            self.leases.suspended.clear()
         elif change.phase is not ChangePhase.CHECKING and self._decided_version != change.version:
             self._decided_version, self._decided_at = change.version, now
         if change is None or change.phase is not ChangePhase.REVOKING:
@@ -227,7 +227,7 @@
         """Grants the lease that a front requested last, unless the request has to wait."""
         if front.deferred_renewal is None or not self.record.version or self._granting_suspended():
             return
-        if front.identity in self.leases.fenced_off:
+        if front.identity in self.leases.suspended:
             return
         serial, front.deferred_renewal = front.deferred_renewal.serial, None
         self.leases.grant(front.identity, serial, now + self.lease_timing.expiry_seconds)
--- a/zincladder/policy/granted_leases.py
+++ b/zincladder/policy/granted_leases.py
@@ -34,7 +34,7 @@
         self.by_process: dict[FrontProcess, GrantedLease] = {}
         # Processes that did not release their lease in time. They get no other one until they have released
         # it or no change is open.
-        self.fenced_off: set[FrontProcess] = set()
+        self.suspended: set[FrontProcess] = set()
 
     def grant(self, holder: FrontProcess, serial: int, expires_at: float) -> None:
         """Records a lease that a process may rely on until `expires_at`."""
@@ -49,7 +49,7 @@
         lease = self.by_process.get(holder)
         if (lease.serial if lease else 0) <= serial:
             self.by_process.pop(holder, None)
-            self.fenced_off.discard(holder)
+            self.suspended.discard(holder)
 
     def drop_expired(self, now: float) -> None:
         """Removes the expired leases."""
@@ -63,7 +63,7 @@
         The messages of such a process may arrive while those sent to it are lost. If its lease were renewed
         again and again, the change would never be activated.
         """
-        self.fenced_off = set(self.by_process)
+        self.suspended = set(self.by_process)
 
     def remaining_seconds(self, holder: FrontProcess, now: float) -> float:
         """Returns the seconds until the lease of a process expires here; 0 if it has none."""
--- a/zincladder/policy/host.py
+++ b/zincladder/policy/host.py
@@ -18,7 +18,7 @@
 from zincladder.policy.linked_fronts import LinkedFront
 from zincladder.policy.model import ChangePhase, FromParticipant
 
-READ_ALL_AGAIN = -1  # value of `read_at` that makes the service pass on the committed state again
+READ_ALL_AGAIN = -1  # value of `seen_index` that makes the service pass on the committed state again
 log = structlog.get_logger()
 
 
@@ -74,7 +74,7 @@
             await self._delete_unreferenced()
         if self.term_state is term_state:
             # The coordinator continues from the stored record, whether or not the write succeeded.
-            self.read_at = READ_ALL_AGAIN
+            self.seen_index = READ_ALL_AGAIN
         self.wake()
 
     async def _delete_unreferenced(self) -> None:
--- a/zincladder/policy/participant.py
+++ b/zincladder/policy/participant.py
@@ -54,7 +54,7 @@
         self.linked = False
         self.released = False  # whether it has released its lease and got no other one since
         self._leased_document = ""  # id of the document that the latest lease is for
-        self._void_serial = 0  # leases requested up to this serial are ignored
+        self._ignored_through_serial = 0  # leases requested up to this serial are ignored
         self._documents: dict[str, bytes] = {}  # cached contents, by document id
         self._requested_document = ""  # id of the document that was requested from the leader
         self._actions = ParticipantActions()
@@ -128,7 +128,7 @@
 
     def _granted(self, granted: PolicyLeaseGranted, now: float) -> None:
         requested_at = self.renewals.answered(granted.serial)
-        if requested_at is None or granted.serial <= self._void_serial:
+        if requested_at is None or granted.serial <= self._ignored_through_serial:
             return
         expires_at = requested_at + granted.valid_seconds
         self.renewals.interval_seconds = granted.renew_seconds
@@ -148,8 +148,8 @@
     def _release(self, version: int) -> None:
         # A grant that is still in transit must not take effect: another version may soon be in force.
         self.lease_expires_at, self.released = -float("inf"), True
-        self._void_serial = self.renewals.serial
-        self._send(PolicyLeaseReleased(version, self._void_serial))
+        self._ignored_through_serial = self.renewals.serial
+        self._send(PolicyLeaseReleased(version, self._ignored_through_serial))
 
     def _document_arrived(self, document: str, content: bytes) -> None:
         self._cache(document, content)
--- a/zincladder/simulator/adapter.py
+++ b/zincladder/simulator/adapter.py
@@ -27,7 +27,7 @@
                 records.extend(self._answer(record, batch.clock))
             except Exception as error:
                 self.routers.pop(record.instance, None)
-                records.append(wire.encode_broken(record.instance, _describe(error)))
+                records.append(wire.encode_instance_failed(record.instance, _describe(error)))
         return wire.encode_reply(batch.number, b"".join(records))
 
     def _answer(self, record: wire.Record, now: float) -> Iterator[bytes]:
--- a/zincladder/simulator/wire.py
+++ b/zincladder/simulator/wire.py
@@ -362,7 +362,7 @@
     return _encode_record(*_ACTIONS[type(action)](instance, action))
 
 
-def encode_broken(instance: int, text: str) -> bytes:
+def encode_instance_failed(instance: int, text: str) -> bytes:
     """Encodes the record that reports an exception in an instance's router; long texts are truncated."""
     data = text.encode()[:MAX_TEXT_BYTES]
     return _encode_record(INSTANCE_FAILED, struct.pack("<IH", instance, len(data)) + data)
--- a/zincladder/tasks/counter_sums.py
+++ b/zincladder/tasks/counter_sums.py
@@ -30,7 +30,7 @@
         self._latest: dict[tuple[str, str], Mapping[str, float]] = {}
         self.dropped = 0  # values left out because of MAX_COUNTERS_PER_PROCESS or MAX_SERIES
 
-    def reported(self, name: str, process: str, counters: Mapping[str, float]) -> None:
+    def add_report(self, name: str, process: str, counters: Mapping[str, float]) -> None:
         """Adds the growth of the counters of one process since its last report."""
         before = self._latest.get((name, process))
         if before is None and len(self._latest) >= MAX_PROCESSES:
@@ -68,7 +68,7 @@
     seen: dict[str, float] = {}  # the sums that were added last
     totals: dict[str, float] = {}
 
-    def advanced(self, epoch: str, sums: Mapping[str, float], at: int) -> FleetTotals:
+    def with_growth(self, epoch: str, sums: Mapping[str, float], at: int) -> FleetTotals:
         """Returns the totals plus the growth of a leader's sums. In each epoch the sums start at 0."""
         before = self.seen if epoch == self.epoch else {}
         totals = dict(self.totals)
--- a/zincladder/tasks/host.py
+++ b/zincladder/tasks/host.py
@@ -132,7 +132,7 @@
         if isinstance(message, ReportCounters) and term_state is not None and number in term_state.runners:
             runner = term_state.runners[number]
             self._reporters[number] = (runner.name, runner.process)
-            self.sums.reported(runner.name, runner.process, message.counters)
+            self.sums.add_report(runner.name, runner.process, message.counters)
 
     def link_closed(self, number: int) -> None:
         """Drops the latest report of the process whose link has closed. The sums are not reduced."""
--- a/zincladder/tasks/lease_manager.py
+++ b/zincladder/tasks/lease_manager.py
@@ -45,7 +45,7 @@
 
     token: int
     link: int  # number of the link that it was sent on
-    sent_at: float  # or when a repetition was due last, and not needed because the lease was valid
+    last_checked_at: float  # or when a repetition was due last, and not needed because the lease was valid
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +104,8 @@
         """The time at which `tick` has to be called; infinity if there is nothing to wait for."""
         due_times = [self.reassignable_at(task) for task in self._tasks() if task not in self._pending_writes]
         due_times += [
-            announced.sent_at + self.lease_timing.renew_seconds for announced in self._announced.values()
+            announced.last_checked_at + self.lease_timing.renew_seconds
+            for announced in self._announced.values()
         ]
         return min((due_at for due_at in due_times if due_at > self._last_advanced_at), default=math.inf)
 
@@ -241,7 +242,7 @@
             return
         announced = self._announced.get(task, Announcement(0, 0, 0.0))
         is_new = (announced.token, announced.link) != (token, number)
-        is_due = announced.sent_at + self.lease_timing.renew_seconds <= now
+        is_due = announced.last_checked_at + self.lease_timing.renew_seconds <= now
         if is_new or (is_due and now >= self.reassignable_at(task)):
             self._send(number, Assigned(task, token))
         if is_new or is_due:
--- a/zincladder/wiring/front.py
+++ b/zincladder/wiring/front.py
@@ -85,7 +85,11 @@
 
     def _build_handover(self, directory: str | None) -> Handover | None:
         _, port = self.config.listen
-        return Handover(directory, self.config.listen, self.reload.share) if directory and port else None
+        return (
+            Handover(directory, self.config.listen, self.reload.set_process_count)
+            if directory and port
+            else None
+        )
 
     def _has_successor(self) -> bool:
         """Returns whether a newer process of this front accepts new clients."""
--- a/zincladder/wiring/policy.py
+++ b/zincladder/wiring/policy.py
@@ -26,13 +26,13 @@
         self.files = document.FrontFiles(config.raw, operator)
         self.policy: dict[str, Any] = {}
 
-    def over(self, config: Config, operator: Operator) -> tuple[Config, Operator]:
+    def apply_policy(self, config: Config, operator: Operator) -> tuple[Config, Operator]:
         """Returns the configuration and the operator's file with the policy applied. Raises ConfigError."""
         if not self.policy:
             return config, operator
         return document.configuration_under(replace(self.files, platform=config.raw), self.policy, config)
 
-    def read_again(self) -> None:
+    def reread_files(self) -> None:
         """Reads the front's own files again, at SIGHUP.
 
         Raises ConfigError if a key that the policy sets has changed in them.
@@ -48,14 +48,16 @@
     overlay = PolicyOverlay(config, _read_operator_file())
 
     def validate(content: bytes) -> tuple[str, ...]:
-        return document.validation_reasons(overlay.files, content, reload.own, reload.limits is not None)
+        return document.validation_reasons(
+            overlay.files, content, reload.own_config, reload.limits is not None
+        )
 
     def apply(content: bytes) -> str:
         if reasons := validate(content):
             return reasons[0]
         previous_policy, overlay.policy = overlay.policy, document.parse_policy(content)
         try:
-            reload.take(reload.own, Operator())  # the overlay supplies the operator's file
+            reload.apply_files(reload.own_config, Operator())  # the overlay supplies the operator's file
         except ConfigError as error:
             overlay.policy = previous_policy
             return str(error)
--- a/zincladder/wiring/tasks.py
+++ b/zincladder/wiring/tasks.py
@@ -4,17 +4,24 @@
 
 from zincladder.config import TasksConfig
 from zincladder.core.engine import Core
-from zincladder.export.fleet_metrics import ANSWERS, ATTEMPTS, FleetMetricsTask, series
+from zincladder.export.fleet_metrics import (
+    FLEET_ANSWERS_METRIC,
+    FLEET_ATTEMPTS_METRIC,
+    FleetMetricsTask,
+    series_key,
+)
 from zincladder.tasks.context import TaskFunction
 from zincladder.tasks.runner import TaskRunner
 
 
 def front_counters(core: Core) -> dict[str, float]:
     """Returns a front's answers by class and attempts by cache, counted since its start."""
-    counters = {series(ANSWERS, *key): float(count) for key, count in core.statistics.answers.items()}
+    counters = {
+        series_key(FLEET_ANSWERS_METRIC, *key): float(count) for key, count in core.statistics.answers.items()
+    }
     for cache, statistics in core.statistics.endpoints.items():
         for end, count in statistics.attempts.items():
-            counters[series(ATTEMPTS, cache.decode("latin-1"), end)] = float(count)
+            counters[series_key(FLEET_ATTEMPTS_METRIC, cache.decode("latin-1"), end)] = float(count)
     return counters
 
 
