--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -289,9 +289,8 @@
             for _ in range(22):
                 sock = other_clients.enter_context(raw_connection(w))
                 _garble(w, sock)
-                assert (
-                    await receive_all(sock) == b""
-                )  # the front has closed its side, and waits for the client's
+                # The front has closed its side, and waits for the client's.
+                assert await receive_all(sock) == b""
             monkeypatch.setattr(ConnectionAdmission, "may_accept", counted)
             newest = other_clients.enter_context(raw_connection(w))
             newest.sendall(request(1))
--- a/zincladder/core/counts.py
+++ b/zincladder/core/counts.py
@@ -18,7 +18,5 @@
 DIRECTLY_ROUTED = ("steered", "named")
 DIRECT_ROUTING_REJECTED = ("steered", "refused")
 UNUSABLE_REQUESTS = (ANSWERS, "unusable")  # the fields of the request could not be parsed
-LATE_READ_REQUESTS = (
-    "requests",
-    "lay_unread",
-)  # had arrived over `PROMPT_READ_SECONDS` before they were read
+# Requests that had arrived more than `PROMPT_READ_SECONDS` before they were read.
+LATE_READ_REQUESTS = ("requests", "lay_unread")
