--- a/tests/admission/test_connection_control.py
+++ b/tests/admission/test_connection_control.py
@@ -68,7 +68,8 @@
     while admit(admission, FLOOD_HOST, now + 1):
         pass
     now += 5
-    # A new source without a slot gets one of a source with many; a known source gets the reserved slots.
+    # For a new source without a slot, one is evicted from the source with many; a known source gets the
+    # reserved slots.
     pending = admission.connect("203.0.113.5", now)
     assert (
         pending.verdict is Verdict.WAIT and pending.evict and pending.evict.source.key == key_of(FLOOD_HOST)
--- a/tests/admission/test_rate_limiter.py
+++ b/tests/admission/test_rate_limiter.py
@@ -30,7 +30,7 @@
 
 def test_a_flood_does_not_limit_other_addresses() -> None:
     limiter, now = RateLimiter(11), 5.0
-    for _ in range(3000):  # above its rate, so the times in both of its cells lie in the future
+    for _ in range(3000):  # exceeds its rate, so both of its cells hold times in the future
         limiter.conforms(key_of(FLOOD_HOST), now, 0.02, 100)
     other_keys = [key_of(f"10.0.{i >> 8}.{i & 255}") for i in range(2000)]
     assert sum(limiter.conforms(key, now, 0.02, 100) for key in other_keys) == 2000
--- a/tests/core/test_arrival.py
+++ b/tests/core/test_arrival.py
@@ -38,6 +38,6 @@
     bound.record_reader_drained(100.0)
     for tick in range(100):
         loop_iterations.record_iteration(100.0 + tick / 100)
-    bound.record_reader_waiting(101.0)  # the reader did not look at the socket for a second
+    bound.record_reader_waiting(101.0)  # the reader did not wait for the socket for a second
     bound.record_reader_woken(101.0)
     assert bound.unread_seconds(101.0, lambda: None) == 1.0
--- a/tests/core/test_stalled_front.py
+++ b/tests/core/test_stalled_front.py
@@ -1,7 +1,7 @@
 """A front process is stopped repeatedly (SIGSTOP) while clients with short deadlines send bursts of requests.
 
 Each seed gives one sequence of stops of a real process. Each attempt that reaches a stub endpoint is checked
-against what its client has done until then. `STALL_SEEDS=50` runs more seeds by hand.
+against what its client has done until then. Set `STALL_SEEDS=50` to run more seeds by hand.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 
 pytestmark = pytest.mark.anyio
 SEEDS = range(int(os.environ.get("STALL_FROM", "0")), int(os.environ.get("STALL_SEEDS", "3")))
-START_TOLERANCE = 0.1  # seconds after a client has left, or its deadline, in which an attempt may still start
+START_TOLERANCE = 0.1  # an attempt may start this many seconds after its client left or its deadline passed
 LIMIT_TOLERANCE = 0.15  # seconds by which an attempt's limit may exceed the time that its client has left
-WRITE_ARRIVAL_TIME = 0.005  # seconds after a process continues in which a write that it had begun arrives
+WRITE_ARRIVAL_TIME = 0.005  # seconds after SIGCONT within which a write arrives that a stop interrupted
 ANSWER_TOLERANCE = 0.5  # seconds by which an answer may be late
 CONNECTIONS, REQUESTS_EACH, ROUNDS = 6, 10, 8
 STOP_DELAY = (0.0, 0.05)  # seconds from the start of a burst to a stop
@@ -71,25 +71,25 @@
 
 @dataclass
 class AttemptChecker:
-    """Knows every request, and checks each attempt that reaches an endpoint."""
+    """Checks each attempt that reaches an endpoint against the request that its client sent."""
 
     requests: dict[str, SentRequest] = field(default_factory=dict)
     attempts: int = 0
     violations: list[str] = field(default_factory=list)
     lag: float = 0.0  # recent lag of the event loop of the test itself, in seconds
     excused_writes: int = 0  # writes that were in progress at a stop, and would otherwise be violations
-    stopped_at: float | None = None  # when the front was last stopped; None once such a write has arrived
+    stopped_at: float | None = None  # when the front was last stopped; None once a write is excused
     continued_at: float = 0.0
 
     async def measure_lag(self) -> None:
-        """Measures `lag`, by which the test sees attempts later than they arrived."""
+        """Measures `lag`: how much later than its arrival an attempt may be handled by the test."""
         while True:
             before = monotonic()
             await anyio.sleep(0.005)
             self.lag = max(0.9 * self.lag, monotonic() - before - 0.005)
 
     def process_stopping(self) -> None:
-        """The front is about to be stopped, perhaps between the last check of a write and its system call."""
+        """Records a stop of the front, perhaps between the last check of a write and its system call."""
         self.stopped_at = monotonic()
 
     def process_continued(self) -> None:
@@ -111,7 +111,7 @@
         self.violations += found
 
     def violations_of(self, to: str, fetch: Fetch, request: SentRequest, at: float) -> list[str]:
-        """Returns the rules that an attempt violates if it starts at that time, as texts."""
+        """Describes each rule that an attempt violates if it starts at the time `at`."""
         late, limit = at - request.waits_until, int(fetch.fields["limit"]) / 1000
         left, found = request.sent_at + request.patience - at, []
         if late > START_TOLERANCE:
@@ -261,7 +261,7 @@
     async with scenario.running_front() as front:
         stream = await anyio.connect_tcp(*scenario.address)
         c = Client(stream)
-        await c.ask(trace="f" * 16)  # the checker does not know this request
+        await c.ask(trace="f" * 16)  # not among the requests that are checked
         await c.reply()
         front.process.send_signal(signal.SIGSTOP)
         if new:
@@ -291,7 +291,7 @@
             async with await anyio.connect_tcp(*scenario.address) as other:
                 c = Client(other)
                 await c.ask(trace="e" * 16)
-                await c.reply()  # so the first connection has been accepted, and its bytes read
+                await c.reply()  # by now the first connection is accepted and its bytes are read
             front.process.send_signal(signal.SIGSTOP)
             await anyio.sleep(max(FIRST_MESSAGE_TIMEOUT_SECONDS, STALL_TIMEOUT_SECONDS) + 0.3)
             sock.sendall(message[part:])
--- a/tests/core/test_statistics.py
+++ b/tests/core/test_statistics.py
@@ -12,7 +12,7 @@
 def test_an_endpoint_that_does_not_answer_messages_counts_as_silent() -> None:
     statistics, one, other = Statistics(), b"s-1", b"s-2"
     statistics.retain_endpoints({m: api.Endpoint(m, 0, 0) for m in (one, other)})
-    for i in range(50):  # `one` never answers, and of the attempts at `other` some are cancelled
+    for i in range(50):  # `one` never answers; every second attempt at `other` is cancelled
         now = 10.0 + i * 0.1
         statistics.record_started(one, now, "page")
         statistics.record_ended(one, EndReason.TIMED_OUT)
--- a/tests/discovery/test_freshness.py
+++ b/tests/discovery/test_freshness.py
@@ -26,7 +26,8 @@
 
 def test_decisions_wait_from_the_start_until_the_first_frame() -> None:
     freshness = Freshness(min_grace_seconds=0.5)
-    assert freshness.seconds_until_usable(50.0) > 0  # the watch has not begun, and the limit counts from then
+    # The watch has not begun to connect; the limit counts from its first connection attempt.
+    assert freshness.seconds_until_usable(50.0) > 0
     freshness.connect_started(100.0)
     assert freshness.seconds_until_usable(100.0) == INITIAL_SYNC_SECONDS and not freshness.has_synced(100.0)
     freshness.catch_up_requested(100.1)
@@ -50,7 +51,8 @@
         assert freshness.seconds_until_usable(100.1) > 0, n
         freshness.watch_failed(100.1)
     assert freshness.seconds_until_usable(100.1) == 0 and freshness.phase is WatchPhase.UNREACHABLE
-    freshness.catch_up_requested(110.0)  # it is back and counts all events since then as delivered
+    # The coordinator is back, and counts all events from now on as delivered.
+    freshness.catch_up_requested(110.0)
     assert freshness.seconds_until_usable(110.0) > 0
     freshness.frame_received(110.1)
     assert freshness.seconds_until_usable(110.1) == 0
@@ -69,7 +71,7 @@
 def test_decisions_wait_for_a_stalled_coordinator_once_and_not_at_each_reconnect() -> None:
     freshness, now, waited = following(), 100.0, 0.0
     freshness.watch_failed(now)
-    for _ in range(20):  # it accepts connections and stays silent
+    for _ in range(20):  # the coordinator accepts connections and sends nothing
         now += 0.05
         freshness.catch_up_requested(now)
         for _ in range(16):
@@ -80,7 +82,7 @@
 
 
 def test_decisions_wait_again_for_a_coordinator_that_closed_connections() -> None:
-    # It may have recovered, and the answer to the next catch-up request may contain events.
+    # The coordinator may have recovered, and the answer to the next catch-up request may contain events.
     freshness = started()
     for n in range(5):
         freshness.catch_up_requested(100.0 + n)
--- a/tests/discovery/test_restart_view.py
+++ b/tests/discovery/test_restart_view.py
@@ -117,7 +117,7 @@
 
 
 async def first_attempts(folder: Path, change: Change) -> tuple[Fleet, list[dict[str, str]]]:
-    """Sends a request to a starting front before its first frame; returns the fleet and all attempts."""
+    """Sends a starting front a request before the coordinator's first frame; returns fleet and attempts."""
     fleet = Fleet()
     async with anyio.create_task_group() as tasks:
         await fleet.run(tasks)
@@ -128,7 +128,7 @@
         try:
             async with await connected(where) as stream:
                 c = Client(stream)
-                # The longest patience, so that even on a slow machine the status calls end while it waits.
+                # With the longest patience the request outlasts the status calls even on a slow machine.
                 request = await c.ask(patience="5000")
                 replies = [await status(c) for _ in range(ROUNDS)]
                 fleet.reported_ready = any(reply.good for reply in replies if reply.seq != request)
@@ -207,7 +207,7 @@
 
 
 async def test_a_front_that_was_stopped_reads_the_coordinator_first(tmp_path: Path) -> None:
-    # As above with a real process: SIGSTOP, then a drain and requests on many connections, then SIGCONT.
+    # The same with a real process: SIGSTOP, then a drain and requests on many connections, then SIGCONT.
     fleet = Fleet()
     fleet.may_answer.set()
     async with anyio.create_task_group() as tasks:
@@ -340,7 +340,7 @@
         await c.ask(patience="2000")
         await until(lambda: cores[0].counts["out_of_date", "held"] == 1)
         cores[0].fail_open_requests()
-        with anyio.fail_after(0.4):  # otherwise it would wait for 0.9 s
+        with anyio.fail_after(0.4):  # otherwise the request would wait for 0.9 s
             assert (await c.reply()).kind == "Broken"
 
 
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -97,13 +97,13 @@
                 kinds = set()
                 fronts[-2].process.send_signal(signal.SIGTERM)
                 try:
-                    # Requests follow without a pause until the front closes the connection between two.
+                    # Requests follow each other until the front closes the connection between two of them.
                     for i in range(10_000):
                         await busy.ask(trace=f"{i + 1:016x}")
                         kinds.add((await busy.reply()).kind)
                 except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
                     pass
-                # The process had read the first half of this call when it got SIGTERM, and answers it.
+                # The old process had read the first half of this call when it got SIGTERM, and answers it.
                 await slow.send(STATUS[9:])
                 assert len(await slow.receive()) > 4
                 assert kinds <= {"served", "Throttled"} and await fronts[-2].ended() == 0
@@ -182,7 +182,7 @@
                 lambda log=log, ended=ended: log.read_bytes().count(b"process of this front ended") == ended  # type: ignore[misc]
             )
             path = tmp_path / f"zincladder-{address.replace(':', '-')}.sock"
-            inode = path.stat().st_ino  # of the killed process; the old one publishes the path again
+            inode = path.stat().st_ino  # the killed process made it; the old one publishes the path again
             await fronts[0].until(lambda path=path, inode=inode: path.stat().st_ino != inode)  # type: ignore[misc]
         assert fronts[0].ready()
         ask = [sys.executable, "-m", "zincladder"]
--- a/tests/net/test_cache_connections.py
+++ b/tests/net/test_cache_connections.py
@@ -77,8 +77,8 @@
 
 
 async def test_the_rest_of_an_abandoned_request_is_not_sent() -> None:
-    # The cache has not received the complete request, so it has not run. With the rest it would run after the
-    # client got its answer.
+    # The cache has not received the complete request, so the request has not run. If the rest were sent, it
+    # would run after the client got its answer.
     async with wire() as w:
         scope = await w.send(b"x" * OVER_BUFFER_SIZE + b"end\r\n", attempt_request())
         scope.cancel()
@@ -139,7 +139,7 @@
             caches.pool._descriptors.force_acquire(DescriptorUse.CACHES)
             tasks.start_soon(caches.pool._run_connection, b"s-00000001", connection)
             await anyio.wait_all_tasks_blocked()
-            theirs.sendall(b"a" * 16 + b" 200 te")  # received by the front's system, and not read yet
+            theirs.sendall(b"a" * 16 + b" 200 te")  # in the front's socket buffer, not read yet
             if descriptor_needed:
                 assert caches.pool._close_longest_idle()
             else:
@@ -293,7 +293,8 @@
 async def test_a_connection_with_an_abandoned_request_is_not_offered_to_waiting_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Its machine may be cut off. A request whose own connection cannot be opened is certain not to have run.
+    # The endpoint may be unreachable by then. A request that keeps waiting for a connection of its own, and
+    # never gets one, is certain not to have run.
     attempts, transports = hang_after(monkeypatch, 1), transports_of(monkeypatch)
     async with running_front(hold, origin=hold) as w, client(w) as c:
         first = await c.ask(b"order", route="booking", trace="a" * 16)
@@ -377,7 +378,7 @@
                 tasks.start_soon(waits, name, scope)
                 await anyio.wait_all_tasks_blocked()
             caches.pool._offer_idle(endpoint, connection)
-            scopes[0].cancel()  # in the same turn of the loop
+            scopes[0].cancel()  # in the same iteration of the event loop
         assert (
             got == [(b"b", connection)]
             and not connection.reserved
@@ -391,8 +392,8 @@
 
 @pytest.mark.parametrize("names", [["rif", "busy"], ["busy"], ["busy", "rif"]])
 async def test_a_load_report_is_read_in_the_order_of_the_current_settings(names: list[str]) -> None:
-    # The router reads each figure by its position. In the order of older settings it would read numbers of
-    # cores as shares.
+    # The router reads each figure by its position. If reports kept the order of older settings, it would take
+    # the number of requests in flight for the utilization.
     settings = copy.deepcopy(SETTINGS)
     settings["report"]["names"] = ["busy", "rif"]
     before = parse_config(configuration([], settings=settings))
@@ -411,7 +412,7 @@
 
 
 def push(fetch: Fetch, data: bytes) -> None:
-    """Sends bytes that belong to no request on the connection of this one, without waiting."""
+    """Sends bytes that belong to no request on the connection of `fetch`, without waiting."""
     number = fetch.stream.extra(SocketAttribute.raw_socket).fileno()
     with socket.socket(fileno=os.dup(number)) as sock:
         sock.sendall(data)
@@ -427,8 +428,8 @@
 async def test_a_request_is_not_sent_on_a_connection_with_stray_input(
     stray_input: bytes, read: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Half an answer to no request ends its connection soon. A write sent there would count as one that may
-    # have run.
+    # A connection with half an answer that belongs to no request soon ends. A request written to it would
+    # count as one that may have run.
     waiting, acquire = list[Fetch](), CachePool.acquire
 
     async def serve_and_remember(cache: StubCache, fetch: Fetch) -> None:
--- a/tests/net/test_watch_connections.py
+++ b/tests/net/test_watch_connections.py
@@ -37,7 +37,7 @@
 
     scripts: list[Script]
     newest: int = 1  # number of its newest event
-    requested: list[int] = field(default_factory=list)  # the last event that the front knew, by connection
+    requested: list[int] = field(default_factory=list)  # by connection, the last event that the front had
     address: tuple[str, int] = ("127.0.0.1", 0)
     applied: anyio.Event = field(default_factory=anyio.Event)  # set when the front has applied an event
 
@@ -58,7 +58,7 @@
 
 
 async def healthy(self: Scripted, stream: Stream, last: int) -> None:
-    """Sends all events after the last known one, then empty frames."""
+    """Sends all events after `last`, then empty frames."""
     for number in range(last + 1, self.newest + 1):
         await stream.send(purge(number))
     while True:
@@ -120,7 +120,7 @@
 
 @asynccontextmanager
 async def watch(coordinator: Scripted) -> AsyncIterator[tuple[CoordinatorWatch, list[int]]]:
-    """A watch on a coordinator, of which it knows event 1; and the numbers of the events that it reports."""
+    """Runs a watch that already has event 1; yields it and the numbers of the events that it reports."""
     reported: list[int] = []
 
     def on_event(event: WatchEvent) -> None:
@@ -173,7 +173,7 @@
     async with watch(old) as (follower, reported), anyio.create_task_group() as tasks:
         await tasks.start(new.run)
         await until(lambda: reported == [2])
-        with anyio.fail_after(watching.SILENCE_TIMEOUT_SECONDS / 2):  # sooner than the old one times out
+        with anyio.fail_after(watching.SILENCE_TIMEOUT_SECONDS / 2):  # before the old connection times out
             follower.follow(new.address)
             await until(lambda: follower.last_event == 4)
         assert reported == [2, 3, 4] and new.requested == [2] and old.requested == [1]
@@ -229,7 +229,7 @@
 async def test_the_watch_reconnects_although_idle_clients_use_up_the_descriptors(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Without a descriptor for the watch, a front would learn of no drain after an outage of the coordinator.
+    # Without a descriptor for the watch, a front would receive no drain after an outage of the coordinator.
     cores = record_cores(monkeypatch)
     async with running_front(serve, serve, limits={"sockets": 16}) as w:
         await until(
--- a/tests/routing/test_endpoints.py
+++ b/tests/routing/test_endpoints.py
@@ -44,7 +44,8 @@
     driver = Driver((cache(0), ORIGIN_ENDPOINT))
     driver.update_endpoints(api.Endpoint(b"origin", ORIGIN_ENDPOINT.kind, 0, api.EndpointState.DRAINING))
     sent = only_fetch(driver.request(1))
-    assert (sent.endpoint, sent.source) == (b"cache0", b"cache0")  # it may have a copy, but nothing is filled
+    # The cache may have a copy, but nothing is filled.
+    assert (sent.endpoint, sent.source) == (b"cache0", b"cache0")
     assert (
         len(final_answers(driver.end_attempt(1, 0, b"cache0", Outcome.MISS))) == 1
         and len(final_answers(driver.request(2, request_class=3))) == 1
--- a/tests/routing/test_fill_throttle.py
+++ b/tests/routing/test_fill_throttle.py
@@ -36,7 +36,7 @@
 
     assert min(shares(10, 50.0)) > 0.75  # if fills are many, a single one has little effect
     assert sum(shares(10, 1.0)) > 0.75 * 350
-    assert max(shares(2, 50.0)) < 0.5  # half of the fills overloaded is far above normal
+    assert max(shares(2, 50.0)) < 0.5  # if half of the fills are overloaded, the share is far above normal
     assert sum(shares(2, 1.0)) < 0.7 * 350
 
 
@@ -53,7 +53,7 @@
     for _ in range(3):
         limits.record_fill(b"b", True, 10.0)
     assert limits.admitted_share(10.0) < 0.1 and limits.is_overloaded(b"new", 10.0)
-    assert limits.admits(b"a", 10.0, lambda: 0.99)  # no other source is better off
+    assert limits.admits(b"a", 10.0, lambda: 0.99)  # no other source is less overloaded
     limits.retain_sources({b"b"})
     assert limits._by_source.keys() == {b"b"}
 
@@ -85,7 +85,7 @@
         (Outcome.OK, Fill.FILLED, 0.45, True),  # it waited for more than half of its slack
         (Outcome.OK, Fill.HIT, 0.45, None),
         (Outcome.TIMED_OUT, Fill.NONE, 0.45, True),
-        (Outcome.TIMED_OUT, Fill.NONE, 0.35, None),  # the client allowed too little time
+        (Outcome.TIMED_OUT, Fill.NONE, 0.35, None),  # ended early: the client allowed too little time
         (Outcome.CANCELLED, Fill.NONE, 0.35, None),
         (Outcome.ERROR, Fill.NONE, 0.01, None),  # an error of the cache, or a truncated answer
         (Outcome.ERROR, Fill.NONE, 0.45, True),  # the cache abandoned the fill
--- a/tests/routing/test_health_checks.py
+++ b/tests/routing/test_health_checks.py
@@ -42,7 +42,7 @@
     driver.handle(api.SettingsChanged(replace(probed, **off), same))
     (token,) = driver.router.timers
     driver.now += 0.5
-    # The new settings do not ask for probes.
+    # Under the new settings no probes are sent.
     assert driver.handle(api.TimerFired(token)) == [] and not driver.router.timers
     assert [type(a) for a in driver.handle(api.SettingsChanged(probed, same))] == []
     driver.update_endpoints(cache(1))
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -43,8 +43,8 @@
 ) -> tuple[Driver, api.Fetch, list[api.Action]]:
     """Lets the silence timeout of an attempt expire; returns the driver, the attempt and the actions.
 
-    `answering` names what answers another attempt meanwhile: nothing (""), the "cache", or "both" the cache
-    and the source.
+    Half-way through the timeout, another attempt is answered as `answering` says: not at all (""), with a hit
+    ("cache"), or with a fill, which both the cache and its source answer ("both").
     """
     driver = Driver(report_names=("link",))
     actions = driver.request(1)
@@ -85,7 +85,7 @@
 def test_an_error_or_a_reset_does_not_count_against_the_cache(
     result: Outcome,
 ) -> None:
-    # Otherwise faulty clients, whose requests all end with errors, or truncated answers get caches ejected.
+    # Otherwise truncated answers, or faulty clients whose requests all end with errors, cause ejections.
     driver = Driver()
     initial_caches = caches_asked(driver)
     for n in range(1, 60):
@@ -177,7 +177,8 @@
 
 
 def test_an_attempt_with_a_silent_source_continues_and_the_source_is_not_blamed() -> None:
-    # A router with few fills hears little from healthy parents; ejecting them would overload the origin.
+    # A router with few fills gets few answers from healthy parents. If it ejected them for that, it would
+    # overload the origin.
     driver, sent, actions = after_silence_timeout((0.0,), "cache")
     assert [type(a) for a in actions] == [api.SetTimer]
     assert driver.endpoints.stats[sent.source].failure_rate == 0.0
@@ -231,7 +232,7 @@
     driver = Driver(fill_faults_reported=False)
     attempt_counts = reject_fills_from(b"paren1", driver, range(1, 31))
     assert max(attempt_counts) == 2
-    assert attempt_counts.count(2) <= 4  # then the source is ejected
+    assert attempt_counts.count(2) <= 4  # after that the source is ejected
     assert not any(driver.endpoints.stats[b"cache%d" % n].is_ejected for n in range(4))
     assert driver.endpoints.stats[b"paren1"].is_ejected
 
@@ -284,7 +285,7 @@
 
 
 def test_requests_that_a_slow_outlier_would_answer_late_go_to_other_caches() -> None:
-    # Otherwise it keeps its share of the objects, and their answers are late.
+    # Otherwise the slow cache keeps its share of the objects, and their answers are late.
     driver = Driver((cache(0), cache(1), cache(2), parent(0), FLEET[-1]))
     request_ids = itertools.count(1)
 
--- a/tests/routing/test_random_events.py
+++ b/tests/routing/test_random_events.py
@@ -17,7 +17,7 @@
 
 
 class RuleChecker:
-    """Generates random events, keeps a model of the requests and endpoints, and checks every action by it."""
+    """Generates random events and checks every action against a model of the requests and endpoints."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -32,7 +32,7 @@
         self.timers: list[tuple[float, int]] = []
         self.listed: dict[bytes, api.Endpoint] = {}
         self.purged: dict[tuple[int | None, int], float] = {}
-        # By endpoint in slow start: the times and transfer seconds of what it was sent.
+        # By endpoint in slow start: time and transfer seconds (0 for caches) of each attempt that uses it.
         self.slow_start_work: dict[bytes, list[tuple[float, float]]] = {}
         self.actions: list[api.Action] = []
         self.next_id = 0
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -24,7 +24,8 @@
     driver = Driver()
     fetches = [only_fetch(driver.request(n, key=7)) for n in range(1, 12)]
     first, last = fetches[0], fetches[-1]
-    assert len({sent.endpoint for sent in fetches[:4]}) == 1  # 4 of the 8 transfers that its link carries
+    # The first 4 use half of the 8 transfers that the link of the cache carries.
+    assert len({sent.endpoint for sent in fetches[:4]}) == 1
     assert last.endpoint != first.endpoint and last.source == first.endpoint
     missed = only_fetch(driver.end_attempt(11, 0, last.endpoint, Outcome.MISS, fill_outcome=Fill.SOURCE_MISS))
     assert missed.endpoint == last.endpoint and missed.source == first.source
@@ -87,9 +88,9 @@
 
 
 def sibling_fills(driver: Driver, requests: range, sibling_has_copies: bool) -> list[bool]:
-    """For each request that goes to the new cache, whether it fills from a sibling.
+    """Returns, for each request that goes to the new cache, whether the cache fills it from a sibling.
 
-    The siblings have all copies or none.
+    `sibling_has_copies` decides whether the siblings have a copy of every object or of none.
     """
     sibling_asked = []
     for n in requests:
