--- a/tests/cli/test_replicas.py
+++ b/tests/cli/test_replicas.py
@@ -1,4 +1,4 @@
-"""The JSON output of `zincladder replicas status`, which scripts read."""
+"""Tests the JSON output of `zincladder replicas status`, which scripts read."""
 
 from __future__ import annotations
 
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -35,7 +35,7 @@
 
 
 def run_simulation(seed: int) -> SimulatedGroup:
-    """Runs a group of three or five members. By seed, members come and go, and crash at any step."""
+    """Runs three or five voters with membership changes and, for three of four seeds, crashes at any step."""
     group = SimulatedGroup(seed, 3 + 2 * (seed % 2), spare=seed % 3)
     group.crash_probability = (0.0, 0.002, 0.004, 0.03)[seed % 4]
     group.play(20)
@@ -146,7 +146,7 @@
 
 
 def count_leaders(disk: SimulatedDisk) -> int:
-    """Two candidates of one term request the vote of one voter, which restarts after each request.
+    """Lets two candidates of one term request the vote of one voter, which restarts after each request.
 
     Returns how many of the candidates are elected.
     """
@@ -191,7 +191,8 @@
 
 
 def test_an_entry_of_an_older_term_is_committed_only_by_one_of_the_present_term() -> None:
-    # Figure 8 of the Raft paper: a majority stores the older entry, and a later leader still overwrites it.
+    # Guards against the case of figure 8 in the Raft paper: although a majority has stored an entry of an
+    # older term, a later leader may still overwrite it.
     disk = SimulatedDisk(HardState(2, "b"), Snapshot(0, 0, INITIAL_MEMBERS), list(entries_of(1, 2)))
     member = RaftNode("b", disk.stored, 0.0, 1)
     for answers in ({"pre_vote": True}, {"pre_vote": False}):
@@ -233,7 +234,7 @@
     # Guards against a fault seen on a busy machine: a replica that responded late was marked as stale and
     # had to be removed and added again.
     member = leader_with_committed_entry()
-    member.receive("c", AppendEntriesResponse(1, 1, False, 0), 10.1)  # to a message of an earlier term of b
+    member.receive("c", AppendEntriesResponse(1, 1, False, 0), 10.1)  # answers a message of an earlier term
     assert member.stale_peers == []
     member.receive("c", AppendEntriesResponse(1, 2, True, 1), 10.2)
     member.receive("c", AppendEntriesResponse(1, 3, False, 1), 10.3)  # c confirmed this entry before
--- a/tests/consensus/test_replica_processes.py
+++ b/tests/consensus/test_replica_processes.py
@@ -60,8 +60,8 @@
 
 
 async def test_a_replica_accepts_no_record_that_it_cannot_decode(tmp_path: Path) -> None:
-    # Guards against a fault that was seen: one such write ended each replica that became the leader, one
-    # after the other.
+    # Guards against a fault that was seen: one such write terminated the leader, and then each replica that
+    # became the next leader.
     async with process_cluster(tmp_path) as r:
         await r.replicas(1)
         for key, reason in (("policy", "no record"), ("terms", "own"), ("document/1", "by its content")):
@@ -79,7 +79,7 @@
         new = await r.leader(old)
         await r.write("a", b"after", *(r.ports.keys() - {old}))
         r.processes[old].resume()
-        # The old leader is asked before it can have received a message of the new term.
+        # Reads at once from the old leader, which may not have received a message of the new term yet.
         addresses = {old: f"127.0.0.1:{r.ports[old]}"}
         try:
             found = await Client("test", addresses, "late").get("a", 2.0)
@@ -212,7 +212,7 @@
 
         async def has_all_entries() -> bool:
             leader = await r.leader()
-            if leader == stale:  # elected on a busy machine; only another leader knows what it has stored
+            if leader == stale:  # happens on a busy machine; match_indexes lists it only at another leader
                 await r.client().request(rpc.TransferLeadership())
                 return False
             found = await r.status(leader)
@@ -250,7 +250,7 @@
     async with process_cluster(tmp_path) as r:
         await r.replicas(3)
         full = r.processes[await r.leader()]
-        await r.write("big", bytes(50_000))  # so that the journal is larger than the log file of the process
+        await r.write("big", bytes(50_000))  # so that the journal exceeds the limit before the log file does
         size = max(path.stat().st_size for path in (full.folder / "kept").iterdir())
         assert full.popen is not None
         resource.prlimit(full.popen.pid, resource.RLIMIT_FSIZE, (size + 300, size + 300))
--- a/tests/consensus/test_store.py
+++ b/tests/consensus/test_store.py
@@ -107,8 +107,8 @@
 def test_after_a_failed_call_a_store_accepts_no_write_and_loses_none(
     tmp_path: Path, call: int, half: bool
 ) -> None:
-    # A failed sync must not be retried: the kernel may have dropped the data, and with it a vote, although a
-    # second sync succeeds.
+    # A failed sync must not be retried: a second sync may succeed although the kernel has dropped the data,
+    # and with it a vote.
     store = ReplicaStore(tmp_path / "s", "g", "a", INITIAL_MEMBERS)
     store.write(Output(hard_state=HardState(1, "b"), first_index=1, entries=entries_of(1)))
     store.close()
--- a/tests/export/test_delivery.py
+++ b/tests/export/test_delivery.py
@@ -1,4 +1,4 @@
-"""When a batch is sent, retried or dropped."""
+"""Tests when a batch is sent, retried or dropped."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     [
         (PushResponse(200), PushOutcome.SENT),
         (PushResponse(204, written_samples=7), PushOutcome.SENT),
-        # The receiver has dropped the rest, and would do so again.
+        # The receiver has dropped one of the 7 samples and would drop it again, so there is no retry.
         (PushResponse(200, written_samples=6), PushOutcome.PARTIAL),
         (PushResponse(400), PushOutcome.REJECTED),
         (PushResponse(404), PushOutcome.REJECTED),
--- a/tests/export/test_messages.py
+++ b/tests/export/test_messages.py
@@ -1,4 +1,4 @@
-"""Remote write messages: one batch in both protocol versions, and malformed payloads."""
+"""Tests remote-write messages: one batch in both protocol versions, and malformed payloads."""
 
 from __future__ import annotations
 
--- a/tests/export/test_sender.py
+++ b/tests/export/test_sender.py
@@ -1,4 +1,4 @@
-"""A sender with faulty receivers, during outages, and with a full disk."""
+"""Tests the remote-write sender with faulty receivers, during outages, and with a full disk."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class Receiver:
-    """A receiver that handles each push by the next step of its script, and accepts all after the last.
+    """A receiver that takes one step of its script per connection, and accepts every push after the last.
 
-    A step is a status, a status with headers, or a way to fail: "stall" reads nothing, "reset" closes the
-    connection without a response, and "trickle" sends only the start of one.
+    A step is a status, a status with headers, or a way to fail: "stall" reads nothing, "reset" reads the
+    push and closes the connection without a response, and "trickle" sends only the start of a response.
     """
 
     def __init__(self, *script: Any) -> None:
@@ -155,7 +155,7 @@
 
     def write_partly(file: int, data: bytes, offset: int) -> int:
         nonlocal batch_writes
-        batch_writes += len(data) > 100  # a write of the cursor is shorter, and needs no new space
+        batch_writes += len(data) > 100  # cursor writes are shorter, and overwrite bytes in place
         return real_pwrite(file, data[:50] if len(data) > 100 and 4 <= batch_writes <= 6 else data, offset)
 
     monkeypatch.setattr("zincladder.export.spool.os.pwrite", write_partly)
--- a/tests/export/test_spool.py
+++ b/tests/export/test_spool.py
@@ -1,4 +1,4 @@
-"""The stores of unsent batches: their size limits, and recovery after a crash or a corruption."""
+"""Tests the stores of unsent batches: their size limits, and recovery after a crash or a corruption."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     first = store.oldest()
     assert first is not None and (first.unix_ms, len(store), store.lost_batches) == (40, 10, 40)
     store.append(50, b"x" * 100)
-    store.acknowledge(first)  # it was dropped meanwhile: no other batch is removed instead
+    store.acknowledge(first)  # the append has dropped it: no other batch is removed instead
     second = store.oldest()
     assert second is not None and second.unix_ms == 41
 
@@ -83,7 +83,7 @@
         stored = [r.stamp for r in records.scan_records(segment_bytes[:bytes_left], records.SPOOL_MAGIC)]
         reopened = Spool(Path(folder), 1 << 30)
         drained = drain(reopened)
-        # All complete batches that were not acknowledged, in order, and at most the last acknowledged one.
+        # All complete batches that were not acknowledged, in order; the last acknowledged may precede them.
         assert drained == [i for i in stored if i > acknowledged] or drained == [
             i for i in stored if i >= acknowledged
         ]
@@ -114,7 +114,7 @@
             if output.endswith("\n") or line != output.splitlines()[-1]
         ]
     assert len(sent) > 30
-    # After each kill at most the batch in flight is sent again, right after itself, and none before it.
+    # After each kill at most the batch in flight is sent a second time, and no older batch.
     assert all(a <= b for a, b in pairwise(sent))
     assert sum(a == b for a, b in pairwise(sent)) <= 3
     spool = Spool(tmp_path, 4 << 20)
--- a/tests/policy/test_change_processes.py
+++ b/tests/policy/test_change_processes.py
@@ -1,7 +1,7 @@
-"""Changes of a fleet's policy with real processes, clients at every front, and faults of fronts.
+"""Tests changes of a fleet's policy with real processes, clients at every front, and faults of fronts.
 
-Each answer shows the policy version under which it was decided. `traffic.check_invariants` checks that a
-request which was sent after an answer is never decided under an older version, at any front.
+Each answer shows the policy version under which it was decided. `traffic.check_invariants` checks that
+once an answer has arrived, no front decides a later request under an older version than that answer's.
 """
 
 from __future__ import annotations
@@ -79,7 +79,7 @@
         resumed_at = anyio.current_time()
         fleet.r.processes["f1"].resume()
         await fleet.wait_until_served(traffic, 2, "f1")
-        # Requests that it accepted before it was suspended are still served under the old version.
+        # Leaves out requests that f1 accepted before it was suspended: they may be served under version 1.
         after = [a for a in traffic.history if a.front == "f1" and a.began > resumed_at]
         assert after and {a.mark for a in after if a.kind == "served"} == {2}
         traffic.history = [a for a in traffic.history if a.front != "f1" or a.began > resumed_at]
@@ -142,7 +142,7 @@
         assert await fleet.r.processes["f2"].ended() == 0
         began = anyio.current_time()
         assert (await fleet.r.change(2)).absent == ("f2",)
-        # Less than a lease: the change did not wait for one to expire.
+        # This is shorter than a lease, so the change did not wait for a lease to expire.
         assert anyio.current_time() - began < 1.4
 
 
--- a/tests/policy/test_change_states.py
+++ b/tests/policy/test_change_states.py
@@ -1,4 +1,4 @@
-"""Proposals of a change: which are rejected, and which version they get."""
+"""Tests which proposals of a change are rejected, and which version an accepted one gets."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_command_processes.py
+++ b/tests/policy/test_command_processes.py
@@ -1,4 +1,4 @@
-"""The commands of `zincladder policy`, and SIGHUP under a policy, with real processes."""
+"""Tests the commands of `zincladder policy`, and SIGHUP under a policy, with real processes."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_coordinator.py
+++ b/tests/policy/test_coordinator.py
@@ -1,4 +1,4 @@
-"""The leader's part in a policy change, step by step and without I/O."""
+"""Tests how the leader takes a policy change from one phase to the next, without I/O."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
     leader.step(6.0)
     for number in (1, 2):
         assert [type(m) for _, m in leader.receive(number, RenewPolicyLease(1, "d1"))] == [PolicyLeaseGranted]
-    leader.coordinator.link_closed(2, leader.now)  # killed or cut off: the leader can't tell
+    leader.coordinator.link_closed(2, leader.now)  # if only cut off, it may serve until its lease expires
     leader.record, leader.record_version = DECIDED, leader.record_version + 1
     leader.read_record()
     began, serial = leader.now, 1
@@ -98,8 +98,7 @@
 
 
 def test_a_front_that_receives_no_messages_delays_a_change_by_one_lease_only() -> None:
-    # Guards against a leader that renews the lease of such a front again and again: it never activated the
-    # change.
+    # Guards against a leader that kept renewing the lease of such a front and so never activated the change.
     leader = Leader(PolicyRecord(1, "d1"), 2)
     leader.step(6.0)
     for number in (1, 2):
@@ -120,8 +119,8 @@
 
 
 def test_a_decided_change_is_activated_though_some_front_is_always_silent() -> None:
-    # Guards against a change that waits for ever for a moment without a silent front. With 20 fronts, three
-    # of which were down at any time, it stayed DECIDED for 14 s.
+    # Guards against a leader that waits until no front is silent, which may never be the case. With 20
+    # fronts, three of which were down at any time, a change stayed DECIDED for 14 s.
     leader, serial, revoking_seconds = Leader(PolicyRecord(1, "d1"), 3), 0, 0.0
 
     def connect_renew_and_disconnect() -> None:
--- a/tests/policy/test_document.py
+++ b/tests/policy/test_document.py
@@ -1,4 +1,4 @@
-"""Documents: what a policy can contain, and how it overrides a front's own files."""
+"""Tests what a policy document can contain, and how it overrides a front's own files."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_fleet_simulation.py
+++ b/tests/policy/test_fleet_simulation.py
@@ -1,4 +1,4 @@
-"""Simulated fleets with random faults, and mutations of the code that have to break an invariant."""
+"""Tests simulated fleets with random faults; each mutation of the code has to break an invariant."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def run_simulation(seed: int) -> FleetWorld:
-    """Simulates three or five replicas and four fronts; with two of three seeds replicas crash at random."""
+    """Simulates three or five replicas and four fronts. With two of three seeds, replicas crash at random."""
     world = FleetWorld(seed, 3 + 2 * (seed // 2 % 2), 4)
     world.crash_probability = 0.0005 * (seed % 3)
     world.play(40)
--- a/tests/policy/test_golden_bytes.py
+++ b/tests/policy/test_golden_bytes.py
@@ -1,4 +1,4 @@
-"""The encoding of a policy's messages and stored values, which other releases read and write."""
+"""Tests that a policy's messages and stored values keep the encoding that other releases use."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_leader_processes.py
+++ b/tests/policy/test_leader_processes.py
@@ -1,4 +1,4 @@
-"""Changes of a fleet's policy with real processes, and faults of the replicas and of clocks."""
+"""Tests changes of a fleet's policy with real processes, during faults of replicas and of clocks."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 async def test_a_leader_that_was_suspended_grants_no_lease_when_it_resumes(tmp_path: Path) -> None:
-    # Front f0 reaches only the stopped leader, whose receive buffer holds its renewals.
+    # Front f0 reaches only the stopped leader, and its renewals wait in that leader's receive buffer.
     async with policy_fleet(tmp_path) as fleet:
         traffic = fleet.traffic()
         await fleet.wait_until_served(traffic, 1)
@@ -136,7 +136,7 @@
         await fleet.r.until("f1 has stopped serving", stopped)
         if kept:
             traffic.check_invariants()
-        else:  # beyond the bound the invariant is broken, and `check_invariants` finds it
+        else:  # beyond the bound the invariant is broken, and `check_invariants` reports it
             with pytest.raises(AssertionError, match="served under 1 after 2"):
                 traffic.check_invariants()
 
--- a/tests/policy/test_linked_fronts.py
+++ b/tests/policy/test_linked_fronts.py
@@ -1,4 +1,4 @@
-"""How many fronts have to agree to a change, and how leases on the version in force end."""
+"""Tests how many fronts have to agree to a change, and how leases on the version in force end."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_participant.py
+++ b/tests/policy/test_participant.py
@@ -1,4 +1,4 @@
-"""A front's part in the policy: leases, revocations and documents, without I/O."""
+"""Tests how a front handles leases, revocations and documents of the policy, without I/O."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 
 
 def test_the_first_lease_sets_the_renewal_interval_at_once() -> None:
-    # Guards against a renewal that comes only a second later: a front with shorter leases heard nothing from
-    # the leader meanwhile, and took it for dead.
+    # Guards against a renewal that is sent only a second after the first grant: a front with shorter leases
+    # received nothing from the leader in that second, and treated it as failed.
     participant = ChangeParticipant(100.0)
     participant.link_changed(True, 100.0)
     participant.tick(100.0)
--- a/tests/policy/test_state_space.py
+++ b/tests/policy/test_state_space.py
@@ -1,4 +1,4 @@
-"""Explores orders of events at small scope: all orders with one front, many random ones with more."""
+"""Explores orders of events: all orders with one front in a small scope, random ones with more fronts."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
     patch.setattr(ChangeParticipant, "message_received", forgets)
 
 
-# The fleet simulation does not notice these mutations.
+# The fleet simulation breaks no invariant under these mutations.
 @pytest.mark.parametrize(
     "mutate",
     [
--- a/tests/tasks/test_counter_sums.py
+++ b/tests/tasks/test_counter_sums.py
@@ -1,4 +1,4 @@
-"""The sums of the counters of many processes."""
+"""Tests the sums of the counters of many processes."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 def test_the_totals_of_a_large_fleet_fit_in_a_stored_value_and_the_sums_are_bounded() -> None:
     sums = CounterSums()
-    for turn in range(2):  # 400 caches with five kinds of attempt ends each
+    for turn in range(2):  # 400 caches, each with a counter for five ends of an attempt
         names = [
             f"zincladder_fleet_cache_attempts_total\0s-{n:08x}\0end{e}" for n in range(400) for e in range(5)
         ]
--- a/tests/tasks/test_fence.py
+++ b/tests/tasks/test_fence.py
@@ -1,4 +1,4 @@
-"""Checks of fencing tokens: at a receiver, in the replicas' log, and for writes of clients."""
+"""Tests the checks of fencing tokens: at a receiver, in the replicas' log, and for writes of clients."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     assert fence.admit("a", 4) == "task 'a': token 4 is older than 5, which was admitted here"
     assert (fence.admit("a", 5), fence.admit("a", 9), fence.admit("b", 1)) == ("", "", "")
     assert fence.admit("a", 8) and fence.admit("b", 0) and fence.rejected == 3
-    assert Fence(fence.highest).admit("a", 8)  # after a restart
+    assert Fence(fence.highest).admit("a", 8)  # as after a restart with the stored tokens
     for n in range(2 * MAX_TASKS):
         fence.admit(f"x{n}", 1)
     assert len(fence.highest) == MAX_TASKS and not fence.admit("a", 10)
--- a/tests/tasks/test_golden_bytes.py
+++ b/tests/tasks/test_golden_bytes.py
@@ -1,4 +1,4 @@
-"""The encoding of the messages and stored values of singleton tasks, which other releases read and write."""
+"""Tests that messages and stored values of singleton tasks keep the encoding that other releases use."""
 
 from __future__ import annotations
 
--- a/tests/tasks/test_lease_holder.py
+++ b/tests/tasks/test_lease_holder.py
@@ -1,4 +1,4 @@
-"""A process's part in the singleton tasks: assignments, leases and revocations, without I/O."""
+"""Tests how a process handles assignments, leases and revocations of singleton tasks, without I/O."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         and lease_holder.active_token("a", 105.0) == 0
         and lease_holder.active_token("b", 101) == 0
     )
-    # It was suspended for an hour, and no message has arrived since.
+    # As after an hour in which the process was suspended and received no message.
     assert lease_holder.active_token("a", 3700.0) == 0
 
 
--- a/tests/tasks/test_lease_manager.py
+++ b/tests/tasks/test_lease_manager.py
@@ -1,4 +1,4 @@
-"""The leader's part in the singleton tasks, step by step and without I/O."""
+"""Tests how the leader assigns singleton tasks and grants leases on them, without I/O."""
 
 from __future__ import annotations
 
@@ -67,8 +67,8 @@
 
 
 def test_no_lease_is_granted_while_a_reassignment_is_being_written() -> None:
-    # Another entry of the log must not end the wait for the reassignment. When it did, the former holder got
-    # a lease, and two processes held one.
+    # Guards against a leader that took another entry of the log for the end of the write: the former holder
+    # was granted a lease during the reassignment, and two processes held one.
     leader = Leader("x", "y")
     number, token = leader.lease_manager.holder_link("a"), leader.stored_assignments["a"][1]
     leader.now += LEASE_TIMING.expiry_seconds + 0.1
@@ -121,8 +121,8 @@
 
 
 def test_a_release_of_a_token_that_was_never_leased_is_ignored_and_not_stored() -> None:
-    # A former leader may have granted a lease on the task. And a runner may name any tasks, which must not
-    # fill the memory.
+    # The release must not free the task, on which a former leader may have granted a lease. Nor may the names
+    # in releases fill the memory, since a runner can name any tasks.
     lease_manager = LeaseManager(LEASE_TIMING, 100.0)
     lease_manager.assignments_read({"a": (TaskAssignment("x", "p"), 7)}, 100.0)
     lease_manager.link_opened(1, "y", "p", 100.0)
@@ -135,7 +135,7 @@
 
 
 def test_an_assignment_is_announced_on_the_holders_latest_link() -> None:
-    # An older link may be half open: messages on it are lost, and the leader has not noticed that.
+    # An older link may be half-open: the leader has not closed it yet, but messages on it are lost.
     leader = Leader("x")
     leader.lease_manager.link_opened(5, "x", "p", leader.now)
     leader.messages.clear()
--- a/tests/tasks/test_state_space.py
+++ b/tests/tasks/test_state_space.py
@@ -1,4 +1,4 @@
-"""Explores orders of events at small scope: all orders with one process, many random ones with more."""
+"""Explores orders of events: all orders with one process in a small scope, random ones with more."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def test_no_order_of_events_makes_two_lease_holders_or_admits_an_outdated_effect() -> None:
-    # One process and its successors, with one effect in all; the search is exhaustive, with 7,000 states.
+    # Visits all 7,000 states of one process and the processes that replace it, with one effect in total.
     scope = Scope(changes=0, kills=1, until=3)
     states, count = search(TaskStateSpace(scope, processes=1, effects=1), matches=taken_over)
     assert states > 2000 and count > 10
--- a/tests/tasks/test_task_processes.py
+++ b/tests/tasks/test_task_processes.py
@@ -1,8 +1,8 @@
-"""Singleton tasks with real replicas and fronts, a receiver that checks fencing tokens, and faults.
+"""Tests singleton tasks with real replicas and fronts, a receiver that checks fencing tokens, and faults.
 
 The receiver records every push with its token, including those that it rejected. At the end of each test its
-`judge` checks that the accepted pushes are in the order of their tokens and times, that none was sent twice,
-and that no sum ever fell.
+`check_invariants` checks that the accepted pushes are in the order of their tokens and times, that none was
+accepted twice, and that no sum ever fell.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
             holder = await fleet.holder()
             fleet.r.processes[holder].kill()
             with pytest.raises(OSError), socket.create_server(("127.0.0.1", fleet.r.ports[holder])):
-                pass  # no other process may listen there: the front's clients still connect to it
+                pass  # the port is reserved, because the front's clients still connect to it
             await fleet.wait_for_pushes(after=before)
             assert await fleet.holder() != holder
             await fleet.r.start_front(holder)
@@ -71,7 +71,7 @@
 
 
 def late(fleet: TaskFleet, token: int) -> list[Push]:
-    """Returns the pushes up to that token which arrived after one under a newer token."""
+    """Returns the pushes under `token` or an older one that arrived after the first under a newer one."""
     newer = next(n for n, p in enumerate(fleet.receiver.pushes) if p.token > token)
     return [p for p in fleet.receiver.pushes[newer:] if p.token <= token]
 
