--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -35,7 +35,7 @@
 
 
 def run_simulation(seed: int) -> SimulatedGroup:
-    """Runs three or five voters with membership changes and, for three of four seeds, crashes at any step."""
+    """Runs three or five voters. Two of three seeds change members; in three of four, any step can crash."""
     group = SimulatedGroup(seed, 3 + 2 * (seed % 2), spare=seed % 3)
     group.crash_probability = (0.0, 0.002, 0.004, 0.03)[seed % 4]
     group.play(20)
