--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -2,11 +2,11 @@
 
     python -m benchmarks.policy [--quick] [--out DIR] [--changes N] [--fronts N] [--keepers N] [--seed N]
 
-Clients send requests to every front throughout, and each answer shows the policy version that it was decided
-under. Policy changes run first without faults, then while fronts are killed, stopped and cut off at random;
-then leaders are killed. `old` counts answers under a version older than that of an earlier answer; it must be
-0. Times are in milliseconds unless a name says otherwise. The results for the journal are of one directory on
-its own.
+Policy changes run first without faults, then while fronts are killed, stopped and cut off at random; in both
+phases clients send requests to every front, and each answer shows the policy version that it was decided
+under. Then leaders are killed. `old` is 1 if a request was answered under a version older than that of an
+earlier answer, else 0; it must be 0. Times are in milliseconds unless a name says otherwise. The journal is
+measured separately, in a directory that no replica uses.
 """
 
 from __future__ import annotations
@@ -80,7 +80,7 @@
 
 
 def rejection_periods(history: list[Asked]) -> list[float]:
-    """Milliseconds of each period in which a front rejected all requests, until it served again."""
+    """Milliseconds of each period from a front's first rejected request to its next served one."""
     found, since = [], dict[str, float]()
     for asked in sorted(history, key=lambda a: a.ended):
         if asked.kind == "served":
@@ -137,9 +137,9 @@
 
 
 async def changes_under_faults(f: PolicyFleet, changes: int, mark: int, seed: int) -> dict[str, Any]:
-    """Makes policy changes while fronts fail, with one source of faults for every six fronts.
+    """Makes policy changes while fronts fail; one task for every six fronts injects the faults.
 
-    Changes that were withdrawn because too few fronts answered are counted apart.
+    Changes that were withdrawn because too few fronts answered are counted separately.
     """
     traffic = f.traffic()
     before, outcomes = len(activation_times(f.r)), list[ChangeOutcome]()
@@ -169,10 +169,11 @@
 
 
 def stale_answers(traffic: Traffic) -> int:
-    """1 if a request was answered under an older version than one answered before it was sent, else 0.
+    """Returns 1 if `check_invariants` fails, as it does for a request that is served under an older version
+    than that of an answer which arrived before the request was sent; else 0.
 
     Requests that took 0.5 s or longer are left out: a front that is stopped after it has accepted a request
-    decides it under the version of that time.
+    decides it under the version that was active when it accepted it.
     """
     traffic.history = [a for a in traffic.history if a.ended - a.began < 0.5]
     try:
--- a/benchmarks/tasks.py
+++ b/benchmarks/tasks.py
@@ -2,12 +2,12 @@
 
     python -m benchmarks.tasks [--quick] [--out DIR] [--takeovers N] [--fronts N] [--seed N]
 
-Runs real replicas and fronts, and a receiver that remembers fencing tokens. The lease holder is killed,
-stopped, cut off or terminated at random. In the result `gap_ms` is the time from the fault to the next push
-under a newer token. `old` counts pushes of a former lease holder that the receiver accepted after one of a
-newer holder, and `twice` counts accepted pushes with the same timestamp; both must be 0. `refused` counts
-pushes that the receiver rejected because they arrived late. Messages are counted in a single process, for
-many runners on a simulated clock. The leases of the processes last 1.5 s.
+Runs real replicas and fronts, and a receiver that checks fencing tokens. The lease holder is killed, stopped,
+cut off or terminated at random. In the result, `gap_ms` is the time from the fault to the next push under a
+newer token. `old` counts pushes of a former lease holder that the receiver accepted after one of a newer
+holder, and `twice` counts accepted pushes with the same timestamp; both must be 0. `refused` counts pushes
+that the receiver rejected because it had accepted a newer token before. Messages are counted separately, in
+one process that simulates many runners and their clock. The leases of the real processes last 1.5 s.
 """
 
 from __future__ import annotations
@@ -90,7 +90,7 @@
 
 
 def count_messages(runners: int, seconds: int) -> dict[str, Any]:
-    """Counts a leader's messages a second, in the first second after all runners connect and when idle."""
+    """Counts the messages a second to and from a leader, just after all runners connect and when idle."""
     lease_timing = LeaseTiming()
     now, index = 0.0, 1
     registers: dict[str, tuple[TaskAssignment, int]] = {}
--- a/tests/admission/test_floods.py
+++ b/tests/admission/test_floods.py
@@ -74,7 +74,7 @@
             await run_clients(clients(front, warm_up_count, homes), 2.3)
             async with flooded(front, kind, 3.3, addresses) as flood:
                 await run_clients(clients(front, count, homes, fresh=fresh), 2.2)
-            # Before admission by source was added, a front served 0.02 to 0.2 of them during a burst.
+            # Before admission by source was added, 0.02 to 0.2 of these requests were served during a burst.
             assert count.served >= 0.95, (count.ends, flood)
             assert count.answered_twice == flood.get("twice", 0) == count.lost == 0
             assert flood["connections"] > 50 and front.usage.descriptors <= 256 and front.usage.rss_mb <= 96
@@ -92,10 +92,10 @@
             warm_up_count, count = rig.ClientResults(), rig.ClientResults()
             await run_clients(clients(dying, warm_up_count), 1.0)
             async with flooded(other, "burst", 5.0), flooded(dying, "burst", 4.5):
-                # Like a dead machine: its connections stay open and silent.
+                # As after the failure of a machine, the connections of the front stay open and silent.
                 os.kill(dying.pid, signal.SIGSTOP)
                 moved_clients: list[rig.SteadyClient] = clients(other, count)
-                await run_clients(moved_clients, 3.0)  # the other front has not seen them before
+                await run_clients(moved_clients, 3.0)  # their addresses are new to the other front
             os.kill(dying.pid, signal.SIGCONT)
             start = min(at for at, _ in count.at)
             from_second_two = [good for at, good in count.at if at >= start + 1.0]
--- a/tests/admission/test_reputation.py
+++ b/tests/admission/test_reputation.py
@@ -41,7 +41,7 @@
 
 
 def test_an_address_shared_by_many_users_is_not_limited_when_a_few_misbehave() -> None:
-    # For example a terminal whose users share one address: some of many users always misbehave.
+    # The users of a terminal, for example, share one address, and among many users a few always misbehave.
     admission, now = source_admission(sockets=1024), become_known(source_admission(), KNOWN_HOST, 0.0)
     slot = admit(admission, KNOWN_HOST, now)
     assert slot
@@ -66,7 +66,8 @@
                     waiting_slots.add(slot)
                 elif open_request(admission, slot, now) is RejectionReason.NONE:
                     admission.request_closed(slot, now, True)
-        # The message of each of these slots has been charged already, and its client has the next one ready.
+        # The waiting message of each of these slots has been charged already. Its client sends the next one
+        # as soon as it is answered.
         for slot in admission.tick(now, 0.0).to_read:
             waiting_slots.discard(slot)
             if open_request(admission, slot, now) is RejectionReason.NONE:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,7 +1,7 @@
 """Runs replicas and fronts as real processes, with a TCP relay on each link, and injects faults into both.
 
-Tests wait for an observable state with `ProcessCluster.until`, not for a fixed time. It fails with the logs
-of all processes if the state does not occur. All processes are killed at the end of a test.
+Tests wait for an observable state with `ProcessCluster.until`, not for a fixed time. `until` fails with the
+logs of all processes if the state does not occur. All processes are killed at the end of a test.
 """
 
 from __future__ import annotations
@@ -57,8 +57,8 @@
         self.blocked: set[str] = set()
         self.delay = 0.0
         self.held_chunks = 0  # chunks that are held in a blocked direction
-        # If the next chunk in direction "to" is longer than this, only so many of its bytes are forwarded and
-        # the connection is reset. -1: off.
+        # Of the next chunk in direction "to" that is longer than this, only this many bytes are forwarded;
+        # then the connection is reset. -1: off.
         self.bytes_before_reset = -1
         self._streams: set[anyio.abc.SocketStream] = set()
         self._changed = anyio.Event()
@@ -200,7 +200,8 @@
 
     def __init__(self, folder: Path, tasks: anyio.abc.TaskGroup, drift: float = 0.0) -> None:
         self._folder, self._tasks = folder, tasks
-        # If not 0, fronts' clocks run slow and replicas' clocks fast by this share, and times of day jump.
+        # If not 0, the clocks of fronts run slow and those of replicas fast by this fraction, and the time of
+        # day jumps in all processes.
         self.drift = drift
         self.processes: dict[str, Process] = {}
         self.ports: dict[str, int] = {}
@@ -260,8 +261,9 @@
         (folder / "tmp").mkdir(parents=True)
         address = f"127.0.0.1:{port}"
         data = configuration([c.endpoint() for c in caches], name=name, listen=address, control="127.0.0.1:0")
-        # A purge one hour ago that may still be incomplete makes each attempt carry the maximum age of an
-        # acceptable copy. That is the class's fresh time, which shows under which policy it was decided.
+        # An attempt carries the maximum age of an acceptable copy while a purge may not have reached all
+        # caches yet. `goneEverywhere` keeps this purge, which is one hour old, in that state. The age sent is
+        # then the class's fresh time, which shows under which policy the request was decided.
         data["settings"] = merged(SETTINGS, settings)
         data["settings"]["domain"] = data["settings"]["domain"] | {"goneEverywhere": 80_000.0}
         hour_ago = int((time.time() - 3600) * 1000)
@@ -284,7 +286,10 @@
         return process
 
     async def start_front(self, name: str) -> None:
-        """Starts a front and waits until it listens; it serves once it has received the policy."""
+        """Starts a front and waits until it listens.
+
+        A front that follows the policy serves only after it has received the policy.
+        """
         process = self.processes[name]
         process.start()
         (event, *_) = await self.until(f"{name} listens", lambda: process.events("ready"))
@@ -293,9 +298,9 @@
         self.control_ports[name] = event["operators"][1]
 
     def _reserve(self, port: int) -> None:
-        """Reserves a front's port while the front is down, because clients still connect to it.
+        """Binds a front's port until the test ends, as clients still connect to it while the front is down.
 
-        SO_REUSEADDR is not set on this socket, so that the system does not give the port to a listener of
+        SO_REUSEADDR is not set on this socket: otherwise the system could give the port to a listener of
         another test, which has happened.
         """
         sock = socket.socket()
@@ -377,7 +382,10 @@
         return entry
 
     async def change(self, mark: int, **settings: Any) -> ChangeLogEntry:
-        """Proposes a change until a proposal is stored, waits until it ends, and returns its log entry."""
+        """Repeats a proposal until it is stored, waits until the change ends, and returns its log entry.
+
+        If the reply to a proposal was lost, its change may already be active; it is found in the change log.
+        """
         while True:
             try:
                 version, _ = await self.propose(mark, **settings)
@@ -402,7 +410,7 @@
     # Replicas -------------------------------------------------------------------------------------
 
     async def replica(self, name: str, founders: list[str], others: list[str]) -> Process:
-        """Writes the file of a replica that reaches each other replica through a relay; does not start it."""
+        """Writes the file of a replica, which reaches the others through relays, and does not start it."""
         folder = self._folder / name
         folder.mkdir()
         lines = [
@@ -452,9 +460,13 @@
         await self.start(name)
 
     def cut(self, name: str, *, heard: bool = True, hears: bool = True) -> None:
-        """Blocks what a replica sends to the others (`heard`), what they send to it (`hears`), or both."""
+        """Blocks what a replica sends to other replicas (`heard`), what is sent to it (`hears`), or both.
+
+        `hears` also blocks its replies to fronts.
+        """
         for (a, b), relay in self.relays.items():
-            # Messages from a to b use the connection that a opened; only b's handshake goes "back" on it.
+            # A replica a sends messages to a replica b on the connection that a opened; only b's handshake
+            # goes "back" on it.
             if a == name and heard:
                 relay.hold("to", "back")
             if b == name and hears:
@@ -509,7 +521,7 @@
 
 
 def free_port() -> int:
-    """Returns a free port below the system's ephemeral range, which it gives to no other socket by itself."""
+    """Returns a free port below the ephemeral range, so that the system assigns it to no other socket."""
     while True:
         port = random.SystemRandom().randrange(10_000, 30_000)
         with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
@@ -525,7 +537,7 @@
 
 
 async def answer_with_cap(_: StubCache, fetch: Fetch) -> None:
-    """A cache that answers with the request's `cap`, which shows the policy that it was decided under."""
+    """Answers a fetch with its `cap`, which shows under which policy the request was decided."""
     await fetch.answer(200, "tell=local,rev=aa,since=1", fetch.fields.get("cap", "0").encode())
 
 
@@ -565,7 +577,7 @@
                 tasks.start_soon(self._client, name)
 
     async def _client(self, name: str) -> None:
-        number = retries = 0  # the request to send (0: a new one), and how often it was retried
+        number = retries = 0  # the request to retry (0: send a new one), and how often it was retried
         while self.running:
             began = anyio.current_time()
             try:
@@ -606,9 +618,10 @@
         return [a for a in self.history if a.front == name and a.began > when]
 
     def check_invariants(self) -> None:
-        """Checks that each request has one answer and that versions are linearizable.
+        """Checks that each answer is to the request sent, of an expected kind, and under no outdated policy.
 
-        A request that begins after an answer has arrived is never served under an older policy, at any front.
+        A request that begins after an answer has arrived may not be served under an older policy than that
+        answer, at any front.
         """
         assert {a.kind for a in self.history} <= {"served", "booked", "Throttled", "Broken", "lost"}
         served = sorted((a for a in self.history if a.kind == "served"), key=lambda a: a.ended)
--- a/tests/routing/test_imports.py
+++ b/tests/routing/test_imports.py
@@ -8,7 +8,7 @@
 
 from tests.support.imports import PACKAGE, imported
 
-# The modules of `routing`, each with the modules of `routing` that it imports, in order of dependency.
+# The modules of `routing` in order of dependency, each with the modules of `routing` that it imports.
 ALLOWED_IMPORTS = {
     "budgets": "interface",
     "capacity": "",
--- a/tests/support/front_world.py
+++ b/tests/support/front_world.py
@@ -26,7 +26,7 @@
     coordinator: Coordinator
     listening: ListeningAddresses
     tasks: anyio.abc.TaskGroup
-    stopping: anyio.Event = field(default_factory=anyio.Event)  # what SIGTERM sets
+    stopping: anyio.Event = field(default_factory=anyio.Event)  # setting it stops the front, as SIGTERM does
 
 
 @contextlib.asynccontextmanager
@@ -38,7 +38,10 @@
     operator: dict[str, Any] | None = None,
     **more: Any,
 ) -> AsyncIterator[RunningFront]:
-    """Runs a front with one cache for each script, one parent and the origin (the last two of `caches`)."""
+    """Runs a front with one cache for each script, one parent and the origin (the last two of `caches`).
+
+    If `endpoints` is given, it replaces all of them.
+    """
     caches = [StubCache(f"s-{i + 1:08x}", 0, script) for i, script in enumerate(scripts)]
     caches += [StubCache("s-000000a0", 1), StubCache("s-000000b0", 2, origin)]
     caches = endpoints or caches
@@ -48,7 +51,7 @@
             await tasks.start(cache.run)
         await tasks.start(coordinator.run)
         config = parse_config(configuration([c.endpoint() for c in caches], coordinator.port, **more))
-        # The settings of a test may have other classes than the hosts of DNS_HOSTS.
+        # Hosts of DNS_HOSTS are left out if the settings of the test lack their class.
         known = [h for h in DNS_HOSTS if h["class"] in config.names.classes]
         table = ({"dns": DNS | {"host": known + (hosts or [])}} if known else {}) | (operator or {})
         stopping = anyio.Event()
--- a/tests/support/policy_states.py
+++ b/tests/support/policy_states.py
@@ -1,4 +1,4 @@
-"""A small state space of the policy: a coordinator and a few participants, with few changes and faults."""
+"""A small state space of the policy: a coordinator and a few fronts, with a limit on changes and faults."""
 
 from __future__ import annotations
 
--- a/tests/support/raft_simulation.py
+++ b/tests/support/raft_simulation.py
@@ -31,7 +31,7 @@
 from zincladder.consensus.raft_state import RaftTiming, Role
 
 TIMING = RaftTiming(heartbeat_seconds=0.5, election_timeout_seconds=2.0)
-# Small enough that a snapshot is sent in several chunks, and the log grows in between.
+# The chunks are so small that a snapshot is sent in several of them, between which the log can grow.
 snapshot_transfer.SNAPSHOT_CHUNK_BYTES = 24
 
 
@@ -41,7 +41,7 @@
 
 @dataclass
 class SimulatedDisk:
-    """What a node has written, in the form in which its journal would return it."""
+    """The state that a node has written to disk, as it would be read back from a journal."""
 
     hard_state: HardState
     snapshot: Snapshot
@@ -162,7 +162,7 @@
             self.schedule(max(0.01, wait), lambda: self._run_timer(process, incarnation))
 
     def process_output(self, process: SimulatedReplica) -> None:
-        """Carries out the node's output as the server does; a crash may come before or after the write."""
+        """Carries out the node's output as the server does; may crash before or after the write to disk."""
         node = process.node
         assert node is not None
         output = node.take_output()
@@ -238,7 +238,7 @@
     # Clients and operators ------------------------------------------------------------------------
 
     def leader(self) -> SimulatedReplica | None:
-        """Returns a replica that considers itself the leader, even if another one leads by now, or None."""
+        """Returns a running replica in the leader role, which a newer leader may have replaced, or None."""
         running = [p for p in self.processes.values() if p.node and not p.paused]
         leaders = [p for p in running if p.node and p.node.role is Role.LEADER]
         return self.random.choice(leaders) if leaders else None
@@ -263,7 +263,7 @@
         self.process_output(process)
 
     def write(self, process: SimulatedReplica) -> None:
-        """Proposes a new value at this replica on behalf of a client, if it considers itself the leader."""
+        """Proposes a new value at this replica on behalf of a client, if its role is leader."""
         value = f"v{next(self._values)}"
         if process.node is None or process.node.role is not Role.LEADER:
             return
@@ -272,7 +272,7 @@
             self.process_output(process)
 
     def read(self, process: SimulatedReplica) -> None:
-        """Starts a read at this replica on behalf of a client, if it considers itself the leader."""
+        """Starts a read at this replica on behalf of a client, if its role is leader."""
         ticket = next(self._tickets)
         if process.node is None or process.node.role is not Role.LEADER:
             return
@@ -306,8 +306,10 @@
     # Faults ---------------------------------------------------------------------------------------
 
     def inject_fault(self) -> None:
-        """Causes one random event: a crash, pause, partition, its end, message loss, compaction or membership
-        change.
+        """Causes at most one random event.
+
+        The events are a crash, a pause, the cut of one link, a partition, the end of all cuts, a new rate of
+        message loss, a compaction and a membership change.
         """
         r, names = self.random, sorted(self.processes)
         process = self.processes[r.choice(names)]
@@ -339,7 +341,9 @@
             return
         process.paused = False
         delayed_messages, process.delayed_messages = process.delayed_messages, []
-        if self.random.random() < 0.5:  # its links were reset during the pause, and clients reconnect first
+        # In half of the cases the links were reset during the pause: the delayed messages are lost, and
+        # requests of clients arrive before any message of another replica.
+        if self.random.random() < 0.5:
             delayed_messages.clear()
             self.read(process)
             self.write(process)
@@ -347,7 +351,7 @@
             self.deliver(sender, process.name, message)
 
     def play(self, seconds: float, every: float = 0.5) -> None:
-        """Issues requests and faults about every `every` seconds for `seconds`, then heals and checks."""
+        """Issues requests and faults for `seconds`, on average at intervals of `every`; heals and checks."""
         end = self.now + seconds
         while self.now < end:
             self.run(self.now + self.random.uniform(0, 2 * every))
--- a/tests/support/raw_client.py
+++ b/tests/support/raw_client.py
@@ -16,7 +16,7 @@
 
 @contextlib.contextmanager
 def raw_connection(w: RunningFront) -> Iterator[socket.socket]:
-    """Yields a client's non-blocking socket; calls on it take effect before the front's loop runs again."""
+    """Yields a client's non-blocking socket; calls on it do not let the front's event loop run."""
     with socket.create_connection(w.listening.clients) as sock:
         sock.setblocking(False)
         yield sock
@@ -49,7 +49,7 @@
 
 
 async def receive_all(sock: socket.socket) -> bytes:
-    """Reads until the front closes the connection; raises ConnectionResetError if it resets it."""
+    """Reads until the front closes the connection; raises ConnectionResetError if it is reset."""
     received = b""
     with anyio.fail_after(5):
         while True:
--- a/tests/support/task_states.py
+++ b/tests/support/task_states.py
@@ -1,7 +1,7 @@
 """A small state space of a singleton task: a lease manager, lease holders, and effects that can be delayed.
 
-A lease holder that may act sends an effect. It can be delayed for any time, as in a socket's buffer or in a
-process that is paused, before it arrives at a receiver that checks fencing tokens.
+A process sends effects while its lease allows it to act. An effect can be delayed for any time, as in a
+socket's buffer or in a process that is paused, before it arrives at a receiver that checks fencing tokens.
 """
 
 from __future__ import annotations
@@ -133,5 +133,5 @@
 
 
 def taken_over(state: TaskStateSpace) -> bool:
-    """Returns whether a second lease holder could act."""
+    """Returns whether a process could act under a second lease; the token of the first one is 2."""
     return state.highest_active_token > 2
