--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -3,8 +3,8 @@
     python -m benchmarks.costs [--quick] [--out DIR] [--before CHECKOUT] [--rounds N]
 
 Results are CPU microseconds of the front's process for each request or connection: the median, the least and
-the most of the rounds. The versions alternate (A B A B). 'off' and 'on' are this checkout without and with
-admission by source.
+the most of the rounds. Requests are measured with several versions, which alternate (A B A B): 'off' and
+'on' are this checkout without and with admission by source, and 'before' is the checkout that --before names.
 """
 
 from __future__ import annotations
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,10 +1,11 @@
-"""Measures the CPU time of routing one request: its arrival, its attempt's end and its timer.
+"""Measures how long a router takes for one request: its arrival, its attempt's end and its timer.
 
     python -m benchmarks.routing [--quick] [--out DIR]
 
-A router in a location with eight caches and six parents handles steady traffic, of which 70% are hits. The
-results are microseconds for one request, as the least and the median of the rounds, with and without known
-weights of endpoints and known sizes of objects.
+A router with eight caches in its location and six parents in another handles steady traffic, of which 70% are
+hits. The timers of every second request fire. The router is measured with known and with unknown weights of
+endpoints, and both with known and with unknown sizes of objects. The results are the least and the median of
+the rounds, in microseconds of wall-clock time for one request.
 """
 
 from __future__ import annotations
@@ -77,7 +78,7 @@
         self.in_flight: deque[api.Fetch | api.Lookup] = deque()
 
     def run(self, requests: int) -> float:
-        """Returns the microseconds that the router took for one request."""
+        """Returns the microseconds that the router took for one request, on average."""
         self.handle(api.EndpointUpdate(api.UpdateKind.FULL, 1, ENDPOINTS))
         self.spent_seconds = 0.0
         for request_id in range(requests):
--- a/tests/dns/test_dns.py
+++ b/tests/dns/test_dns.py
@@ -1,4 +1,4 @@
-"""The DNS front: routed answers over UDP and TCP, also to clients behind a caching resolver."""
+"""Tests the DNS front: routed answers over UDP and TCP, also to clients behind a caching resolver."""
 
 from __future__ import annotations
 
@@ -181,4 +181,5 @@
     query = dns.message.make_query(PAPERS, "SRV").to_wire()
     data = answers.respond(query, core.clock.now() - age)
     assert data and dns.message.from_wire(data).rcode() == code
-    assert answers.respond(data, core.clock.now()) is None  # two servers could answer each other for ever
+    # A response gets no answer: otherwise two servers could answer each other for ever.
+    assert answers.respond(data, core.clock.now()) is None
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -1,4 +1,4 @@
-"""Races at the end of connections, requests and the process, over loopback sockets.
+"""Tests races at the end of connections, requests and the process, over loopback sockets.
 
 Each race is forced by a patched method, so that no test depends on timing to hit it.
 """
@@ -51,7 +51,7 @@
 
 
 def refuses_connections(w: RunningFront) -> bool:
-    """Whether the front does not accept connections any more."""
+    """Returns whether the front refuses a new connection."""
     with socket.socket() as sock:
         return sock.connect_ex(w.listening.clients) == errno.ECONNREFUSED
 
@@ -60,7 +60,7 @@
 
 
 def _idle(w: RunningFront, sock: socket.socket) -> None:
-    """Does nothing: the idle timeout is short."""
+    """Does nothing, so that the front closes the connection at the idle timeout, here 0.1 s."""
 
 
 def _stop(w: RunningFront, sock: socket.socket) -> None:
@@ -115,8 +115,8 @@
 async def test_open_requests_are_answered_before_the_process_is_killed(
     deadline: float, counted: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # SIGKILL follows the longest deadline, of which at most `counted` seconds count. Requests that are open
-    # shortly before are answered as failed.
+    # After SIGTERM the platform waits for the longest deadline, but for `counted` seconds at most, and sends
+    # SIGKILL soon after. Requests that are still open shortly before SIGKILL are answered as failed.
     monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
     monkeypatch.setattr("zincladder.net.client_server.MAX_COUNTED_TIMEOUT_SECONDS", counted)
     monkeypatch.setattr("zincladder.net.client_server.FAIL_REQUESTS_AFTER_SECONDS", 0.05)
@@ -258,8 +258,9 @@
 async def test_an_accepted_socket_is_non_blocking_before_anything_reads_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A front with all descriptors in use once stopped answering, without a log line: it was blocked in a read
-    # of an idle connection that was to be evicted, and whose task had not made it non-blocking yet.
+    # A front with all descriptors in use once stopped answering, without a log line. It was about to evict an
+    # idle connection, and blocked in a read of it, because the connection's task had not made the socket
+    # non-blocking yet.
     blocking: list[bool] = []
     add = ClientServer._add
 
@@ -300,7 +301,8 @@
 async def test_a_client_that_retries_at_once_after_a_rejection_is_closed_at_shutdown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The periodic check always runs too late: the client's next request has arrived already.
+    # The periodic check alone would never close the connection: whenever it runs here, the client's next
+    # request has already arrived.
     monkeypatch.setattr("zincladder.net.client_server.ACCEPT_AFTER_STOP_SECONDS", 0.01)
     monkeypatch.setattr("zincladder.net.client_server.DRAIN_INTERVAL_SECONDS", 60.0)
     drain, asked, cores = ClientServer._drain, [1], record_cores(monkeypatch)
@@ -323,7 +325,7 @@
                 answers += 1
                 asked.append(len(asked) + 1)
                 sock.sendall(request(asked[-1]))
-        assert len(asked) - 2 <= answers <= len(asked) - 1  # at most one request crossed the close
+        assert len(asked) - 2 <= answers <= len(asked) - 1  # at most one request was in transit at the close
         assert cores[0].counts["client_ends", "idle"] == 1 and len(w.caches[0].fetches) == 1
 
 
@@ -446,8 +448,8 @@
     "after",
     [
         [("video", SAFE), ("page", ONCE), ("booking", SAFE)],  # the same classes with other rules
-        [("booking", SAFE), ("page", ONCE), ("video", SAFE)],  # also in another order
-        [("booking", SAFE), ("page", ONCE)],  # also without one class, whose number is free
+        [("booking", SAFE), ("page", ONCE), ("video", SAFE)],  # with other rules and in another order
+        [("booking", SAFE), ("page", ONCE)],  # also without 'video', whose number stays reserved
     ],
 )
 async def test_open_requests_keep_their_rules_when_the_settings_change(
--- a/tests/plugin/test_transport.py
+++ b/tests/plugin/test_transport.py
@@ -1,4 +1,4 @@
-"""The Thrift plug-in with a running front and stub endpoints that speak framed Thrift."""
+"""Tests the Thrift plug-in with a running front and stub endpoints that use framed Thrift."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 @contextmanager
 def front_with_thrift_endpoints() -> Iterator[tuple[RunningFront, list[ThriftEndpoint], BlockingPortal]]:
-    """A front whose endpoints speak Thrift: two caches, a parent and, last, the origin."""
+    """Runs a front with four Thrift endpoints: two caches, a parent and, last, the origin."""
     endpoints = [ThriftEndpoint(f"s-{i:08x}", kind) for i, kind in enumerate((0, 0, 1, 2), 1)]
     for endpoint in endpoints:
         endpoint.reset_runs()
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""The router: final answers, determinism, and a large fleet."""
+"""Tests the router: final answers, determinism, and a large fleet."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_settings_change.py
+++ b/tests/routing/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Settings that change while requests are pending, or because a front has more processes."""
+"""Tests settings that change while requests are pending, or because a front has more processes."""
 
 from __future__ import annotations
 
--- a/tests/support/fleet_judge.py
+++ b/tests/support/fleet_judge.py
@@ -14,14 +14,14 @@
 
     def __init__(self, min_agreeing_share: float) -> None:
         self.min_agreeing_share = min_agreeing_share
-        self.agreed: set[tuple[str, str]] = set()  # (front, document) where the front accepted the document
+        self.agreed: set[tuple[str, str]] = set()  # (front, document that it accepted)
         self.objections_heard: set[tuple[str, int, str]] = set()  # (leader, its term, document objected to)
         self.decided: dict[int, str] = {}  # version -> document
-        self.expected_at_proposal: dict[int, int] = {}  # version -> expected fronts when it was proposed
+        self.expected_at_proposal: dict[int, int] = {}  # version -> number of fronts expected at its proposal
         self.highest_served = 0  # the highest version that was served
 
     def check_serving(self, versions: Mapping[str, int]) -> None:
-        """Checks the versions under which fronts serve at one moment, by front."""
+        """Checks `versions`, which has for each front the version under which it serves at one moment."""
         if len(set(versions.values())) > 1:
             raise InvariantError(f"fronts serve under two versions: {versions}")
         for version in set(versions.values()):
--- a/tests/support/front_hooks.py
+++ b/tests/support/front_hooks.py
@@ -27,7 +27,10 @@
 
 
 def on_connect(monkeypatch: pytest.MonkeyPatch, callback: Callable[[int], None]) -> None:
-    """Calls `callback` with a running number when a connection to a cache opens, before anything is sent."""
+    """Calls `callback` when a connection to a cache has opened, before anything is sent on it.
+
+    Its argument is the number of connections to caches that have opened since the hook was set.
+    """
     made = 0
 
     async def connect_and_notify(host: str, port: int) -> socket.socket:
--- a/tests/support/state_space.py
+++ b/tests/support/state_space.py
@@ -3,8 +3,8 @@
 The replica group is modelled as registers whose writes are applied one at a time or are lost with their
 leader; other tests show that a real group behaves so. Links deliver messages in order and lose those in
 transit when they break. From each state every possible event is tried, no state is visited twice, and the
-invariants are checked in every state. The clock advances by one second without drift, so that deadlines
-coincide.
+invariants are checked in every state. The clock advances in steps of one second, without drift, so that
+deadlines coincide.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
     """How many events of each kind may still happen, and the last second of the clock."""
 
     changes: int = 1
-    leader_changes: int = 0  # changes of leader
+    leader_changes: int = 0
     kills: int = 0
-    link_breaks: int = 0  # of links
+    link_breaks: int = 0
     until: int = 5
     unrelated_entries: int = 0  # log entries that do not change the registers of the model
 
 
 @dataclass
 class ProcessState:
-    """A process and its link: 0 if there is none, and a negative number if it leads to a former leader."""
+    """A process. The number of its link is 0 without a link, and negative if it leads to a former leader."""
 
     participant: Any
     generation: int = 1
@@ -75,7 +75,7 @@
 
     @abstractmethod
     def leader_actions(self) -> tuple[list[tuple[int, Any]], list[Any]]:
-        """Takes the leader's messages, each with the number of its link, and the leader's writes."""
+        """Removes and returns the leader's messages, each with the number of its link, and its writes."""
 
     @abstractmethod
     def carry_out(self, process: ProcessState) -> None:
@@ -187,7 +187,7 @@
         self.advance_leader()
 
     def change_leader(self, surviving_writes: int) -> None:
-        """Replaces the leader; its log has the first `surviving_writes` pending writes, and no others."""
+        """Replaces the leader by one whose log has only the first `surviving_writes` pending writes."""
         self.adjust_remaining(leader_changes=-1)
         for write in self.pending[:surviving_writes]:
             self.apply_write(write)
@@ -230,10 +230,10 @@
 def search(
     first: StateSpace, max_states: int = 10**9, matches: Callable[[Any], bool] = bool
 ) -> tuple[int, int]:
-    """Visits all reachable states depth first, none of them twice, until `max_states` have been found.
+    """Visits all reachable states depth first, none of them twice, until at least `max_states` are found.
 
-    Returns the number of states and how many of them are `matches`. Raises InvariantError if one violates an
-    invariant.
+    Returns the number of states, and for how many of them, except the first, `matches` returns true. Raises
+    InvariantError if a state violates an invariant.
     """
     first.check_invariants()
     seen, stack, count = {hash(first.key())}, [first], 0
@@ -254,7 +254,7 @@
 def walk(first: StateSpace, seed: int, steps: int) -> None:
     """Runs one random sequence of at most `steps` events, and checks the invariants after each of them.
 
-    With some seeds the clock advances less often.
+    With some seeds the clock's event is chosen less often, so that more other events happen in one second.
     """
     generator = random.Random(seed)
     skip_time = generator.choice((0.0, 0.5, 0.8, 0.95))
--- a/tests/support/stub_coordinator.py
+++ b/tests/support/stub_coordinator.py
@@ -14,7 +14,7 @@
 class Coordinator:
     """Stores events and streams them to each front that connects.
 
-    `after` has, for each connection, the event number after which the front asked to start.
+    `after` has, for each connection, the number that the front sent to ask for events with higher numbers.
     """
 
     port: int = 0
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,7 @@
-"""Runs the same tests over sockets under the settings of each deployment that DEPLOYMENTS lists."""
+"""Tests fronts over sockets with the settings of DEPLOYMENTS.
+
+Tests marked `each_deployment` run with each of them.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """The settings of a deployment, its request classes used here, and fields of its clients."""
+    """The settings of a deployment, the two of its request classes that the tests use, and client fields."""
 
     settings: dict[str, Any]
     read: str  # a request class that caches keep
@@ -43,9 +46,10 @@
 
 
 def _second_settings() -> dict[str, Any]:
-    """Writes with idempotency keys, sizes of objects, load reports in answers, listed weights and two hubs.
+    """Returns the settings of the second deployment.
 
-    No health checks and no second copies.
+    It has writes with idempotency keys, sizes of objects, load reports in answers, listed weights and two
+    hubs, but no health checks and no second copies.
     """
     found = copy.deepcopy(SETTINGS)
     found["categories"][1] |= {"name": "asset", "onTime": 0.25}
@@ -70,7 +74,7 @@
 @each_deployment
 async def test_every_attempt_carries_name_body_and_key_of_its_request(deployment: Deployment) -> None:
     async def answer_not_found(_: StubCache, fetch: Fetch) -> None:
-        await fetch.answer(404)  # says that the write did not run, so it is retried
+        await fetch.answer(404)  # a 404 means that the write did not run, so it is retried
 
     async with (
         running_front(serve, origin=answer_not_found, settings=deployment.settings) as w,
@@ -156,7 +160,7 @@
     async with running_front(serve, settings=deployment.settings) as w, client(w) as c:
         await c.ask(route=deployment.read, **deployment.fields)
         assert (await c.reply()).kind == "served"
-        assert "size" not in w.caches[0].fetches[0].fields  # it is not sent to caches, which know it
+        assert "size" not in w.caches[0].fetches[0].fields  # it is not sent to caches, which have it already
     sizes = [e.size_kb for e in router_events if isinstance(e, api.Request)]
     assert sizes == [float(deployment.fields.get("size", 0))]
 
@@ -225,7 +229,7 @@
         drained = w.caches[-2 if as_source else 0]
 
         async def requests_involving_drained(first: int) -> int:
-            """Sends 24 requests; counts all fetches so far that reached the endpoint or had it as source."""
+            """Sends 24 requests; counts all fetches so far that reached `drained` or had it as source."""
             for n in range(first, first + 24):
                 await c.ask(entity=f"{n:016x}", **({"route": deployment.read} | deployment.fields))
                 assert (await c.reply()).kind == "served"
@@ -322,7 +326,10 @@
 
 
 async def received_for(client_fields: dict[str, str], router_events: list[api.Event]) -> list[Any]:
-    """What the caches and the Router receive for one request; the limit is rounded, as it varies."""
+    """Returns what the caches and the Router receive for one request.
+
+    The limit varies between runs, so it is returned in whole units of 300 ms.
+    """
     router_events.clear()
     async with running_front(serve, settings=second.settings) as w, client(w) as c:
         await c.ask(**client_fields)
@@ -447,7 +454,7 @@
 
 
 def test_every_setting_is_read_or_has_a_reason_not_to_be() -> None:
-    # Another deployment may set keys that these leave out, so each unused key needs a reason.
+    # Other deployments may set keys that those of DEPLOYMENTS leave out, so each unused key needs a reason.
     read: set[str] = set()
     for path in [*Path("zincladder").rglob("*.py")]:
         if path.parent.name == "config" or path.name == "interface.py":
@@ -480,7 +487,7 @@
 def test_a_stall_of_the_process_does_not_affect_the_comparison(monkeypatch: pytest.MonkeyPatch) -> None:
     # On a busy machine the process stalled for 0.116 s while an answer was in flight. The core subtracts its
     # own stalls from the latency of an attempt; the Router on its own has no process that could stall.
-    # Every late tick counts as a stall.
+    # With a threshold of 0, every late tick counts as a stall.
     monkeypatch.setattr("zincladder.core.loop_monitor.STALL_SECONDS", 0.0)
     found = difference(DEPLOYMENTS["first"].settings, seed=1, steps=100)
     assert isinstance(found, int) and found > 100, found
@@ -488,7 +495,8 @@
 
 @pytest.mark.parametrize("dropped", ["fill_wait", "size_kb", "fill_outcome", "repeat"])
 def test_a_field_that_the_network_code_drops_is_named(dropped: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Each field is dropped on purpose. The loss of fill_wait and size_kb hurt the second deployment most.
+    # The test drops one field on purpose. Of these losses, those of fill_wait and size_kb harmed the second
+    # deployment most.
     if dropped in ("fill_wait", "fill_outcome"):
         rows = tuple(
             dataclasses.replace(r, attribute="") if r.attribute == dropped else r
@@ -509,7 +517,7 @@
 class KeyedOrigin:
     """An origin that drops repeats of a write by their key for `window` seconds.
 
-    It closes the connection instead of answering the first `lost` requests.
+    The first `lost` requests get no answer: their connection is closed after 0.1 s.
     """
 
     def __init__(self, window: float = 6.0, lost: int = 1) -> None:
@@ -547,7 +555,8 @@
 
 @pytest.mark.parametrize("killed", [True, False])
 async def test_a_clients_retry_at_another_front_runs_a_write_once(killed: bool) -> None:
-    # A front is killed or cut off from its client after it sent the write. The client retries with its key.
+    # A front that has sent a write to the origin is killed, or loses the connection to its client. The client
+    # retries with the same key.
     keyed_origin, front_scope = KeyedOrigin(lost=0), anyio.CancelScope()
 
     async def run_second_front(
