--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -2,9 +2,10 @@
 
     python -m benchmarks.decisions [--quick] [--out DIR]
 
-A million addresses connect once each, among a hundred that connect again and again and eight known ones.
-Times are the median of batches of 1,000 decisions, in microseconds. Memory is what tracemalloc counts for the
-table of sources alone.
+Of a million connections, nine in ten come from random addresses, and one in ten from a hundred addresses that
+connect again and again. Eight further addresses are known from the start. Times are the median and the 95th
+percentile of batches of 1,000 decisions, in microseconds per decision. Memory is what tracemalloc counts for
+the admission object with its table of sources, and for the dict.
 """
 
 from __future__ import annotations
@@ -56,7 +57,7 @@
 
 
 def timed(step: Callable[[str, float], Any], names: list[str], now: float, every: float) -> dict[str, float]:
-    """Microseconds of one step, measured in batches; `every` is the time between two steps in seconds."""
+    """Times batches of steps, in microseconds per step; `every` is the simulated time between steps in s."""
     found = []
     for start in range(0, len(names), BATCH):
         batch = names[start : start + BATCH]
@@ -131,7 +132,7 @@
     result["dict_bytes_a_record"] = round(each)
     result["dict_mb_at_all_addresses"] = round(each * result["dict_recorded"] / 1e6, 1)
 
-    # One request of a known client without load: checked before it is read, then opened and closed.
+    # Each step is one request of a known client without other load: it is checked, read, opened and closed.
     admission, now = with_known_sources()
     slot = admission.open_slot(admission.connect(known[0], now), now)
 
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,7 +1,8 @@
 """Floods a front from a process of its own: `python -m benchmarks.flood KIND HOST PORT SECONDS ADDRESSES`.
 
-At its end it prints one JSON object: connections made, requests sent, answers by kind, and requests that were
-answered twice.
+At its end it prints one JSON object with the numbers of connections made, requests sent, answers by kind,
+answers to `status`, second answers to a request ("twice"), and requests whose connection ended before they
+were answered ("closed", not counted for slow readers).
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 class Flood:
-    """Keeps 400 clients of one kind connecting until its time is over."""
+    """Runs 400 clients of one kind, each of which reconnects when its connection ends, until time is over."""
 
     def __init__(self, kind: str, host: str, port: int, until: float, sources: list[str]) -> None:
         self._kind, self._target, self._until, self._sources = kind, (host, port), until, sources
@@ -56,7 +57,7 @@
             await asyncio.sleep(min(pause, left))
 
     async def _connect(self) -> None:
-        # A small buffer, so that 400 connections that read nothing fill up.
+        # The read buffer is small, so that the 400 connections fill up when nothing reads from them.
         reader, writer = await asyncio.open_connection(
             *self._target, local_addr=(random.choice(self._sources), 0), limit=1 << 16
         )
--- a/tests/admission/test_lrfu.py
+++ b/tests/admission/test_lrfu.py
@@ -22,7 +22,7 @@
             assert least is not None and least is not regular
             sources.remove(least)
     sources.record_access(regular, 60.0)
-    for i in range(4000, 6000):  # without further accesses it is removed, as its count halves every 20 s
+    for i in range(4000, 6000):  # `regular` is not accessed again and is removed: its count halves every 20 s
         once = Source(i)
         sources.record_access(once, 60.0 + i * 0.1)
         sources.add(once)
--- a/tests/core/test_late_attempts.py
+++ b/tests/core/test_late_attempts.py
@@ -1,12 +1,13 @@
 """An attempt is not sent if its client has disconnected, or its deadline has passed, before its first byte.
 
-Fronts with a late event loop once forwarded requests of clients that had disconnected; the endpoints found
-them expired 1 ms after they arrived. The attempts had been decided in time, and the deadline passed while
-their connections were established. The timer, message or cancellation that ends an attempt waits for its turn
-in the event loop, and the first byte does not. So the deadline and the client are checked just before it.
-
-Each test causes one of these ends at the moment at which the connection is established. Without the check the
-attempt is sent, with a limit of 1 ms if its deadline has passed.
+Fronts whose event loop lagged once forwarded requests of clients that had disconnected; these requests
+expired 1 ms after they arrived at the endpoints. The attempts had been decided in time, but the deadline
+passed while their connections were being established. The timer, message or cancellation that ends an attempt
+is processed only in its turn in the event loop, while the first byte is sent as soon as the connection is
+established. So the deadline and the client are checked just before the first byte.
+
+The tests of the first section cause one of these ends at the moment at which the connection is established.
+Without the check the attempt is sent, with a limit of 1 ms if its deadline has passed.
 """
 
 from __future__ import annotations
@@ -47,11 +48,12 @@
 from zincladder.routing.router import Router
 
 pytestmark = pytest.mark.anyio
-PATIENCE = 1.0  # seconds from a request that must not be sent to its deadline
-PAGE_PATIENCE = 1.35  # seconds for which the router waits for a cache's answer to a page
-PEER_TIMEOUT = 0.05  # seconds
+PATIENCE = 1.0  # seconds from the arrival of a request to its deadline
+PAGE_PATIENCE = 1.35  # seconds for which the router waits for a cache to answer a page request
+PEER_TIMEOUT = 0.05  # seconds that a peer may take to send or read a byte
 IS_LISTENING = socket.SOL_SOCKET, socket.SO_ACCEPTCONN
-NO_PROBES = SETTINGS | {"ceilings": SETTINGS["ceilings"] | {"probes": False}}  # so that only attempts connect
+# Without probes, only attempts open connections to endpoints.
+NO_PROBES = SETTINGS | {"ceilings": SETTINGS["ceilings"] | {"probes": False}}
 Act = Callable[[Core, socket.socket], None]
 
 
@@ -96,8 +98,8 @@
 ) -> list[str]:
     """Returns the traces of the requests that reach endpoints.
 
-    `act` is called when the connection for the attempt of this number is established. `behind` is sent right
-    after the request, and is read before that.
+    `act` is called when the connection for attempt number `attempt` is established. `behind` is sent right
+    after the request, and the front reads it before `act` is called.
     """
     cores, waiting = record_cores(monkeypatch), list[socket.socket]()
     on_connect(monkeypatch, lambda made: act(cores[0], waiting.pop()) if made == attempt else None)
@@ -198,7 +200,8 @@
 async def test_bytes_of_a_cancelled_request_that_the_endpoint_has_not_received_are_dropped(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Otherwise the operating system sends them when the endpoint reads again, long after the client is gone.
+    # If they were kept, the operating system would send them when the endpoint reads again, long after the
+    # client is gone.
     monkeypatch.setattr(cache_exchange, "MIN_RETRANSMIT_SECONDS", 0.0)
     async with wire() as w:
         scopes = list[anyio.CancelScope]()
@@ -242,7 +245,7 @@
 
 @pytest.fixture
 def connected_after(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """Returns the upper bounds of how many seconds each accepted connection waited, in their order."""
+    """Returns a list that gets an upper bound of the seconds that each connection waited to be accepted."""
     waited = list[float]()
     add = ClientServer._add
 
@@ -342,7 +345,7 @@
 async def test_a_stall_of_the_process_is_not_part_of_an_endpoints_latency(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Otherwise later requests would be rejected, because their transfer would seem to take too long.
+    # If it were, later requests would be rejected, because their transfer would seem to take too long.
     events, stalls = list[api.Event](), [0.6]
     handle = Router.handle
 
--- a/tests/metrics/test_metrics.py
+++ b/tests/metrics/test_metrics.py
@@ -59,7 +59,7 @@
         assert pages[0].startswith("HTTP/1.1 200") and pages[1].startswith("HTTP/1.1 404")
         assert 'zincladder_answers_total{front="n0",kind="served"} 1\n' in pages[0]
         assert 'zincladder_members_ready{front="n0"} 3\n' in pages[0]
-        assert 'zincladder_attempts_written_total{front="n0"} 1\n' in pages[0]  # "forwards" in STATS
+        assert 'zincladder_attempts_written_total{front="n0"} 1\n' in pages[0]  # `app.forwards` in STATS
         assert 'zincladder_processes{front="n0"} 1\n' in pages[0]
 
 
--- a/tests/net/test_buffers_and_queues.py
+++ b/tests/net/test_buffers_and_queues.py
@@ -23,12 +23,12 @@
         write_queue, read_buffer, allowed = WriteQueue(ours), ReadBuffer(theirs), True
         done_late: list[bool] = []
         done_large: list[bool] = []
-        # larger than the socket buffers
+        # This message is larger than the socket buffers, so only a part of it is written at once.
         large = write_queue.put([b"head\r\n", bytes(4_000_000)], None, done_large.append)
         late = write_queue.put([b"late\r\n"], lambda: allowed, done_late.append)
         cancelled = write_queue.put([b"dropped\r\n"])
         write_queue.put([b"last\r\n"])
-        assert large.started and not late.started and done_large == []  # called with the last byte only
+        assert large.started and not late.started and done_large == []  # `on_done` waits for the last byte
         assert not write_queue.cancel(large) and write_queue.cancel(cancelled)
         allowed = False
         async with anyio.create_task_group() as tasks:
--- a/tests/net/test_clients.py
+++ b/tests/net/test_clients.py
@@ -1,4 +1,4 @@
-"""The front with clients, caches and a coordinator over loopback sockets: failures that it has to survive."""
+"""A front answers clients over loopback sockets while clients, caches or the coordinator fail."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
         (serve, "page", "served", 1),
         (in_pieces, "page", "served", 1),
         (says(304, "rev=aa,since=1"), "page", "served", 1),
-        (says(404), "booking", "Throttled", 4),  # certain not to have run: retried, then rejected
+        (says(404), "booking", "Throttled", 4),  # it certainly did not run: retried, then rejected
         (says(503), "booking", "Throttled", 4),
         (says(504), "booking", "Throttled", 1),
-        (says(500), "booking", "Broken", 1),  # may have run: not retried, and answered as failed
+        (says(500), "booking", "Broken", 1),  # it may have run: failed without a retry
         (cut, "booking", "Broken", 1),
         (garble, "booking", "Broken", 1),
         (too_long, "booking", "Broken", 1),
@@ -96,8 +96,8 @@
 
 
 async def test_requests_to_an_unreachable_cache_wait_for_it_at_the_same_time() -> None:
-    # A machine that is cut off accepts no connection. Ten requests that waited for it one after another would
-    # lose 0.4 s each.
+    # A machine that is cut off accepts no connection, so each attempt to connect to it times out after 0.4 s.
+    # If ten requests made these attempts one after another, the later ones would miss their 1.1 s deadline.
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full, contextlib.ExitStack() as fillers:
         for _ in range(4):  # fills the listen queue, so that the system drops further connection requests
             filler = fillers.enter_context(socket.socket())
@@ -122,13 +122,14 @@
             await c.ask(patience="1200")
             await c.reply()
             with anyio.fail_after(10):
-                while cache.connections == before:  # until the router sends an attempt to this cache
+                while cache.connections == before:  # until an attempt opens a new connection to this cache
                     await c.ask(patience="300")
                     await c.reply()
 
 
 async def test_requests_beyond_the_memory_limit_are_rejected_at_once() -> None:
-    # The limit allows 40 requests. A client that has used its share leaves the rest to other clients.
+    # The limit allows 40 open requests. The first client opens 32, as many as one connection may. This leaves
+    # 8 to the second client, so 12 of its 20 requests are rejected.
     async with running_front(hold, limits={"memory_mb": 1}) as w, client(w) as many, client(w) as few:
         for _ in range(32):
             await many.ask(patience="5000")
@@ -155,7 +156,7 @@
         while not cache.aborts:
             await cache.came.wait()
         assert cache.aborts == [f"{2:016x}"]
-        for n in (4, 2, 1):  # the cache still answers the second, as if that answer crossed the abort
+        for n in (4, 2, 1):  # the cache also answers request 2, as if its answer had crossed the abort
             gates.setdefault(f"{n:016x}", anyio.Event()).set()
         assert [(await c.reply()).seq for _ in range(2)] in ([4, 1], [1, 4])
         await c.withdraw(1)  # has no effect, since the request is answered already
@@ -251,8 +252,8 @@
 
 @pytest.mark.parametrize("as_source", [False, True])
 async def test_a_draining_cache_gets_no_new_request_and_is_no_source_of_fills(as_source: bool) -> None:
-    # An attempt may have been decided before the drain was announced, and be sent after it because its
-    # connection is established late (rule 3 of the platform).
+    # One attempt may still reach the draining cache: it was decided before the drain was announced, and sent
+    # afterwards because its connection was established late (rule 3 of the platform).
     async with running_front(serve, serve) as w, client(w) as c:
         drained = w.caches[-2 if as_source else 0]
         await w.coordinator.tell(2, drained.record(1))
@@ -292,7 +293,8 @@
             await w.coordinator.followed.wait()
         await w.coordinator.tell(4, struct.pack(">HQ", 3, 5))
         with anyio.fail_after(10):
-            while 2 not in w.coordinator.after:  # closes the watch until the front has read the event
+            # The connection of the watch is closed repeatedly until the front has read the event.
+            while 2 not in w.coordinator.after:
                 for stream in w.coordinator.streams:
                     await stream.aclose()
                 w.coordinator.streams.clear()
@@ -441,8 +443,8 @@
 
 
 async def test_a_duplicate_answer_does_not_answer_the_next_attempt() -> None:
-    # The duplicate says that the first attempt of a booking never ran. Taken as the answer to the second
-    # attempt, it would cause a third, and the booking would run twice.
+    # The duplicate repeats that the first attempt of a booking was not run. If it were taken as the answer to
+    # the second attempt, a third would be sent, and the booking would run twice.
     first: list[Fetch] = []
 
     async def script(cache: StubCache, fetch: Fetch) -> None:
@@ -512,7 +514,7 @@
             await silent.stream.send(data)
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)), anyio.fail_after(5):
             await silent.stream.receive()
-        assert (await regular.reply()).kind == "Throttled"  # has sent a message: its connection is kept
+        assert (await regular.reply()).kind == "Throttled"  # kept open, since it has sent a message
 
 
 @pytest.mark.parametrize(
@@ -525,8 +527,8 @@
 
 
 async def test_withdrawing_many_started_requests_closes_no_connection() -> None:
-    # Regular clients withdraw the requests that time out in a slow moment. The limit against abuse counts
-    # only requests that were withdrawn before they started.
+    # When answers are slow for a moment, regular clients withdraw the requests that time out. The limit
+    # against abuse counts only requests that were withdrawn before they started.
     async with running_front(hold, origin=hold) as w, client(w) as c:
         for n in range(1, 101):
             await c.ask(patience="5000", entity=f"{n:016x}")
@@ -584,6 +586,6 @@
             sock.setblocking(False)
             with anyio.fail_after(5):
                 await anyio.wait_readable(sock)
-            assert sock.recv(4096)  # an answer, not an end
+            assert sock.recv(4096)  # an answer, and not the end of the connection
         for sock in regular + other_clients:
             sock.close()
--- a/tests/routing/test_overload.py
+++ b/tests/routing/test_overload.py
@@ -1,4 +1,4 @@
-"""Models of many routers before an overloaded origin or parent: the load that the routers add to it."""
+"""Simulations of many routers before an overloaded origin or parent, and of the load that they add to it."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 
 ROUTERS = 40
-ORIGIN_FILLS_PER_SECOND = 40.0  # that the origin can serve
-MAX_FILLS = 120  # that the parents accept in flight, 3 s of the origin's work; they reject further ones
+ORIGIN_FILLS_PER_SECOND = 40.0  # the capacity of the origin
+MAX_FILLS = 120  # accepted fills in flight, 3 s of work for the origin; the parents reject further ones
 ROUND_TRIP_SECONDS = 0.04  # to the parent and back
 CLIENT_TIMEOUT_SECONDS = 3.0
 
@@ -59,7 +59,7 @@
         if isinstance(event, api.AttemptEnded):
             if self.in_flight.pop((router, event.request, event.attempt), None) is None:
                 return  # the attempt was cancelled
-            event.latency = self.now - event.latency  # until now it was the start time of the attempt
+            event.latency = self.now - event.latency  # `latency` held the start time of the attempt
             if event.outcome is Outcome.OK:
                 self.served += 1
                 self.on_time += event.latency <= 0.7
@@ -158,10 +158,10 @@
 
 @dataclass
 class UnevenFleetModel(FleetModel):
-    """Parents that have all objects, each with its own link; one of them gets most of the requests."""
+    """A fleet whose parents hold all objects. Each parent has its own link, and one gets most requests."""
 
     link_idle_at: dict[bytes, float] = field(default_factory=dict)
-    LINK_FILLS_PER_SECOND = 30.0  # that the link of one parent carries
+    LINK_FILLS_PER_SECOND = 30.0  # the capacity of one parent's link
 
     def attempt_result(self, action: api.Fetch | api.Lookup) -> tuple[float, Outcome, Fill]:
         assert isinstance(action, api.Fetch)
@@ -173,7 +173,7 @@
 
 
 def simulate_uneven_load(seed: int) -> UnevenFleetModel:
-    """Sends two thirds of the requests that three parents can serve, two thirds of them to one parent."""
+    """Sends three parents two thirds of the load that they can serve, two thirds of it for one parent."""
     fleet = UnevenFleetModel([Router(settings(), seed * 1000 + n) for n in range(ROUTERS)])
     for n in range(ROUTERS):
         fleet.handle_event(n, api.EndpointUpdate(api.UpdateKind.FULL, 1, FLEET))
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -1,4 +1,4 @@
-"""Compares values with fixtures: JSON files under tests/data/ with what the program published or stored.
+"""Compares values with fixtures, JSON files under tests/data/ of what the program published or stored.
 
 With ZINCLADDER_WRITE_FIXTURES=1 in the environment a test writes its value to the fixture and fails. A change
 to a fixture is a change for users and has to be reviewed before it is committed.
--- a/tests/test_published_names.py
+++ b/tests/test_published_names.py
@@ -253,7 +253,7 @@
 
 
 def test_exit_code_of_a_replica_without_its_file() -> None:
-    # Runs in a process of its own, since the command configures logging for the whole process.
+    # The command runs in a process of its own, since it configures logging for the whole process.
     ended = subprocess.run(
         [sys.executable, "-m", "zincladder", "keep", "/nowhere"], cwd=ROOT, capture_output=True
     )
@@ -264,7 +264,7 @@
 
 
 def fields_of(kind: msgspec.inspect.Type) -> Any:
-    """The values that a field of a file may have: the keys of a table, else its type and bounds."""
+    """Describes the values of a field of a file: the keys of a table, or else the type and its bounds."""
     if isinstance(kind, msgspec.inspect.Metadata):
         return fields_of(kind.type)
     if isinstance(kind, msgspec.inspect.StructType):
