--- a/zincladder/admission/source_admission.py
+++ b/zincladder/admission/source_admission.py
@@ -22,7 +22,8 @@
 
 # If the clock goes back by more than this between two ticks, recorded times are shifted.
 MAX_CLOCK_STEP_BACK_SECONDS = 0.5
-MIN_IDLE_TICK_INTERVAL_SECONDS = 0.03  # while nothing waits, an earlier tick does nothing
+# While no read or eviction waits, a tick sooner than this after the last complete one does nothing.
+MIN_IDLE_TICK_INTERVAL_SECONDS = 0.03
 
 
 class SourceAdmission:
--- a/zincladder/config/replica.py
+++ b/zincladder/config/replica.py
@@ -14,7 +14,8 @@
 
 MS_PER_SECOND = 1000
 MIN_RENEWALS_PER_LEASE = 3
-MIN_RENEWALS_BEFORE_ACTION = 2  # in what is left of a lease after subtracting clock drift and 'act_s'
+# This many renewals have to fit in what is left of a lease after subtracting clock drift and 'act_s'.
+MIN_RENEWALS_BEFORE_ACTION = 2
 MIN_HEARTBEATS_PER_ELECTION = 4
 # Allowed numbers of members of a new group; 0 for a replica that joins a running group. An even number is not
 # allowed, because it tolerates no more failures than the odd number below it.
--- a/zincladder/control/status_server.py
+++ b/zincladder/control/status_server.py
@@ -13,7 +13,7 @@
 from zincladder.control.status_calls import LineReader, StatusCalls
 from zincladder.support.lingering_close import LINGER_SECONDS, lingering_close
 
-CONNECTION_TIMEOUT_SECONDS = 10.0  # for receiving the line and sending the answer
+CONNECTION_TIMEOUT_SECONDS = 10.0  # a connection is closed if its line and its answer take longer
 MIN_CONNECTIONS = 4  # open at the same time, even if no descriptors are available
 READ_BYTES = 512
 log = structlog.get_logger()
--- a/zincladder/core/engine.py
+++ b/zincladder/core/engine.py
@@ -36,9 +36,13 @@
 from zincladder.routing.router import Router
 from zincladder.support.rate_limited_log import RateLimitedLog
 
-LIST_WAIT_FRACTION = 0.45  # of a request's remaining time; a client rejected after this wait can still retry
-ATTEMPT_LIST_WAIT_SECONDS = 0.2  # before an attempt; shorter than timeouts that count against endpoints
-CANCEL_SCOPE_MARGIN_SECONDS = 0.001  # from the deadline of an attempt to its cancellation
+# A request waits for a current list for at most this fraction of its remaining time, so that a client that is
+# rejected after this wait can still retry.
+LIST_WAIT_FRACTION = 0.45
+# Before an attempt is sent, it waits for a current list for at most this long, which is shorter than timeouts
+# that count against endpoints.
+ATTEMPT_LIST_WAIT_SECONDS = 0.2
+CANCEL_SCOPE_MARGIN_SECONDS = 0.001  # an attempt is cancelled this long after its deadline
 REPLACED_CLASS_RETRY_AFTER_SECONDS = 0.05  # sent to a client whose request was read under replaced settings
 log = structlog.get_logger()
 
--- a/zincladder/core/statistics.py
+++ b/zincladder/core/statistics.py
@@ -21,8 +21,9 @@
     )
 )
 NOT_SENT_ENDS = frozenset((EndReason.LOST_BEFORE_SEND, EndReason.DRAINING))
-MAX_CLASSES = 64  # with statistics; above it the oldest unused classes are dropped
-SILENCE_EXPIRY_SECONDS = 30.0  # without a message to an endpoint; then its silence no longer counts
+MAX_CLASSES = 64  # if more classes have statistics, the oldest unused ones are dropped
+# If no attempt is in flight, an endpoint's silence no longer counts this long after the last message to it.
+SILENCE_EXPIRY_SECONDS = 30.0
 
 
 @dataclass(slots=True)
--- a/zincladder/discovery/freshness.py
+++ b/zincladder/discovery/freshness.py
@@ -26,7 +26,9 @@
 # out of service.
 INITIAL_SYNC_SECONDS = 3.0
 RESYNC_SECONDS = 1.6  # longest wait for a later frame: a stalled coordinator must not stop the whole fleet
-MAX_FAILED_ATTEMPTS = 3  # in a row: a connect may fail briefly, and a watch may be interrupted once
+# After this many failed attempts in a row, the coordinator counts as unreachable. Fewer are tolerated:
+# a connect may fail briefly, and a watch may be interrupted once.
+MAX_FAILED_ATTEMPTS = 3
 # Share of the minimum grace for which a front still uses its previous data after a catch-up request.
 MAX_GRACE_SHARE = 0.5
 
--- a/zincladder/dns/server.py
+++ b/zincladder/dns/server.py
@@ -25,11 +25,11 @@
 from zincladder.support.rate_limited_log import RateLimitedLog
 
 IDLE_TIMEOUT_SECONDS = 5.0  # limit over TCP for receiving a whole query, and for writing a response
-LENGTH_PREFIX_BYTES = 2  # before each message over TCP (RFC 1035, 4.2.2)
+LENGTH_PREFIX_BYTES = 2  # over TCP each message is preceded by its length (RFC 1035, 4.2.2)
 MAX_QUERY_BYTES = 4096  # over UDP
 ACCEPT_RETRY_SECONDS = 0.01
 LISTEN_BACKLOG = 64  # connections that wait to be accepted
-MAX_DATAGRAMS_IN_A_ROW = 64  # after these, other tasks can run before the next one is read
+MAX_DATAGRAMS_IN_A_ROW = 64  # after this many datagrams, other tasks can run before the next one is read
 log = structlog.get_logger()
 
 
--- a/zincladder/export/sender.py
+++ b/zincladder/export/sender.py
@@ -24,7 +24,7 @@
 
 PUSH_TIMEOUT_SECONDS = 10.0
 FINISH_POLL_SECONDS = 0.02
-MAX_SAMPLES_IN_A_ROW = 200  # after these, other tasks can run before the next one is collected
+MAX_SAMPLES_IN_A_ROW = 200  # after this many samples, other tasks can run before the next one is collected
 MAX_LOGGED_FILES = 10
 OVERFLOWED = "overflowed"  # label value for lost batches, beside those of PushOutcome
 # After one of these outcomes a batch is removed and not sent again.
--- a/zincladder/net/cache_pool.py
+++ b/zincladder/net/cache_pool.py
@@ -25,7 +25,7 @@
 # no request is sent while the cache closes the connection.
 IDLE_TIMEOUT_SHARE = 0.7
 IDLE_CHECK_INTERVAL_SECONDS = 1.0
-DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.4  # if the settings state none
+DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.4  # used if the settings state no connect timeout
 DESCRIPTORS_TO_FREE = 4  # how many admission has to free when the system has no descriptor left
 DESCRIPTOR_WAIT_SECONDS = 0.03  # delay before connecting again, in which they are freed
 log = structlog.get_logger()
--- a/zincladder/net/client_server.py
+++ b/zincladder/net/client_server.py
@@ -31,8 +31,10 @@
 
 # Until the first complete message; the platform requires a connection without one to be closed within 3 s.
 FIRST_MESSAGE_TIMEOUT_SECONDS = 2.2
-STALL_TIMEOUT_SECONDS = 2.2  # for the rest of an incomplete message, or for a client to read its answers
-IDLE_TIMEOUT_SECONDS = 5.0  # without a request; regular clients close their idle connections after 4 s
+# Within this time the rest of an incomplete message has to arrive, and a client has to read its answers.
+STALL_TIMEOUT_SECONDS = 2.2
+# A connection is closed after this time without a request; regular clients close idle connections after 4 s.
+IDLE_TIMEOUT_SECONDS = 5.0
 SWEEP_INTERVAL_SECONDS = 0.2  # between two checks of these timeouts
 LOAD_INTERVAL_SECONDS = 1.0  # between two measurements of the process's CPU time
 # The platform lets clients connect until 0.6 s after SIGTERM, and expects an answer to every request that
--- a/zincladder/support/lingering_close.py
+++ b/zincladder/support/lingering_close.py
@@ -7,7 +7,9 @@
 import anyio
 
 LINGER_SECONDS = 0.5  # longest wait until the peer closes; many round trips
-NO_LINGER_SECONDS = 0.0  # if the descriptor is needed at once: reads only what has already arrived
+# Used if a close must not wait, as when the descriptor is needed at once: only what has already arrived
+# is read.
+NO_LINGER_SECONDS = 0.0
 MAX_DISCARDED_BYTES = 1 << 20
 RECV_BUFFER_BYTES = 1 << 16
 
--- a/zincladder/tasks/runner.py
+++ b/zincladder/tasks/runner.py
@@ -21,7 +21,9 @@
 from zincladder.tasks.lease_holder import LeaseHolder
 from zincladder.tasks.model import FromLeaseManager, ReportCounters
 
-MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.2, 5.0  # before a task that failed or returned is started again
+# The delay before a task that failed or returned is started again. It doubles each time, up to the maximum,
+# and is multiplied by a random factor; after a lost lease it is the minimum.
+MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.2, 5.0
 REPORT_INTERVAL_SECONDS = 2.0
 log = structlog.get_logger()
 
